--- a/crates/entry/src/asks.rs
+++ b/crates/entry/src/asks.rs
@@ -174,7 +174,7 @@
         Ask::Stored(program, row, version) => grants::take_stored(shared, program, row, version),
         Ask::Loose(program, known) => grants::take_loose(shared, program, &known),
         Ask::KnownRow(program) => budget::known_row(shared, program),
-        Ask::StoredRow(program) => Reply::StoredRow(shared.budgets.borrow().stored(program)),
+        Ask::StoredRow(program) => Reply::StoredRow(shared.budgets.borrow().stored_row(program)),
         Ask::Yield(program) => budget::yield_rest(shared, program),
         Ask::Give(program, known, to, total) => budget::give(shared, program, &known, to, total),
         Ask::Manifest => manifests::tell(shared, from),
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -89,7 +89,7 @@
 
     fetch_row(call, program).await;
     let mut collected = false;
-    let mut is_first = !shared.budgets.borrow().knows(program);
+    let mut is_first = !shared.budgets.borrow().has_grants(program);
     for _ in 0..MOST_WRITES {
         let is_settled = shared.is_settled();
         // In times of trouble the one host that is asked for a grant knows more than this one.
@@ -124,7 +124,7 @@
                 }
             }
             Reservation::Write(..) => {
-                if !shared.budgets.borrow().knows(program) {
+                if !shared.budgets.borrow().has_grants(program) {
                     grants::learn_from(shared, program, 1).await;
                 }
                 match grants::ask_for_grant(call, program, budget, most).await? {
@@ -153,14 +153,14 @@
 /// writes again, with the caller waiting for both. If what it gets is out of date, the same happens.
 async fn fetch_row(call: &Call, program: ProgramKey) {
     let shared = &call.shared;
-    if shared.budgets.borrow().knows(program) {
+    if shared.budgets.borrow().has_grants(program) {
         return;
     }
     let Some(host) = shared.host_before(&call.head) else { return };
     let reply = asks::ask(shared, host, &Ask::StoredRow(program), ROW_DEADLINE).await;
 
     if let Some(Reply::StoredRow(Some((row, version)))) = reply {
-        shared.budgets.borrow_mut().learn(clock::now(), program, row, version);
+        shared.budgets.borrow_mut().merge_stored_row(clock::now(), program, row, version);
     }
 }
 
@@ -204,7 +204,7 @@
 /// those that these gave theirs to.
 async fn gather(shared: &Shared, program: ProgramKey, most: u64) {
     let mut runs = shared.budgets.borrow().holders(program);
-    runs.extend(shared.budgets.borrow().given_to(program));
+    runs.extend(shared.budgets.borrow().transfer_recipients(program));
     let mut asked = Set::from_iter([shared.run]);
 
     while let Some(run) = runs.pop() {
@@ -215,11 +215,11 @@
         let Some(host) = shared.fleet.host_of_run(run.0).filter(|_| asked.insert(run)) else {
             continue;
         };
-        let total = shared.budgets.borrow().received(program, run) + missing;
-        let Some(known) = shared.budgets.borrow().known(program) else { return };
+        let total = shared.budgets.borrow().transferred_from(program, run) + missing;
+        let Some(known) = shared.budgets.borrow().known_row(program) else { return };
         let ask = Ask::Give(program, known, shared.run, total);
         if let Some(Reply::Given(total, to)) = asks::ask(shared, host, &ask, TELL_DEADLINE).await {
-            shared.budgets.borrow_mut().receive(program, run, total);
+            shared.budgets.borrow_mut().record_transfer_from(program, run, total);
             runs.extend(to);
         }
     }
@@ -234,9 +234,9 @@
     total: u64,
 ) -> Reply {
     let mut budgets = shared.budgets.borrow_mut();
-    budgets.note_known(clock::now(), program, known);
+    budgets.merge_known_row(clock::now(), program, known);
 
-    Reply::Given(budgets.give(program, to, total), budgets.given_to(program))
+    Reply::Given(budgets.transfer_to(program, to, total), budgets.transfer_recipients(program))
 }
 
 /// Has the other hosts give back what they hold of a program's tokens and do not need.
@@ -248,14 +248,14 @@
 
     for reply in replies.into_iter().flatten() {
         if let Reply::Granted(row) = reply {
-            shared.budgets.borrow_mut().note(clock::now(), program, &row);
+            shared.budgets.borrow_mut().merge_row(clock::now(), program, &row);
         }
     }
 }
 
 /// Gives back what this host holds of a program's tokens and does not need.
 pub(crate) fn yield_rest(shared: &Shared, program: ProgramKey) -> Reply {
-    let row = shared.budgets.borrow_mut().yield_rest(program);
+    let row = shared.budgets.borrow_mut().return_unused(program);
 
     row.map_or(Reply::Refused, Reply::Granted)
 }
@@ -293,7 +293,7 @@
     match store::ask(shared, PlatformOp::Commit(tx)).await {
         PlatformReply::Committed(version) => {
             grants::tell_stored(shared, program, &row, version);
-            shared.budgets.borrow_mut().wrote(clock::now(), program, row, version);
+            shared.budgets.borrow_mut().record_write(clock::now(), program, row, version);
             Ok(Written::Committed)
         }
         PlatformReply::Conflict(rows) => take_in(shared, program, &rows),
@@ -328,37 +328,42 @@
         _ => false,
     };
     if is_gone {
-        shared.budgets.borrow_mut().deleted(clock::now(), program, asked);
+        shared.budgets.borrow_mut().record_deletion(clock::now(), program, asked);
     } else {
         info!(program = %program.0, version = version.0, "budget: needless row not deleted");
     }
     if let PlatformReply::Conflict(rows) = reply
         && !is_gone
-        && shared.budgets.borrow().knows(program)
+        && shared.budgets.borrow().has_grants(program)
     {
         // A row that cannot be read is logged there, and stays.
         let _ = take_in(shared, program, &rows);
     }
-    if !shared.budgets.borrow().knows(program) {
+    if !shared.budgets.borrow().has_grants(program) {
         shared.budget_locks.borrow_mut().remove(&program);
     }
 }
 
 /// Returns a program's row as this host knows it.
 pub(crate) fn known_row(shared: &Shared, program: ProgramKey) -> Reply {
-    shared.budgets.borrow().known(program).map_or(Reply::Refused, Reply::Known)
+    shared.budgets.borrow().known_row(program).map_or(Reply::Refused, Reply::Known)
 }
 
 fn take_in(shared: &Shared, program: ProgramKey, rows: &[Row]) -> Result<Written, Refusal> {
     let key = row_key(program);
     let Some(row) = rows.iter().find(|row| row.key == key) else {
-        shared.budgets.borrow_mut().absent(clock::now(), program);
+        shared.budgets.borrow_mut().record_missing_row(clock::now(), program);
         return Ok(Written::Learned);
     };
 
     match serde_json::from_str(&row.value) {
         Ok(content) => {
-            shared.budgets.borrow_mut().learn(clock::now(), program, content, row.version);
+            shared.budgets.borrow_mut().merge_stored_row(
+                clock::now(),
+                program,
+                content,
+                row.version,
+            );
             Ok(Written::Learned)
         }
         Err(e) => {
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -71,7 +71,7 @@
     version: RowVersion,
 ) {
     let mut hosts: Vec<_> = next_granters(shared, program).take(WITNESSES).collect();
-    if shared.budgets.borrow().is_loose(program) {
+    if shared.budgets.borrow().has_unstored_grants(program) {
         hosts.extend(loose_witnesses(shared, program));
         hosts.sort_unstable();
         hosts.dedup();
@@ -109,7 +109,7 @@
 ) -> Result<Granted, Refusal> {
     let shared = &call.shared;
     let empty = BudgetRow { budget, ..BudgetRow::default() };
-    let known = shared.budgets.borrow().known(program);
+    let known = shared.budgets.borrow().known_row(program);
     let known = known.unwrap_or(KnownRow { row: empty, stored: 0 });
     let begins = call.may_be_first();
     let claim = shared.budgets.borrow().claim(program, most);
@@ -123,7 +123,7 @@
 
     match reply {
         Some(Reply::Written(row)) => {
-            shared.budgets.borrow_mut().learn_written(clock::now(), program, &row);
+            shared.budgets.borrow_mut().accept_stored_grant(clock::now(), program, &row);
             Ok(Granted::Tokens)
         }
         Some(Reply::Granted(row)) => {
@@ -131,7 +131,7 @@
                 request = %call.head.request_id, program = %program.0, host = host.0,
                 "budget: granted without the store"
             );
-            shared.budgets.borrow_mut().learn_loose(clock::now(), program, &row);
+            shared.budgets.borrow_mut().accept_unstored_grant(clock::now(), program, &row);
             Ok(Granted::Tokens)
         }
         Some(Reply::Withheld(doubt)) => Ok(Granted::Withheld(doubt)),
@@ -150,7 +150,7 @@
 
 /// Grants a turn's tokens: by the store if it answers for the program's part, or else in its place.
 async fn grant(shared: &Rc<Shared>, ask: &GrantAsk) -> Reply {
-    shared.budgets.borrow_mut().note_known(clock::now(), ask.program, &ask.known);
+    shared.budgets.borrow_mut().merge_known_row(clock::now(), ask.program, &ask.known);
 
     for _ in 0..MOST_OVERDUE {
         let overdue = match grant_by_store(shared, ask).await {
@@ -238,16 +238,16 @@
     }
 
     learn_from(shared, *program, WITNESSES).await;
-    if !shared.budgets.borrow().knows(*program) {
+    if !shared.budgets.borrow().has_grants(*program) {
         // Hosts that were stopped in turn know nothing of before. Whoever ran the program does.
         learn_from(shared, *program, MOST_ASKED).await;
-        if !shared.budgets.borrow().knows(*program) && !ask.begins {
+        if !shared.budgets.borrow().has_grants(*program) && !ask.begins {
             info!(program = %program.0, "budget: the row of a program under way is not known");
             return None;
         }
     }
     let granted =
-        shared.budgets.borrow_mut().grant_claim(clock::now(), *program, *claim, &known.row);
+        shared.budgets.borrow_mut().grant_without_store(clock::now(), *program, *claim, &known.row);
     match granted {
         Some(row) if has_witness(shared, *program, &row).await => {
             shared.metrics.loose_grants.inc();
@@ -309,7 +309,7 @@
 /// it grants in that time would be forgotten if all machines lost power. Nobody elsewhere
 /// acknowledges it then, so it is not spent.
 async fn has_witness(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
-    let stored = shared.budgets.borrow().known(program).map_or(0, |known| known.stored);
+    let stored = shared.budgets.borrow().known_row(program).map_or(0, |known| known.stored);
     let ask = Ask::Loose(program, KnownRow { row: row.clone(), stored });
     let elsewhere = loose_witnesses(shared, program);
     let next = next_granters(shared, program).take(WITNESSES);
@@ -347,7 +347,7 @@
 
     for reply in replies.into_iter().flatten() {
         if let Reply::Known(known) = reply {
-            shared.budgets.borrow_mut().note_known(clock::now(), program, &known);
+            shared.budgets.borrow_mut().merge_known_row(clock::now(), program, &known);
         }
     }
 }
@@ -359,7 +359,7 @@
     row: BudgetRow,
     version: RowVersion,
 ) -> Reply {
-    shared.budgets.borrow_mut().learn(clock::now(), program, row, version);
+    shared.budgets.borrow_mut().merge_stored_row(clock::now(), program, row, version);
 
     Reply::Done
 }
@@ -368,8 +368,8 @@
 /// does not: it may be cut off from now on, and this one not.
 pub(crate) fn take_loose(shared: &Shared, program: ProgramKey, known: &KnownRow) -> Reply {
     let mut budgets = shared.budgets.borrow_mut();
-    budgets.witness(clock::now(), program, &known.row);
-    budgets.note_known(clock::now(), program, known);
+    budgets.merge_unstored_row(clock::now(), program, &known.row);
+    budgets.merge_known_row(clock::now(), program, known);
 
     Reply::Done
 }
@@ -378,7 +378,8 @@
 /// that it knows of for others if they have not been written after a while. What fails, or met
 /// another write of the same row, stays loose until the next round.
 pub(crate) async fn write_loose(shared: &Rc<Shared>, most: usize) -> Round {
-    let mut loose = shared.budgets.borrow().loose(clock::now(), |run| shared.hears_run(run));
+    let mut loose =
+        shared.budgets.borrow().rows_to_write(clock::now(), |run| shared.hears_run(run));
     if loose.is_empty() {
         return Round::Nothing;
     }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -217,7 +217,8 @@
     pub(crate) fn grants_loose(&self) -> bool {
         let is_heard = |run| self.hears_run(run);
 
-        self.store.missed_any(ALL_TOLD) || self.budgets.borrow().answers_for_loose(is_heard)
+        self.store.missed_any(ALL_TOLD)
+            || self.budgets.borrow().is_responsible_for_unstored(is_heard)
     }
 
     /// Returns whether no host has granted tokens without the store for a while, as far as they told
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -55,7 +55,7 @@
     // Budgets are needed for as long as a program may return, which is as long as its turns
     // are kept.
     let asked = clock::now();
-    let old = shared.budgets.borrow_mut().forget(asked, retention + SWEEP_MARGIN);
+    let old = shared.budgets.borrow_mut().take_idle(asked, retention + SWEEP_MARGIN);
     for (program, version) in old {
         budget::delete(shared, program, version, asked).await;
     }
--- a/crates/policy/src/entry/budgets.rs
+++ b/crates/policy/src/entry/budgets.rs
@@ -83,7 +83,7 @@
     /// let Reservation::Write(row, _) = budgets.reserve(Instant(0), program, 1_000, 100) else {
     ///     panic!("nothing is granted yet");
     /// };
-    /// budgets.learn(Instant(0), program, row, RowVersion(5));
+    /// budgets.merge_stored_row(Instant(0), program, row, RowVersion(5));
     /// assert_eq!(budgets.reserve(Instant(0), program, 1_000, 100), Reservation::Reserved);
     /// ```
     pub fn new(run: RunId) -> Self {
@@ -140,7 +140,7 @@
     }
 
     /// Takes in what the store holds of a program: after a write, a conflict or a read.
-    pub fn learn(
+    pub fn merge_stored_row(
         &mut self,
         now: Instant,
         program: ProgramKey,
@@ -164,14 +164,14 @@
     }
 
     /// Takes in that this host has written a row.
-    pub fn wrote(
+    pub fn record_write(
         &mut self,
         now: Instant,
         program: ProgramKey,
         row: BudgetRow,
         version: RowVersion,
     ) {
-        self.learn(now, program, row, version);
+        self.merge_stored_row(now, program, row, version);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.written_at = now;
             account.stale = false;
@@ -179,7 +179,7 @@
     }
 
     /// Takes in that the store has no row of a program: what this host knows is written anew.
-    pub fn absent(&mut self, now: Instant, program: ProgramKey) {
+    pub fn record_missing_row(&mut self, now: Instant, program: ProgramKey) {
         if let Some(account) = self.accounts.get_mut(&program) {
             account.version = RowVersion::ABSENT;
             account.stored = 0;
@@ -240,7 +240,7 @@
     ///
     /// Returns `None` if the budget does not hold the turn, or the share of it that is granted
     /// without the store does not.
-    pub fn grant_loose(
+    pub fn grant_turn_without_store(
         &mut self,
         now: Instant,
         program: ProgramKey,
@@ -250,11 +250,11 @@
     ) -> Option<BudgetRow> {
         let claim = self.further(program, run, most, known);
 
-        self.grant_claim(now, program, claim, known)
+        self.grant_without_store(now, program, claim, known)
     }
 
-    /// Grants what a host lacks of a turn's tokens, as `grant_loose`.
-    pub fn grant_claim(
+    /// Grants what a host lacks of a turn's tokens, as `grant_turn_without_store`.
+    pub fn grant_without_store(
         &mut self,
         now: Instant,
         program: ProgramKey,
@@ -276,15 +276,15 @@
 
     /// Takes in a row with loose grants to this host, of which a host of another zone has taken
     /// note.
-    pub fn learn_loose(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
-        self.witness(now, program, row);
+    pub fn accept_unstored_grant(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+        self.merge_unstored_row(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.assure(self.run, row);
         }
     }
 
     /// Takes note of a row with loose grants, which may come to nothing.
-    pub fn witness(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+    pub fn merge_unstored_row(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, row.budget));
         account.used_at = now;
         let before = account.row.clone();
@@ -295,23 +295,23 @@
     }
 
     /// Takes in a row with a grant to this host that another one has written.
-    pub fn learn_written(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
-        self.note(now, program, row);
+    pub fn accept_stored_grant(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+        self.merge_row(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.assure(self.run, row);
         }
     }
 
     /// Takes in how a program's row stands at another host, which writes it itself.
-    pub fn note(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+    pub fn merge_row(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, row.budget));
         account.used_at = now;
         account.merge(row);
     }
 
     /// Takes in how a program's row stands at another host, and how much of it the store has.
-    pub fn note_known(&mut self, now: Instant, program: ProgramKey, known: &KnownRow) {
-        self.note(now, program, &known.row);
+    pub fn merge_known_row(&mut self, now: Instant, program: ProgramKey, known: &KnownRow) {
+        self.merge_row(now, program, &known.row);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.stored = account.stored.max(known.stored);
             // A grant that the store has may be spent, also if it came after its host gave up.
@@ -326,7 +326,7 @@
     ///
     /// What a run has given back only grows and is set by that run alone, so that rows can be
     /// merged as before. If the asking host does not write it, the tokens are lost, not doubled.
-    pub fn yield_rest(&mut self, program: ProgramKey) -> Option<BudgetRow> {
+    pub fn return_unused(&mut self, program: ProgramKey) -> Option<BudgetRow> {
         let account = self.accounts.get_mut(&program)?;
         let rest = account.has(self.run).saturating_sub(account.spent + account.reserved);
         // What other runs were granted is theirs in the row.
@@ -371,14 +371,15 @@
     /// let (now, program) = (Instant(0), ProgramKey(9));
     /// let (mut from, mut to) = (Budgets::new(RunId(1)), Budgets::new(RunId(2)));
     /// let row = BudgetRow { budget: 500, granted: [(RunId(1), 300)].into(), ..BudgetRow::default() };
-    /// from.learn(now, program, row.clone(), RowVersion(5));
-    /// to.learn(now, program, row, RowVersion(5));
-    /// let total = from.give(program, RunId(2), to.received(program, RunId(1)) + 100);
-    /// to.receive(program, RunId(1), total);
+    /// from.merge_stored_row(now, program, row.clone(), RowVersion(5));
+    /// to.merge_stored_row(now, program, row, RowVersion(5));
+    /// let wanted = to.transferred_from(program, RunId(1)) + 100;
+    /// let total = from.transfer_to(program, RunId(2), wanted);
+    /// to.record_transfer_from(program, RunId(1), total);
     /// assert_eq!(to.reserve(now, program, 500, 100), Reservation::Reserved);
-    /// assert_eq!(from.give(program, RunId(2), 100), 100);
+    /// assert_eq!(from.transfer_to(program, RunId(2), 100), 100);
     /// ```
-    pub fn give(&mut self, program: ProgramKey, to: RunId, total: u64) -> u64 {
+    pub fn transfer_to(&mut self, program: ProgramKey, to: RunId, total: u64) -> u64 {
         let Some(account) = self.accounts.get_mut(&program) else { return 0 };
         let free = account.may_spend(self.run).saturating_sub(account.spent + account.reserved);
         let before = account.given.get(&to).copied().unwrap_or(0);
@@ -391,7 +392,7 @@
     }
 
     /// Takes in how many tokens this host has been given by the run `from` of another one in all.
-    pub fn receive(&mut self, program: ProgramKey, from: RunId, total: u64) {
+    pub fn record_transfer_from(&mut self, program: ProgramKey, from: RunId, total: u64) {
         let Some(account) = self.accounts.get_mut(&program) else { return };
         let received = account.received.entry(from).or_default();
 
@@ -401,21 +402,21 @@
     }
 
     /// Returns how many tokens this host has been given by a run of another one in all.
-    pub fn received(&self, program: ProgramKey, from: RunId) -> u64 {
+    pub fn transferred_from(&self, program: ProgramKey, from: RunId) -> u64 {
         let account = self.accounts.get(&program);
 
         account.and_then(|account| account.received.get(&from)).copied().unwrap_or(0)
     }
 
     /// Returns how many tokens this host has given to a run of another one in all.
-    pub fn given(&self, program: ProgramKey, to: RunId) -> u64 {
+    pub fn transferred_to(&self, program: ProgramKey, to: RunId) -> u64 {
         let account = self.accounts.get(&program);
 
         account.and_then(|account| account.given.get(&to)).copied().unwrap_or(0)
     }
 
     /// Returns the runs of other hosts that this one has given tokens of a program.
-    pub fn given_to(&self, program: ProgramKey) -> Vec<RunId> {
+    pub fn transfer_recipients(&self, program: ProgramKey) -> Vec<RunId> {
         let account = self.accounts.get(&program);
 
         account.into_iter().flat_map(|a| a.given.keys().copied()).collect()
@@ -432,12 +433,12 @@
     }
 
     /// Returns whether this host knows of any grant to a program.
-    pub fn knows(&self, program: ProgramKey) -> bool {
+    pub fn has_grants(&self, program: ProgramKey) -> bool {
         self.accounts.get(&program).is_some_and(|account| !account.row.granted.is_empty())
     }
 
     /// Returns whether this host knows of grants to a program that the store does not have.
-    pub fn is_loose(&self, program: ProgramKey) -> bool {
+    pub fn has_unstored_grants(&self, program: ProgramKey) -> bool {
         self.accounts.get(&program).is_some_and(|account| account.loose)
     }
 
@@ -447,7 +448,7 @@
     }
 
     /// Returns a program's row as this host knows it, with how much of it the store has.
-    pub fn known(&self, program: ProgramKey) -> Option<KnownRow> {
+    pub fn known_row(&self, program: ProgramKey) -> Option<KnownRow> {
         let account = self.accounts.get(&program)?;
 
         Some(KnownRow { row: account.row.clone(), stored: account.stored })
@@ -460,7 +461,7 @@
 
     /// Returns whether this host answers for grants to any program that the store does not have: its
     /// own, and those to runs that are not heard by `is_heard`. The others tell of theirs.
-    pub fn answers_for_loose(&self, is_heard: impl Fn(RunId) -> bool) -> bool {
+    pub fn is_responsible_for_unstored(&self, is_heard: impl Fn(RunId) -> bool) -> bool {
         let is_own = |a: &Account| a.row.granted.contains_key(&self.run);
         let any_silent = |a: &Account| !a.row.granted.keys().all(|run| is_heard(*run));
 
@@ -468,7 +469,7 @@
     }
 
     /// Returns a program's row and its version as the store holds it, if this host knows that.
-    pub fn stored(&self, program: ProgramKey) -> Option<(BudgetRow, RowVersion)> {
+    pub fn stored_row(&self, program: ProgramKey) -> Option<(BudgetRow, RowVersion)> {
         let account = self.accounts.get(&program)?;
         let is_whole = !account.loose && account.granted_loose() == 0;
         let is_stored = is_whole && account.version != RowVersion::ABSENT;
@@ -482,7 +483,7 @@
     /// Whoever spends a grant writes it; several hosts that write one row at the same time make each
     /// other's writes fail. The others do so if it has not: soon if one that runs the program is
     /// not heard by `is_heard`, and after a long time anyway.
-    pub fn loose(
+    pub fn rows_to_write(
         &self,
         now: Instant,
         is_heard: impl Fn(RunId) -> bool,
@@ -511,7 +512,7 @@
     ///
     /// What this host spent of a grant is remembered until the row is gone. If it came back to a
     /// row with its grant, it would spend that again. Programs of others are forgotten at once.
-    pub fn forget(&mut self, now: Instant, idle: Duration) -> Vec<(ProgramKey, RowVersion)> {
+    pub fn take_idle(&mut self, now: Instant, idle: Duration) -> Vec<(ProgramKey, RowVersion)> {
         let run = self.run;
         let is_old =
             |a: &Account| a.reserved == 0 && !a.loose && !a.stale && now.since(a.used_at) > idle;
@@ -533,9 +534,9 @@
     }
 
     /// Takes in that a row is deleted which was needless at `asked`.
-    pub fn deleted(&mut self, now: Instant, program: ProgramKey, asked: Instant) {
+    pub fn record_deletion(&mut self, now: Instant, program: ProgramKey, asked: Instant) {
         match self.accounts.get(&program) {
-            Some(account) if account.used_at > asked => self.absent(now, program),
+            Some(account) if account.used_at > asked => self.record_missing_row(now, program),
             _ => drop(self.accounts.remove(&program)),
         }
     }
--- a/crates/policy/tests/budget_late_grants.rs
+++ b/crates/policy/tests/budget_late_grants.rs
@@ -24,7 +24,7 @@
     let Proposal::Write(row, _) = ask(&mut steward, &asker) else {
         panic!("nothing is granted yet")
     };
-    steward.wrote(NOW, PROGRAM, row.clone(), RowVersion(1));
+    steward.record_write(NOW, PROGRAM, row.clone(), RowVersion(1));
 
     (steward, row)
 }
@@ -32,7 +32,7 @@
 /// Asks for a turn's tokens as a host does in times of trouble.
 fn ask(steward: &mut Budgets, asker: &Budgets) -> Proposal {
     let empty = BudgetRow { budget: BUDGET, ..BudgetRow::default() };
-    let known = asker.known(PROGRAM).unwrap_or(KnownRow { row: empty, stored: 0 });
+    let known = asker.known_row(PROGRAM).unwrap_or(KnownRow { row: empty, stored: 0 });
 
     steward.propose_within(NOW, PROGRAM, asker.claim(PROGRAM, MOST), &known.row, Limit::Whole)
 }
@@ -41,7 +41,7 @@
 /// many tokens these have.
 fn spend(asker: &mut Budgets, proposal: Proposal) -> u64 {
     if let Proposal::Write(row, _) = proposal {
-        asker.learn_written(NOW, PROGRAM, &row);
+        asker.accept_stored_grant(NOW, PROGRAM, &row);
     }
     let mut spent = 0;
     while asker.reserve(NOW, PROGRAM, BUDGET, MOST) == Reservation::Reserved {
@@ -68,7 +68,7 @@
     // Guards against a claim that counts what the run was granted and may not spend yet a second time.
     let (mut steward, row) = steward_with_a_late_grant();
     let mut asker = Budgets::new(ASKER);
-    asker.note_known(NOW, PROGRAM, &KnownRow { stored: MOST, row });
+    asker.merge_known_row(NOW, PROGRAM, &KnownRow { stored: MOST, row });
 
     let again = ask(&mut steward, &asker);
 
@@ -83,12 +83,12 @@
     let mut loose = stored.clone();
     loose.granted.insert(ASKER, MOST);
     let mut between = Budgets::new(RunId(3));
-    between.learn(NOW, PROGRAM, stored, RowVersion(1));
-    between.note_known(NOW, PROGRAM, &KnownRow { row: loose, stored: 1 });
+    between.merge_stored_row(NOW, PROGRAM, stored, RowVersion(1));
+    between.merge_known_row(NOW, PROGRAM, &KnownRow { row: loose, stored: 1 });
     let mut asker = Budgets::new(ASKER);
 
-    if let Some((row, version)) = between.stored(PROGRAM) {
-        asker.learn(NOW, PROGRAM, row, version);
+    if let Some((row, version)) = between.stored_row(PROGRAM) {
+        asker.merge_stored_row(NOW, PROGRAM, row, version);
     }
 
     assert_ne!(asker.reserve(NOW, PROGRAM, BUDGET, MOST), Reservation::Reserved);
--- a/crates/policy/tests/entry_budgets.rs
+++ b/crates/policy/tests/entry_budgets.rs
@@ -40,7 +40,7 @@
             Reservation::Write(row, version) => {
                 store.write(row, version);
                 let (row, version) = store.row.clone().expect("a write or a conflict leaves it");
-                host.learn(NOW, PROGRAM, row, version);
+                host.merge_stored_row(NOW, PROGRAM, row, version);
             }
         }
     }
@@ -105,11 +105,13 @@
     let mut steward = Budgets::new(RunId(1));
     let mut entry = Budgets::new(RunId(2));
     let known = BudgetRow { budget: 572, ..BudgetRow::default() };
-    let row = steward.grant_loose(NOW, PROGRAM, RunId(2), 286, &known).expect("there is enough");
-    entry.learn_loose(NOW, PROGRAM, &row);
+    let row = steward
+        .grant_turn_without_store(NOW, PROGRAM, RunId(2), 286, &known)
+        .expect("there is enough");
+    entry.accept_unstored_grant(NOW, PROGRAM, &row);
     assert_eq!(entry.reserve(NOW, PROGRAM, 572, 286), Reservation::Reserved);
 
-    for (_, row, version) in entry.loose(NOW, |_| false) {
+    for (_, row, version) in entry.rows_to_write(NOW, |_| false) {
         assert!(store.write(row, version));
     }
 
@@ -129,14 +131,14 @@
         ..BudgetRow::default()
     };
 
-    witness.learn_loose(NOW, PROGRAM, &row);
-    let at_once = witness.loose(NOW, |_| false);
-    let later = witness.loose(Instant::from_millis(700), |_| false);
-    witness.learn(Instant::from_millis(701), PROGRAM, row, RowVersion(1));
+    witness.accept_unstored_grant(NOW, PROGRAM, &row);
+    let at_once = witness.rows_to_write(NOW, |_| false);
+    let later = witness.rows_to_write(Instant::from_millis(700), |_| false);
+    witness.merge_stored_row(Instant::from_millis(701), PROGRAM, row, RowVersion(1));
 
     assert!(at_once.is_empty());
     assert_eq!(later.len(), 1);
-    assert!(!witness.is_loose(PROGRAM));
+    assert!(!witness.has_unstored_grants(PROGRAM));
 }
 
 #[test]
@@ -152,7 +154,7 @@
 
     for run in [1, 2] {
         let mut host = Budgets::new(RunId(run));
-        host.learn(NOW, PROGRAM, row.clone(), RowVersion(1));
+        host.merge_stored_row(NOW, PROGRAM, row.clone(), RowVersion(1));
         while host.reserve(NOW, PROGRAM, 572, 100) == Reservation::Reserved {
             host.settle(PROGRAM, 100, 100);
             handed += 100;
@@ -169,13 +171,13 @@
     let mut apart = Budgets::new(RunId(1));
     let mut served = Budgets::new(RunId(2));
     let known = BudgetRow { budget: 1_000, ..BudgetRow::default() };
-    apart.grant_loose(NOW, PROGRAM, RunId(1), 300, &known).expect("there is enough");
+    apart.grant_turn_without_store(NOW, PROGRAM, RunId(1), 300, &known).expect("there is enough");
     assert!(reserve(&mut served, &mut store, 1_000, 300));
 
-    while let Some((_, row, version)) = apart.loose(NOW, |_| false).pop() {
+    while let Some((_, row, version)) = apart.rows_to_write(NOW, |_| false).pop() {
         store.write(row, version);
         let (row, version) = store.row.clone().unwrap();
-        apart.learn(NOW, PROGRAM, row, version);
+        apart.merge_stored_row(NOW, PROGRAM, row, version);
     }
 
     let granted = &store.row.as_ref().unwrap().0.granted;
@@ -192,7 +194,7 @@
         ..BudgetRow::default()
     };
 
-    let grant = steward.grant_loose(NOW, PROGRAM, RunId(2), 286, &known);
+    let grant = steward.grant_turn_without_store(NOW, PROGRAM, RunId(2), 286, &known);
 
     assert_eq!(grant, None);
 }
@@ -212,10 +214,10 @@
         let row = match round % 2 {
             0 => steward.propose(NOW, PROGRAM, run, 286, &known).map(|(row, version)| {
                 if store.write(row.clone(), version) {
-                    steward.learn(NOW, PROGRAM, row, RowVersion(store.version));
+                    steward.merge_stored_row(NOW, PROGRAM, row, RowVersion(store.version));
                 }
             }),
-            _ => steward.grant_loose(NOW, PROGRAM, run, 286, &known).map(drop),
+            _ => steward.grant_turn_without_store(NOW, PROGRAM, run, 286, &known).map(drop),
         };
         granted += 286 * u64::from(row.is_some());
     }
@@ -230,9 +232,9 @@
     assert!(reserve(&mut host, &mut store, 858, 286));
     let later = Instant::from_millis(100_000);
 
-    let running = host.forget(later, Duration::from_secs(90));
+    let running = host.take_idle(later, Duration::from_secs(90));
     host.settle(PROGRAM, 286, 50);
-    let idle = host.forget(later, Duration::from_secs(90));
+    let idle = host.take_idle(later, Duration::from_secs(90));
 
     assert!(running.is_empty());
     assert_eq!(idle, [(PROGRAM, RowVersion(1))]);
@@ -272,8 +274,8 @@
             if restarts && used % 5 == 0 {
                 hosts[host] = new();
             }
-            if used % 7 == 0 && let Some(row) = hosts[(host + 1) % 4].yield_rest(PROGRAM) {
-                hosts[host].note(NOW, PROGRAM, &row);
+            if used % 7 == 0 && let Some(row) = hosts[(host + 1) % 4].return_unused(PROGRAM) {
+                hosts[host].merge_row(NOW, PROGRAM, &row);
             }
             if reserve(&mut hosts[host], &mut store, budget, 100) {
                 hosts[host].settle(PROGRAM, 100, used);
@@ -309,8 +311,8 @@
     assert!(!reserve(&mut next, &mut store, 500, 286));
     assert_eq!(next.holders(PROGRAM), [RunId(1)]);
 
-    let row = first.yield_rest(PROGRAM).expect("it holds all of it");
-    next.note(NOW, PROGRAM, &row);
+    let row = first.return_unused(PROGRAM).expect("it holds all of it");
+    next.merge_row(NOW, PROGRAM, &row);
 
     assert!(reserve(&mut next, &mut store, 500, 286));
     assert!(next.holders(PROGRAM).is_empty());
@@ -323,9 +325,11 @@
     let mut host = Budgets::new(RunId(1));
     let known = BudgetRow { budget: 858, ..BudgetRow::default() };
 
-    let row = host.grant_loose(NOW, PROGRAM, RunId(1), 286, &known).expect("there is enough");
+    let row = host
+        .grant_turn_without_store(NOW, PROGRAM, RunId(1), 286, &known)
+        .expect("there is enough");
     let unnoted = host.reserve(NOW, PROGRAM, 858, 286);
-    host.learn_loose(NOW, PROGRAM, &row);
+    host.accept_unstored_grant(NOW, PROGRAM, &row);
 
     assert!(matches!(unnoted, Reservation::Write(..)), "{unnoted:?}");
     assert_eq!(host.reserve(NOW, PROGRAM, 858, 286), Reservation::Reserved);
@@ -341,7 +345,7 @@
         ..BudgetRow::default()
     };
 
-    host.witness(NOW, PROGRAM, &row);
+    host.merge_unstored_row(NOW, PROGRAM, &row);
 
     assert!(matches!(host.reserve(NOW, PROGRAM, 858, 286), Reservation::Write(..)));
 }
@@ -356,13 +360,18 @@
             granted: BTreeMap::from([(RunId(1), 286 * version)]),
             ..BudgetRow::default()
         };
-        told.learn(Instant::from_millis(seconds * 1_000), PROGRAM, row, RowVersion(version));
+        told.merge_stored_row(
+            Instant::from_millis(seconds * 1_000),
+            PROGRAM,
+            row,
+            RowVersion(version),
+        );
     }
 
     let idle = Duration::from_secs(90);
 
-    assert!(told.forget(Instant::from_millis(120_000), idle).is_empty());
-    assert_eq!(told.forget(Instant::from_millis(191_000), idle), [(PROGRAM, RowVersion(3))]);
+    assert!(told.take_idle(Instant::from_millis(120_000), idle).is_empty());
+    assert_eq!(told.take_idle(Instant::from_millis(191_000), idle), [(PROGRAM, RowVersion(3))]);
 }
 
 #[test]
@@ -375,12 +384,12 @@
     let later = Instant::from_millis(40_000);
 
     assert_eq!(host.reserve(later, PROGRAM, 4_000, 286), Reservation::Reserved);
-    let due = host.loose(later, |_| true);
+    let due = host.rows_to_write(later, |_| true);
     let (row, version) = store.row.clone().unwrap();
-    host.wrote(later, PROGRAM, row, version);
+    host.record_write(later, PROGRAM, row, version);
 
     assert_eq!(due.len(), 1);
-    assert!(host.loose(later, |_| true).is_empty());
+    assert!(host.rows_to_write(later, |_| true).is_empty());
 }
 
 #[test]
@@ -394,8 +403,8 @@
     host.settle(PROGRAM, 286, 286);
     let (row, version) = store.row.clone().unwrap();
 
-    host.forget(Instant::from_millis(100_000), Duration::from_secs(90));
-    host.learn(Instant::from_millis(100_010), PROGRAM, row, version);
+    host.take_idle(Instant::from_millis(100_000), Duration::from_secs(90));
+    host.merge_stored_row(Instant::from_millis(100_010), PROGRAM, row, version);
 
     assert!(!reserve(&mut host, &mut store, 572, 286));
 }
@@ -408,16 +417,16 @@
     host.settle(PROGRAM, 286, 50);
     let asked = Instant::from_millis(100_000);
     let mut busy = host.clone();
-    host.forget(asked, Duration::from_secs(90));
-    busy.forget(asked, Duration::from_secs(90));
+    host.take_idle(asked, Duration::from_secs(90));
+    busy.take_idle(asked, Duration::from_secs(90));
     let later = Instant::from_millis(100_005);
 
     assert_eq!(busy.reserve(later, PROGRAM, 858, 286), Reservation::Reserved);
-    busy.deleted(later, PROGRAM, asked);
-    host.deleted(later, PROGRAM, asked);
+    busy.record_deletion(later, PROGRAM, asked);
+    host.record_deletion(later, PROGRAM, asked);
 
-    assert!(!host.knows(PROGRAM));
-    let due = busy.loose(later, |_| true);
+    assert!(!host.has_grants(PROGRAM));
+    let due = busy.rows_to_write(later, |_| true);
     assert!(matches!(&due[..], [(PROGRAM, _, RowVersion::ABSENT)]), "{due:?}");
 }
 
@@ -428,14 +437,14 @@
     let (mut first, mut next) = (Budgets::new(RunId(1)), Budgets::new(RunId(2)));
     assert!(reserve(&mut first, &mut store, 500, 286));
     first.settle(PROGRAM, 286, 0);
-    next.note(NOW, PROGRAM, &store.row.as_ref().unwrap().0);
-    let total = first.give(PROGRAM, RunId(2), 286);
-    next.receive(PROGRAM, RunId(1), total);
+    next.merge_row(NOW, PROGRAM, &store.row.as_ref().unwrap().0);
+    let total = first.transfer_to(PROGRAM, RunId(2), 286);
+    next.record_transfer_from(PROGRAM, RunId(1), total);
 
     let without = first.reserve(NOW, PROGRAM, 500, 286);
-    let given_to = first.given_to(PROGRAM);
-    let total = next.give(PROGRAM, RunId(1), first.claim(PROGRAM, 286).missing);
-    first.receive(PROGRAM, RunId(2), total);
+    let given_to = first.transfer_recipients(PROGRAM);
+    let total = next.transfer_to(PROGRAM, RunId(1), first.claim(PROGRAM, 286).missing);
+    first.record_transfer_from(PROGRAM, RunId(2), total);
 
     assert_eq!(without, Reservation::Spent { certain: false });
     assert_eq!(given_to, [RunId(2)]);
--- a/crates/policy/tests/entry_fuzz/asks.rs
+++ b/crates/policy/tests/entry_fuzz/asks.rs
@@ -140,26 +140,29 @@
             grants::grant(shared, &ask).await
         }
         Ask::Stored(program, row, version) => {
-            budgets.borrow_mut().learn(shared.now(), program, row, version);
+            budgets.borrow_mut().merge_stored_row(shared.now(), program, row, version);
             Reply::Done
         }
         Ask::Loose(program, known) => {
             let mut budgets = budgets.borrow_mut();
-            budgets.witness(shared.now(), program, &known.row);
-            budgets.note_known(shared.now(), program, &known);
+            budgets.merge_unstored_row(shared.now(), program, &known.row);
+            budgets.merge_known_row(shared.now(), program, &known);
             Reply::Done
         }
         Ask::KnownRow(program) => {
-            budgets.borrow().known(program).map_or(Reply::Refused, Reply::Known)
+            budgets.borrow().known_row(program).map_or(Reply::Refused, Reply::Known)
         }
-        Ask::StoredRow(program) => Reply::StoredRow(budgets.borrow().stored(program)),
+        Ask::StoredRow(program) => Reply::StoredRow(budgets.borrow().stored_row(program)),
         Ask::Give(program, known, to, total) => {
             let mut budgets = budgets.borrow_mut();
-            budgets.note_known(shared.now(), program, &known);
-            Reply::Given(budgets.give(program, to, total), budgets.given_to(program))
+            budgets.merge_known_row(shared.now(), program, &known);
+            Reply::Given(
+                budgets.transfer_to(program, to, total),
+                budgets.transfer_recipients(program),
+            )
         }
         Ask::Yield(program) => {
-            budgets.borrow_mut().yield_rest(program).map_or(Reply::Refused, Reply::Granted)
+            budgets.borrow_mut().return_unused(program).map_or(Reply::Refused, Reply::Granted)
         }
     }
 }
--- a/crates/policy/tests/entry_fuzz/budget.rs
+++ b/crates/policy/tests/entry_fuzz/budget.rs
@@ -66,7 +66,7 @@
                 }
             }
             Reservation::Write(..) => {
-                if !budgets.borrow().knows(key) {
+                if !budgets.borrow().has_grants(key) {
                     grants::learn_from(shared, key, 1).await;
                 }
                 match grants::ask_for_grant(shared, key, budget, begins).await {
@@ -94,14 +94,14 @@
 }
 
 async fn fetch_row(shared: &Shared, program: &Program) {
-    if shared.host.budgets.borrow().knows(program.key) {
+    if shared.host.budgets.borrow().has_grants(program.key) {
         return;
     }
     let Some(host) = program.last_host.filter(|host| shared.hears(*host)) else { return };
     let reply = asks::ask(shared, host, Ask::StoredRow(program.key), ROW_DEADLINE).await;
 
     if let Some(Reply::StoredRow(Some((row, version)))) = reply {
-        shared.host.budgets.borrow_mut().learn(shared.now(), program.key, row, version);
+        shared.host.budgets.borrow_mut().merge_stored_row(shared.now(), program.key, row, version);
     }
 }
 
@@ -120,7 +120,7 @@
 async fn gather(shared: &Shared, program: ProgramKey) {
     let budgets = &shared.host.budgets;
     let mut runs = budgets.borrow().holders(program);
-    runs.extend(budgets.borrow().given_to(program));
+    runs.extend(budgets.borrow().transfer_recipients(program));
     let mut asked = Set::from_iter([shared.host.run]);
 
     while let Some(run) = runs.pop() {
@@ -129,11 +129,11 @@
             return;
         }
         let Some(host) = shared.host_of_run(run).filter(|_| asked.insert(run)) else { continue };
-        let total = budgets.borrow().received(program, run) + missing;
-        let Some(known) = budgets.borrow().known(program) else { return };
+        let total = budgets.borrow().transferred_from(program, run) + missing;
+        let Some(known) = budgets.borrow().known_row(program) else { return };
         let ask = Ask::Give(program, known, shared.host.run, total);
         if let Some(Reply::Given(total, to)) = asks::ask(shared, host, ask, TELL_DEADLINE).await {
-            budgets.borrow_mut().receive(program, run, total);
+            budgets.borrow_mut().record_transfer_from(program, run, total);
             runs.extend(to);
         }
     }
@@ -147,7 +147,7 @@
 
     for reply in join_all(asked).await.into_iter().flatten() {
         if let Reply::Granted(row) = reply {
-            shared.host.budgets.borrow_mut().note(shared.now(), program, &row);
+            shared.host.budgets.borrow_mut().merge_row(shared.now(), program, &row);
         }
     }
 }
@@ -162,7 +162,7 @@
     match shared.ask_store(Op::Commit(program, Some(row.clone()), version)).await {
         StoreReply::Committed(version) => {
             grants::tell_stored(shared, program, &row, version);
-            shared.host.budgets.borrow_mut().wrote(shared.now(), program, row, version);
+            shared.host.budgets.borrow_mut().record_write(shared.now(), program, row, version);
             Written::Committed
         }
         StoreReply::Conflict(there) => take_in(shared, program, there),
@@ -184,10 +184,10 @@
 
     match reply {
         StoreReply::Committed(_) | StoreReply::Conflict(None) => {
-            budgets.deleted(shared.now(), program, asked);
+            budgets.record_deletion(shared.now(), program, asked);
         }
-        StoreReply::Conflict(Some((row, version))) if budgets.knows(program) => {
-            budgets.learn(shared.now(), program, row, version);
+        StoreReply::Conflict(Some((row, version))) if budgets.has_grants(program) => {
+            budgets.merge_stored_row(shared.now(), program, row, version);
         }
         _ => {}
     }
@@ -200,8 +200,8 @@
 ) -> Written {
     let mut budgets = shared.host.budgets.borrow_mut();
     match there {
-        Some((row, version)) => budgets.learn(shared.now(), program, row, version),
-        None => budgets.absent(shared.now(), program),
+        Some((row, version)) => budgets.merge_stored_row(shared.now(), program, row, version),
+        None => budgets.record_missing_row(shared.now(), program),
     }
 
     Written::Learned
--- a/crates/policy/tests/entry_fuzz/grants.rs
+++ b/crates/policy/tests/entry_fuzz/grants.rs
@@ -29,7 +29,7 @@
 
 pub fn tell_stored(shared: &Shared, program: ProgramKey, row: &BudgetRow, version: RowVersion) {
     let mut hosts: Vec<_> = shared.next_granters(program).take(WITNESSES).collect();
-    if shared.host.budgets.borrow().is_loose(program) {
+    if shared.host.budgets.borrow().has_unstored_grants(program) {
         hosts.extend(shared.witnesses(program).into_iter().take(LOOSE_WITNESSES));
         hosts.sort_unstable();
         hosts.dedup();
@@ -48,7 +48,7 @@
 ) -> Granted {
     let empty = BudgetRow { budget, ..BudgetRow::default() };
     let budgets = &shared.host.budgets;
-    let known = budgets.borrow().known(program);
+    let known = budgets.borrow().known_row(program);
     let known = known.unwrap_or(KnownRow { row: empty, stored: 0 });
     let claim = budgets.borrow().claim(program, MOST);
     let ask = GrantAsk { program, claim, known, begins };
@@ -60,11 +60,11 @@
 
     match reply {
         Some(Reply::Written(row)) => {
-            budgets.borrow_mut().learn_written(shared.now(), program, &row);
+            budgets.borrow_mut().accept_stored_grant(shared.now(), program, &row);
             Granted::Tokens
         }
         Some(Reply::Granted(row)) => {
-            budgets.borrow_mut().learn_loose(shared.now(), program, &row);
+            budgets.borrow_mut().accept_unstored_grant(shared.now(), program, &row);
             Granted::Tokens
         }
         Some(Reply::Withheld(doubt)) => Granted::Withheld(doubt),
@@ -75,7 +75,7 @@
 
 /// Grants a turn's tokens: by the store if it answers, or else in its place.
 pub async fn grant(shared: &Shared, ask: &GrantAsk) -> Reply {
-    shared.host.budgets.borrow_mut().note_known(shared.now(), ask.program, &ask.known);
+    shared.host.budgets.borrow_mut().merge_known_row(shared.now(), ask.program, &ask.known);
 
     for _ in 0..MOST_OVERDUE {
         let (row, writing) = match grant_by_store(shared, ask).await {
@@ -144,13 +144,14 @@
     }
 
     learn_from(shared, *program, WITNESSES).await;
-    if !budgets.borrow().knows(*program) {
+    if !budgets.borrow().has_grants(*program) {
         learn_from(shared, *program, MOST_ASKED).await;
-        if !budgets.borrow().knows(*program) && !begins {
+        if !budgets.borrow().has_grants(*program) && !begins {
             return None;
         }
     }
-    let granted = budgets.borrow_mut().grant_claim(shared.now(), *program, *claim, &known.row);
+    let granted =
+        budgets.borrow_mut().grant_without_store(shared.now(), *program, *claim, &known.row);
     match granted {
         Some(row) if has_witness(shared, *program, &row).await => Some(Reply::Granted(row)),
         Some(_) => None,
@@ -186,7 +187,7 @@
 }
 
 async fn has_witness(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
-    let stored = shared.host.budgets.borrow().known(program).map_or(0, |known| known.stored);
+    let stored = shared.host.budgets.borrow().known_row(program).map_or(0, |known| known.stored);
     let ask = Ask::Loose(program, KnownRow { row: row.clone(), stored });
     let elsewhere: Vec<_> = shared.witnesses(program).into_iter().take(LOOSE_WITNESSES).collect();
     let next = shared.next_granters(program).take(WITNESSES);
@@ -217,14 +218,15 @@
 
     for reply in replies.into_iter().flatten() {
         if let Reply::Known(known) = reply {
-            shared.host.budgets.borrow_mut().note_known(shared.now(), program, &known);
+            shared.host.budgets.borrow_mut().merge_known_row(shared.now(), program, &known);
         }
     }
 }
 
 /// Writes the grants that were made without the store and are due.
 pub async fn write_loose(shared: &Shared) {
-    let loose = shared.host.budgets.borrow().loose(shared.now(), |run| shared.hears_run(run));
+    let loose =
+        shared.host.budgets.borrow().rows_to_write(shared.now(), |run| shared.hears_run(run));
     let writes =
         loose.into_iter().map(|(program, row, version)| write(shared, program, row, version));
 
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -237,7 +237,8 @@
     fn grants_loose(&self) -> bool {
         let misses_any = self.host.health.borrow().missed_any(self.now(), ALL_TOLD);
 
-        misses_any || self.host.budgets.borrow().answers_for_loose(|run| self.hears_run(run))
+        misses_any
+            || self.host.budgets.borrow().is_responsible_for_unstored(|run| self.hears_run(run))
     }
 
     fn is_all_stored(&self) -> bool {
@@ -459,7 +460,7 @@
     loop {
         shared.world.sim.sleep(SWEEP_PERIOD).await;
         let asked = shared.now();
-        let old = shared.host.budgets.borrow_mut().forget(asked, RETENTION + SWEEP_MARGIN);
+        let old = shared.host.budgets.borrow_mut().take_idle(asked, RETENTION + SWEEP_MARGIN);
         for (program, version) in old {
             budget::delete(&shared, program, version, asked).await;
         }
--- a/crates/policy/tests/entry_fuzz/merge.rs
+++ b/crates/policy/tests/entry_fuzz/merge.rs
@@ -25,11 +25,11 @@
 
     for (number, (row, way)) in rows.iter().enumerate() {
         match way % 3 {
-            0 => budgets.note(NOW, PROGRAM, row),
-            1 => budgets.learn_loose(NOW, PROGRAM, row),
+            0 => budgets.merge_row(NOW, PROGRAM, row),
+            1 => budgets.accept_unstored_grant(NOW, PROGRAM, row),
             _ => {
                 let version = RowVersion(number as u64 + 1);
-                budgets.learn(NOW, PROGRAM, (*row).clone(), version);
+                budgets.merge_stored_row(NOW, PROGRAM, (*row).clone(), version);
             }
         }
     }
--- a/crates/policy/tests/entry_fuzz/oracle.rs
+++ b/crates/policy/tests/entry_fuzz/oracle.rs
@@ -87,13 +87,13 @@
     let budgets = host.budgets.borrow();
     let runs = (1..=world.runs()).map(RunId).filter(|run| *run != host.run);
     for other in world.alive().iter().filter(|other| other.run != host.run) {
-        let received = budgets.received(key, other.run);
-        let given = other.budgets.borrow().given(key, host.run);
+        let received = budgets.transferred_from(key, other.run);
+        let given = other.budgets.borrow().transferred_to(key, host.run);
         assert!(received <= given, "run {} has {received} of {given}", host.run.0);
     }
 
     runs.fold((0, 0), |(given, received), run| {
-        (given + budgets.given(key, run), received + budgets.received(key, run))
+        (given + budgets.transferred_to(key, run), received + budgets.transferred_from(key, run))
     })
 }
 
--- a/crates/policy/tests/entry_fuzz/world.rs
+++ b/crates/policy/tests/entry_fuzz/world.rs
@@ -140,7 +140,7 @@
     fn any_loose(&self) -> bool {
         let programs = self.programs.borrow();
         let knows_loose = |host: &Rc<Host>| {
-            programs.iter().any(|program| host.budgets.borrow().is_loose(program.key))
+            programs.iter().any(|program| host.budgets.borrow().has_unstored_grants(program.key))
         };
 
         self.alive().iter().any(knows_loose)
