--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -16,7 +16,7 @@
 use camphorwalk_policy::entry::rates::Rates;
 use camphorwalk_policy::entry::recent::Recent;
 use camphorwalk_policy::entry::routes::RouteTable;
-use camphorwalk_policy::entry::shares::{self, KNOWS_ALL_AFTER, Memory};
+use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER};
 use camphorwalk_policy::entry::target_table::TargetTable;
 use camphorwalk_policy::entry::turns::TurnCache;
 use camphorwalk_store::{Client, ClientOptions, RetryOptions, ShareOptions};
@@ -104,7 +104,7 @@
     pub(crate) places: Places,
     pub(crate) connections: Connections,
     pub(crate) budgets: RefCell<Budgets>,
-    memory: RefCell<Memory>,
+    memory: RefCell<GrantHistory>,
     /// When a host last granted tokens without the store, or held such grants.
     pub(crate) loose_at: Cell<Option<Instant>>,
     /// Taken while a program's budget is asked for.
@@ -239,7 +239,7 @@
 
     /// Returns whether this host knows of grants without the store to programs that may return.
     pub(crate) fn knows_of_loose(&self) -> bool {
-        self.loose_at.get().is_some_and(|at| clock::now().since(at) <= KNOWS_ALL_AFTER)
+        self.loose_at.get().is_some_and(|at| clock::now().since(at) <= HISTORY_COMPLETE_AFTER)
     }
 
     /// Returns whether this process knows of all that was granted to programs without the store.
@@ -250,23 +250,23 @@
     }
 
     /// Returns what this host knows of the fleet that decides how much of budgets may be granted.
-    pub(crate) fn budget_surroundings(&self) -> shares::Surroundings {
+    pub(crate) fn budget_surroundings(&self) -> shares::FleetView {
         let others = self.surroundings_without_itself();
 
-        others.with_itself(self.remembers(), self.knows_of_loose())
+        others.including_self(self.remembers(), self.knows_of_loose())
     }
 
-    fn surroundings_without_itself(&self) -> shares::Surroundings {
+    fn surroundings_without_itself(&self) -> shares::FleetView {
         let heard = self.fleet.fresh_news();
         let remembering = heard.iter().filter(|heard| heard.remembers);
         let free_of_loose = remembering.clone().filter(|heard| !heard.knows_of_loose);
 
-        shares::Surroundings {
+        shares::FleetView {
             is_all_stored: self.is_all_stored(),
-            known: self.fleet.size(),
-            heard: heard.len() + 1,
-            remembering: remembering.count(),
-            free_of_loose: free_of_loose.count(),
+            known_hosts: self.fleet.size(),
+            live_hosts: heard.len() + 1,
+            complete_histories: remembering.count(),
+            without_unstored_grants: free_of_loose.count(),
         }
     }
 
@@ -338,7 +338,7 @@
             connections: Connections::default(),
             budgets: RefCell::new(Budgets::new(run)),
             loose_at: Cell::new(None),
-            memory: RefCell::new(Memory::new(clock::now(), settings.is_first_start)),
+            memory: RefCell::new(GrantHistory::new(clock::now(), settings.is_first_start)),
             budget_locks: RefCell::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
             line_hosts: RefCell::new(Recent::new(LINES_REMEMBERED)),
--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -15,7 +15,7 @@
 
 /// How long a process runs before it is taken to know of all grants that matter. Those that were made
 /// without the store before it began are written by then, or their programs have mostly ended.
-pub const KNOWS_ALL_AFTER: Duration = Duration::from_secs(90);
+pub const HISTORY_COMPLETE_AFTER: Duration = Duration::from_secs(90);
 
 /// Returns how many tokens of a budget the store grants to turns of `most` tokens while it cannot be
 /// told what is granted without it.
@@ -74,32 +74,33 @@
 
 /// What a host knows of the fleet, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Surroundings {
+pub struct FleetView {
     /// Whether no host has granted tokens without the store for a while, as far as they tell.
     pub is_all_stored: bool,
     /// How many hosts there are.
-    pub known: usize,
+    pub known_hosts: usize,
     /// How many of them are heard.
-    pub heard: usize,
+    pub live_hosts: usize,
     /// How many of those that are heard know of all grants that were made without the store.
-    pub remembering: usize,
+    pub complete_histories: usize,
     /// How many of these know of no such grant to any program.
-    pub free_of_loose: usize,
+    pub without_unstored_grants: usize,
 }
 
-impl Surroundings {
+impl FleetView {
     /// Adds the host itself, by whether it remembers and whether it knows of grants without the store.
-    pub fn with_itself(self, remembers: bool, knows_of_loose: bool) -> Self {
+    pub fn including_self(self, remembers: bool, knows_of_loose: bool) -> Self {
         Self {
-            remembering: self.remembering + usize::from(remembers),
-            free_of_loose: self.free_of_loose + usize::from(remembers && !knows_of_loose),
+            complete_histories: self.complete_histories + usize::from(remembers),
+            without_unstored_grants: self.without_unstored_grants
+                + usize::from(remembers && !knows_of_loose),
             ..self
         }
     }
 
     /// Returns whether a majority of the hosts is heard and remembers.
     fn majority_remembers(&self) -> bool {
-        self.remembering * 2 > self.known
+        self.complete_histories * 2 > self.known_hosts
     }
 
     /// Returns whether all that remember agree that nothing was granted without the store.
@@ -108,7 +109,7 @@
     fn agree_on_none(&self) -> bool {
         const LEAST: usize = 2;
 
-        self.free_of_loose == self.remembering && self.remembering >= LEAST
+        self.without_unstored_grants == self.complete_histories && self.complete_histories >= LEAST
     }
 }
 
@@ -118,15 +119,20 @@
 /// remembers and none of it has granted any for a while, the store has all grants that there are.
 ///
 /// ```
-/// use camphorwalk_policy::entry::shares::{Doubt, Limit, Surroundings, limit};
-/// let calm =
-///     Surroundings { is_all_stored: true, known: 5, heard: 4, remembering: 3, free_of_loose: 3 };
+/// use camphorwalk_policy::entry::shares::{Doubt, FleetView, Limit, limit};
+/// let calm = FleetView {
+///     is_all_stored: true,
+///     known_hosts: 5,
+///     live_hosts: 4,
+///     complete_histories: 3,
+///     without_unstored_grants: 3,
+/// };
 /// assert_eq!(limit(calm), Limit::Whole);
-/// assert_eq!(limit(Surroundings { heard: 2, ..calm }), Limit::Share(Doubt::Unsettled));
-/// assert_eq!(limit(Surroundings { remembering: 2, ..calm }), Limit::Share(Doubt::Forgotten));
+/// assert_eq!(limit(FleetView { live_hosts: 2, ..calm }), Limit::Share(Doubt::Unsettled));
+/// assert_eq!(limit(FleetView { complete_histories: 2, ..calm }), Limit::Share(Doubt::Forgotten));
 /// ```
-pub fn limit(around: Surroundings) -> Limit {
-    let is_settled = around.is_all_stored && around.heard * 2 > around.known;
+pub fn limit(around: FleetView) -> Limit {
+    let is_settled = around.is_all_stored && around.live_hosts * 2 > around.known_hosts;
 
     match (is_settled, around.majority_remembers()) {
         (true, true) => Limit::Whole,
@@ -137,12 +143,12 @@
 
 /// Whether a process knows of all grants that were made without the store.
 #[derive(Clone, Copy, Debug)]
-pub struct Memory {
+pub struct GrantHistory {
     began: Instant,
     is_complete: bool,
 }
 
-impl Memory {
+impl GrantHistory {
     /// Begins with a process: with nothing to know if its whole deployment starts for the first time.
     pub fn new(now: Instant, is_first_start: bool) -> Self {
         Self { began: now, is_complete: is_first_start }
@@ -154,17 +160,22 @@
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
-    /// use camphorwalk_policy::entry::shares::{Memory, Surroundings};
-    /// let mut memory = Memory::new(Instant(0), false);
-    /// let around =
-    ///     Surroundings { is_all_stored: false, known: 5, heard: 4, remembering: 4, free_of_loose: 1 };
+    /// use camphorwalk_policy::entry::shares::{FleetView, GrantHistory};
+    /// let mut memory = GrantHistory::new(Instant(0), false);
+    /// let around = FleetView {
+    ///     is_all_stored: false,
+    ///     known_hosts: 5,
+    ///     live_hosts: 4,
+    ///     complete_histories: 4,
+    ///     without_unstored_grants: 1,
+    /// };
     /// assert!(!memory.is_complete(Instant(0), around));
-    /// assert!(memory.is_complete(Instant(0), Surroundings { is_all_stored: true, ..around }));
+    /// assert!(memory.is_complete(Instant(0), FleetView { is_all_stored: true, ..around }));
     /// ```
-    pub fn is_complete(&mut self, now: Instant, around: Surroundings) -> bool {
+    pub fn is_complete(&mut self, now: Instant, around: FleetView) -> bool {
         let is_told =
             around.is_all_stored && (around.majority_remembers() || around.agree_on_none());
-        self.is_complete |= is_told || now.since(self.began) > KNOWS_ALL_AFTER;
+        self.is_complete |= is_told || now.since(self.began) > HISTORY_COMPLETE_AFTER;
 
         self.is_complete
     }
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -12,7 +12,7 @@
 use camphorwalk_policy::entry::host_rows::{HostRows, Presence};
 use camphorwalk_policy::entry::isolation::{self, Contact, Surroundings};
 use camphorwalk_policy::entry::outage::StoreHealth;
-use camphorwalk_policy::entry::shares::{self, KNOWS_ALL_AFTER, Limit, Memory};
+use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER, Limit};
 
 use crate::asks::{self, Ask, News, Reply};
 use crate::budget::{self, Held};
@@ -51,7 +51,7 @@
     /// Whether the whole fleet started with it.
     is_first_start: bool,
     began: Instant,
-    memory: RefCell<Memory>,
+    memory: RefCell<GrantHistory>,
     pub budgets: RefCell<Budgets>,
     pub health: RefCell<StoreHealth>,
     /// Whether it has read who the others are, without which it talks to none.
@@ -81,7 +81,7 @@
             run,
             is_first_start,
             began: now,
-            memory: RefCell::new(Memory::new(now, is_first_start)),
+            memory: RefCell::new(GrantHistory::new(now, is_first_start)),
             budgets: RefCell::new(Budgets::new(run)),
             health: RefCell::default(),
             joined: Cell::new(false),
@@ -264,26 +264,26 @@
     fn knows_of_loose(&self) -> bool {
         let loose_at = self.host.loose_at.get();
 
-        loose_at.is_some_and(|at| self.now().since(at) <= KNOWS_ALL_AFTER)
+        loose_at.is_some_and(|at| self.now().since(at) <= HISTORY_COMPLETE_AFTER)
     }
 
-    fn surroundings(&self) -> shares::Surroundings {
+    fn surroundings(&self) -> shares::FleetView {
         let others = self.surroundings_without_itself();
 
-        others.with_itself(self.remembers(), self.knows_of_loose())
+        others.including_self(self.remembers(), self.knows_of_loose())
     }
 
-    fn surroundings_without_itself(&self) -> shares::Surroundings {
+    fn surroundings_without_itself(&self) -> shares::FleetView {
         let fresh = self.fresh_known();
         let remembering = fresh.iter().filter(|(_, heard)| heard.remembers);
         let free_of_loose = remembering.clone().filter(|(_, heard)| !heard.knows_of_loose);
 
-        shares::Surroundings {
+        shares::FleetView {
             is_all_stored: self.is_all_stored(),
-            known: self.known(),
-            heard: fresh.len() + 1,
-            remembering: remembering.count(),
-            free_of_loose: free_of_loose.count(),
+            known_hosts: self.known(),
+            live_hosts: fresh.len() + 1,
+            complete_histories: remembering.count(),
+            without_unstored_grants: free_of_loose.count(),
         }
     }
 
--- a/crates/policy/tests/entry_shares.rs
+++ b/crates/policy/tests/entry_shares.rs
@@ -2,15 +2,22 @@
 
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::shares::{
-    Doubt, KNOWS_ALL_AFTER, Limit, Memory, Surroundings, limit, share_without_store, store_share,
+    Doubt, FleetView, GrantHistory, HISTORY_COMPLETE_AFTER, Limit, limit, share_without_store,
+    store_share,
 };
 use proptest::prelude::*;
 
 const NOW: Instant = Instant(0);
 
 /// A fleet of five hosts without trouble, all of which are heard.
-fn calm() -> Surroundings {
-    Surroundings { is_all_stored: true, known: 5, heard: 5, remembering: 5, free_of_loose: 5 }
+fn calm() -> FleetView {
+    FleetView {
+        is_all_stored: true,
+        known_hosts: 5,
+        live_hosts: 5,
+        complete_histories: 5,
+        without_unstored_grants: 5,
+    }
 }
 
 proptest! {
@@ -32,7 +39,8 @@
 /// Guards against a side of a cut that grants what the other one grants without the store.
 #[test]
 fn a_host_that_hears_too_few_grants_a_share() {
-    let cut_off = Surroundings { heard: 2, remembering: 2, free_of_loose: 2, ..calm() };
+    let cut_off =
+        FleetView { live_hosts: 2, complete_histories: 2, without_unstored_grants: 2, ..calm() };
 
     assert_eq!(limit(cut_off), Limit::Share(Doubt::Unsettled));
 }
@@ -40,26 +48,26 @@
 /// Guards against grants that are made anew after all hosts were lost with what they knew.
 #[test]
 fn hosts_that_all_have_just_started_grant_a_share() {
-    let started = Surroundings { remembering: 0, free_of_loose: 0, ..calm() };
-    let mut memory = Memory::new(NOW, false);
+    let started = FleetView { complete_histories: 0, without_unstored_grants: 0, ..calm() };
+    let mut memory = GrantHistory::new(NOW, false);
 
     assert_eq!(limit(started), Limit::Share(Doubt::Forgotten));
     assert!(!memory.is_complete(NOW, started));
-    assert!(memory.is_complete(NOW + KNOWS_ALL_AFTER * 2, started));
+    assert!(memory.is_complete(NOW + HISTORY_COMPLETE_AFTER * 2, started));
 }
 
 /// Guards against budgets that are cut short for minutes after most hosts were killed in calm.
 #[test]
 fn a_few_that_know_of_no_grant_vouch_for_those_that_started() {
-    let few = Surroundings { remembering: 2, free_of_loose: 2, ..calm() };
+    let few = FleetView { complete_histories: 2, without_unstored_grants: 2, ..calm() };
 
-    assert!(Memory::new(NOW, false).is_complete(NOW, few));
+    assert!(GrantHistory::new(NOW, false).is_complete(NOW, few));
 }
 
 /// Guards against grants that are lost with most hosts in an outage and made anew.
 #[test]
 fn a_few_of_which_one_knows_of_grants_do_not_vouch() {
-    let few = Surroundings { remembering: 2, free_of_loose: 1, ..calm() };
+    let few = FleetView { complete_histories: 2, without_unstored_grants: 1, ..calm() };
 
-    assert!(!Memory::new(NOW, false).is_complete(NOW, few));
+    assert!(!GrantHistory::new(NOW, false).is_complete(NOW, few));
 }
