--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_policy::entry::budgets::{BudgetRow, KnownRow, ProgramKey, Proposal};
 use camphorwalk_policy::entry::shares::{self, Doubt, Limit};
-use camphorwalk_policy::entry::write_back::Round;
+use camphorwalk_policy::entry::write_back::RoundOutcome;
 use futures::future::join_all;
 use futures::stream::{FuturesUnordered, StreamExt as _};
 use tokio::task::JoinHandle;
@@ -377,11 +377,11 @@
 /// Writes a part of the grants that were made without the store: those of this host at once, and those
 /// that it knows of for others if they have not been written after a while. What fails, or met
 /// another write of the same row, stays loose until the next round.
-pub(crate) async fn write_loose(shared: &Rc<Shared>, most: usize) -> Round {
+pub(crate) async fn write_loose(shared: &Rc<Shared>, most: usize) -> RoundOutcome {
     let mut loose =
         shared.budgets.borrow().rows_to_write(clock::now(), |run| shared.hears_run(run));
     if loose.is_empty() {
-        return Round::Nothing;
+        return RoundOutcome::Nothing;
     }
 
     let due = loose.len();
@@ -400,8 +400,8 @@
     info!(due, most, refused, "budget: grants made without the store are written");
 
     match refused {
-        true => Round::Refused,
-        false if due > most => Round::Part,
-        false => Round::All,
+        true => RoundOutcome::Refused,
+        false if due > most => RoundOutcome::Partial,
+        false => RoundOutcome::All,
     }
 }
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::platform::{PlatformOp, PlatformReply};
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::outage::{Change, StoreHealth};
-use camphorwalk_policy::entry::write_back::{Next, WriteBack};
+use camphorwalk_policy::entry::write_back::{NextRound, WriteBack};
 use camphorwalk_store::Client;
 use tokio::sync::Notify;
 use tokio::time::timeout;
@@ -68,7 +68,7 @@
     pub(crate) fn answers_whole(&self) -> bool {
         let health = self.health.borrow();
 
-        health.answers() && !health.misses_any()
+        health.answers() && !health.any_part_unavailable()
     }
 
     /// Returns whether the other hosts are to be told of trouble: the store or a part of it does
@@ -77,12 +77,12 @@
         let now = clock::now();
         let is_slow = self.slow_at.get().is_some_and(|at| now.since(at) < SLOW_TOLD);
 
-        is_slow || self.health.borrow().misses_any()
+        is_slow || self.health.borrow().any_part_unavailable()
     }
 
     /// Returns whether a part of the store that was tried within `lately` does not answer this host.
     pub(crate) fn missed_any(&self, lately: Duration) -> bool {
-        self.health.borrow().missed_any(clock::now(), lately)
+        self.health.borrow().any_part_failed_within(clock::now(), lately)
     }
 
     /// Takes in that an answer of the store is overdue.
@@ -150,7 +150,7 @@
 pub(crate) async fn ask(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     let is_held_up = {
         let mut health = shared.store.health.borrow_mut();
-        health.is_away(part(&op)) && !health.try_again(clock::now(), part(&op))
+        health.is_unavailable(part(&op)) && !health.start_retry_if_due(clock::now(), part(&op))
     };
 
     match is_held_up {
@@ -189,7 +189,7 @@
         }
     };
 
-    if shared.store.health.borrow().misses_any() {
+    if shared.store.health.borrow().any_part_unavailable() {
         shared.store.away_somewhere(clock::now());
     }
     match change {
@@ -211,8 +211,8 @@
     tokio::task::spawn_local(async move {
         let mut pace = WriteBack::default();
         loop {
-            let round = grants::write_loose(&shared, pace.allowed()).await;
-            if pace.ended(round) == Next::Later {
+            let round = grants::write_loose(&shared, pace.max_writes()).await;
+            if pace.round_ended(round) == NextRound::Later {
                 shared.store.wait_for_return(WRITE_BACK_PERIOD).await;
             }
         }
--- a/crates/policy/src/entry/outage.rs
+++ b/crates/policy/src/entry/outage.rs
@@ -43,7 +43,7 @@
 
 impl StoreHealth {
     /// Returns whether a part is believed to be away.
-    pub fn is_away(&self, part: &str) -> bool {
+    pub fn is_unavailable(&self, part: &str) -> bool {
         let is_away = |name: &str| self.parts.get(name).is_some_and(|part| part.away.is_some());
 
         is_away(OWN_TABLES) || is_away(part)
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether any part is away.
-    pub fn misses_any(&self) -> bool {
+    pub fn any_part_unavailable(&self) -> bool {
         self.parts.values().any(|part| part.away.is_some())
     }
 
@@ -93,20 +93,20 @@
     /// let mut health = StoreHealth::default();
     /// health.failed(Instant::from_millis(0), "a");
     /// let second = Duration::from_secs(1);
-    /// assert!(health.missed_any(Instant::from_millis(500), second));
-    /// assert!(!health.missed_any(Instant::from_millis(1_500), second));
+    /// assert!(health.any_part_failed_within(Instant::from_millis(500), second));
+    /// assert!(!health.any_part_failed_within(Instant::from_millis(1_500), second));
     /// ```
-    pub fn missed_any(&self, now: Instant, lately: Duration) -> bool {
+    pub fn any_part_failed_within(&self, now: Instant, lately: Duration) -> bool {
         let missed = |part: &Part| {
             part.away.is_some() && part.failed.is_some_and(|at| now.since(at) < lately)
         };
 
-        self.is_away(OWN_TABLES) || self.parts.values().any(missed)
+        self.is_unavailable(OWN_TABLES) || self.parts.values().any(missed)
     }
 
     /// Returns whether a part that is away is to be tried again by the call that asks, and takes
     /// note that it is.
-    pub fn try_again(&mut self, now: Instant, part: &str) -> bool {
+    pub fn start_retry_if_due(&mut self, now: Instant, part: &str) -> bool {
         if !self.answers() {
             return false;
         }
@@ -137,7 +137,7 @@
     /// health.answered(Instant(5), "a");
     /// assert_eq!(health.failed(Instant(4), "a"), None);
     /// assert_eq!(health.failed(Instant(6), "a"), Some(Change::Lost));
-    /// assert!(!health.is_away("b"));
+    /// assert!(!health.is_unavailable("b"));
     /// ```
     pub fn failed(&mut self, began: Instant, part: &str) -> Option<Change> {
         let state = self.state(part);
--- a/crates/policy/src/entry/write_back.rs
+++ b/crates/policy/src/entry/write_back.rs
@@ -42,20 +42,20 @@
 
 /// What came of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Round {
+pub enum RoundOutcome {
     /// Nothing was due.
     Nothing,
     /// All that was due was written, or met a write of another host.
     All,
     /// As much was written as the round may have, and more is due.
-    Part,
+    Partial,
     /// The store refused a write; the rest was not tried.
     Refused,
 }
 
 /// When the next round is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextRound {
     /// At once.
     Now,
     /// When the period is over or the store is back.
@@ -76,31 +76,31 @@
 
 impl WriteBack {
     /// Returns how many writes the next round may have.
-    pub fn allowed(&self) -> usize {
+    pub fn max_writes(&self) -> usize {
         self.allowed
     }
 
     /// Takes in what came of a round; returns when the next one is.
     ///
     /// ```
-    /// use camphorwalk_policy::entry::write_back::{Next, Round, WriteBack};
+    /// use camphorwalk_policy::entry::write_back::{NextRound, RoundOutcome, WriteBack};
     /// let mut pace = WriteBack::default();
-    /// let before = pace.allowed();
-    /// assert_eq!(pace.ended(Round::Part), Next::Now);
-    /// assert!(pace.allowed() > before);
-    /// assert_eq!(pace.ended(Round::Refused), Next::Later);
-    /// assert!(pace.allowed() < before);
+    /// let before = pace.max_writes();
+    /// assert_eq!(pace.round_ended(RoundOutcome::Partial), NextRound::Now);
+    /// assert!(pace.max_writes() > before);
+    /// assert_eq!(pace.round_ended(RoundOutcome::Refused), NextRound::Later);
+    /// assert!(pace.max_writes() < before);
     /// ```
-    pub fn ended(&mut self, round: Round) -> Next {
+    pub fn round_ended(&mut self, round: RoundOutcome) -> NextRound {
         self.allowed = match round {
-            Round::Nothing => self.allowed,
-            Round::All | Round::Part => (self.allowed + MORE).min(MOST),
-            Round::Refused => (self.allowed / 2).max(FEWEST),
+            RoundOutcome::Nothing => self.allowed,
+            RoundOutcome::All | RoundOutcome::Partial => (self.allowed + MORE).min(MOST),
+            RoundOutcome::Refused => (self.allowed / 2).max(FEWEST),
         };
 
         match round {
-            Round::Part => Next::Now,
-            Round::Nothing | Round::All | Round::Refused => Next::Later,
+            RoundOutcome::Partial => NextRound::Now,
+            RoundOutcome::Nothing | RoundOutcome::All | RoundOutcome::Refused => NextRound::Later,
         }
     }
 }
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -217,7 +217,7 @@
     pub fn answers_whole(&self) -> bool {
         let health = self.host.health.borrow();
 
-        health.answers() && !health.misses_any()
+        health.answers() && !health.any_part_unavailable()
     }
 
     fn store_peer(&self) -> Option<usize> {
@@ -235,7 +235,7 @@
     }
 
     fn grants_loose(&self) -> bool {
-        let misses_any = self.host.health.borrow().missed_any(self.now(), ALL_TOLD);
+        let misses_any = self.host.health.borrow().any_part_failed_within(self.now(), ALL_TOLD);
 
         misses_any
             || self.host.budgets.borrow().is_responsible_for_unstored(|run| self.hears_run(run))
@@ -309,7 +309,7 @@
     pub async fn ask_store(&self, op: Op) -> StoreReply {
         let is_held_up = {
             let mut health = self.host.health.borrow_mut();
-            health.is_away(op.part()) && !health.try_again(self.now(), op.part())
+            health.is_unavailable(op.part()) && !health.start_retry_if_due(self.now(), op.part())
         };
 
         match is_held_up {
@@ -339,7 +339,7 @@
             StoreReply::Unknown => drop(health.failed(began, part)),
             _ => drop(health.answered(now, part)),
         }
-        if health.misses_any() {
+        if health.any_part_unavailable() {
             self.host.away_at.set(Some(now));
         }
         reply
@@ -374,7 +374,7 @@
 
     fn news(&self) -> News {
         let is_slow = self.host.slow_at.get().is_some_and(|at| self.now().since(at) < SLOW_TOLD);
-        let misses_any = self.host.health.borrow().misses_any();
+        let misses_any = self.host.health.borrow().any_part_unavailable();
 
         News {
             run: self.host.run,
--- a/crates/policy/tests/entry_write_back.rs
+++ b/crates/policy/tests/entry_write_back.rs
@@ -1,6 +1,6 @@
 //! Writing back what was promised while the store did not take it, by many hosts at once.
 
-use camphorwalk_policy::entry::write_back::{Next, Round, WriteBack};
+use camphorwalk_policy::entry::write_back::{NextRound, RoundOutcome, WriteBack};
 
 /// A store that takes so many writes in a tenth of a second, and refuses those beyond.
 struct Store {
@@ -29,11 +29,11 @@
 
 impl Host {
     /// Makes the writes of a round, eight at the same time.
-    fn round(&mut self, store: &mut Store) -> Round {
+    fn round(&mut self, store: &mut Store) -> RoundOutcome {
         const AT_ONCE: usize = 8;
-        let mut left = self.pace.allowed().min(self.due);
+        let mut left = self.pace.max_writes().min(self.due);
         if left == 0 {
-            return Round::Nothing;
+            return RoundOutcome::Nothing;
         }
 
         while left > 0 {
@@ -42,10 +42,10 @@
             self.due -= taken;
             left -= at_once;
             if taken < at_once {
-                return Round::Refused;
+                return RoundOutcome::Refused;
             }
         }
-        if self.due > 0 { Round::Part } else { Round::All }
+        if self.due > 0 { RoundOutcome::Partial } else { RoundOutcome::All }
     }
 }
 
@@ -64,7 +64,7 @@
         for host in hosts.iter_mut().filter(|host| host.next <= tenths) {
             loop {
                 let round = host.round(&mut store);
-                if host.pace.ended(round) == Next::Later {
+                if host.pace.round_ended(round) == NextRound::Later {
                     break;
                 }
             }
@@ -87,7 +87,7 @@
 
     loop {
         let round = host.round(&mut store);
-        if host.pace.ended(round) == Next::Later {
+        if host.pace.round_ended(round) == NextRound::Later {
             break;
         }
     }
