--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -8,8 +8,8 @@
 };
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::budgets::{BudgetRow, KnownRow, ProgramKey, Reservation, RunId};
-use camphorwalk_policy::entry::keeping;
 use camphorwalk_policy::entry::shares::{Doubt, Limit};
+use camphorwalk_policy::entry::turn_writes;
 use camphorwalk_policy::entry::turns::PARTS;
 use futures::future::join_all;
 use http::StatusCode;
@@ -378,6 +378,6 @@
 
     match shared.reaches_store() {
         true => Refusal::later(reason, shared.come_back(UNSURE_RETRY)),
-        false => Refusal::later_spread(reason, shared.come_back(keeping::AWAY_RETRY)),
+        false => Refusal::later_spread(reason, shared.come_back(turn_writes::OUTAGE_RETRY_AFTER)),
     }
 }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -418,10 +418,10 @@
             }
         };
         let is_due = is_period_over && !fleet.is_heard(host);
-        let presence = fleet.rows.borrow_mut().read(host, row.version, is_due);
+        let presence = fleet.rows.borrow_mut().record_read(host, row.version, is_due);
 
         match presence {
-            Presence::Wrote => {
+            Presence::Updated => {
                 if known.get(&host).is_none_or(|known| known.address != content.peers) {
                     info!(host = %row.key.key, address = %content.peers, "fleet: host known");
                 }
--- a/crates/entry/src/keeping.rs
+++ b/crates/entry/src/keeping.rs
@@ -6,7 +6,7 @@
     Check, PlatformOp, PlatformReply, RowVersion, Transaction, Write,
 };
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::keeping::{Keeping, Next};
+use camphorwalk_policy::entry::turn_writes::{AfterFailedWrite, TurnWrites};
 use camphorwalk_policy::entry::turns::{Turn, TurnKey};
 use tokio::time::timeout;
 use tracing::info;
@@ -82,7 +82,7 @@
 impl EndedTurn<'_> {
     /// Writes the turn until the store has it, or no further write is worth while.
     async fn store(&self) -> std::result::Result<(), &'static str> {
-        let mut keeping = Keeping::default();
+        let mut keeping = TurnWrites::default();
 
         loop {
             // The write goes on when the caller leaves, so that the row is deleted in time.
@@ -96,20 +96,22 @@
             let Err(failure) = written else { return Ok(()) };
 
             match self.next(&mut keeping, failure) {
-                Next::Retry(pause) => self.call.shared.store.wait_for_return(pause).await,
-                Next::BreakOff => return Err(failure.reason),
+                AfterFailedWrite::Retry(pause) => {
+                    self.call.shared.store.wait_for_return(pause).await
+                }
+                AfterFailedWrite::BreakOff => return Err(failure.reason),
             }
         }
     }
 
     /// Decides what to do after a write that failed.
-    fn next(&self, keeping: &mut Keeping, failure: NotStored) -> Next {
+    fn next(&self, keeping: &mut TurnWrites, failure: NotStored) -> AfterFailedWrite {
         let NotStored { reason, is_final } = failure;
         let shared = &self.call.shared;
         let left = clock::until(self.call.deadline);
         let isolated_for = shared.isolated_for();
         let next = match is_final {
-            true => Next::BreakOff,
+            true => AfterFailedWrite::BreakOff,
             false => keeping.write_failed(left, isolated_for),
         };
 
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowKey};
-use camphorwalk_policy::entry::keeping::{self, Begin, Outage};
+use camphorwalk_policy::entry::turn_writes::{self, Outage, StartDecision};
 use camphorwalk_policy::entry::turns::{Turn, TurnKey};
 use futures::StreamExt as _;
 use futures::future::try_join_all;
@@ -50,7 +50,7 @@
         }
 
         let mut body = BytesMut::new();
-        self.earlier.iter().for_each(|turn| body.extend_from_slice(turn.said()));
+        self.earlier.iter().for_each(|turn| body.extend_from_slice(turn.transcript()));
         body.extend_from_slice(input);
         body.freeze()
     }
@@ -76,9 +76,9 @@
 
     let outage =
         Outage { silent_for: shared.store.silent_for(), left: clock::until(call.deadline) };
-    match keeping::begin(outage) {
-        Begin::Now => Ok(()),
-        Begin::Later(after) => {
+    match turn_writes::start_during_outage(outage) {
+        StartDecision::Now => Ok(()),
+        StartDecision::Later(after) => {
             info!(request = %call.head.request_id, ?outage, ?after, "turn: not begun");
             Err(Refusal::later_spread("turns cannot be kept while the store is away", after))
         }
@@ -110,7 +110,7 @@
         read(shared, *key).await?.ok_or_else(|| unsure(shared))
     });
     let mut earlier = try_join_all(earlier).await?;
-    let line = last.line_with(key);
+    let line = last.conversation_with(key);
     earlier.push(last);
 
     Ok(Continuation { earlier, line })
@@ -213,7 +213,7 @@
 
 /// Returns the row of a turn.
 pub(crate) fn row_key(key: TurnKey) -> RowKey {
-    RowKey::new(TABLE, key.row())
+    RowKey::new(TABLE, key.row_key())
 }
 
 fn unsure(shared: &Shared) -> Refusal {
--- a/crates/policy/src/entry/host_rows.rs
+++ b/crates/policy/src/entry/host_rows.rs
@@ -8,13 +8,13 @@
 
 /// A host whose row was read so often without a change is gone: it could not write it for longer than a
 /// cut mostly lasts.
-pub const READS_TO_GONE: u32 = 4;
+pub const UNCHANGED_READS_UNTIL_GONE: u32 = 4;
 
 /// What a read tells of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// It wrote its row since the last read, or the row was not known.
-    Wrote,
+    Updated,
     /// It may be there.
     Silent,
     /// It is gone until it writes its row again.
@@ -43,21 +43,21 @@
     /// use camphorwalk_core::platform::RowVersion;
     /// use camphorwalk_policy::entry::host_rows::{HostRows, Presence};
     /// let mut rows = HostRows::default();
-    /// assert_eq!(rows.read(HostId(1), RowVersion(7), true), Presence::Wrote);
-    /// assert_eq!(rows.read(HostId(1), RowVersion(7), true), Presence::Silent);
-    /// assert_eq!(rows.read(HostId(1), RowVersion(8), true), Presence::Wrote);
+    /// assert_eq!(rows.record_read(HostId(1), RowVersion(7), true), Presence::Updated);
+    /// assert_eq!(rows.record_read(HostId(1), RowVersion(7), true), Presence::Silent);
+    /// assert_eq!(rows.record_read(HostId(1), RowVersion(8), true), Presence::Updated);
     /// ```
-    pub fn read(&mut self, host: HostId, version: RowVersion, is_due: bool) -> Presence {
+    pub fn record_read(&mut self, host: HostId, version: RowVersion, is_due: bool) -> Presence {
         let is_same = self.seen.get(&host).is_some_and(|seen| seen.version == version);
         if !is_same {
             self.seen.insert(host, Seen { version, unchanged: 0 });
-            return Presence::Wrote;
+            return Presence::Updated;
         }
 
         let unchanged = self.seen.get_mut(&host).map_or(0, |seen| {
             seen.unchanged = seen.unchanged.saturating_add(u32::from(is_due));
             seen.unchanged
         });
-        if unchanged < READS_TO_GONE { Presence::Silent } else { Presence::Gone }
+        if unchanged < UNCHANGED_READS_UNTIL_GONE { Presence::Silent } else { Presence::Gone }
     }
 }
--- a/crates/policy/src/entry/keeping.rs
+++ b/crates/policy/src/entry/turn_writes.rs
@@ -19,7 +19,7 @@
 
 /// What to do after a write that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum AfterFailedWrite {
     /// Write again after a pause.
     Retry(Duration),
     /// Break the answer off.
@@ -28,11 +28,11 @@
 
 /// The writes of one turn.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Keeping {
+pub struct TurnWrites {
     failed: u32,
 }
 
-impl Keeping {
+impl TurnWrites {
     /// Returns how many writes failed.
     pub fn failed(&self) -> u32 {
         self.failed
@@ -43,29 +43,33 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use camphorwalk_policy::entry::keeping::{Keeping, Next};
-    /// let mut keeping = Keeping::default();
+    /// use camphorwalk_policy::entry::turn_writes::{AfterFailedWrite, TurnWrites};
+    /// let mut keeping = TurnWrites::default();
     /// let left = Duration::from_secs(2);
-    /// assert!(matches!(keeping.write_failed(left, None), Next::Retry(_)));
-    /// assert_eq!(keeping.write_failed(left, Some(left)), Next::BreakOff);
+    /// assert!(matches!(keeping.write_failed(left, None), AfterFailedWrite::Retry(_)));
+    /// assert_eq!(keeping.write_failed(left, Some(left)), AfterFailedWrite::BreakOff);
     /// ```
-    pub fn write_failed(&mut self, left: Duration, isolated_for: Option<Duration>) -> Next {
+    pub fn write_failed(
+        &mut self,
+        left: Duration,
+        isolated_for: Option<Duration>,
+    ) -> AfterFailedWrite {
         let pause = FIRST_PAUSE.saturating_mul(1 << self.failed.min(8)).min(LONGEST_PAUSE);
         self.failed += 1;
 
         let is_cut_off = isolated_for.is_some_and(|time| time >= ISOLATION_CONFIRMED_AFTER);
         match is_cut_off || pause >= left {
-            true => Next::BreakOff,
-            false => Next::Retry(pause),
+            true => AfterFailedWrite::BreakOff,
+            false => AfterFailedWrite::Retry(pause),
         }
     }
 }
 
 /// The longest gap in a stream that callers bear, the one before its end included.
-pub const CALLER_PATIENCE: Duration = Duration::from_secs(2);
+pub const MAX_STREAM_GAP: Duration = Duration::from_secs(2);
 
 /// When a caller is told to come back while the store is away.
-pub const AWAY_RETRY: Duration = Duration::from_secs(1);
+pub const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The part of the time that a caller has left which it waits at most before it comes back.
 const RETRY_PART: u32 = 3;
@@ -81,7 +85,7 @@
 
 /// What to do with a turn that is to be kept, and was not sent yet, while the store is away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum StartDecision {
     /// Send it: the store may be back when it ends.
     Now,
     /// Refuse it, and tell its caller to come back after this time.
@@ -96,17 +100,18 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use camphorwalk_policy::entry::keeping::{Begin, Outage, begin};
+/// use camphorwalk_policy::entry::turn_writes::{Outage, StartDecision, start_during_outage};
 /// let left = Duration::from_millis(2_400);
-/// let after = |silent_for| begin(Outage { silent_for, left });
-/// assert_eq!(after(Some(Duration::from_millis(300))), Begin::Now);
-/// assert_eq!(after(Some(Duration::from_secs(3))), Begin::Later(Duration::from_millis(800)));
+/// let after = |silent_for| start_during_outage(Outage { silent_for, left });
+/// assert_eq!(after(Some(Duration::from_millis(300))), StartDecision::Now);
+/// let later = StartDecision::Later(Duration::from_millis(800));
+/// assert_eq!(after(Some(Duration::from_secs(3))), later);
 /// // A process that the store has never answered knows nothing of the outage.
-/// assert_eq!(after(None), Begin::Later(Duration::from_millis(800)));
+/// assert_eq!(after(None), later);
 /// ```
-pub fn begin(outage: Outage) -> Begin {
+pub fn start_during_outage(outage: Outage) -> StartDecision {
     match outage.silent_for {
-        Some(time) if time < CALLER_PATIENCE => Begin::Now,
-        _ => Begin::Later(AWAY_RETRY.min(outage.left / RETRY_PART)),
+        Some(time) if time < MAX_STREAM_GAP => StartDecision::Now,
+        _ => StartDecision::Later(OUTAGE_RETRY_AFTER.min(outage.left / RETRY_PART)),
     }
 }
--- a/crates/policy/src/entry/turns.rs
+++ b/crates/policy/src/entry/turns.rs
@@ -30,9 +30,9 @@
     ///
     /// ```
     /// use camphorwalk_policy::entry::turns::TurnKey;
-    /// assert_eq!(&*TurnKey(0x12).row(), "12/0000000000000012");
+    /// assert_eq!(&*TurnKey(0x12).row_key(), "12/0000000000000012");
     /// ```
-    pub fn row(self) -> Box<str> {
+    pub fn row_key(self) -> Box<str> {
         format!("{:x}/{:016x}", self.part(), self.0).into()
     }
 
@@ -63,7 +63,7 @@
     /// ```
     /// use camphorwalk_policy::entry::turns::Turn;
     /// let turn = Turn::new(Vec::new(), b"hello".to_vec());
-    /// assert_eq!(turn.said(), b"hello");
+    /// assert_eq!(turn.transcript(), b"hello");
     /// ```
     pub fn new(line: Vec<TurnKey>, said: Vec<u8>) -> Self {
         match String::from_utf8(said) {
@@ -74,12 +74,12 @@
 
     /// Returns what it adds to the prompt: its input, then the data of each event and a line
     /// feed.
-    pub fn said(&self) -> &[u8] {
+    pub fn transcript(&self) -> &[u8] {
         if self.raw.is_empty() { self.text.as_bytes() } else { &self.raw }
     }
 
     /// Returns the line of a turn that continues from this one.
-    pub fn line_with(&self, own: TurnKey) -> Vec<TurnKey> {
+    pub fn conversation_with(&self, own: TurnKey) -> Vec<TurnKey> {
         let mut line = Vec::with_capacity(self.line.len() + 1);
         line.extend_from_slice(&self.line);
         line.push(own);
@@ -132,5 +132,5 @@
     /// The map's, the queue's and the counter's share.
     const HOLDING: usize = 96;
 
-    turn.said().len() + turn.line.len() * size_of::<TurnKey>() + HOLDING
+    turn.transcript().len() + turn.line.len() * size_of::<TurnKey>() + HOLDING
 }
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -154,8 +154,8 @@
             let version = RowVersion(self.world.host_rows.get()[other]);
             let is_due = last.is_some() && !self.hears(other);
             let host = HostId(other as u64);
-            match self.host.rows.borrow_mut().read(host, version, is_due) {
-                Presence::Wrote => drop(known.insert(other)),
+            match self.host.rows.borrow_mut().record_read(host, version, is_due) {
+                Presence::Updated => drop(known.insert(other)),
                 Presence::Silent => {}
                 Presence::Gone => drop(known.remove(&other)),
             }
--- a/crates/policy/tests/entry_host_rows.rs
+++ b/crates/policy/tests/entry_host_rows.rs
@@ -2,13 +2,13 @@
 
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::platform::RowVersion;
-use camphorwalk_policy::entry::host_rows::{HostRows, Presence, READS_TO_GONE};
+use camphorwalk_policy::entry::host_rows::{HostRows, Presence, UNCHANGED_READS_UNTIL_GONE};
 
 const HOST: HostId = HostId(1);
 
 /// Reads a row that does not change some times; returns what the reads tell.
 fn read_unchanged(rows: &mut HostRows, version: u64, times: u32) -> Vec<Presence> {
-    (0..times).map(|_| rows.read(HOST, RowVersion(version), true)).collect()
+    (0..times).map(|_| rows.record_read(HOST, RowVersion(version), true)).collect()
 }
 
 /// Guards against a host that was replaced for good, is known again with each further read, and so is
@@ -16,7 +16,7 @@
 #[test]
 fn a_host_that_is_gone_stays_so_while_its_row_does_not_change() {
     let mut rows = HostRows::default();
-    read_unchanged(&mut rows, 7, READS_TO_GONE + 1);
+    read_unchanged(&mut rows, 7, UNCHANGED_READS_UNTIL_GONE + 1);
 
     let later = read_unchanged(&mut rows, 7, 20);
 
@@ -29,10 +29,10 @@
     let mut rows = HostRows::default();
     read_unchanged(&mut rows, 7, 20);
 
-    let back = rows.read(HOST, RowVersion(9), true);
-    let after = rows.read(HOST, RowVersion(9), true);
+    let back = rows.record_read(HOST, RowVersion(9), true);
+    let after = rows.record_read(HOST, RowVersion(9), true);
 
-    assert_eq!((back, after), (Presence::Wrote, Presence::Silent));
+    assert_eq!((back, after), (Presence::Updated, Presence::Silent));
 }
 
 /// Guards against a host that is heard and is taken for gone since it cannot write its row.
@@ -40,7 +40,7 @@
 fn reads_that_are_not_due_do_not_count() {
     let mut rows = HostRows::default();
 
-    let reads: Vec<_> = (0..20).map(|_| rows.read(HOST, RowVersion(7), false)).collect();
+    let reads: Vec<_> = (0..20).map(|_| rows.record_read(HOST, RowVersion(7), false)).collect();
 
     assert!(!reads.contains(&Presence::Gone));
 }
--- a/crates/policy/tests/entry_keeping.rs
+++ b/crates/policy/tests/entry_keeping.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use camphorwalk_policy::entry::keeping::{Begin, CALLER_PATIENCE, Keeping, Next, Outage, begin};
+use camphorwalk_policy::entry::turn_writes::{
+    AfterFailedWrite, MAX_STREAM_GAP, Outage, StartDecision, TurnWrites, start_during_outage,
+};
 
 /// How much longer a caller waits, from the end of its turn on.
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -17,7 +19,7 @@
 /// Plays writes that take `each` and fail until `kept_at`. Returns what came of them and how many
 /// failed.
 fn play(each: Duration, kept_at: Duration) -> (End, u32) {
-    let mut keeping = Keeping::default();
+    let mut keeping = TurnWrites::default();
     let mut now = Duration::ZERO;
 
     loop {
@@ -26,8 +28,8 @@
             return (End::Kept(now), keeping.failed());
         }
         match keeping.write_failed(PATIENCE.saturating_sub(now), None) {
-            Next::Retry(pause) => now += pause,
-            Next::BreakOff => return (End::BrokenOff(now), keeping.failed()),
+            AfterFailedWrite::Retry(pause) => now += pause,
+            AfterFailedWrite::BreakOff => return (End::BrokenOff(now), keeping.failed()),
         }
     }
 }
@@ -65,8 +67,8 @@
     let isolated_for = Some(Duration::from_millis(900));
 
     assert!(matches!(
-        Keeping::default().write_failed(PATIENCE, isolated_for),
-        Next::Retry(pause) if pause <= Duration::from_millis(50)
+        TurnWrites::default().write_failed(PATIENCE, isolated_for),
+        AfterFailedWrite::Retry(pause) if pause <= Duration::from_millis(50)
     ));
 }
 
@@ -75,7 +77,10 @@
     // Guards against callers who wait in vain at a host that may promise nothing.
     let isolated_for = Some(Duration::from_secs(1));
 
-    assert_eq!(Keeping::default().write_failed(PATIENCE, isolated_for), Next::BreakOff);
+    assert_eq!(
+        TurnWrites::default().write_failed(PATIENCE, isolated_for),
+        AfterFailedWrite::BreakOff
+    );
 }
 
 #[test]
@@ -84,17 +89,19 @@
     for silent_for in [0, 500, 1_900].map(Duration::from_millis) {
         let outage = Outage { silent_for: Some(silent_for), left: PATIENCE };
 
-        assert_eq!(begin(outage), Begin::Now, "{silent_for:?}");
+        assert_eq!(start_during_outage(outage), StartDecision::Now, "{silent_for:?}");
     }
 }
 
 #[test]
 fn a_turn_is_not_begun_when_its_end_would_come_too_late() {
     // Guards against targets that run turns whose callers leave before the end.
-    for silent_for in [None, Some(CALLER_PATIENCE), Some(Duration::from_secs(60))] {
+    for silent_for in [None, Some(MAX_STREAM_GAP), Some(Duration::from_secs(60))] {
         let outage = Outage { silent_for, left: PATIENCE };
 
-        let Begin::Later(after) = begin(outage) else { panic!("{silent_for:?}") };
+        let StartDecision::Later(after) = start_during_outage(outage) else {
+            panic!("{silent_for:?}")
+        };
         assert!(!after.is_zero() && after <= PATIENCE / 3, "{after:?}");
     }
 }
