--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -278,7 +278,7 @@
 
     // Only calls that run count towards a tenant's rate.
     if let (Err(_), false, Some(tenant)) = (&result, call.may_have_run(), &call.tenant) {
-        call.shared.rates.borrow_mut().give_back(tenant);
+        call.shared.rates.borrow_mut().refund(tenant);
     }
     result
 }
@@ -431,7 +431,7 @@
         request = %call.head.request_id, tenant = %tenant, is_new = call.is_new.get(),
         waited_ms = waited.as_millis() as u64, level = state.level, rate = state.rate,
         demand = state.demand, others_demand = state.others_demand,
-        withheld = state.withheld, "rate: over"
+        withheld = state.reserved, "rate: over"
     );
 }
 
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -438,7 +438,7 @@
         }
     }
 
-    shared.rates.borrow_mut().set_others(known.keys().copied().collect());
+    shared.rates.borrow_mut().set_peers(known.keys().copied().collect());
 }
 
 /// What a silent host had in flight no longer counts.
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -18,7 +18,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_peer::Peers;
 use camphorwalk_policy::entry::prompts::Part;
-use camphorwalk_policy::entry::rates::{TenantNews, Withheld};
+use camphorwalk_policy::entry::rates::{ReservedShare, TenantStatus};
 use tokio::time::sleep;
 use tracing::info;
 
@@ -51,7 +51,7 @@
 struct Changes {
     /// The last parts of the prompts that were sent to each target.
     prompts: Map<Box<str>, Vec<Part>>,
-    demand: Map<Box<str>, TenantNews>,
+    demand: Map<Box<str>, TenantStatus>,
     crashes: Vec<CrashNews>,
 }
 
@@ -60,7 +60,7 @@
     fn take(shared: &Shared) -> Self {
         Self {
             prompts: shared.targets.borrow_mut().take_news().into_iter().collect(),
-            demand: shared.rates.borrow_mut().take_news(false).into_iter().collect(),
+            demand: shared.rates.borrow_mut().take_updates(false).into_iter().collect(),
             crashes: shared.crashes.borrow_mut().take_news(),
         }
     }
@@ -140,7 +140,7 @@
     }
     if !untold.is_empty() {
         let mut all = changes.clone();
-        all.demand = shared.rates.borrow_mut().take_news(true).into_iter().collect();
+        all.demand = shared.rates.borrow_mut().take_updates(true).into_iter().collect();
         let told = to_all(&untold, news(shared, all, true));
         shared.told_all.0.borrow_mut().extend(told);
     }
@@ -172,17 +172,17 @@
     }
 }
 
-fn demand((tenant, news): (Box<str>, TenantNews)) -> Demand {
-    let TenantNews { admitted, demand, level, withheld, hears_all } = news;
+fn demand((tenant, news): (Box<str>, TenantStatus)) -> Demand {
+    let TenantStatus { admitted, demand, level, reserved, all_hosts_live } = news;
 
     Demand {
         tenant: tenant.into(),
         per_second: demand,
         admitted,
         level,
-        withheld: withheld.share,
-        withheld_ms: u32::try_from(withheld.left.as_millis()).unwrap_or(u32::MAX),
-        hears_all,
+        withheld: reserved.share,
+        withheld_ms: u32::try_from(reserved.expires_in.as_millis()).unwrap_or(u32::MAX),
+        hears_all: all_hosts_live,
     }
 }
 
@@ -221,13 +221,15 @@
     }
 
     let tenants = news.demand.into_iter().map(|d| {
-        let withheld =
-            Withheld { share: d.withheld, left: Duration::from_millis(u64::from(d.withheld_ms)) };
+        let reserved = ReservedShare {
+            share: d.withheld,
+            expires_in: Duration::from_millis(u64::from(d.withheld_ms)),
+        };
         let (admitted, demand, level) = (d.admitted, d.per_second, d.level);
-        let hears_all = d.hears_all;
-        (d.tenant.into(), TenantNews { admitted, demand, level, withheld, hears_all })
+        let all_hosts_live = d.hears_all;
+        (d.tenant.into(), TenantStatus { admitted, demand, level, reserved, all_hosts_live })
     });
-    shared.rates.borrow_mut().hear(now, from, news.run, news.all_demand, tenants);
+    shared.rates.borrow_mut().apply_update(now, from, news.run, news.all_demand, tenants);
     let in_flight = news.in_flight.into_iter().map(|f| (f.target.into(), f.calls)).collect();
     let waiting = news.waiting.into_iter().map(|w| (w.service.into(), w.calls)).collect();
     shared.targets.borrow_mut().hear(from, in_flight, waiting);
--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -91,21 +91,21 @@
     /// The calls a second that come to the others, as they told or as estimated.
     pub others_demand: f64,
     /// The part of the rate that is left to silent hosts.
-    pub withheld: f64,
+    pub reserved: f64,
 }
 
 /// The part of a tenant's rate that a host leaves to others that fell silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Withheld {
+pub struct ReservedShare {
     /// From 0 to 1.
     pub share: f64,
     /// How long it is still left to them, from when the last of them was heard.
-    pub left: Duration,
+    pub expires_in: Duration,
 }
 
 /// What a host tells of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TenantNews {
+pub struct TenantStatus {
     /// The calls that it has admitted since its process began.
     pub admitted: u64,
     /// The calls a second that come to it.
@@ -113,9 +113,9 @@
     /// The level of its bucket.
     pub level: f64,
     /// What it leaves to hosts that it does not hear. One that has just started never heard them.
-    pub withheld: Withheld,
+    pub reserved: ReservedShare,
     /// Whether it hears all hosts, so that its level rests on no estimate.
-    pub hears_all: bool,
+    pub all_hosts_live: bool,
 }
 
 /// What was known of a tenant at a moment.
@@ -150,13 +150,13 @@
     /// What was known while a host that is not heard now may still have been.
     marks: VecDeque<Mark>,
     /// What is left to silent hosts, as others are told of it.
-    withheld: Withheld,
+    reserved: ReservedShare,
     /// The part of the rate that is taken out for hosts that are not heard.
     unheard_share: f64,
     /// Whether a host that is heard takes out such a part, and wants to know the level.
     level_wanted: bool,
     /// What the other hosts were told last.
-    told: Option<TenantNews>,
+    told: Option<TenantStatus>,
 }
 
 impl Account {
@@ -164,7 +164,7 @@
     fn has_news(&self) -> bool {
         let Some(told) = self.told else { return self.admitted > 0 || self.arrived > 0 };
         let slack = (told.demand * DEMAND_SLACK).max(LEAST_DEMAND_SLACK);
-        let withheld_changed = (self.withheld.share - told.withheld.share).abs();
+        let withheld_changed = (self.reserved.share - told.reserved.share).abs();
 
         (self.level_wanted && self.hears_all())
             || self.admitted != told.admitted
@@ -198,7 +198,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ToldTenant {
-    news: TenantNews,
+    news: TenantStatus,
     /// Until when what it leaves to silent hosts is left to them.
     withheld_until: Instant,
     /// What was taken out of the bucket for it since it fell silent.
@@ -257,7 +257,7 @@
                 others_demand: 0.0,
                 spent: 0.0,
                 marks: VecDeque::new(),
-                withheld: Withheld::default(),
+                reserved: ReservedShare::default(),
                 unheard_share: 0.0,
                 level_wanted: false,
                 told: None,
@@ -273,20 +273,20 @@
     }
 
     /// Sets the other hosts of the fleet.
-    pub fn set_others(&mut self, others: Vec<HostId>) {
+    pub fn set_peers(&mut self, others: Vec<HostId>) {
         self.told.retain(|host, _| others.contains(host));
         self.others = others;
     }
 
     /// Takes in what the run `run` of a host tells of its tenants: of all of them, or of those of
     /// which something has changed.
-    pub fn hear(
+    pub fn apply_update(
         &mut self,
         now: Instant,
         host: HostId,
         run: u64,
         all: bool,
-        news: impl IntoIterator<Item = (Box<str>, TenantNews)>,
+        news: impl IntoIterator<Item = (Box<str>, TenantStatus)>,
     ) {
         let told = self.told.entry(host).or_default();
         let is_new = told.base_run.is_none();
@@ -309,7 +309,7 @@
         };
 
         for (tenant, news) in news {
-            let withheld_until = now + news.withheld.left;
+            let withheld_until = now + news.reserved.expires_in;
             let new = ToldTenant { news, withheld_until, estimated: 0.0, share: None };
             let before = told.tenants.insert(tenant.clone(), new).unwrap_or_default();
             let Some(account) = self.accounts.get_mut(&tenant) else { continue };
@@ -332,7 +332,7 @@
             // A new process believes what the others know.
             if now < account.fresh_until {
                 account.level -= lower;
-            } else if news.hears_all && !account.hears_all() {
+            } else if news.all_hosts_live && !account.hears_all() {
                 // So does one that reckons with estimates, of one that does not.
                 account.level -= lower;
                 corrections.push((tenant, lower));
@@ -359,16 +359,16 @@
     /// Returns what the other hosts are to be told, and takes note that they were. `all` tells of
     /// all tenants that had calls here, for hosts that missed something; else only of those of
     /// which something has changed.
-    pub fn take_news(&mut self, all: bool) -> Vec<(Box<str>, TenantNews)> {
+    pub fn take_updates(&mut self, all: bool) -> Vec<(Box<str>, TenantStatus)> {
         let mut news = Vec::new();
 
         for (name, account) in &mut self.accounts {
             if !(account.has_news() || (all && account.told.is_some())) {
                 continue;
             }
-            let Account { admitted, demand, level, withheld, .. } = *account;
-            let hears_all = account.hears_all();
-            let tells = TenantNews { admitted, demand, level, withheld, hears_all };
+            let Account { admitted, demand, level, reserved, .. } = *account;
+            let all_hosts_live = account.hears_all();
+            let tells = TenantStatus { admitted, demand, level, reserved, all_hosts_live };
             account.told = Some(tells);
             news.push((name.clone(), tells));
         }
@@ -435,12 +435,12 @@
             rate: account.rate,
             demand: account.demand,
             others_demand: account.others_demand,
-            withheld: account.unheard_share,
+            reserved: account.unheard_share,
         })
     }
 
     /// Gives back the token of a call that has not run and never will.
-    pub fn give_back(&mut self, tenant: &str) {
+    pub fn refund(&mut self, tenant: &str) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.level = (account.level + 1.0).min(account.most());
             account.admitted = account.admitted.saturating_sub(1);
--- a/crates/policy/src/entry/rates/unheard.rs
+++ b/crates/policy/src/entry/rates/unheard.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
 
-use super::{Account, Contact, SILENT_SHARE_KEPT, Told, ToldTenant, Withheld, contact};
+use super::{Account, Contact, ReservedShare, SILENT_SHARE_KEPT, Told, ToldTenant, contact};
 
 /// The part of an even share that a host has by its mere being there, when shares are estimated.
 const FLOOR: f64 = 0.25;
@@ -56,7 +56,7 @@
         account.others_demand = self.demand(tenant, account, told);
         account.mark(self.now);
         account.level_wanted = self.is_level_wanted(tenant, told);
-        account.withheld = Withheld::default();
+        account.reserved = ReservedShare::default();
         account.unheard_share = 0.0;
         if self.silent.is_empty() && self.unknown <= 0.0 {
             return;
@@ -65,8 +65,8 @@
         let newly_silent = self.fix_shares(tenant, account, told);
         let silent: f64 = self.silent.iter().map(|host| told[host].share(tenant)).sum();
         let own = silent + self.unknown * self.even_share(account);
-        account.withheld = self.withheld(tenant, silent, told);
-        account.unheard_share = own.max(account.withheld.share).min(self.most_withheld());
+        account.reserved = self.withheld(tenant, silent, told);
+        account.unheard_share = own.max(account.reserved.share).min(self.most_withheld());
 
         // What goes to a silent host is noted, to be made good when it tells what it admitted.
         let scale = (account.unheard_share / own.max(f64::MIN_POSITIVE)).min(1.0);
@@ -152,18 +152,18 @@
 
     /// Returns what is left to silent hosts, whose shares are `silent`. What is never heard may be
     /// known to others for how much is to be left to it.
-    fn withheld(&self, tenant: &str, silent: f64, told: &Map<HostId, Told>) -> Withheld {
+    fn withheld(&self, tenant: &str, silent: f64, told: &Map<HostId, Told>) -> ReservedShare {
         let left = |told: &Told| (told.at + SILENT_SHARE_KEPT).since(self.now);
         let longest = self.silent.iter().map(|host| left(&told[host])).max();
-        let own = Withheld { share: silent, left: longest.unwrap_or_default() };
+        let own = ReservedShare { share: silent, expires_in: longest.unwrap_or_default() };
         if self.unknown <= 0.0 {
             return own;
         }
 
         let valid = self.heard_of(tenant, told).filter(|t| t.withheld_until > self.now);
-        let theirs = valid.map(|t| Withheld {
-            share: t.news.withheld.share,
-            left: t.withheld_until.since(self.now),
+        let theirs = valid.map(|t| ReservedShare {
+            share: t.news.reserved.share,
+            expires_in: t.withheld_until.since(self.now),
         });
         theirs.chain([own]).max_by(|a, b| a.share.total_cmp(&b.share)).unwrap_or(own)
     }
--- a/crates/policy/tests/entry_rates.rs
+++ b/crates/policy/tests/entry_rates.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::entry::TenantSpec;
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::rates::{Admission, Rates, TenantNews};
+use camphorwalk_policy::entry::rates::{Admission, Rates, TenantStatus};
 
 const TICK: Duration = Duration::from_millis(100);
 
@@ -30,7 +30,7 @@
         let hosts = (0..hosts)
             .map(|own| {
                 let mut rates = Rates::default();
-                rates.set_others(ids.iter().copied().filter(|other| *other != id(own)).collect());
+                rates.set_peers(ids.iter().copied().filter(|other| *other != id(own)).collect());
                 rates.configure(now, std::slice::from_ref(spec));
                 rates
             })
@@ -61,12 +61,12 @@
         for from in 0..self.hosts.len() {
             // One in ten tells of all, as hosts do.
             let all = self.rounds.is_multiple_of(10);
-            let news: Vec<(Box<str>, TenantNews)> = self.hosts[from].take_news(all);
+            let news: Vec<(Box<str>, TenantStatus)> = self.hosts[from].take_updates(all);
 
             for to in 0..self.hosts.len() {
                 let is_cut = self.cut.contains(&from) != self.cut.contains(&to);
                 if from != to && !is_cut {
-                    self.hosts[to].hear(self.now, id(from), 1, all, news.clone());
+                    self.hosts[to].apply_update(self.now, id(from), 1, all, news.clone());
                 }
             }
         }
@@ -161,18 +161,18 @@
     for spec in &specs {
         here.admit(at(10), &spec.name, false, Duration::ZERO);
     }
-    let whole = here.take_news(true);
+    let whole = here.take_updates(true);
     here.admit(at(20), "t5", false, Duration::ZERO);
 
-    let changed = here.take_news(false);
-    there.hear(at(3_000), HostId(1), 7, false, changed.clone());
+    let changed = here.take_updates(false);
+    there.apply_update(at(3_000), HostId(1), 7, false, changed.clone());
     let before_whole = there.explain("t5").unwrap().level;
-    there.hear(at(3_000), HostId(1), 7, true, whole);
-    there.hear(at(3_000), HostId(1), 7, false, changed.clone());
+    there.apply_update(at(3_000), HostId(1), 7, true, whole);
+    there.apply_update(at(3_000), HostId(1), 7, false, changed.clone());
     let level = |tenant| there.explain(tenant).unwrap().level;
 
     assert_eq!((changed.len(), &*changed[0].0), (1, "t5"));
-    assert!(here.take_news(false).is_empty());
+    assert!(here.take_updates(false).is_empty());
     assert_eq!(level("t4") - level("t5"), 1.0);
     assert!(level("t4") >= before_whole);
 }
@@ -218,7 +218,7 @@
     let first: Vec<_> =
         (0..3).map(|_| rates.admit(Instant(0), "easel", false, Duration::ZERO)).collect();
 
-    rates.give_back("easel");
+    rates.refund("easel");
     let second = rates.admit(Instant(0), "easel", false, Duration::ZERO);
     let third = rates.admit(Instant(0), "easel", false, Duration::ZERO);
 
@@ -257,7 +257,7 @@
         fleet.tick(&calls, false);
     });
     for host in &mut fleet.hosts[..11] {
-        host.set_others((0..12).map(id).collect());
+        host.set_peers((0..12).map(id).collect());
     }
 
     fleet.cut = vec![0, 1, 2, 3];
--- a/crates/policy/tests/entry_rates_cut.rs
+++ b/crates/policy/tests/entry_rates_cut.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::entry::TenantSpec;
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::rates::{Admission, Rates, TenantNews};
+use camphorwalk_policy::entry::rates::{Admission, Rates, TenantStatus};
 
 const TICK: Duration = Duration::from_millis(100);
 const TICKS_PER_SECOND: usize = 10;
@@ -112,7 +112,7 @@
 
     fn start(&mut self, host: usize) {
         let mut rates = Rates::default();
-        rates.set_others((0..HOSTS).map(id).filter(|other| *other != id(host)).collect());
+        rates.set_peers((0..HOSTS).map(id).filter(|other| *other != id(host)).collect());
         rates.configure(self.now, &[tenant()]);
         self.runs += 1;
         self.hosts[host] =
@@ -170,7 +170,7 @@
 
     fn tell(&mut self, from: usize) {
         let Some(mut teller) = self.hosts[from].take() else { return };
-        let changes = teller.rates.take_news(false);
+        let changes = teller.rates.take_updates(false);
 
         for to in 0..HOSTS {
             let is_between = self.between.contains(&from) || self.between.contains(&to);
@@ -178,10 +178,10 @@
             let Some(hearer) = self.hosts[to].as_mut().filter(|_| !is_cut) else { continue };
             let all = !teller.told_all.contains(&hearer.run);
             let news = match all {
-                true => teller.rates.take_news(true),
+                true => teller.rates.take_updates(true),
                 false => changes.clone(),
             };
-            hearer.rates.hear(self.now, id(from), teller.run, all, news);
+            hearer.rates.apply_update(self.now, id(from), teller.run, all, news);
             if all {
                 teller.told_all.push(hearer.run);
             }
@@ -295,14 +295,14 @@
     let mut rates = Rates::default();
     let now = Instant::from_millis(10_000);
     rates.configure(Instant(0), &[tenant()]);
-    let told = |admitted| [(TENANT.into(), TenantNews { admitted, ..TenantNews::default() })];
-    rates.hear(Instant::from_millis(100), HostId(2), 1, true, told(0));
-    rates.hear(now, HostId(2), 1, false, told(200));
+    let told = |admitted| [(TENANT.into(), TenantStatus { admitted, ..TenantStatus::default() })];
+    rates.apply_update(Instant::from_millis(100), HostId(2), 1, true, told(0));
+    rates.apply_update(now, HostId(2), 1, false, told(200));
     let level = |rates: &Rates| rates.explain(TENANT).expect("it has a rate").level;
     let before = level(&rates);
 
-    rates.hear(now, HostId(2), 2, true, []);
-    rates.hear(now, HostId(2), 2, false, told(5));
+    rates.apply_update(now, HostId(2), 2, true, []);
+    rates.apply_update(now, HostId(2), 2, false, told(5));
 
     assert_eq!(before - level(&rates), 5.0);
 }
