--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -12,7 +12,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::attempts::Attempts;
 use camphorwalk_policy::entry::crashes::Fingerprint;
-use camphorwalk_policy::entry::placement::Shape;
+use camphorwalk_policy::entry::placement::PlacementRequest;
 use camphorwalk_policy::entry::rates::Admission;
 use camphorwalk_policy::entry::routes;
 use camphorwalk_policy::entry::waiting::Urgency;
@@ -103,15 +103,15 @@
     }
 
     /// Returns what placement is told of it.
-    pub(crate) fn shape(&self) -> Shape {
+    pub(crate) fn shape(&self) -> PlacementRequest {
         let parts: Vec<_> = self.head.prefix.iter().map(|p| (p.id, p.tokens)).collect();
         let named = self.head.affinity.as_deref().filter(|_| self.route().sticky);
         let object = named.filter(|_| parts.is_empty()).map(|o| stable_hash(&[o.as_bytes()]));
-        let begins = self.is_new.get().then_some(self.route().rank);
+        let new_program_rank = self.is_new.get().then_some(self.route().rank);
 
         let seed = stable_hash(&[self.head.request_id.as_bytes()]);
 
-        Shape { begins, parts, object, avoid: Vec::new(), seed }
+        PlacementRequest { new_program_rank, parts, object, avoid: Vec::new(), seed }
     }
 
     /// Returns how urgent it is.
@@ -393,7 +393,7 @@
 
 /// Refuses what must not run: calls that bring targets down, and those over the tenant's rate.
 async fn admit(call: &Call) -> Result<(), Refusal> {
-    if call.shared.crashes.borrow().is_barred(call.fingerprint) {
+    if call.shared.crashes.borrow().is_blocked(call.fingerprint) {
         return Err(Refusal::wrong(
             StatusCode::SERVICE_UNAVAILABLE,
             "targets went down under this call",
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -451,7 +451,7 @@
 
     for host in silent {
         info!(host = host.0, "fleet: host silent");
-        shared.targets.borrow_mut().hear(host, Map::default(), Map::default());
+        shared.targets.borrow_mut().set_remote_load(host, Map::default(), Map::default());
     }
 }
 
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -269,6 +269,6 @@
         return;
     }
 
-    let crashes = shared.crashes.borrow_mut().count(clock::now(), fingerprint);
+    let crashes = shared.crashes.borrow_mut().record(clock::now(), fingerprint);
     info!(request = %request, target = %address, crashes, "call: target went down under it");
 }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -14,7 +14,7 @@
 use camphorwalk_policy::entry::isolation::{self, Surroundings};
 use camphorwalk_policy::entry::placement::Targets;
 use camphorwalk_policy::entry::rates::Rates;
-use camphorwalk_policy::entry::recent::Recent;
+use camphorwalk_policy::entry::recent::RecentMap;
 use camphorwalk_policy::entry::routes::RouteTable;
 use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER};
 use camphorwalk_policy::entry::target_table::TargetTable;
@@ -111,7 +111,7 @@
     pub(crate) budget_locks: RefCell<Map<ProgramKey, Rc<Mutex<()>>>>,
     pub(crate) turns: RefCell<TurnCache>,
     /// The hosts that had the last turn of a line, by the id of the line's prompt part.
-    pub(crate) line_hosts: RefCell<Recent<u64, HostId>>,
+    pub(crate) line_hosts: RefCell<RecentMap<u64, HostId>>,
     pub(crate) written: RefCell<retention::Written>,
     pub(crate) crashes: RefCell<Crashes>,
     pub(crate) fleet: Fleet,
@@ -341,7 +341,7 @@
             memory: RefCell::new(GrantHistory::new(clock::now(), settings.is_first_start)),
             budget_locks: RefCell::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
-            line_hosts: RefCell::new(Recent::new(LINES_REMEMBERED)),
+            line_hosts: RefCell::new(RecentMap::new(LINES_REMEMBERED)),
             written: RefCell::default(),
             crashes: RefCell::default(),
             fleet: Fleet::new(&settings.name, &settings.zone),
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -59,9 +59,9 @@
     /// Takes what came up at this host since this was called last.
     fn take(shared: &Shared) -> Self {
         Self {
-            prompts: shared.targets.borrow_mut().take_news().into_iter().collect(),
+            prompts: shared.targets.borrow_mut().take_updates().into_iter().collect(),
             demand: shared.rates.borrow_mut().take_updates(false).into_iter().collect(),
-            crashes: shared.crashes.borrow_mut().take_news(),
+            crashes: shared.crashes.borrow_mut().take_updates(),
         }
     }
 
@@ -232,10 +232,10 @@
     shared.rates.borrow_mut().apply_update(now, from, news.run, news.all_demand, tenants);
     let in_flight = news.in_flight.into_iter().map(|f| (f.target.into(), f.calls)).collect();
     let waiting = news.waiting.into_iter().map(|w| (w.service.into(), w.calls)).collect();
-    shared.targets.borrow_mut().hear(from, in_flight, waiting);
+    shared.targets.borrow_mut().set_remote_load(from, in_flight, waiting);
     take_in_prompts(shared, from, news.prompts);
     for crash in news.crashes {
-        shared.crashes.borrow_mut().hear(now, crash);
+        shared.crashes.borrow_mut().record_remote(now, crash);
     }
 
     manifests::heard_version(shared, from, news.manifest_version);
@@ -249,6 +249,6 @@
     for Prompts { target, parts, tokens } in prompts {
         parts.iter().for_each(|line| line_hosts.put(*line, from));
         let parts: Vec<Part> = parts.into_iter().zip(tokens).collect();
-        targets.learn(&target, &parts);
+        targets.record_remote_prompts(&target, &parts);
     }
 }
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -6,9 +6,9 @@
 
 use camphorwalk_core::hash::{Map, stable_hash};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::placement::{Choice, Outcome, Shape, TargetKey};
-use camphorwalk_policy::entry::recent::Recent;
-use camphorwalk_policy::entry::waiting::{Urgency, WaiterId, Waiting};
+use camphorwalk_policy::entry::placement::{Choice, Outcome, PlacementRequest, TargetKey};
+use camphorwalk_policy::entry::recent::RecentMap;
+use camphorwalk_policy::entry::waiting::{Urgency, WaitQueue, WaiterId};
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 use tracing::info;
@@ -36,17 +36,17 @@
 const MOST_NEW_WAITING: usize = 4;
 
 struct Waiter {
-    shape: Shape,
+    shape: PlacementRequest,
     tx: oneshot::Sender<Place>,
 }
 
 /// The calls that wait at this host.
 pub(crate) struct Places {
-    waiting: RefCell<Waiting>,
+    waiting: RefCell<WaitQueue>,
     waiters: RefCell<Map<WaiterId, Waiter>>,
     next: Cell<u64>,
     /// Programs that have run something at this host.
-    under_way: RefCell<Recent<u64, ()>>,
+    under_way: RefCell<RecentMap<u64, ()>>,
 }
 
 /// How many programs are remembered as under way.
@@ -58,7 +58,7 @@
             waiting: RefCell::default(),
             waiters: RefCell::default(),
             next: Cell::default(),
-            under_way: RefCell::new(Recent::new(PROGRAMS_REMEMBERED)),
+            under_way: RefCell::new(RecentMap::new(PROGRAMS_REMEMBERED)),
         }
     }
 }
@@ -110,8 +110,8 @@
 
 impl Place {
     /// Takes a place for a call that is sent now.
-    fn new(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Self {
-        let missing = shared.targets.borrow_mut().sent(key, shape);
+    fn new(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &PlacementRequest) -> Self {
+        let missing = shared.targets.borrow_mut().record_sent(key, shape);
 
         Self {
             shared: Rc::clone(shared),
@@ -131,7 +131,7 @@
 
         if self.came.is_none() {
             let waited = now.since(self.taken);
-            self.shared.targets.borrow_mut().began(self.key, self.missing, waited);
+            self.shared.targets.borrow_mut().record_first_event(self.key, self.missing, waited);
         }
         let first = self.came.map_or(now, |(first, _)| first);
         self.came = Some((first, now));
@@ -156,14 +156,15 @@
         let held = now.since(self.taken);
         if let Some((first, last)) = self.came {
             let further = self.events.saturating_sub(1);
-            self.shared.targets.borrow_mut().made(self.key, further, last.since(first));
+            self.shared.targets.borrow_mut().record_events(self.key, further, last.since(first));
         }
         self.end(Outcome::Answered(held));
     }
 
     fn finish(&mut self, outcome: Outcome) {
         self.ended = true;
-        let ejected = self.shared.targets.borrow_mut().ended(clock::now(), self.key, outcome);
+        let ejected =
+            self.shared.targets.borrow_mut().record_outcome(clock::now(), self.key, outcome);
 
         if ejected {
             let targets = self.shared.targets.borrow();
@@ -179,7 +180,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         if !self.ended {
-            self.finish(Outcome::Left);
+            self.finish(Outcome::Abandoned);
         }
     }
 }
@@ -204,7 +205,7 @@
 pub(crate) async fn take(
     shared: &Rc<Shared>,
     service: &str,
-    shape: &Shape,
+    shape: &PlacementRequest,
     urgency: Urgency,
 ) -> Result<Place, Refusal> {
     let now = clock::now();
@@ -215,7 +216,7 @@
         Choice::Target(key) if nobody_waits => {
             return Ok(Place::new(shared, service, key, shape));
         }
-        Choice::Nowhere => return Err(nowhere(shared, service)),
+        Choice::NoTarget => return Err(nowhere(shared, service)),
         Choice::Target(_) | Choice::Full => {}
     }
 
@@ -236,10 +237,14 @@
 }
 
 /// Refuses a new program while no target has room for one.
-pub(crate) fn may_begin(shared: &Shared, service: &str, shape: &Shape) -> Result<(), Refusal> {
+pub(crate) fn may_begin(
+    shared: &Shared,
+    service: &str,
+    shape: &PlacementRequest,
+) -> Result<(), Refusal> {
     match shared.targets.borrow().choose(clock::now(), service, shape) {
         Choice::Full => Err(full()),
-        Choice::Target(_) | Choice::Nowhere => Ok(()),
+        Choice::Target(_) | Choice::NoTarget => Ok(()),
     }
 }
 
@@ -261,14 +266,19 @@
 
 /// Takes a place at a target that a call was at before, whatever waits for it: the call held
 /// its slot until now.
-pub(crate) fn same(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Place {
+pub(crate) fn same(
+    shared: &Rc<Shared>,
+    service: &str,
+    key: TargetKey,
+    shape: &PlacementRequest,
+) -> Place {
     Place::new(shared, service, key, shape)
 }
 
 async fn wait(
     shared: &Rc<Shared>,
     service: &str,
-    shape: &Shape,
+    shape: &PlacementRequest,
     urgency: Urgency,
 ) -> Result<Place, Refusal> {
     let places = &shared.places;
@@ -333,7 +343,7 @@
 }
 
 fn nowhere(shared: &Shared, service: &str) -> Refusal {
-    let back = shared.targets.borrow().next_return(clock::now(), service);
+    let back = shared.targets.borrow().time_to_readmission(clock::now(), service);
 
     Refusal::later(
         "no target can be reached",
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -224,7 +224,7 @@
 }
 
 fn forget(shared: &Rc<Shared>, id: &str, why: Dropped, as_of: RowVersion, source: Source) {
-    let gone = shared.targets.borrow_mut().gone(id);
+    let gone = shared.targets.borrow_mut().remove_by_id(id);
 
     if let Some(key) = gone {
         shared.connections.close(key);
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -114,7 +114,7 @@
 fn may_start_again(call: &Call, crashed: bool) -> bool {
     call.route().repeat == Repeat::Stream { resumable: true }
         && crashed
-        && !call.shared.crashes.borrow().is_barred(call.fingerprint())
+        && !call.shared.crashes.borrow().is_blocked(call.fingerprint())
 }
 
 /// Passes on a failure that a target answered instead of a stream.
@@ -257,7 +257,7 @@
     while progress.resumes < MOST_RESUMES && !clock::until(call.deadline).is_zero() {
         progress.resumes += 1;
         let down = forward::is_down(&call.shared, key, call).await;
-        if call.shared.crashes.borrow().is_barred(call.fingerprint()) {
+        if call.shared.crashes.borrow().is_blocked(call.fingerprint()) {
             return None;
         }
 
--- a/crates/policy/src/entry/crashes.rs
+++ b/crates/policy/src/entry/crashes.rs
@@ -41,10 +41,10 @@
     /// use camphorwalk_policy::entry::crashes::{Crashes, Fingerprint};
     /// let mut crashes = Crashes::default();
     /// let call = Fingerprint(1);
-    /// (0..3).for_each(|_| { crashes.count(Instant(0), call); });
-    /// assert!(crashes.is_barred(call));
+    /// (0..3).for_each(|_| { crashes.record(Instant(0), call); });
+    /// assert!(crashes.is_blocked(call));
     /// ```
-    pub fn count(&mut self, now: Instant, call: Fingerprint) -> u32 {
+    pub fn record(&mut self, now: Instant, call: Fingerprint) -> u32 {
         self.records.retain(|_, record| now.since(record.last) < REMEMBERED);
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
         record.own += 1;
@@ -55,7 +55,7 @@
     }
 
     /// Takes in that targets went down under a call at another host.
-    pub fn hear(&mut self, now: Instant, news: CrashNews) {
+    pub fn record_remote(&mut self, now: Instant, news: CrashNews) {
         let call = Fingerprint(news.call);
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
         record.others += news.crashes;
@@ -63,12 +63,12 @@
     }
 
     /// Takes what the other hosts are to be told.
-    pub fn take_news(&mut self) -> Vec<CrashNews> {
+    pub fn take_updates(&mut self) -> Vec<CrashNews> {
         std::mem::take(&mut self.news)
     }
 
     /// Returns whether a call is sent to no more targets.
-    pub fn is_barred(&self, call: Fingerprint) -> bool {
+    pub fn is_blocked(&self, call: Fingerprint) -> bool {
         self.records.get(&call).is_some_and(|record| record.own + record.others >= MOST_CRASHES)
     }
 }
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -86,9 +86,9 @@
 
 /// What is asked of a target.
 #[derive(Clone, Debug, Default)]
-pub struct Shape {
+pub struct PlacementRequest {
     /// The rank of the call if it begins a program.
-    pub begins: Option<u32>,
+    pub new_program_rank: Option<u32>,
     /// The prompt parts, in order. While they are read, all calls at the target stand still.
     pub parts: Vec<Part>,
     /// The object that the call is about, of a call without a prompt.
@@ -99,7 +99,7 @@
     pub seed: u64,
 }
 
-impl Shape {
+impl PlacementRequest {
     /// Returns what targets are drawn by. For a line of turns it is the same at all hosts, so that
     /// they draw the same target for it if they know the same.
     fn draw(&self) -> u64 {
@@ -108,7 +108,7 @@
 
     /// Returns the most calls that a target with so many slots may have for this one to go there.
     fn limit(&self, slots: u32) -> u32 {
-        match self.begins {
+        match self.new_program_rank {
             None => slots + QUEUED_AT_TARGET,
             Some(rank) => {
                 let part = NEW_PROGRAMS_PART[usize::from(rank > 0)];
@@ -127,7 +127,7 @@
     /// All that could take it are full: it waits.
     Full,
     /// No target of the service can be used.
-    Nowhere,
+    NoTarget,
 }
 
 /// How a call at a target ended.
@@ -140,7 +140,7 @@
     /// The connection failed, or nothing came in time.
     Failed,
     /// The call ended for reasons of its own: the caller left.
-    Left,
+    Abandoned,
 }
 
 /// All targets.
@@ -229,7 +229,7 @@
     }
 
     /// Takes in that a target's entry is gone: it gets nothing new, and is forgotten.
-    pub fn gone(&mut self, id: &str) -> Option<TargetKey> {
+    pub fn remove_by_id(&mut self, id: &str) -> Option<TargetKey> {
         let key = self.by_id.get(id).copied()?;
         self.remove(key);
 
@@ -258,7 +258,7 @@
 
     /// Takes in what another host has in flight by target, and what waits there by service;
     /// empty maps if it is silent.
-    pub fn hear(
+    pub fn set_remote_load(
         &mut self,
         host: HostId,
         in_flight: Map<Box<str>, u32>,
@@ -285,7 +285,7 @@
     }
 
     /// Takes in that another host sent prompts to a target, of which these are the last parts.
-    pub fn learn(&mut self, id: &str, parts: &[Part]) {
+    pub fn record_remote_prompts(&mut self, id: &str, parts: &[Part]) {
         let target = self.by_id.get(id).and_then(|key| self.targets.get_mut(*key));
 
         if let Some(target) = target {
@@ -295,7 +295,7 @@
 
     /// Returns the last parts of the prompts that this host sent to each target since it was last
     /// asked, by target id.
-    pub fn take_news(&mut self) -> Vec<(Box<str>, Vec<Part>)> {
+    pub fn take_updates(&mut self) -> Vec<(Box<str>, Vec<Part>)> {
         let targets = self.targets.values_mut().filter(|target| !target.news.is_empty());
 
         targets.map(|t| (t.entry.id.clone(), std::mem::take(&mut t.news))).collect()
@@ -307,12 +307,13 @@
     /// What others have in flight is known by news that are as old as a call is long. If all hosts
     /// took the target that seems best, they would all take the same one until the next news. So
     /// the two others are drawn, each target as likely as it has free slots.
-    pub fn choose(&self, now: Instant, service: &str, shape: &Shape) -> Choice {
+    pub fn choose(&self, now: Instant, service: &str, shape: &PlacementRequest) -> Choice {
         let usable = |(key, target): &(TargetKey, &Target)| {
             !shape.avoid.contains(key) && !target.is_ejected(now)
         };
-        let is_held_back = shape.begins.is_some_and(|rank| self.is_crowded(now, service, rank))
-            || shape.begins.is_some() && self.is_awaited(service);
+        let is_held_back =
+            shape.new_program_rank.is_some_and(|rank| self.is_crowded(now, service, rank))
+                || shape.new_program_rank.is_some() && self.is_awaited(service);
         let work = self.work(service);
         let draw = shape.draw();
         let mut any = false;
@@ -344,11 +345,11 @@
         match best {
             Some((_, key)) => Choice::Target(key),
             None if any => Choice::Full,
-            None => Choice::Nowhere,
+            None => Choice::NoTarget,
         }
     }
 
-    fn cost(&self, target: &Target, work: &Work, shape: &Shape) -> f64 {
+    fn cost(&self, target: &Target, work: &Work, shape: &PlacementRequest) -> f64 {
         let way = if self.is_near(target) { 0.0 } else { FAR_MS };
 
         target.cost(work, shape) + way
@@ -387,7 +388,7 @@
     }
 
     /// Counts a call that is sent to a target. Returns the prompt tokens that are to be read.
-    pub fn sent(&mut self, key: TargetKey, shape: &Shape) -> u32 {
+    pub fn record_sent(&mut self, key: TargetKey, shape: &PlacementRequest) -> u32 {
         let Some(target) = self.targets.get_mut(key) else { return 0 };
         target.own += 1;
         if let Some(object) = shape.object {
@@ -405,7 +406,7 @@
 
     /// Takes in that the first event of a stream came `waited` after it was sent, while `missing`
     /// prompt tokens were read.
-    pub fn began(&mut self, key: TargetKey, missing: u32, waited: Duration) {
+    pub fn record_first_event(&mut self, key: TargetKey, missing: u32, waited: Duration) {
         let Some(target) = self.targets.get(key) else { return };
 
         // Behind full slots the time is that of others.
@@ -415,14 +416,14 @@
     }
 
     /// Takes in that a target made `events` events after the first one in this time.
-    pub fn made(&mut self, key: TargetKey, events: u32, took: Duration) {
+    pub fn record_events(&mut self, key: TargetKey, events: u32, took: Duration) {
         if let Some(target) = self.targets.get(key) {
             work_of(&mut self.work, &target.entry.service).made(events, took);
         }
     }
 
     /// Counts a call out, and learns from how it ended. Returns whether the target was ejected.
-    pub fn ended(&mut self, now: Instant, key: TargetKey, outcome: Outcome) -> bool {
+    pub fn record_outcome(&mut self, now: Instant, key: TargetKey, outcome: Outcome) -> bool {
         let Some(target) = self.targets.get_mut(key) else { return false };
         target.own = target.own.saturating_sub(1);
 
@@ -434,14 +435,14 @@
                 work_of(&mut self.work, &target.entry.service).ended(held);
                 false
             }
-            Outcome::Left => false,
+            Outcome::Abandoned => false,
             Outcome::Shed => false,
             Outcome::Failed => target.fail(now),
         }
     }
 
     /// Returns when the first ejected target of a service gets calls again.
-    pub fn next_return(&self, now: Instant, service: &str) -> Option<Duration> {
+    pub fn time_to_readmission(&self, now: Instant, service: &str) -> Option<Duration> {
         let until = self.of_service(service).filter_map(|(_, target)| target.ejected_until);
 
         until.min().map(|at| at.since(now))
@@ -466,13 +467,13 @@
         self.own + self.others
     }
 
-    fn has_room(&self, shape: &Shape) -> bool {
+    fn has_room(&self, shape: &PlacementRequest) -> bool {
         self.load() < shape.limit(self.entry.slots)
     }
 
     /// Returns whether the target had the call's object of late, or holds more of its prompt than
     /// the part that calls of a kind share.
-    fn holds_line(&self, shape: &Shape) -> bool {
+    fn holds_line(&self, shape: &PlacementRequest) -> bool {
         let own = shape.parts.iter().skip(1).map(|(id, _)| *id);
 
         own.chain(shape.object).any(|id| self.prompts.holds(id))
@@ -480,7 +481,7 @@
 
     /// Returns the target's place in a draw, the least being drawn first: a random number by its
     /// name that is the smaller, the more slots are free.
-    fn draw(&self, draw: u64, shape: &Shape) -> f64 {
+    fn draw(&self, draw: u64, shape: &PlacementRequest) -> f64 {
         let free = shape.limit(self.entry.slots).min(self.entry.slots).saturating_sub(self.load());
         let weight = f64::from(free).max(FULL_WEIGHT);
         let random = (rendezvous_weight(draw, self.name).0 >> 11) as f64 / (1u64 << 53) as f64;
@@ -495,7 +496,7 @@
     /// Returns the milliseconds that a call costs here, beside the time that it takes anywhere: those
     /// for which it waits, its prompt is read and its neighbours hold it up, and those for which
     /// they stand still while its prompt is read.
-    fn cost(&self, work: &Work, shape: &Shape) -> f64 {
+    fn cost(&self, work: &Work, shape: &PlacementRequest) -> f64 {
         let slots = self.entry.slots.max(1);
         let load = self.load();
         let running = f64::from(load.min(slots));
--- a/crates/policy/src/entry/prompts.rs
+++ b/crates/policy/src/entry/prompts.rs
@@ -1,6 +1,6 @@
 //! Which parts of prompts a target is believed to keep.
 
-use crate::entry::recent::Recent;
+use crate::entry::recent::RecentMap;
 
 /// How many prompt parts are remembered for each target.
 const PARTS_REMEMBERED: usize = 2_048;
@@ -11,12 +11,12 @@
 /// The prompt parts that a target read, by what this host sent there and what others told.
 #[derive(Clone, Debug)]
 pub struct Prompts {
-    parts: Recent<u64, u32>,
+    parts: RecentMap<u64, u32>,
 }
 
 impl Default for Prompts {
     fn default() -> Self {
-        Self { parts: Recent::new(PARTS_REMEMBERED) }
+        Self { parts: RecentMap::new(PARTS_REMEMBERED) }
     }
 }
 
--- a/crates/policy/src/entry/recent.rs
+++ b/crates/policy/src/entry/recent.rs
@@ -7,19 +7,19 @@
 /// A map in two generations: when the newer one is full it becomes the older one, and what was the
 /// older one is forgotten.
 #[derive(Clone, Debug)]
-pub struct Recent<K, V> {
+pub struct RecentMap<K, V> {
     newer: Map<K, V>,
     older: Map<K, V>,
     /// The most entries of a generation.
     most: usize,
 }
 
-impl<K: Eq + Hash, V: Copy> Recent<K, V> {
+impl<K: Eq + Hash, V: Copy> RecentMap<K, V> {
     /// Makes a map that remembers `most` entries at least, and up to twice as many.
     ///
     /// ```
-    /// use camphorwalk_policy::entry::recent::Recent;
-    /// let mut recent = Recent::new(2);
+    /// use camphorwalk_policy::entry::recent::RecentMap;
+    /// let mut recent = RecentMap::new(2);
     /// (0..5).for_each(|key| recent.put(key, key * 10));
     /// assert_eq!([recent.get(&0), recent.get(&3), recent.get(&4)], [None, Some(30), Some(40)]);
     /// ```
--- a/crates/policy/src/entry/waiting.rs
+++ b/crates/policy/src/entry/waiting.rs
@@ -31,17 +31,17 @@
 
 /// The calls that wait, by service.
 #[derive(Clone, Debug, Default)]
-pub struct Waiting {
+pub struct WaitQueue {
     queues: Map<Box<str>, BTreeMap<(Urgency, WaiterId), ()>>,
 }
 
-impl Waiting {
+impl WaitQueue {
     /// Adds a call.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
-    /// use camphorwalk_policy::entry::waiting::{Urgency, WaiterId, Waiting};
-    /// let mut waiting = Waiting::default();
+    /// use camphorwalk_policy::entry::waiting::{Urgency, WaiterId, WaitQueue};
+    /// let mut waiting = WaitQueue::default();
     /// let new = Urgency { is_late: false, is_new: true, rank: 0, deadline: Instant(1) };
     /// waiting.push("engines", new, WaiterId(1));
     /// waiting.push("engines", Urgency { is_new: false, ..new }, WaiterId(2));
--- a/crates/policy/tests/entry_placement.rs
+++ b/crates/policy/tests/entry_placement.rs
@@ -6,8 +6,8 @@
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::placement::{Choice, Outcome, Shape, TargetKey, Targets};
-use camphorwalk_policy::entry::waiting::{Urgency, WaiterId, Waiting};
+use camphorwalk_policy::entry::placement::{Choice, Outcome, PlacementRequest, TargetKey, Targets};
+use camphorwalk_policy::entry::waiting::{Urgency, WaitQueue, WaiterId};
 
 const NOW: Instant = Instant(1_000_000);
 
@@ -32,13 +32,13 @@
     targets
 }
 
-fn send(targets: &mut Targets, shape: &Shape) -> Option<TargetKey> {
+fn send(targets: &mut Targets, shape: &PlacementRequest) -> Option<TargetKey> {
     match targets.choose(NOW, "engines", shape) {
         Choice::Target(key) => {
-            targets.sent(key, shape);
+            targets.record_sent(key, shape);
             Some(key)
         }
-        Choice::Full | Choice::Nowhere => None,
+        Choice::Full | Choice::NoTarget => None,
     }
 }
 
@@ -49,9 +49,9 @@
 #[test]
 fn a_line_of_turns_goes_where_its_prompt_is_cached() {
     let mut targets = targets(&["x", "y"]);
-    let shape = Shape { parts: vec![(1, 512), (2, 654)], ..Shape::default() };
+    let shape = PlacementRequest { parts: vec![(1, 512), (2, 654)], ..PlacementRequest::default() };
     let first = send(&mut targets, &shape).unwrap();
-    targets.ended(NOW, first, Outcome::Answered(Duration::from_millis(200)));
+    targets.record_outcome(NOW, first, Outcome::Answered(Duration::from_millis(200)));
 
     let second = send(&mut targets, &shape).unwrap();
 
@@ -67,11 +67,12 @@
     let mut there = targets(&ids);
 
     for line in 0..50 {
-        let shape = Shape { parts: vec![(1, 512), (line, 654)], ..Shape::default() };
+        let shape =
+            PlacementRequest { parts: vec![(1, 512), (line, 654)], ..PlacementRequest::default() };
         let first = send(&mut here, &shape).unwrap();
-        here.ended(NOW, first, Outcome::Answered(Duration::from_millis(200)));
+        here.record_outcome(NOW, first, Outcome::Answered(Duration::from_millis(200)));
         let second = send(&mut there, &shape).unwrap();
-        there.ended(NOW, second, Outcome::Answered(Duration::from_millis(200)));
+        there.record_outcome(NOW, second, Outcome::Answered(Duration::from_millis(200)));
 
         assert_eq!(name(&here, first), name(&there, second));
     }
@@ -80,9 +81,9 @@
 #[test]
 fn calls_that_other_hosts_have_in_flight_count() {
     let mut targets = targets(&["x", "y"]);
-    targets.hear(HostId(1), Map::from_iter([(Box::from("x"), 2)]), Map::default());
+    targets.set_remote_load(HostId(1), Map::from_iter([(Box::from("x"), 2)]), Map::default());
 
-    let chosen = send(&mut targets, &Shape::default()).unwrap();
+    let chosen = send(&mut targets, &PlacementRequest::default()).unwrap();
 
     assert_eq!(name(&targets, chosen), "y");
 }
@@ -92,10 +93,11 @@
     // Engines take calls as they come. Beyond a few, more would wait there in the wrong order.
     let mut targets = targets(&["x"]);
 
-    let sent = (0..10).filter(|_| send(&mut targets, &Shape::default()).is_some()).count();
+    let sent =
+        (0..10).filter(|_| send(&mut targets, &PlacementRequest::default()).is_some()).count();
 
     assert_eq!(sent, 4);
-    assert_eq!(targets.choose(NOW, "engines", &Shape::default()), Choice::Full);
+    assert_eq!(targets.choose(NOW, "engines", &PlacementRequest::default()), Choice::Full);
 }
 
 #[test]
@@ -104,11 +106,13 @@
     // are begun would wait behind them, and all would end late.
     let mut targets = Targets::new("a");
     targets.put(TargetEntry { slots: 12, ..entry("x", "a") });
-    let begins = |rank| Shape { begins: Some(rank), ..Shape::default() };
+    let begins =
+        |rank| PlacementRequest { new_program_rank: Some(rank), ..PlacementRequest::default() };
 
     let second_rank = (0..20).filter(|_| send(&mut targets, &begins(1)).is_some()).count();
     let first_rank = (0..20).filter(|_| send(&mut targets, &begins(0)).is_some()).count();
-    let under_way = (0..20).filter(|_| send(&mut targets, &Shape::default()).is_some()).count();
+    let under_way =
+        (0..20).filter(|_| send(&mut targets, &PlacementRequest::default()).is_some()).count();
 
     assert_eq!((second_rank, first_rank, under_way), (10, 1, 3));
 }
@@ -123,14 +127,15 @@
         targets.put(TargetEntry { slots: 12, ..entry(id, "a") });
     }
     let told = |x, y, z| Map::from_iter([("x".into(), x), ("y".into(), y), ("z".into(), z)]);
-    let begins = |rank| Shape { begins: Some(rank), ..Shape::default() };
+    let begins =
+        |rank| PlacementRequest { new_program_rank: Some(rank), ..PlacementRequest::default() };
 
-    targets.hear(HostId(1), told(14, 12, 7), Map::default());
+    targets.set_remote_load(HostId(1), told(14, 12, 7), Map::default());
     let crowded = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
-    let under_way = targets.choose(NOW, "engines", &Shape::default());
-    targets.hear(HostId(1), told(14, 12, 3), Map::default());
+    let under_way = targets.choose(NOW, "engines", &PlacementRequest::default());
+    targets.set_remote_load(HostId(1), told(14, 12, 3), Map::default());
     let less_crowded = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
-    targets.hear(HostId(1), told(14, 11, 3), Map::default());
+    targets.set_remote_load(HostId(1), told(14, 11, 3), Map::default());
     let second_rank = targets.choose(NOW, "engines", &begins(1));
 
     assert_eq!(crowded, [Choice::Full, Choice::Full]);
@@ -143,12 +148,12 @@
 fn no_program_begins_while_turns_under_way_wait_at_another_host() {
     // Each host sees free slots that turns waiting elsewhere are about to take.
     let mut targets = targets(&["x", "y"]);
-    let begins = Shape { begins: Some(0), ..Shape::default() };
+    let begins = PlacementRequest { new_program_rank: Some(0), ..PlacementRequest::default() };
     let waiting = Map::from_iter([(Box::from("engines"), 3)]);
 
-    targets.hear(HostId(1), Map::default(), waiting);
+    targets.set_remote_load(HostId(1), Map::default(), waiting);
     let held_back = targets.choose(NOW, "engines", &begins);
-    targets.hear(HostId(1), Map::default(), Map::default());
+    targets.set_remote_load(HostId(1), Map::default(), Map::default());
     let free = targets.choose(NOW, "engines", &begins);
 
     assert_eq!(held_back, Choice::Full);
@@ -160,14 +165,15 @@
     // Its zone is cut off: connections to it fall silent, and each call sent there is lost.
     let mut targets = targets(&["x"]);
     for _ in 0..2 {
-        let key = send(&mut targets, &Shape::default()).unwrap();
-        targets.ended(NOW, key, Outcome::Failed);
+        let key = send(&mut targets, &PlacementRequest::default()).unwrap();
+        targets.record_outcome(NOW, key, Outcome::Failed);
     }
 
-    let at_once = targets.choose(NOW, "engines", &Shape::default());
-    let later = targets.choose(NOW + Duration::from_secs(5), "engines", &Shape::default());
+    let at_once = targets.choose(NOW, "engines", &PlacementRequest::default());
+    let later =
+        targets.choose(NOW + Duration::from_secs(5), "engines", &PlacementRequest::default());
 
-    assert_eq!(at_once, Choice::Nowhere);
+    assert_eq!(at_once, Choice::NoTarget);
     assert!(matches!(later, Choice::Target(_)));
 }
 
@@ -176,7 +182,8 @@
     let mut targets = targets(&["x", "y"]);
     targets.put(TargetEntry { state: TargetState::Draining, ..entry("x", "a") });
 
-    let chosen: Vec<_> = (0..3).filter_map(|_| send(&mut targets, &Shape::default())).collect();
+    let chosen: Vec<_> =
+        (0..3).filter_map(|_| send(&mut targets, &PlacementRequest::default())).collect();
 
     assert_eq!(chosen.len(), 3);
     assert!(chosen.iter().all(|key| name(&targets, *key) == "y"));
@@ -186,7 +193,7 @@
 fn a_target_that_started_again_under_its_id_is_another_run() {
     // What is told of the run before, such as its cached prompts, does not hold for the new one.
     let mut targets = targets(&["x"]);
-    let former = send(&mut targets, &Shape::default()).unwrap();
+    let former = send(&mut targets, &PlacementRequest::default()).unwrap();
 
     let closed = targets.put(TargetEntry { born: 2, ..entry("x", "a") });
 
@@ -196,7 +203,7 @@
 
 #[test]
 fn programs_under_way_go_before_new_ones_and_late_ones_last() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     let urgency = |is_new, rank, ms| Urgency {
         is_late: false,
         is_new,
@@ -234,12 +241,15 @@
     let mut homes = Vec::new();
 
     for turn in 1..8 {
-        let shape = Shape { parts: vec![(1, 512), (2, 600 * turn)], ..Shape::default() };
+        let shape = PlacementRequest {
+            parts: vec![(1, 512), (2, 600 * turn)],
+            ..PlacementRequest::default()
+        };
         let key = send(&mut targets, &shape).unwrap();
         let events = if turn % 2 == 0 { 29 } else { 2 };
-        targets.began(key, 600, Duration::from_millis(40));
-        targets.made(key, events - 1, Duration::from_millis(26) * (events - 1));
-        targets.ended(NOW, key, Outcome::Answered(Duration::from_millis(26) * events));
+        targets.record_first_event(key, 600, Duration::from_millis(40));
+        targets.record_events(key, events - 1, Duration::from_millis(26) * (events - 1));
+        targets.record_outcome(NOW, key, Outcome::Answered(Duration::from_millis(26) * events));
         homes.push(key);
     }
 
@@ -253,15 +263,18 @@
     let mut targets = Targets::new("a");
     targets.put(engine("x"));
     targets.put(engine("y"));
-    let line = |tokens| Shape { parts: vec![(1, 512), (2, tokens)], ..Shape::default() };
+    let line = |tokens| PlacementRequest {
+        parts: vec![(1, 512), (2, tokens)],
+        ..PlacementRequest::default()
+    };
     let told = |x, y| Map::from_iter([("x".into(), x), ("y".into(), y)]);
-    targets.hear(HostId(1), told(0, 12), Map::default());
+    targets.set_remote_load(HostId(1), told(0, 12), Map::default());
     let home = send(&mut targets, &line(2_000)).unwrap();
-    targets.ended(NOW, home, Outcome::Answered(Duration::from_millis(200)));
+    targets.record_outcome(NOW, home, Outcome::Answered(Duration::from_millis(200)));
 
-    targets.hear(HostId(1), told(8, 5), Map::default());
+    targets.set_remote_load(HostId(1), told(8, 5), Map::default());
     let a_little_busier = targets.choose(NOW, "engines", &line(2_600));
-    targets.hear(HostId(1), told(14, 2), Map::default());
+    targets.set_remote_load(HostId(1), told(14, 2), Map::default());
     let full = targets.choose(NOW, "engines", &line(2_600));
 
     assert_eq!(name(&targets, home), "x");
@@ -281,22 +294,25 @@
     });
 
     for line in 0..50 {
-        let shape = Shape { parts: vec![(1, 512), (100 + line, 654)], ..Shape::default() };
+        let shape = PlacementRequest {
+            parts: vec![(1, 512), (100 + line, 654)],
+            ..PlacementRequest::default()
+        };
         let favourite = match here.choose(NOW, "engines", &shape) {
             Choice::Target(key) => Box::from(name(&here, key)),
             other => panic!("{other:?}"),
         };
         let busy = Map::from_iter([(favourite, 14)]);
-        here.hear(HostId(9), busy, Map::default());
+        here.set_remote_load(HostId(9), busy, Map::default());
         let first = send(&mut here, &shape).unwrap();
-        here.ended(NOW, first, Outcome::Answered(Duration::from_millis(200)));
-        here.hear(HostId(9), Map::default(), Map::default());
+        here.record_outcome(NOW, first, Outcome::Answered(Duration::from_millis(200)));
+        here.set_remote_load(HostId(9), Map::default(), Map::default());
 
-        for (id, parts) in here.take_news() {
-            there.learn(&id, &parts);
+        for (id, parts) in here.take_updates() {
+            there.record_remote_prompts(&id, &parts);
         }
         let second = send(&mut there, &shape).unwrap();
-        there.ended(NOW, second, Outcome::Answered(Duration::from_millis(200)));
+        there.record_outcome(NOW, second, Outcome::Answered(Duration::from_millis(200)));
 
         assert_eq!(name(&here, first), name(&there, second));
     }
@@ -310,16 +326,21 @@
         targets.put(engine(id));
     });
     for line in 100..150 {
-        let usual = Shape { parts: vec![(1, 512), (line, 500)], ..Shape::default() };
+        let usual =
+            PlacementRequest { parts: vec![(1, 512), (line, 500)], ..PlacementRequest::default() };
         let key = send(&mut targets, &usual).unwrap();
-        targets.ended(NOW, key, Outcome::Answered(Duration::from_millis(200)));
+        targets.record_outcome(NOW, key, Outcome::Answered(Duration::from_millis(200)));
     }
-    let parent = Shape { parts: vec![(1, 512), (2, 1_500)], ..Shape::default() };
+    let parent =
+        PlacementRequest { parts: vec![(1, 512), (2, 1_500)], ..PlacementRequest::default() };
     let home = send(&mut targets, &parent).unwrap();
-    targets.ended(NOW, home, Outcome::Answered(Duration::from_millis(200)));
+    targets.record_outcome(NOW, home, Outcome::Answered(Duration::from_millis(200)));
 
     let sent: Vec<_> = (10..13)
-        .map(|own| Shape { parts: vec![(1, 512), (2, 1_500), (own, 300)], ..Shape::default() })
+        .map(|own| PlacementRequest {
+            parts: vec![(1, 512), (2, 1_500), (own, 300)],
+            ..PlacementRequest::default()
+        })
         .map(|shape| send(&mut targets, &shape).unwrap())
         .collect();
 
@@ -337,15 +358,17 @@
     });
     let told = |slow, usual| Map::from_iter([("slow".into(), slow), ("usual".into(), usual)]);
     let begun_at_slow = |targets: &Targets| {
-        let lines =
-            (0..100).map(|line| Shape { parts: vec![(line + 10, 654)], ..Shape::default() });
+        let lines = (0..100).map(|line| PlacementRequest {
+            parts: vec![(line + 10, 654)],
+            ..PlacementRequest::default()
+        });
         let chosen = lines.map(|shape| targets.choose(NOW, "engines", &shape));
         chosen.filter(|c| matches!(c, Choice::Target(key) if name(targets, *key) == "slow")).count()
     };
 
-    targets.hear(HostId(1), told(11, 5), Map::default());
+    targets.set_remote_load(HostId(1), told(11, 5), Map::default());
     let while_slow = begun_at_slow(&targets);
-    targets.hear(HostId(1), told(2, 5), Map::default());
+    targets.set_remote_load(HostId(1), told(2, 5), Map::default());
     let well_again = begun_at_slow(&targets);
 
     assert!(while_slow < 15, "{while_slow}");
@@ -356,13 +379,14 @@
 fn all_targets_slow_at_once_still_get_calls() {
     // No target is worse than the others, so that none is left out.
     let mut targets = targets(&["x", "y"]);
-    let keys: Vec<_> = (0..2).filter_map(|_| send(&mut targets, &Shape::default())).collect();
+    let keys: Vec<_> =
+        (0..2).filter_map(|_| send(&mut targets, &PlacementRequest::default())).collect();
     for key in &keys {
-        targets.began(*key, 0, Duration::from_secs(2));
-        targets.made(*key, 20, Duration::from_secs(10));
+        targets.record_first_event(*key, 0, Duration::from_secs(2));
+        targets.record_events(*key, 20, Duration::from_secs(10));
     }
 
-    let more = (0..2).filter_map(|_| send(&mut targets, &Shape::default())).count();
+    let more = (0..2).filter_map(|_| send(&mut targets, &PlacementRequest::default())).count();
 
     assert_eq!((keys.len(), more), (2, 2));
 }
@@ -371,11 +395,11 @@
 fn what_hosts_have_in_flight_is_counted_out_when_they_tell_anew_or_fall_silent() {
     let mut targets = targets(&["x", "y"]);
     let told = |x, y| Map::from_iter([("x".into(), x), ("y".into(), y)]);
-    targets.hear(HostId(1), told(2, 1), Map::default());
-    targets.hear(HostId(2), told(1, 0), Map::default());
+    targets.set_remote_load(HostId(1), told(2, 1), Map::default());
+    targets.set_remote_load(HostId(2), told(1, 0), Map::default());
 
-    targets.hear(HostId(1), told(0, 3), Map::default());
-    targets.hear(HostId(2), Map::default(), Map::default());
+    targets.set_remote_load(HostId(1), told(0, 3), Map::default());
+    targets.set_remote_load(HostId(2), Map::default(), Map::default());
     targets.put(entry("z", "a"));
 
     let load = |id| targets.by_id(id).map(|target| target.load());
@@ -397,7 +421,10 @@
         });
         for program in 0..3 {
             let line = 1_000 + host * 10 + program;
-            let shape = Shape { parts: vec![(1, 512), (line, 654)], ..Shape::default() };
+            let shape = PlacementRequest {
+                parts: vec![(1, 512), (line, 654)],
+                ..PlacementRequest::default()
+            };
             let key = send(&mut targets, &shape).unwrap();
             *sent.entry(name(&targets, key).into()).or_default() += 1;
         }
@@ -415,10 +442,14 @@
     for id in ["x", "y"] {
         targets.put(TargetEntry { slots: 6, ..entry(id, "a") });
     }
-    targets.hear(HostId(1), Map::from_iter([("x".into(), 5), ("y".into(), 1)]), Map::default());
+    targets.set_remote_load(
+        HostId(1),
+        Map::from_iter([("x".into(), 5), ("y".into(), 1)]),
+        Map::default(),
+    );
 
     let chosen = (0..200).map(|seed| {
-        let shape = Shape { seed, ..Shape::default() };
+        let shape = PlacementRequest { seed, ..PlacementRequest::default() };
         targets.choose(NOW, "engines", &shape)
     });
     let to_y = chosen
@@ -435,14 +466,16 @@
     targets.put(engine("near"));
     targets.put(TargetEntry { zone: "b".into(), ..engine("far") });
     let begun_near = |targets: &Targets| {
-        let lines = (0..100)
-            .map(|line| Shape { parts: vec![(1, 512), (line + 10, 654)], ..Shape::default() });
+        let lines = (0..100).map(|line| PlacementRequest {
+            parts: vec![(1, 512), (line + 10, 654)],
+            ..PlacementRequest::default()
+        });
         let chosen = lines.map(|shape| targets.choose(NOW, "engines", &shape));
         chosen.filter(|c| matches!(c, Choice::Target(key) if name(targets, *key) == "near")).count()
     };
 
     let both_free = begun_near(&targets);
-    targets.hear(
+    targets.set_remote_load(
         HostId(1),
         Map::from_iter([("near".into(), 14), ("far".into(), 3)]),
         Map::default(),
--- a/crates/policy/tests/entry_routes.rs
+++ b/crates/policy/tests/entry_routes.rs
@@ -120,16 +120,16 @@
     let call = Fingerprint(5);
     let mut here = Crashes::default();
     let mut there = Crashes::default();
-    here.count(now, call);
-    here.count(now, call);
+    here.record(now, call);
+    here.record(now, call);
 
-    for news in here.take_news() {
-        there.hear(now, news);
+    for news in here.take_updates() {
+        there.record_remote(now, news);
     }
-    there.count(now, call);
-    here.hear(now, CrashNews { call: 5, crashes: 1 });
+    there.record(now, call);
+    here.record_remote(now, CrashNews { call: 5, crashes: 1 });
 
-    assert!(there.is_barred(call));
-    assert!(here.is_barred(call));
-    assert!(here.take_news().is_empty());
+    assert!(there.is_blocked(call));
+    assert!(here.is_blocked(call));
+    assert!(here.take_updates().is_empty());
 }
