--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -8,7 +8,9 @@
 use camphorwalk_core::messages::Body;
 use camphorwalk_core::messages::entry::Manifest;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::manifests::{Newer, Next, Question, next, question};
+use camphorwalk_policy::entry::manifests::{
+    FetchStep, NewerManifest, PendingRequest, check_pending, next_fetch_step,
+};
 use camphorwalk_policy::entry::transfers::{Backoff, Decision, Transfers};
 use tokio::time::sleep;
 use tracing::info;
@@ -41,7 +43,7 @@
 
     /// Takes in which version another host told that it has.
     fn told(&self, host: HostId, version: u64) {
-        self.transfers.borrow_mut().told(host, version);
+        self.transfers.borrow_mut().acknowledge(host, version);
     }
 
     /// Returns whether a host may be asked for its manifest.
@@ -71,20 +73,20 @@
 
 /// Waits for a newer manifest, and asks one host for it if the store does not bring it.
 async fn seek(shared: &Shared, version: u64) {
-    let heard = clock::now();
+    let announced_at = clock::now();
 
     loop {
-        let newer = Newer {
+        let newer = NewerManifest {
             version,
-            own: shared.manifest_version(),
-            heard,
+            in_force: shared.manifest_version(),
+            announced_at,
             store_answers: shared.store.answers(),
             last_progress: shared.manifests.last_progress.get(),
         };
-        match next(clock::now(), &newer) {
-            Next::Nothing => return,
-            Next::Wait(pause) => sleep(pause).await,
-            Next::AskPeer => return ask_peer(shared, version).await,
+        match next_fetch_step(clock::now(), &newer) {
+            FetchStep::Nothing => return,
+            FetchStep::Wait(pause) => sleep(pause).await,
+            FetchStep::AskPeer => return ask_peer(shared, version).await,
         }
     }
 }
@@ -104,14 +106,14 @@
     let now = clock::now();
     let took = now.since(asked);
     if matches!(reply, Some(Reply::Refused)) {
-        shared.manifests.backoff.borrow_mut().refused(now, host);
+        shared.manifests.backoff.borrow_mut().record_refusal(now, host);
     }
     info!(host = host.0, own, version, ?reply, ?took, "manifest: asked for at another host");
 }
 
 /// Waits until no answer can be expected to a question.
 async fn no_answer(shared: &Shared, host: HostId, asked: Instant) {
-    while question(clock::now(), asked, shared.fleet.heard_at(host)) == Question::Wait {
+    while check_pending(clock::now(), asked, shared.fleet.heard_at(host)) == PendingRequest::Wait {
         sleep(QUESTION_PERIOD).await;
     }
 }
@@ -120,7 +122,7 @@
 /// way.
 pub(crate) fn tell(shared: &Shared, to: HostId) -> Reply {
     let version = shared.manifest_version();
-    let decision = shared.manifests.transfers.borrow_mut().asked(clock::now(), to, version);
+    let decision = shared.manifests.transfers.borrow_mut().request(clock::now(), to, version);
     let sent = decision == Decision::Send && send(shared, to);
 
     let outcome = if sent { "sent" } else { "refused" };
@@ -135,7 +137,7 @@
     let sent = shared.fleet.send(to, Body::Manifest(Manifest { text }));
 
     if !sent {
-        shared.manifests.transfers.borrow_mut().not_sent(to);
+        shared.manifests.transfers.borrow_mut().send_failed(to);
     }
     sent
 }
--- a/crates/policy/src/entry/manifests.rs
+++ b/crates/policy/src/entry/manifests.rs
@@ -25,13 +25,13 @@
 
 /// What a host knows of a manifest that is newer than the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Newer {
+pub struct NewerManifest {
     /// The version that another host has.
     pub version: u64,
     /// The version in force; 0 for none.
-    pub own: u64,
+    pub in_force: u64,
     /// When the other host told of it.
-    pub heard: Instant,
+    pub announced_at: Instant,
     /// Whether the store answers this host.
     pub store_answers: bool,
     /// When a part of a manifest came from the store last, or was done with, and the next was
@@ -41,7 +41,7 @@
 
 /// What to do for a newer manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum FetchStep {
     /// Nothing: it is in force.
     Nothing,
     /// Look again after this time: the store may bring it.
@@ -55,32 +55,38 @@
 /// ```
 /// use std::time::Duration;
 /// use camphorwalk_core::time::Instant;
-/// use camphorwalk_policy::entry::manifests::{Newer, Next, next};
+/// use camphorwalk_policy::entry::manifests::{FetchStep, NewerManifest, next_fetch_step};
 /// let at = Instant::from_millis;
-/// let newer =
-///     Newer { version: 2, own: 1, heard: at(0), store_answers: true, last_progress: None };
-/// assert_eq!(next(at(0), &newer), Next::Wait(Duration::from_millis(250)));
-/// assert_eq!(next(at(250), &newer), Next::AskPeer);
-/// assert_eq!(next(at(250), &Newer { own: 2, ..newer }), Next::Nothing);
+/// let newer = NewerManifest {
+///     version: 2,
+///     in_force: 1,
+///     announced_at: at(0),
+///     store_answers: true,
+///     last_progress: None,
+/// };
+/// assert_eq!(next_fetch_step(at(0), &newer), FetchStep::Wait(Duration::from_millis(250)));
+/// assert_eq!(next_fetch_step(at(250), &newer), FetchStep::AskPeer);
+/// let adopted = NewerManifest { in_force: 2, ..newer };
+/// assert_eq!(next_fetch_step(at(250), &adopted), FetchStep::Nothing);
 /// ```
-pub fn next(now: Instant, newer: &Newer) -> Next {
-    if newer.version <= newer.own {
-        return Next::Nothing;
+pub fn next_fetch_step(now: Instant, newer: &NewerManifest) -> FetchStep {
+    if newer.version <= newer.in_force {
+        return FetchStep::Nothing;
     }
-    let heard = newer.store_answers.then_some(newer.heard);
-    let Some(since) = heard.max(newer.last_progress) else { return Next::AskPeer };
-    let until = (since + STORE_STALL_TIMEOUT).min(newer.heard + STORE_TRANSFER_TIMEOUT);
+    let heard = newer.store_answers.then_some(newer.announced_at);
+    let Some(since) = heard.max(newer.last_progress) else { return FetchStep::AskPeer };
+    let until = (since + STORE_STALL_TIMEOUT).min(newer.announced_at + STORE_TRANSFER_TIMEOUT);
     let left = until.since(now);
 
     match left.is_zero() {
-        true => Next::AskPeer,
-        false => Next::Wait(left),
+        true => FetchStep::AskPeer,
+        false => FetchStep::Wait(left),
     }
 }
 
 /// What to do about a question to another host that is not answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum PendingRequest {
     /// Its answer may be under way.
     Wait,
     /// No answer will come.
@@ -95,16 +101,16 @@
 ///
 /// ```
 /// use camphorwalk_core::time::Instant;
-/// use camphorwalk_policy::entry::manifests::{Question, question};
+/// use camphorwalk_policy::entry::manifests::{PendingRequest, check_pending};
 /// let at = Instant::from_millis;
-/// assert_eq!(question(at(2_000), at(0), Some(at(100))), Question::Wait);
-/// assert_eq!(question(at(2_000), at(0), Some(at(1_900))), Question::GiveUp);
+/// assert_eq!(check_pending(at(2_000), at(0), Some(at(100))), PendingRequest::Wait);
+/// assert_eq!(check_pending(at(2_000), at(0), Some(at(1_900))), PendingRequest::GiveUp);
 /// ```
-pub fn question(now: Instant, asked: Instant, heard: Option<Instant>) -> Question {
+pub fn check_pending(now: Instant, asked: Instant, heard: Option<Instant>) -> PendingRequest {
     let is_overtaken = heard.is_some_and(|at| at.since(asked) >= NEWS_UNDER_WAY);
 
     match is_overtaken || now.since(asked) >= REQUEST_TIMEOUT {
-        true => Question::GiveUp,
-        false => Question::Wait,
+        true => PendingRequest::GiveUp,
+        false => PendingRequest::Wait,
     }
 }
--- a/crates/policy/src/entry/transfers.rs
+++ b/crates/policy/src/entry/transfers.rs
@@ -53,13 +53,13 @@
     /// use camphorwalk_policy::entry::transfers::{Transfers, Decision, MAX_TRANSFERS};
     /// let mut transfers = Transfers::default();
     /// for host in 0..MAX_TRANSFERS as u64 {
-    ///     assert_eq!(transfers.asked(Instant(0), HostId(host), 7), Decision::Send);
+    ///     assert_eq!(transfers.request(Instant(0), HostId(host), 7), Decision::Send);
     /// }
-    /// assert_eq!(transfers.asked(Instant(0), HostId(99), 7), Decision::Refuse);
-    /// transfers.told(HostId(0), 7);
-    /// assert_eq!(transfers.asked(Instant(0), HostId(99), 7), Decision::Send);
+    /// assert_eq!(transfers.request(Instant(0), HostId(99), 7), Decision::Refuse);
+    /// transfers.acknowledge(HostId(0), 7);
+    /// assert_eq!(transfers.request(Instant(0), HostId(99), 7), Decision::Send);
     /// ```
-    pub fn asked(&mut self, now: Instant, host: HostId, version: u64) -> Decision {
+    pub fn request(&mut self, now: Instant, host: HostId, version: u64) -> Decision {
         self.under_way.remove(&host);
         // Whoever asked has given up by then.
         self.under_way.retain(|_, sent| now.since(sent.at) < REQUEST_TIMEOUT);
@@ -73,14 +73,14 @@
 
     /// Takes in that a manifest of this version is in force at a host. The copy that was under way to
     /// it has arrived, or is of no use any more.
-    pub fn told(&mut self, host: HostId, version: u64) {
+    pub fn acknowledge(&mut self, host: HostId, version: u64) {
         if self.under_way.get(&host).is_some_and(|sent| sent.version <= version) {
             self.under_way.remove(&host);
         }
     }
 
     /// Takes in that a copy could not be sent.
-    pub fn not_sent(&mut self, host: HostId) {
+    pub fn send_failed(&mut self, host: HostId) {
         self.under_way.remove(&host);
     }
 
@@ -109,11 +109,11 @@
     /// use camphorwalk_core::time::Instant;
     /// use camphorwalk_policy::entry::transfers::Backoff;
     /// let mut backoff = Backoff::default();
-    /// backoff.refused(Instant(0), HostId(1));
+    /// backoff.record_refusal(Instant(0), HostId(1));
     /// assert!(!backoff.may_ask(Instant::from_millis(299), HostId(1)));
     /// assert!(backoff.may_ask(Instant::from_millis(300), HostId(1)));
     /// ```
-    pub fn refused(&mut self, now: Instant, host: HostId) {
+    pub fn record_refusal(&mut self, now: Instant, host: HostId) {
         self.at.retain(|_, at| now.since(*at) < REFUSED_PAUSE);
         self.at.insert(host, now);
     }
--- a/crates/policy/tests/entry_manifests.rs
+++ b/crates/policy/tests/entry_manifests.rs
@@ -3,28 +3,36 @@
 use std::time::Duration;
 
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::manifests::{Newer, Next, Question, next, question};
+use camphorwalk_policy::entry::manifests::{
+    FetchStep, NewerManifest, PendingRequest, check_pending, next_fetch_step,
+};
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
 /// A version that another host told of at the clock's start.
-fn newer() -> Newer {
-    Newer { version: 2, own: 1, heard: at(0), store_answers: true, last_progress: None }
+fn newer() -> NewerManifest {
+    NewerManifest {
+        version: 2,
+        in_force: 1,
+        announced_at: at(0),
+        store_answers: true,
+        last_progress: None,
+    }
 }
 
 /// Plays a host that heard of a newer version at the clock's start. `store` tells when a part came
 /// from it last, at a time. Returns when another host is asked, if it is by `end`.
-fn asks_at(end: u64, newer: Newer, store: impl Fn(u64) -> Option<u64>) -> Option<u64> {
+fn asks_at(end: u64, newer: NewerManifest, store: impl Fn(u64) -> Option<u64>) -> Option<u64> {
     let mut now = 0;
 
     while now < end {
-        let known = Newer { last_progress: store(now).map(at), ..newer };
-        match next(at(now), &known) {
-            Next::Nothing => return None,
-            Next::AskPeer => return Some(now),
-            Next::Wait(pause) => now += u64::try_from(pause.as_millis()).unwrap().max(1),
+        let known = NewerManifest { last_progress: store(now).map(at), ..newer };
+        match next_fetch_step(at(now), &known) {
+            FetchStep::Nothing => return None,
+            FetchStep::AskPeer => return Some(now),
+            FetchStep::Wait(pause) => now += u64::try_from(pause.as_millis()).unwrap().max(1),
         }
     }
     None
@@ -59,7 +67,7 @@
 
 #[test]
 fn a_host_that_the_store_turns_away_asks_at_once() {
-    let newer = Newer { store_answers: false, ..newer() };
+    let newer = NewerManifest { store_answers: false, ..newer() };
 
     assert_eq!(asks_at(3_000, newer, |_| None), Some(0));
 }
@@ -67,17 +75,20 @@
 /// Guards against a host that is thought to miss the store and gets a manifest from it.
 #[test]
 fn parts_from_the_store_count_whatever_else_it_does() {
-    let newer = Newer { store_answers: false, ..newer() };
+    let newer = NewerManifest { store_answers: false, ..newer() };
 
-    assert_eq!(next(at(100), &newer), Next::AskPeer);
-    let known = Newer { last_progress: Some(at(90)), ..newer };
-    assert_eq!(next(at(100), &known), Next::Wait(Duration::from_millis(240)));
+    assert_eq!(next_fetch_step(at(100), &newer), FetchStep::AskPeer);
+    let known = NewerManifest { last_progress: Some(at(90)), ..newer };
+    assert_eq!(next_fetch_step(at(100), &known), FetchStep::Wait(Duration::from_millis(240)));
 }
 
 #[test]
 fn a_version_that_is_in_force_is_not_asked_for() {
-    for own in [2, 3] {
-        assert_eq!(next(at(9_000), &Newer { own, ..newer() }), Next::Nothing);
+    for in_force in [2, 3] {
+        assert_eq!(
+            next_fetch_step(at(9_000), &NewerManifest { in_force, ..newer() }),
+            FetchStep::Nothing
+        );
     }
 }
 
@@ -89,7 +100,9 @@
         at(last - last % period)
     };
 
-    (0..).find(|now| question(at(*now), at(0), Some(heard(*now))) == Question::GiveUp).unwrap()
+    (0..)
+        .find(|now| check_pending(at(*now), at(0), Some(heard(*now))) == PendingRequest::GiveUp)
+        .unwrap()
 }
 
 /// Guards against a copy that is given up while it is under way, and asked for anew.
@@ -105,6 +118,6 @@
 
 #[test]
 fn a_question_to_a_host_that_was_never_heard_ends() {
-    assert_eq!(question(at(2_999), at(0), None), Question::Wait);
-    assert_eq!(question(at(3_000), at(0), None), Question::GiveUp);
+    assert_eq!(check_pending(at(2_999), at(0), None), PendingRequest::Wait);
+    assert_eq!(check_pending(at(3_000), at(0), None), PendingRequest::GiveUp);
 }
--- a/crates/policy/tests/entry_transfers.rs
+++ b/crates/policy/tests/entry_transfers.rs
@@ -68,11 +68,13 @@
             return;
         };
 
-        match self.hosts[*from].transfers.asked(at(now), HostId(host as u64), VERSION) {
+        match self.hosts[*from].transfers.request(at(now), HostId(host as u64), VERSION) {
             Decision::Send => {
                 self.hosts[host].coming = Some(Coming { from: *from, left: MANIFEST });
             }
-            Decision::Refuse => self.hosts[host].backoff.refused(at(now), HostId(*from as u64)),
+            Decision::Refuse => {
+                self.hosts[host].backoff.record_refusal(at(now), HostId(*from as u64))
+            }
         }
     }
 
@@ -98,7 +100,7 @@
             (0..self.hosts.len()).filter(|i| self.hosts[*i].is_known_to_have(now)).collect();
 
         for host in &mut self.hosts {
-            telling.iter().for_each(|i| host.transfers.told(HostId(*i as u64), VERSION));
+            telling.iter().for_each(|i| host.transfers.acknowledge(HostId(*i as u64), VERSION));
         }
     }
 
@@ -138,7 +140,7 @@
 fn a_copy_that_never_arrives_lapses() {
     let mut transfers = Transfers::default();
     let asked =
-        |transfers: &mut Transfers, now, host| transfers.asked(at(now), HostId(host), VERSION);
+        |transfers: &mut Transfers, now, host| transfers.request(at(now), HostId(host), VERSION);
 
     (0..MAX_TRANSFERS as u64)
         .for_each(|host| assert_eq!(asked(&mut transfers, 0, host), Decision::Send));
@@ -151,11 +153,11 @@
 #[test]
 fn news_of_an_older_version_do_not_end_a_copy() {
     let mut transfers = Transfers::default();
-    transfers.asked(at(0), HostId(1), VERSION);
+    transfers.request(at(0), HostId(1), VERSION);
 
-    transfers.told(HostId(1), VERSION - 1);
+    transfers.acknowledge(HostId(1), VERSION - 1);
     assert_eq!(transfers.len(), 1);
-    transfers.told(HostId(1), VERSION + 1);
+    transfers.acknowledge(HostId(1), VERSION + 1);
     assert!(transfers.is_empty());
 }
 
@@ -164,19 +166,19 @@
 fn a_host_that_asks_again_takes_its_own_place() {
     let mut transfers = Transfers::default();
     (0..MAX_TRANSFERS as u64).for_each(|host| {
-        transfers.asked(at(0), HostId(host), VERSION);
+        transfers.request(at(0), HostId(host), VERSION);
     });
 
-    assert_eq!(transfers.asked(at(1_000), HostId(0), VERSION), Decision::Send);
+    assert_eq!(transfers.request(at(1_000), HostId(0), VERSION), Decision::Send);
     assert_eq!(transfers.len(), MAX_TRANSFERS);
 }
 
 #[test]
 fn a_copy_that_could_not_be_sent_takes_no_place() {
     let mut transfers = Transfers::default();
-    transfers.asked(at(0), HostId(1), VERSION);
+    transfers.request(at(0), HostId(1), VERSION);
 
-    transfers.not_sent(HostId(1));
+    transfers.send_failed(HostId(1));
 
     assert!(transfers.is_empty());
 }
