--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -11,8 +11,8 @@
 };
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::target_table::{
-    Dropped, Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
-    POLL_PERIOD, RELIST_PERIOD, Source,
+    Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
+    POLL_PERIOD, RELIST_PERIOD, RemovalReason, Source,
 };
 use tokio::time::sleep;
 use tracing::{info, warn};
@@ -39,7 +39,7 @@
         let ended = shared.target_table.borrow_mut().expire(clock::now());
         carry_out(&shared, Source::Grace, ended);
 
-        let next = shared.target_table.borrow().next_end();
+        let next = shared.target_table.borrow().next_grace_end();
         let until_next = next.map_or(POLL_PERIOD, |end| end.since(clock::now()));
         sleep(until_next.clamp(LEAST_EXPIRE_PAUSE, POLL_PERIOD)).await;
     }
@@ -107,7 +107,7 @@
             let changes = changes.into_iter().map(change).collect();
             let now = clock::now();
             let mut table = shared.target_table.borrow_mut();
-            let effects = table.take_changes(now, asked_at, after, changes, version);
+            let effects = table.apply_changes(now, asked_at, after, changes, version);
             drop(table);
             carry_out(shared, Source::Changes, effects);
             Answer::Taken
@@ -146,7 +146,7 @@
     let now = clock::now();
     *listed_at = Some(now);
     let version = version.unwrap_or_default();
-    let effects = shared.target_table.borrow_mut().take_whole(now, asked_at, rows, version);
+    let effects = shared.target_table.borrow_mut().apply_full_read(now, asked_at, rows, version);
     carry_out(shared, Source::WholeRead, effects);
 
     true
@@ -185,7 +185,7 @@
     let Some(Reply::Targets(Some(copy))) = reply else { return };
 
     let (as_of, age) = (copy.as_of, copy.age);
-    let effects = shared.target_table.borrow_mut().take_copy(clock::now(), asked_at, copy);
+    let effects = shared.target_table.borrow_mut().apply_peer_copy(clock::now(), asked_at, copy);
     if !effects.is_empty() {
         info!(host = host.0, as_of = as_of.0, age_ms = age.as_millis(), "targets: copy taken in");
     }
@@ -223,7 +223,7 @@
     }
 }
 
-fn forget(shared: &Rc<Shared>, id: &str, why: Dropped, as_of: RowVersion, source: Source) {
+fn forget(shared: &Rc<Shared>, id: &str, why: RemovalReason, as_of: RowVersion, source: Source) {
     let gone = shared.targets.borrow_mut().remove_by_id(id);
 
     if let Some(key) = gone {
--- a/crates/policy/src/entry/target_table.rs
+++ b/crates/policy/src/entry/target_table.rs
@@ -41,7 +41,7 @@
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_100);
 
 /// How long after the store's return a host may see it: a try that is still waited for, and a pause.
-pub const RETURN_DELAY: Duration = Duration::from_millis(700);
+pub const RETURN_DETECTION_DELAY: Duration = Duration::from_millis(700);
 
 /// Of the interval of targets' heartbeats, the silence of the store from which on rows of living
 /// targets may have expired. A row expires three intervals after the last heartbeat, which is at
@@ -65,10 +65,10 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use camphorwalk_policy::entry::target_table::{POLL_PERIOD, longest_delay};
-/// assert!(longest_delay() > POLL_PERIOD * 2);
+/// use camphorwalk_policy::entry::target_table::{POLL_PERIOD, max_propagation_delay};
+/// assert!(max_propagation_delay() > POLL_PERIOD * 2);
 /// ```
-pub const fn longest_delay() -> Duration {
+pub const fn max_propagation_delay() -> Duration {
     let own = POLL_PERIOD.as_millis() + HEDGE_DELAY.as_millis() + PEER_TIMEOUT.as_millis();
     let others = POLL_PERIOD.as_millis() + HEDGE_DELAY.as_millis();
 
@@ -136,7 +136,7 @@
 
 /// Why a target is not used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum RemovalReason {
     /// Its row was removed.
     Removed,
     /// Its row cannot be read.
@@ -151,7 +151,7 @@
     /// To go by this entry.
     Use(TargetEntry),
     /// To use the target no more.
-    Drop(Box<str>, Dropped),
+    Drop(Box<str>, RemovalReason),
 }
 
 /// What is known of a target.
@@ -216,7 +216,7 @@
     }
 
     /// Returns whether the store has been silent for so long that rows of living targets may expire.
-    pub fn is_silent(&self, now: Instant) -> bool {
+    pub fn is_store_silent(&self, now: Instant) -> bool {
         self.confirmed.is_none_or(|at| now.since(at) >= self.lapse_silence())
     }
 
@@ -243,13 +243,13 @@
     /// use camphorwalk_policy::entry::target_table::{EntryChange, EntryRow, TargetTable};
     /// let mut table = TargetTable::new(Duration::from_secs(1));
     /// let now = Instant::from_millis(5);
-    /// table.take_whole(now, now, vec![], RowVersion(1));
+    /// table.apply_full_read(now, now, vec![], RowVersion(1));
     /// let row = EntryRow { id: "i-1".into(), version: RowVersion(2), entry: None };
     /// let changes = vec![EntryChange::Written(row), EntryChange::Removed("i-1".into())];
-    /// assert!(table.take_changes(now, now, RowVersion(1), changes, RowVersion(3)).is_empty());
+    /// assert!(table.apply_changes(now, now, RowVersion(1), changes, RowVersion(3)).is_empty());
     /// assert_eq!(table.as_of(), Some(RowVersion(3)));
     /// ```
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         now: Instant,
         asked_at: Instant,
@@ -286,7 +286,7 @@
     }
 
     /// Takes in a whole read of the table as of a version. `asked_at` is when the store was asked.
-    pub fn take_whole(
+    pub fn apply_full_read(
         &mut self,
         now: Instant,
         asked_at: Instant,
@@ -303,7 +303,12 @@
     ///
     /// A copy as of a higher version than the own one holds. One as of a lower version tells nothing
     /// new, but for targets whose rows expired before this process started.
-    pub fn take_copy(&mut self, now: Instant, asked_at: Instant, copy: TableCopy) -> Vec<Effect> {
+    pub fn apply_peer_copy(
+        &mut self,
+        now: Instant,
+        asked_at: Instant,
+        copy: TableCopy,
+    ) -> Vec<Effect> {
         let confirmed_at = asked_at - copy.age;
         let mut effects = Vec::new();
 
@@ -331,7 +336,7 @@
     }
 
     /// Returns when the next grace ends, if any target has one.
-    pub fn next_end(&self) -> Option<Instant> {
+    pub fn next_grace_end(&self) -> Option<Instant> {
         let ends = self.rows.values().filter_map(|known| match known.state {
             State::Lapsed(_, until) => Some(until),
             _ => None,
@@ -347,14 +352,14 @@
             State::Present(_) | State::Lapsed(..) => true,
         });
         // While the store is silent, targets cannot write their rows.
-        if self.is_silent(now) {
+        if self.is_store_silent(now) {
             return Vec::new();
         }
 
         let ended = self.rows.iter_mut().filter_map(|(id, known)| match known.state {
             State::Lapsed(_, until) if until <= now => {
                 known.state = State::Removed(now);
-                Some(Effect::Drop(id.clone(), Dropped::NotBack))
+                Some(Effect::Drop(id.clone(), RemovalReason::NotBack))
             }
             _ => None,
         });
@@ -454,7 +459,7 @@
         let effect = match row.entry.clone() {
             Some(entry) => Some(Effect::Use(entry)),
             // Only a target that is in use can be dropped.
-            None => before.map(|_| Effect::Drop(row.id.clone(), Dropped::Unreadable)),
+            None => before.map(|_| Effect::Drop(row.id.clone(), RemovalReason::Unreadable)),
         };
         let known = Known { version: row.version, state: State::Present(row.entry) };
         self.rows.insert(row.id, known);
@@ -481,7 +486,7 @@
             }
             _ => {
                 known.state = State::Removed(now);
-                Some(Effect::Drop(id.into(), Dropped::Removed))
+                Some(Effect::Drop(id.into(), RemovalReason::Removed))
             }
         }
     }
--- a/crates/policy/tests/target_table.rs
+++ b/crates/policy/tests/target_table.rs
@@ -6,8 +6,9 @@
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::target_table::{
-    Dropped, Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
-    POLL_PERIOD, RETURN_DELAY, TableCopy, TargetTable, longest_delay,
+    Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
+    POLL_PERIOD, RETURN_DETECTION_DELAY, RemovalReason, TableCopy, TargetTable,
+    max_propagation_delay,
 };
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
@@ -55,14 +56,14 @@
     EntryChange::Removed(id.into())
 }
 
-fn gone(id: &str, why: Dropped) -> Vec<Effect> {
+fn gone(id: &str, why: RemovalReason) -> Vec<Effect> {
     vec![Effect::Drop(id.into(), why)]
 }
 
 /// Returns a copy with one target that was read as of version 10 at the clock's start.
 fn with_one(id: &str) -> TargetTable {
     let mut table = TargetTable::new(HEARTBEAT);
-    table.take_whole(at(0), at(0), vec![row(id, 5)], RowVersion(10));
+    table.apply_full_read(at(0), at(0), vec![row(id, 5)], RowVersion(10));
 
     table
 }
@@ -71,7 +72,7 @@
 fn change(table: &mut TargetTable, now: u64, changes: Vec<EntryChange>, as_of: u64) -> Vec<Effect> {
     let after = table.as_of().unwrap();
 
-    table.take_changes(at(now), at(now), after, changes, RowVersion(as_of))
+    table.apply_changes(at(now), at(now), after, changes, RowVersion(as_of))
 }
 
 /// Takes in answers without changes, until a moment.
@@ -116,9 +117,9 @@
 
     let effects = change(&mut table, 400, vec![removed("x")], 20);
     let by_copy =
-        [401, 5_000, 60_000].map(|now| table.take_copy(at(now), at(now), copy(&behind, now)));
+        [401, 5_000, 60_000].map(|now| table.apply_peer_copy(at(now), at(now), copy(&behind, now)));
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, gone("x", RemovalReason::Removed));
     assert_eq!(by_copy, [vec![], vec![], vec![]]);
 }
 
@@ -129,9 +130,9 @@
     change(&mut ahead, 400, vec![removed("x")], 20);
     let mut table = with_one("x");
 
-    let effects = table.take_copy(at(600), at(600), copy(&ahead, 600));
+    let effects = table.apply_peer_copy(at(600), at(600), copy(&ahead, 600));
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, gone("x", RemovalReason::Removed));
     assert_eq!(table.as_of(), Some(RowVersion(20)));
 }
 
@@ -142,10 +143,10 @@
     change(&mut ahead, 400, vec![removed("x")], 20);
     let mut table = with_one("x");
     let after = table.as_of().unwrap();
-    table.take_copy(at(600), at(600), copy(&ahead, 600));
+    table.apply_peer_copy(at(600), at(600), copy(&ahead, 600));
 
     let late = vec![written("x", 11)];
-    let effects = table.take_changes(at(700), at(300), after, late, RowVersion(12));
+    let effects = table.apply_changes(at(700), at(300), after, late, RowVersion(12));
 
     assert_eq!(effects, []);
 }
@@ -156,9 +157,9 @@
     let mut table = with_one("x");
     change(&mut table, 400, vec![written("y", 11)], 12);
 
-    let effects = table.take_whole(at(800), at(800), vec![row("x", 5)], RowVersion(14));
+    let effects = table.apply_full_read(at(800), at(800), vec![row("x", 5)], RowVersion(14));
 
-    assert_eq!(effects, gone("y", Dropped::Removed));
+    assert_eq!(effects, gone("y", RemovalReason::Removed));
 }
 
 /// Guards against an outage in which all entries expire and no target is left for two seconds.
@@ -173,7 +174,7 @@
     let after_grace = table.expire(at(back) + LAPSE_GRACE);
 
     assert_eq!((at_return, in_grace), (vec![], vec![]));
-    assert_eq!(after_grace, gone("x", Dropped::NotBack));
+    assert_eq!(after_grace, gone("x", RemovalReason::NotBack));
 }
 
 /// Guards against one lost answer that turns a removal into an expiry and delays it by seconds.
@@ -184,7 +185,7 @@
 
     let effects = change(&mut table, before_expiry, vec![removed("x")], 20);
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, gone("x", RemovalReason::Removed));
 }
 
 /// Guards against a grace that begins anew with every further silence or host that tells of it.
@@ -194,12 +195,12 @@
     change(&mut told, OUTAGE_MS, vec![removed("x")], 20);
     let mut table = TargetTable::new(HEARTBEAT);
     let started = OUTAGE_MS + 1_000;
-    table.take_whole(at(started), at(started), vec![], RowVersion(22));
+    table.apply_full_read(at(started), at(started), vec![], RowVersion(22));
     poll(&mut told, OUTAGE_MS + 400, started);
     change(&mut told, started, vec![], 23);
 
     let told_at = started + 100;
-    let learned = table.take_copy(at(told_at), at(told_at), copy(&told, told_at));
+    let learned = table.apply_peer_copy(at(told_at), at(told_at), copy(&told, told_at));
     let end = OUTAGE_MS + LAPSE_GRACE.as_millis() as u64;
     poll(&mut table, told_at, end);
     let before_end = table.expire(at(end - 1));
@@ -207,7 +208,7 @@
 
     assert_eq!(learned, [Effect::Use(entry("x"))]);
     assert_eq!(before_end, []);
-    assert_eq!(at_end, gone("x", Dropped::NotBack));
+    assert_eq!(at_end, gone("x", RemovalReason::NotBack));
 }
 
 /// Guards against a host that started in an outage and knows no target.
@@ -216,7 +217,7 @@
     let told = with_one("x");
     let mut table = TargetTable::new(HEARTBEAT);
 
-    let learned = table.take_copy(at(3_000), at(3_000), copy(&told, 3_000));
+    let learned = table.apply_peer_copy(at(3_000), at(3_000), copy(&told, 3_000));
 
     assert_eq!(learned, [Effect::Use(entry("x"))]);
     assert_eq!(table.as_of(), told.as_of());
@@ -232,7 +233,7 @@
 
     let effects = change(&mut table, OUTAGE_MS, vec![removed("x")], 20);
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, gone("x", RemovalReason::Removed));
 }
 
 /// Guards against an entry of another writer that names no target to use.
@@ -243,7 +244,7 @@
 
     let effects = change(&mut table, 400, vec![EntryChange::Written(unreadable)], 12);
 
-    assert_eq!(effects, gone("x", Dropped::Unreadable));
+    assert_eq!(effects, gone("x", RemovalReason::Unreadable));
 }
 
 /// Guards against a sum of periods and timeouts that passes the bound although each looks short. One
@@ -252,13 +253,13 @@
 fn a_change_is_known_well_within_the_bound() {
     let a_lost_question = HEDGE_DELAY + PEER_TIMEOUT + FAILED_PAUSE;
 
-    assert!(longest_delay() + a_lost_question + CONNECT_TIMEOUT < DRAIN_BOUND);
+    assert!(max_propagation_delay() + a_lost_question + CONNECT_TIMEOUT < DRAIN_BOUND);
 }
 
 /// Guards against a grace that lasts until hosts are held to the bound again.
 #[test]
 fn a_grace_ends_before_the_bound_holds_again() {
-    assert!(RETURN_DELAY + LAPSE_GRACE < IN_TOUCH);
+    assert!(RETURN_DETECTION_DELAY + LAPSE_GRACE < IN_TOUCH);
     assert!(LAPSE_GRACE > STORE_GRACE);
 }
 
@@ -272,9 +273,9 @@
 
     let has = quick.as_of().unwrap();
     let told = other.copy_for(at(500), has).unwrap();
-    let effects = quick.take_copy(at(500), at(500), told);
+    let effects = quick.apply_peer_copy(at(500), at(500), told);
 
-    assert_eq!(effects, gone("y", Dropped::Removed));
+    assert_eq!(effects, gone("y", RemovalReason::Removed));
 }
 
 /// Guards against a removal that is dropped with a late answer, since another host's copy came first.
@@ -284,12 +285,12 @@
     let mut ahead = with_one("x");
     change(&mut ahead, 300, vec![], 15);
     let after = table.as_of().unwrap();
-    table.take_copy(at(350), at(350), copy(&ahead, 350));
+    table.apply_peer_copy(at(350), at(350), copy(&ahead, 350));
 
     let late = vec![removed("x")];
-    let effects = table.take_changes(at(400), at(200), after, late, RowVersion(20));
+    let effects = table.apply_changes(at(400), at(200), after, late, RowVersion(20));
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, gone("x", RemovalReason::Removed));
 }
 
 /// Guards against a target that left and that another host, which is behind, says may be back.
@@ -300,7 +301,7 @@
     change(&mut behind, OUTAGE_MS, vec![removed("y")], 20);
     change(&mut table, 100, vec![written("y", 11), removed("y")], 12);
 
-    let effects = table.take_copy(at(200), at(200), copy(&behind, OUTAGE_MS));
+    let effects = table.apply_peer_copy(at(200), at(200), copy(&behind, OUTAGE_MS));
 
     assert!(!effects.contains(&Effect::Use(entry("y"))));
 }
--- a/crates/policy/tests/target_table_fuzz/faults.rs
+++ b/crates/policy/tests/target_table_fuzz/faults.rs
@@ -37,16 +37,16 @@
     let at = Instant::from_millis;
     let mut told = TargetTable::new(HEARTBEAT);
     let mut table = TargetTable::new(HEARTBEAT);
-    told.take_whole(at(0), at(0), vec![], RowVersion(10));
-    table.take_whole(at(0), at(0), vec![], RowVersion(10));
+    told.apply_full_read(at(0), at(0), vec![], RowVersion(10));
+    table.apply_full_read(at(0), at(0), vec![], RowVersion(10));
 
     for now in (400..=4_000).step_by(400) {
-        told.take_changes(at(now), at(now), RowVersion(10), vec![], RowVersion(10));
+        told.apply_changes(at(now), at(now), RowVersion(10), vec![], RowVersion(10));
         let copy = told.copy_for(at(now), RowVersion(10)).unwrap();
-        table.take_copy(at(now), at(now), copy);
+        table.apply_peer_copy(at(now), at(now), copy);
     }
 
-    assert!(!table.is_silent(at(4_000)));
+    assert!(!table.is_store_silent(at(4_000)));
 }
 
 /// Guards against a host that has just started and read the table whole, and then tells one that is
@@ -57,11 +57,11 @@
     let row = EntryRow { id: "x".into(), version: RowVersion(2), entry: None };
     let mut behind = TargetTable::new(HEARTBEAT);
     let mut told = TargetTable::new(HEARTBEAT);
-    behind.take_whole(at(0), at(0), vec![row], RowVersion(2));
-    told.take_whole(at(400), at(400), vec![], RowVersion(4));
+    behind.apply_full_read(at(0), at(0), vec![row], RowVersion(2));
+    told.apply_full_read(at(400), at(400), vec![], RowVersion(4));
 
     let copy = told.copy_for(at(500), RowVersion(2)).unwrap();
-    behind.take_copy(at(500), at(500), copy);
+    behind.apply_peer_copy(at(500), at(500), copy);
 
     let rows = behind.copy_for(at(500), RowVersion::default()).unwrap().rows;
     assert_eq!(rows.unwrap_or_default(), []);
--- a/crates/policy/tests/target_table_fuzz/host.rs
+++ b/crates/policy/tests/target_table_fuzz/host.rs
@@ -95,7 +95,7 @@
 
         match (op, answer) {
             (Op::Changes(after), Answer::Changes(changes, as_of)) => {
-                let effects = self.table.take_changes(now, asked_at, *after, changes, as_of);
+                let effects = self.table.apply_changes(now, asked_at, *after, changes, as_of);
                 self.carry_out(effects);
                 Next::EndRound
             }
@@ -177,7 +177,7 @@
             return Next::Ask(Op::Page(after));
         }
         self.listed_at = Some(now);
-        let effects = self.table.take_whole(now, listing.asked_at, listing.rows, version);
+        let effects = self.table.apply_full_read(now, listing.asked_at, listing.rows, version);
         self.carry_out(effects);
         Next::EndRound
     }
--- a/crates/policy/tests/target_table_fuzz/world.rs
+++ b/crates/policy/tests/target_table_fuzz/world.rs
@@ -371,7 +371,7 @@
         let Some(asker) = asker.filter(|asker| asker.asking == Some(question.id)) else { return };
 
         if let Some(copy) = copy {
-            let effects = asker.table.take_copy(now, question.asked_at, copy);
+            let effects = asker.table.apply_peer_copy(now, question.asked_at, copy);
             asker.carry_out(effects);
         }
         self.peer_ended(question);
@@ -397,7 +397,7 @@
         let Some(expiring) = &mut self.hosts[host] else { return };
         let ended = expiring.table.expire(now);
         expiring.carry_out(ended);
-        let until_next = expiring.table.next_end().map_or(POLL_PERIOD, |end| end.since(now));
+        let until_next = expiring.table.next_grace_end().map_or(POLL_PERIOD, |end| end.since(now));
 
         self.put(until_next.clamp(LEAST_EXPIRE_PAUSE, POLL_PERIOD), Event::Expire(host, run));
     }
