--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -54,16 +54,16 @@
     Over(live::Over),
     /// What an entry host has under way.
     #[prost(message, tag = "11")]
-    EntryNews(entry::EntryNews),
+    EntryStatus(entry::EntryStatus),
     /// A manifest, for a host that has an older one.
     #[prost(message, tag = "12")]
     Manifest(entry::Manifest),
     /// A question to another entry host.
     #[prost(message, tag = "13")]
-    Ask(entry::Ask),
+    PeerQuery(entry::PeerQuery),
     /// The reply to such a question.
     #[prost(message, tag = "14")]
-    Reply(entry::Reply),
+    PeerQueryReply(entry::PeerQueryReply),
 }
 
 impl From<Body> for PeerMessage {
--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -2,7 +2,7 @@
 
 /// What an entry host has under way.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EntryNews {
+pub struct EntryStatus {
     /// What tenants ask of the sender: all that had calls there, or those of which something has
     /// changed.
     #[prost(message, repeated, tag = "1")]
@@ -15,7 +15,7 @@
     pub manifest_version: u64,
     /// Calls under which targets went down.
     #[prost(message, repeated, tag = "4")]
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashReport>,
     /// Whether `demand` tells of all.
     #[prost(bool, tag = "10")]
     pub all_demand: bool,
@@ -111,7 +111,7 @@
 
 /// A call under which targets went down.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct CrashNews {
+pub struct CrashReport {
     /// The call's fingerprint.
     #[prost(fixed64, tag = "1")]
     pub call: u64,
@@ -130,7 +130,7 @@
 
 /// A question to another entry host.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ask {
+pub struct PeerQuery {
     /// The number of the question at the sender.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -141,7 +141,7 @@
 
 /// The reply to a question.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Reply {
+pub struct PeerQueryReply {
     /// The number of the question.
     #[prost(uint64, tag = "1")]
     pub id: u64,
--- a/crates/entry/src/asks.rs
+++ b/crates/entry/src/asks.rs
@@ -134,7 +134,7 @@
     asks.waiting.borrow_mut().insert(id, tx);
     let _waiting = Waiting { asks, id };
 
-    if !shared.fleet.send(host, Body::Ask(wire::Ask { id, question })) {
+    if !shared.fleet.send(host, Body::PeerQuery(wire::PeerQuery { id, question })) {
         return None;
     }
     rx.await.ok()
@@ -147,12 +147,12 @@
 
     if let Some(question) = encode(question) {
         // What is told this way is told again in another way if it is lost.
-        shared.fleet.send(host, Body::Ask(wire::Ask { id: NOBODY, question }));
+        shared.fleet.send(host, Body::PeerQuery(wire::PeerQuery { id: NOBODY, question }));
     }
 }
 
 /// Answers a question of another host.
-pub(crate) async fn serve(shared: Rc<Shared>, from: HostId, message: wire::Ask) {
+pub(crate) async fn serve(shared: Rc<Shared>, from: HostId, message: wire::PeerQuery) {
     let reply = match serde_json::from_slice(&message.question) {
         Ok(question) => answer(&shared, from, question).await,
         Err(e) => {
@@ -163,7 +163,9 @@
 
     if let Some(reply) = encode(&reply) {
         // The asking host notices by a timeout if it does not arrive.
-        shared.fleet.send(from, Body::Reply(wire::Reply { id: message.id, reply }));
+        shared
+            .fleet
+            .send(from, Body::PeerQueryReply(wire::PeerQueryReply { id: message.id, reply }));
     }
 }
 
@@ -187,7 +189,7 @@
 }
 
 /// Takes in a reply.
-pub(crate) fn take_in(shared: &Shared, message: &wire::Reply) {
+pub(crate) fn take_in(shared: &Shared, message: &wire::PeerQueryReply) {
     let Some(tx) = shared.asks.waiting.borrow_mut().remove(&message.id) else { return };
 
     match serde_json::from_slice(&message.reply) {
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -461,12 +461,12 @@
         let Inbound::Message { from, message } = inbound else { continue };
 
         match message.body {
-            Some(Body::EntryNews(news)) => news::take_in(&shared, from, news),
+            Some(Body::EntryStatus(news)) => news::take_in(&shared, from, news),
             Some(Body::Manifest(manifest)) => watch::adopt(&shared, &manifest.text, "peer"),
-            Some(Body::Ask(ask)) => {
+            Some(Body::PeerQuery(ask)) => {
                 tokio::task::spawn_local(asks::serve(Rc::clone(&shared), from, ask));
             }
-            Some(Body::Reply(reply)) => asks::take_in(&shared, &reply),
+            Some(Body::PeerQueryReply(reply)) => asks::take_in(&shared, &reply),
             _ => {}
         }
     }
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -12,7 +12,7 @@
 use camphorwalk_core::hash::{Map, Set};
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::messages::entry::{
-    CrashNews, Demand, EntryNews, InFlight, Prompts, WaitingCalls,
+    CrashReport, Demand, EntryStatus, InFlight, Prompts, WaitingCalls,
 };
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
@@ -52,7 +52,7 @@
     /// The last parts of the prompts that were sent to each target.
     prompts: Map<Box<str>, Vec<Part>>,
     demand: Map<Box<str>, TenantStatus>,
-    crashes: Vec<CrashNews>,
+    crashes: Vec<CrashReport>,
 }
 
 impl Changes {
@@ -125,12 +125,12 @@
 /// Tells hosts what changed, and those that may not know the rest of all tenants.
 fn send(shared: &Shared, peers: &Peers, hosts: Vec<HostId>, changes: &Changes) {
     let (told, untold) = shared.told_all.part(hosts);
-    let to_all = |hosts: &[HostId], news: EntryNews| {
+    let to_all = |hosts: &[HostId], news: EntryStatus| {
         // What is as it stands is told again in the next round. What came up is lost with news that
         // do not go out: prompts are read again, and admitted calls are told as a total.
         hosts
             .iter()
-            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryNews(news.clone()))))
+            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryStatus(news.clone()))))
             .copied()
             .collect::<Vec<_>>()
     };
@@ -146,12 +146,12 @@
     }
 }
 
-fn news(shared: &Shared, changes: Changes, all_demand: bool) -> EntryNews {
+fn news(shared: &Shared, changes: Changes, all_demand: bool) -> EntryStatus {
     let targets = shared.targets.borrow();
     let waiting = shared.places.waiting().into_iter();
     let in_flight = targets.in_flight();
 
-    EntryNews {
+    EntryStatus {
         run: shared.run.0,
         all_demand,
         demand: changes.demand.into_iter().map(demand).collect(),
@@ -193,7 +193,7 @@
 }
 
 /// Takes in the news of another host.
-pub(crate) fn take_in(shared: &Rc<Shared>, from: HostId, news: EntryNews) {
+pub(crate) fn take_in(shared: &Rc<Shared>, from: HostId, news: EntryStatus) {
     let now = clock::now();
     let heard = Heard {
         at: now,
--- a/crates/policy/src/entry/crashes.rs
+++ b/crates/policy/src/entry/crashes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::hash::Map;
-use camphorwalk_core::messages::entry::CrashNews;
+use camphorwalk_core::messages::entry::CrashReport;
 use camphorwalk_core::time::Instant;
 
 /// What a call is known by when it comes again: its route, path, caller and body.
@@ -30,7 +30,7 @@
 pub struct Crashes {
     records: Map<Fingerprint, Record>,
     /// What the other hosts were not told yet.
-    news: Vec<CrashNews>,
+    news: Vec<CrashReport>,
 }
 
 impl Crashes {
@@ -49,13 +49,13 @@
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
         record.own += 1;
         record.last = now;
-        self.news.push(CrashNews { call: call.0, crashes: 1 });
+        self.news.push(CrashReport { call: call.0, crashes: 1 });
 
         record.own + record.others
     }
 
     /// Takes in that targets went down under a call at another host.
-    pub fn record_remote(&mut self, now: Instant, news: CrashNews) {
+    pub fn record_remote(&mut self, now: Instant, news: CrashReport) {
         let call = Fingerprint(news.call);
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
         record.others += news.crashes;
@@ -63,7 +63,7 @@
     }
 
     /// Takes what the other hosts are to be told.
-    pub fn take_updates(&mut self) -> Vec<CrashNews> {
+    pub fn take_updates(&mut self) -> Vec<CrashReport> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/policy/src/scheduler/entry.rs
+++ b/crates/policy/src/scheduler/entry.rs
@@ -184,10 +184,10 @@
             // hosts that forward calls and have no programs of their own.
             Some(
                 Body::Chunk(_)
-                | Body::EntryNews(_)
+                | Body::EntryStatus(_)
                 | Body::Manifest(_)
-                | Body::Ask(_)
-                | Body::Reply(_),
+                | Body::PeerQuery(_)
+                | Body::PeerQueryReply(_),
             )
             | None => {}
         }
--- a/crates/policy/tests/entry_routes.rs
+++ b/crates/policy/tests/entry_routes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::entry::{CallLimits, Repeat, Route, Routing, ServiceShare};
-use camphorwalk_core::messages::entry::CrashNews;
+use camphorwalk_core::messages::entry::CrashReport;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::crashes::{Crashes, Fingerprint};
 use camphorwalk_policy::entry::routes::{Adoption, RouteTable, adoption, service};
@@ -127,7 +127,7 @@
         there.record_remote(now, news);
     }
     there.record(now, call);
-    here.record_remote(now, CrashNews { call: 5, crashes: 1 });
+    here.record_remote(now, CrashReport { call: 5, crashes: 1 });
 
     assert!(there.is_blocked(call));
     assert!(here.is_blocked(call));
