--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -8,8 +8,8 @@
 
 pub use call::{CallHead, PromptPart, TokenCount};
 pub use routing::{
-    CallLimits, EngineSpec, Repeat, Route, Routing, ServiceShare, ServiceSpec, TenantSpec,
-    TurnKeeping,
+    CallLimits, EngineSpec, RetryPolicy, Route, Routing, ServiceSpec, TenantSpec, TurnRetention,
+    WeightedService,
 };
 pub use settings::{EntrySettings, StoreLimits};
 pub use target::{TargetEntry, TargetState};
--- a/crates/core/src/entry/call.rs
+++ b/crates/core/src/entry/call.rs
@@ -17,7 +17,7 @@
     /// The tokens of the prompt.
     pub prompt: u32,
     /// The most tokens that this one call may generate.
-    pub most_output: u32,
+    pub max_output: u32,
 }
 
 /// What a caller says of a call besides its method, path and body.
@@ -26,7 +26,7 @@
     /// The caller's name for this attempt; a retry has another.
     pub request_id: Box<str>,
     /// The key that stands for a tenant.
-    pub key: Option<Box<str>>,
+    pub api_key: Option<Box<str>>,
     /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
     /// The program that the call belongs to.
@@ -38,13 +38,13 @@
     /// The tokens that all turns of the program together may generate.
     pub budget: Option<u64>,
     /// The turn that this one continues from.
-    pub previous: Option<Box<str>>,
+    pub previous_turn: Option<Box<str>>,
     /// The size of the generation.
     pub tokens: Option<TokenCount>,
     /// The parts of the prompt in order.
     pub prefix: Vec<PromptPart>,
     /// The object that the call concerns; a target that handled it lately is faster.
-    pub affinity: Option<Box<str>>,
+    pub affinity_key: Option<Box<str>>,
     /// The last event that the caller has of a stream that broke.
     pub last_event: Option<u64>,
 }
@@ -54,9 +54,9 @@
     ///
     /// ```
     /// use camphorwalk_core::entry::CallHead;
-    /// assert!(CallHead::default().begins_line());
+    /// assert!(CallHead::default().starts_conversation());
     /// ```
-    pub fn begins_line(&self) -> bool {
-        self.previous.is_none() && self.last_event.is_none()
+    pub fn starts_conversation(&self) -> bool {
+        self.previous_turn.is_none() && self.last_event.is_none()
     }
 }
--- a/crates/core/src/entry/routing.rs
+++ b/crates/core/src/entry/routing.rs
@@ -6,7 +6,7 @@
 
 /// What may be done with a call whose answer did not come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may run any number of times.
     Idempotent,
     /// It runs at most once for each request of a caller.
@@ -19,7 +19,7 @@
     },
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
@@ -28,7 +28,7 @@
 
 /// A service's part of a route's calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceShare {
+pub struct WeightedService {
     /// The service.
     pub service: Box<str>,
     /// Its weight among the route's services.
@@ -37,7 +37,7 @@
 
 /// How a route keeps what its turns said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TurnKeeping {
+pub struct TurnRetention {
     /// How long a turn can be continued after its end.
     pub retention: Duration,
 }
@@ -52,9 +52,9 @@
     /// What the path of its calls begins with.
     pub prefix: Box<str>,
     /// Where its calls go.
-    pub services: Box<[ServiceShare]>,
+    pub services: Box<[WeightedService]>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The most targets that one call may be sent to.
     pub max_targets: u32,
     /// The longest time that a call may be kept waiting.
@@ -68,7 +68,7 @@
     /// Whether a target that has handled the same object or prompt is faster.
     pub sticky: bool,
     /// Whether turns carry only their new input, and how long they are kept.
-    pub keeps: Option<TurnKeeping>,
+    pub turn_retention: Option<TurnRetention>,
 }
 
 /// What an engine can hold, for a service that generates tokens.
--- a/crates/core/src/entry/settings.rs
+++ b/crates/core/src/entry/settings.rs
@@ -22,21 +22,21 @@
     /// Whether the whole deployment starts for the first time: then nothing was before.
     pub is_first_start: bool,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// Where it is asked whether it is ready.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Where its peers reach it.
-    pub peers: SocketAddr,
+    pub peers_address: SocketAddr,
     /// Where its metrics are read.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     /// Where the store listens.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// What the store takes from all hosts together.
     pub store_limits: StoreLimits,
     /// How often targets write their entries.
     pub target_heartbeat: Duration,
     /// How long a process may go on after it was asked to end.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// The most memory of the process, in bytes.
     pub memory_bytes: u64,
 }
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -80,7 +80,7 @@
     let shared = &call.shared;
     let tenant = call.tenant.as_deref().unwrap_or_default();
     let program = ProgramKey(stable_hash(&[b"program", tenant.as_bytes(), program.as_bytes()]));
-    let most = call.head.tokens.map_or(UNSAID_MOST, |tokens| u64::from(tokens.most_output));
+    let most = call.head.tokens.map_or(UNSAID_MOST, |tokens| u64::from(tokens.max_output));
 
     // The turns of sub-agents come together. One after the other they find what the first one's
     // write left over, and do not fail each other's writes.
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -97,7 +97,7 @@
 
     /// Returns the name of the line of calls that are best served by one target.
     fn line(head: &CallHead) -> &str {
-        let named = head.session.as_deref().or(head.affinity.as_deref());
+        let named = head.session.as_deref().or(head.affinity_key.as_deref());
 
         named.unwrap_or(&head.request_id)
     }
@@ -105,7 +105,7 @@
     /// Returns what placement is told of it.
     pub(crate) fn shape(&self) -> PlacementRequest {
         let parts: Vec<_> = self.head.prefix.iter().map(|p| (p.id, p.tokens)).collect();
-        let named = self.head.affinity.as_deref().filter(|_| self.route().sticky);
+        let named = self.head.affinity_key.as_deref().filter(|_| self.route().sticky);
         let object = named.filter(|_| parts.is_empty()).map(|o| stable_hash(&[o.as_bytes()]));
         let new_program_rank = self.is_new.get().then_some(self.route().rank);
 
@@ -130,7 +130,7 @@
     /// nothing, and its prompt has no part of a parent's line between the shared part and its
     /// own.
     pub(crate) fn may_be_first(&self) -> bool {
-        self.head.begins_line() && self.has_no_parent()
+        self.head.starts_conversation() && self.has_no_parent()
     }
 
     fn has_no_parent(&self) -> bool {
@@ -142,7 +142,7 @@
 
     /// Returns whether it begins a program, as far as this host can tell.
     fn begins_program(&self) -> bool {
-        self.route().repeat.is_stream()
+        self.route().retry_policy.is_stream()
             && self.may_be_first()
             && !self.shared.places.is_under_way(self.head.program.as_deref())
     }
@@ -372,7 +372,7 @@
         return Ok(None);
     }
 
-    let index = head.key.as_ref().and_then(|key| routing.keys.get(key));
+    let index = head.api_key.as_ref().and_then(|key| routing.keys.get(key));
     let unknown = || Refusal::wrong(StatusCode::UNAUTHORIZED, "the key is not known");
 
     index.map(|i| Some(routing.tenants[*i].name.clone())).ok_or_else(unknown)
@@ -436,7 +436,7 @@
 }
 
 async fn forward(call: Rc<Call>) -> Result<Answer, Refusal> {
-    if !call.route().repeat.is_stream() {
+    if !call.route().retry_policy.is_stream() {
         return plain::forward(&call).await;
     }
 
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -31,7 +31,7 @@
 
 /// Starts to take callers' connections; returns where.
 pub(crate) async fn start(shared: &Rc<Shared>) -> Result<SocketAddr> {
-    let address = shared.settings.callers;
+    let address = shared.settings.callers_address;
     let listener = TcpListener::bind(address).await.map_err(|e| Error::listen(address, e))?;
     let local = listener.local_addr().map_err(|e| Error::listen(address, e))?;
     let shared = Rc::clone(shared);
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -316,7 +316,13 @@
         silence_limit: SILENT,
         connect_timeout: Duration::from_millis(500),
         max_backoff: Duration::from_millis(400),
-        ..PeerOptions::new(settings.peers, &settings.name, &settings.zone, shared.run.0, secret)
+        ..PeerOptions::new(
+            settings.peers_address,
+            &settings.name,
+            &settings.zone,
+            shared.run.0,
+            secret,
+        )
     };
     let peers = match Peers::start(options, tx).await {
         Ok(peers) => peers,
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -277,7 +277,7 @@
 
     /// Returns whether a call that comes now might still be under way when the host ends.
     pub(crate) fn takes_no_more(&self) -> bool {
-        let longest = LAST_CALLS.min(self.settings.grace.mul_f64(LAST_CALLS_PART));
+        let longest = LAST_CALLS.min(self.settings.shutdown_grace.mul_f64(LAST_CALLS_PART));
 
         self.leaving.get().is_some_and(|at| clock::now().since(at) > longest)
     }
@@ -318,7 +318,7 @@
         let store = Store::new(store_client(&settings, run, &metrics)?);
         let turn_bytes = usize::try_from(settings.memory_bytes / TURN_CACHE_PART).unwrap_or(0);
         info!(
-            name = %settings.name, zone = %settings.zone, callers = %settings.callers,
+            name = %settings.name, zone = %settings.zone, callers = %settings.callers_address,
             run = format!("{:016x}", run.0), "host: started"
         );
 
@@ -389,7 +389,7 @@
         info!(open = shared.open_requests.get(), "host: leaving");
 
         let begun = TokioInstant::now();
-        let end = begun + shared.settings.grace.saturating_sub(GRACE_MARGIN);
+        let end = begun + shared.settings.shutdown_grace.saturating_sub(GRACE_MARGIN);
         let done = async {
             sleep(BALANCER_DELAY).await;
             while shared.open_requests.get() > 0 {
@@ -421,7 +421,7 @@
         },
         seed: run.0,
         dialect: camphorwalk_adapter::store::dialect(),
-        ..ClientOptions::new(settings.store, &settings.zone)
+        ..ClientOptions::new(settings.store_address, &settings.zone)
     })?;
     store.register(metrics.registry())?;
 
--- a/crates/entry/src/keeping.rs
+++ b/crates/entry/src/keeping.rs
@@ -55,7 +55,7 @@
     continuation: &Continuation,
     said: Vec<u8>,
 ) -> std::result::Result<(), &'static str> {
-    if call.route().keeps.is_none() {
+    if call.route().turn_retention.is_none() {
         return Ok(());
     }
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use camphorwalk_adapter::head;
-use camphorwalk_core::entry::Repeat;
+use camphorwalk_core::entry::RetryPolicy;
 use camphorwalk_policy::entry::placement::Outcome;
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt as _, Limited};
@@ -32,7 +32,7 @@
 
 /// Forwards a call until a target answers it.
 pub(crate) async fn forward(call: &Call) -> Result<Answer, Refusal> {
-    let may_repeat = call.route().repeat == Repeat::Idempotent;
+    let may_repeat = call.route().retry_policy == RetryPolicy::Idempotent;
     let mut shape = call.shape();
     let mut offers = 0;
     let mut runs = 0;
--- a/crates/entry/src/probes.rs
+++ b/crates/entry/src/probes.rs
@@ -20,8 +20,8 @@
 /// Starts to answer at the addresses of the settings; returns where it is asked whether the
 /// host is ready.
 pub(crate) async fn start(shared: &Rc<Shared>) -> Result<SocketAddr> {
-    listen(shared, shared.settings.metrics).await?;
-    listen(shared, shared.settings.ready).await
+    listen(shared, shared.settings.metrics_address).await?;
+    listen(shared, shared.settings.ready_address).await
 }
 
 async fn listen(shared: &Rc<Shared>, address: SocketAddr) -> Result<SocketAddr> {
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -109,5 +109,5 @@
     let table = shared.routes.borrow();
     let routes = table.as_ref()?.routing().routes.iter();
 
-    routes.filter_map(|route| route.keeps).map(|keeps| keeps.retention).max()
+    routes.filter_map(|route| route.turn_retention).map(|keeps| keeps.retention).max()
 }
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use camphorwalk_adapter::head;
-use camphorwalk_core::entry::Repeat;
+use camphorwalk_core::entry::RetryPolicy;
 use camphorwalk_policy::entry::placement::{Outcome, TargetKey};
 use http::{Response, StatusCode};
 use http_body_util::BodyExt as _;
@@ -112,7 +112,7 @@
 /// Returns whether a stream of which nothing came may start at another target: only if it may
 /// be resumed, and the target that may have run it is gone.
 fn may_start_again(call: &Call, crashed: bool) -> bool {
-    call.route().repeat == Repeat::Stream { resumable: true }
+    call.route().retry_policy == RetryPolicy::Stream { resumable: true }
         && crashed
         && !call.shared.crashes.borrow().is_blocked(call.fingerprint())
 }
@@ -250,7 +250,7 @@
     mut key: TargetKey,
     reason: &'static str,
 ) -> Option<Started> {
-    if call.route().repeat != (Repeat::Stream { resumable: true }) {
+    if call.route().retry_policy != (RetryPolicy::Stream { resumable: true }) {
         return None;
     }
 
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -63,7 +63,7 @@
 /// all, a target would run the turn for a caller that leaves before its end.
 pub(crate) fn may_be_kept(call: &Call) -> Result<(), Refusal> {
     let shared = &call.shared;
-    if call.route().keeps.is_none() {
+    if call.route().turn_retention.is_none() {
         return Ok(());
     }
     if shared.is_isolated() {
@@ -87,13 +87,14 @@
 
 /// Finds the turns that a call continues from.
 pub(crate) async fn continuation(call: &Call) -> Result<Continuation, Refusal> {
-    let Some(previous) = call.head.previous.as_deref().filter(|_| call.route().keeps.is_some())
+    let Some(previous) =
+        call.head.previous_turn.as_deref().filter(|_| call.route().turn_retention.is_some())
     else {
         return Ok(Continuation::default());
     };
     let shared = &call.shared;
     let key = TurnKey::new(call.tenant.as_deref().unwrap_or_default(), previous);
-    let retention = call.route().keeps.map_or(Duration::ZERO, |keeps| keeps.retention);
+    let retention = call.route().turn_retention.map_or(Duration::ZERO, |keeps| keeps.retention);
     fetch_line(call, key).await;
     let last = read(shared, key).await?.ok_or_else(|| {
         // A caller that is denied a turn gives up; only a host without any doubt does so.
--- a/crates/policy/tests/entry_routes.rs
+++ b/crates/policy/tests/entry_routes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use camphorwalk_core::entry::{CallLimits, Repeat, Route, Routing, ServiceShare};
+use camphorwalk_core::entry::{CallLimits, RetryPolicy, Route, Routing, WeightedService};
 use camphorwalk_core::messages::entry::CrashReport;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::crashes::{Crashes, Fingerprint};
@@ -12,22 +12,23 @@
 use camphorwalk_policy::entry::turns::{Turn, TurnCache, TurnKey};
 
 fn route(hostname: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
-    let services =
-        services.iter().map(|(s, weight)| ServiceShare { service: (*s).into(), weight: *weight });
+    let services = services
+        .iter()
+        .map(|(s, weight)| WeightedService { service: (*s).into(), weight: *weight });
 
     Route {
         name: prefix.into(),
         hostname: hostname.into(),
         prefix: prefix.into(),
         services: services.collect(),
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         max_targets: 1,
         timeout: None,
         latency_objective: Duration::from_millis(200),
         rank: 0,
         public: true,
         sticky: false,
-        keeps: None,
+        turn_retention: None,
     }
 }
 
