--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -126,7 +126,7 @@
         let body = format!("{{\"error\":\"{}\"}}\n", self.reason);
         let mut answer = Response::new(AnswerBody::Whole(Some(body.into())));
         *answer.status_mut() = self.status;
-        *answer.headers_mut() = head::own_answer(request_id, self.retry_after);
+        *answer.headers_mut() = head::local_answer_headers(request_id, self.retry_after);
 
         answer
     }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use camphorwalk_adapter::head::{self, Ids};
+use camphorwalk_adapter::head::{self, LogIds};
 use camphorwalk_core::entry::{CallHead, Route, Routing};
 use camphorwalk_core::hash::stable_hash;
 use camphorwalk_core::time::Instant;
@@ -214,7 +214,7 @@
     let began = clock::now();
     let open = shared.open();
     let was_chunked = req.headers().contains_key(header::TRANSFER_ENCODING);
-    let Ids { request: request_id, program } = head::read_ids(req.headers());
+    let LogIds { request: request_id, program } = head::read_ids(req.headers());
     let mut known = Known::default();
 
     let result = attempt(&shared, req, began, open, &mut known).await;
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use camphorwalk_adapter::head::{self, AnswerHead, Outgoing};
+use camphorwalk_adapter::head::{self, AnswerHead, OutgoingHeaders};
 use camphorwalk_policy::entry::crashes::Fingerprint;
 use camphorwalk_policy::entry::placement::{Outcome, TargetKey};
 use http::{Request, Response};
@@ -111,7 +111,7 @@
 
 async fn exchange(sending: &Sending<'_>, mut connection: Connection, target: &str) -> Exchange {
     let call = sending.call;
-    let outgoing = Outgoing {
+    let outgoing = OutgoingHeaders {
         target,
         tenant: call.tenant.as_deref(),
         remaining: clock::until(call.deadline),
@@ -150,18 +150,18 @@
     let request_id = &sending.call.head.request_id;
     let head = head::read_answer(request_id, response.status(), response.headers());
 
-    if head.not_run && head.matches {
+    if head.not_run && head.matches_request {
         sending.call.not_run();
-        if head.other_instance {
+        if head.wrong_instance {
             place.end(Outcome::Failed);
             return Sent::NotRun("another target has the address");
         }
         let key = place.key;
         place.end(Outcome::Shed);
-        drain(sending, key, response, connection, head.keeps_for.filter(|_| !head.closes));
+        drain(sending, key, response, connection, head.keep_alive.filter(|_| !head.closes));
         return Sent::NotRun("the target is full");
     }
-    if !head.matches {
+    if !head.matches_request {
         place.end(Outcome::Failed);
         return Sent::Unknown { reason: "the answer is to another call", crashed: false };
     }
@@ -180,7 +180,7 @@
         return;
     }
 
-    let (shared, keeps_for) = (Rc::clone(shared), head.keeps_for);
+    let (shared, keeps_for) = (Rc::clone(shared), head.keep_alive);
     tokio::task::spawn_local(async move {
         shared.connections.put_back(key, connection, keeps_for).await;
     });
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -129,7 +129,7 @@
     );
 
     match () {
-        () if head.encoded => Some("the answer has a content encoding"),
+        () if head.has_content_encoding => Some("the answer has a content encoding"),
         () if status.is_success() && !head.signed => Some("the answer is not signed"),
         () if promises => Some("the target promised what it cannot"),
         () => None,
