--- a/crates/camphorwalk/tests/soak/callers.rs
+++ b/crates/camphorwalk/tests/soak/callers.rs
@@ -9,8 +9,8 @@
 use rand::{Rng as _, SeedableRng as _};
 
 use crate::ledger::{Answered, BUDGET, Ledger, MOST};
-use crate::support::caller::{Call, Got};
-use crate::support::target::EVENTS;
+use crate::support::caller::{Call, CallResult};
+use crate::support::target::EVENTS_PER_STREAM;
 
 /// What all callers share.
 #[derive(Clone)]
@@ -75,8 +75,8 @@
         let prompt = format!("{before}{input}");
         self.ledger.borrow_mut().prompts.insert(id.into(), prompt.clone());
         let call = Call::new("/kept/")
-            .named(id)
-            .continuing(previous.as_ref().map_or("", |turn| &turn.id))
+            .with_request_id(id)
+            .with_previous_turn(previous.as_ref().map_or("", |turn| &turn.id))
             .body(input);
 
         let Some(got) = self.send(rng, id, &call).await else { return };
@@ -84,7 +84,7 @@
             self.fault(format!("{id} was told {} of {previous:?}", got.status));
         }
         if got.is_served() {
-            let lines: String = (1..=EVENTS).map(|i| format!("word-{i}\n")).collect();
+            let lines: String = (1..=EVENTS_PER_STREAM).map(|i| format!("word-{i}\n")).collect();
             let turn = Answered { id: id.into(), said: prompt + &lines };
             self.ledger.borrow_mut().answered.push(turn.clone());
             said.push(turn);
@@ -100,7 +100,8 @@
                     return;
                 }
                 let id = format!("{program}-{turn}");
-                let call = Call::new("/stream/").named(&id).of_program(&program, BUDGET, MOST);
+                let call =
+                    Call::new("/stream/").with_request_id(&id).with_program(&program, BUDGET, MOST);
                 if let Some(got) = self.send(&mut rng, &id, &call).await {
                     let events = got.text().matches("id:").count() as u64;
                     *self.ledger.borrow_mut().events.entry(program.clone()).or_default() += events;
@@ -117,14 +118,14 @@
                 return;
             }
             let id = format!("{name}-{i}");
-            let call = Call::new("/once/").named(&id).body("deposit");
+            let call = Call::new("/once/").with_request_id(&id).body("deposit");
             self.send(&mut rng, &id, &call).await;
             tokio::time::sleep(PAUSE).await;
         }
     }
 
     /// Sends a call to any host; `None` if no answer came.
-    async fn send(&self, rng: &mut StdRng, id: &str, call: &Call) -> Option<Got> {
+    async fn send(&self, rng: &mut StdRng, id: &str, call: &Call) -> Option<CallResult> {
         let host = self.hosts[rng.random_range(0..self.hosts.len())];
         let got = tokio::time::timeout(PATIENCE, call.try_send(host)).await.ok().flatten();
         let mut ledger = self.ledger.borrow_mut();
@@ -149,12 +150,12 @@
 }
 
 /// A success must bear its target's signature, be to this call, and have all of its events.
-fn check_whole(id: &str, got: &Got, ledger: &mut Ledger) {
+fn check_whole(id: &str, got: &CallResult, ledger: &mut Ledger) {
     if !got.is_signed() || got.request_id() != Some(id) {
         ledger.faults.push(format!("{id} got an answer that is not its own: {:?}", got.headers));
     }
     let events: Vec<_> = got.text().lines().filter_map(|line| line.strip_prefix("id: ")).collect();
-    let all: Vec<_> = (1..=EVENTS).map(|i| i.to_string()).collect();
+    let all: Vec<_> = (1..=EVENTS_PER_STREAM).map(|i| i.to_string()).collect();
     if !events.is_empty() && events != all {
         ledger.faults.push(format!("{id} got events {events:?}"));
     }
--- a/crates/camphorwalk/tests/soak/faults.rs
+++ b/crates/camphorwalk/tests/soak/faults.rs
@@ -10,7 +10,7 @@
 use crate::proxy::Harm;
 use crate::support::default_routes;
 use crate::support::store::Mode;
-use crate::support::target::Manner;
+use crate::support::target::Behavior;
 
 /// What is harmed now, and until when, in steps.
 #[derive(Default)]
@@ -90,7 +90,7 @@
                 None
             }
             4 => {
-                let modes = [Mode::Busy, Mode::LoseAnswers];
+                let modes = [Mode::Unavailable, Mode::DropAnswers];
                 fleet.store.set_mode(modes[rng.random_range(0..modes.len())]);
                 Some(End::Store)
             }
@@ -107,8 +107,13 @@
                 Some(End::HealTargetWay(way))
             }
             8 => {
-                let manners = [Manner::Full, Manner::LoseAnswer, Manner::Crossed, Manner::BreakOff];
-                target(fleet, way).set_manner(manners[rng.random_range(0..manners.len())]);
+                let manners = [
+                    Behavior::Full,
+                    Behavior::DropConnection,
+                    Behavior::WrongRequestId,
+                    Behavior::TruncateStream,
+                ];
+                target(fleet, way).set_behavior(manners[rng.random_range(0..manners.len())]);
                 Some(End::SoundTarget(way))
             }
             9 => {
@@ -154,13 +159,13 @@
 
 fn finish(end: End, fleet: &mut Fleet) {
     match end {
-        End::Store => fleet.store.set_mode(Mode::Up),
+        End::Store => fleet.store.set_mode(Mode::Normal),
         End::StartHost(host) => fleet.start_host(host, false),
         End::WakeHost(host) => fleet.hosts[host].signal(Signal::CONT),
         End::HealStoreWay(host) => fleet.hosts[host].to_store.set(Harm::None),
         End::HealPeerWay(host) => fleet.hosts[host].from_peers.set(Harm::None),
         End::HealTargetWay(way) => fleet.to_targets[way].set(Harm::None),
-        End::SoundTarget(way) => target(fleet, way).set_manner(Manner::Sound),
+        End::SoundTarget(way) => target(fleet, way).set_behavior(Behavior::Normal),
         End::HealZone(zone) => set_zone(fleet, zone, Harm::None),
     }
 }
--- a/crates/camphorwalk/tests/soak/fleet.rs
+++ b/crates/camphorwalk/tests/soak/fleet.rs
@@ -11,7 +11,7 @@
 use crate::support::store::Store;
 use crate::support::target::Target;
 use crate::support::{
-    HostPorts, PATIENT, SETTINGS_VARIABLE, caller, default_routes, settings_text,
+    HostPorts, SETTINGS_VARIABLE, TEST_TIMEOUT, caller, default_routes, settings_text,
 };
 
 /// The zones, with the hosts of each.
@@ -139,7 +139,7 @@
         let ip = own_ip(self.hosts.len());
         let peers = SocketAddr::new(ip, PEERS_PORT);
         let from_peers = Proxy::start(peers).await;
-        self.store.alias(peers, from_peers.address);
+        self.store.set_address_alias(peers, from_peers.address);
 
         self.hosts.push(Host {
             name: format!("host-{zone}-{i}"),
@@ -189,7 +189,7 @@
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(PATIENT, all_ready).await.expect("all hosts are ready again");
+        tokio::time::timeout(TEST_TIMEOUT, all_ready).await.expect("all hosts are ready again");
 
         // They hear each other.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
--- a/crates/camphorwalk/tests/soak/main.rs
+++ b/crates/camphorwalk/tests/soak/main.rs
@@ -64,7 +64,7 @@
     for seed in seeds() {
         let result = Rc::new(RefCell::new(Vec::new()));
         let written = Rc::clone(&result);
-        let limit = support::PATIENT * 5 + Duration::from_secs(seconds());
+        let limit = support::TEST_TIMEOUT * 5 + Duration::from_secs(seconds());
         support::run_for(limit, async move { *written.borrow_mut() = soak(seed).await });
         for promise in result.borrow().iter() {
             eprintln!("seed {seed}: {promise}");
@@ -139,7 +139,8 @@
             let input = format!("<{id}>");
             let prompt = format!("{}{input}", turn.said);
             callers.ledger.borrow_mut().prompts.insert(id.clone(), prompt);
-            let call = Call::new("/kept/").named(&id).continuing(&turn.id).body(input);
+            let call =
+                Call::new("/kept/").with_request_id(&id).with_previous_turn(&turn.id).body(input);
             if call.try_send(host).await.is_some_and(|got| got.is_served()) {
                 return;
             }
