--- a/crates/camphorwalk/src/platform_host.rs
+++ b/crates/camphorwalk/src/platform_host.rs
@@ -69,12 +69,12 @@
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => match load(&path) {
-                Ok(settings) => host.reloaded(&settings),
+                Ok(settings) => host.on_settings_reloaded(&settings),
                 Err(e) => warn!("host: settings not understood, goes on with the old ones: {e:#}"),
             },
         }
     }
-    host.leave().await;
+    host.shut_down().await;
 
     Ok(())
 }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -370,20 +370,20 @@
     }
 
     /// Returns where it is asked whether it is ready.
-    pub fn ready_address(&self) -> SocketAddr {
+    pub fn readiness_address(&self) -> SocketAddr {
         self.ready
     }
 
     /// Takes in that the settings file was read anew. A process keeps its addresses; nothing
     /// else of the settings changes while it runs.
-    pub fn reloaded(&self, settings: &EntrySettings) {
+    pub fn on_settings_reloaded(&self, settings: &EntrySettings) {
         let same = *settings == self.shared.settings;
         info!(same, "host: settings read again");
     }
 
     /// Leaves: says that it is not ready, serves what comes until callers have moved on, and
     /// returns when nothing is open or the grace period is over.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         let shared = &self.shared;
         shared.leaving.set(Some(clock::now()));
         info!(open = shared.open_requests.get(), "host: leaving");
