--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use camphorwalk_adapter::head::{self, Ids};
+use camphorwalk_adapter::head::{self, LogIds};
 use camphorwalk_core::entry::{CallHead, Route, Routing};
 use camphorwalk_core::hash::stable_hash;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::attempts::Attempts;
 use camphorwalk_policy::entry::crashes::Fingerprint;
-use camphorwalk_policy::entry::placement::Shape;
+use camphorwalk_policy::entry::placement::PlacementRequest;
 use camphorwalk_policy::entry::rates::Admission;
 use camphorwalk_policy::entry::routes;
 use camphorwalk_policy::entry::waiting::Urgency;
@@ -97,21 +97,21 @@
 
     /// Returns the name of the line of calls that are best served by one target.
     fn line(head: &CallHead) -> &str {
-        let named = head.session.as_deref().or(head.affinity.as_deref());
+        let named = head.session.as_deref().or(head.affinity_key.as_deref());
 
         named.unwrap_or(&head.request_id)
     }
 
     /// Returns what placement is told of it.
-    pub(crate) fn shape(&self) -> Shape {
+    pub(crate) fn shape(&self) -> PlacementRequest {
         let parts: Vec<_> = self.head.prefix.iter().map(|p| (p.id, p.tokens)).collect();
-        let named = self.head.affinity.as_deref().filter(|_| self.route().sticky);
+        let named = self.head.affinity_key.as_deref().filter(|_| self.route().sticky);
         let object = named.filter(|_| parts.is_empty()).map(|o| stable_hash(&[o.as_bytes()]));
-        let begins = self.is_new.get().then_some(self.route().rank);
+        let new_program_rank = self.is_new.get().then_some(self.route().rank);
 
         let seed = stable_hash(&[self.head.request_id.as_bytes()]);
 
-        Shape { begins, parts, object, avoid: Vec::new(), seed }
+        PlacementRequest { new_program_rank, parts, object, avoid: Vec::new(), seed }
     }
 
     /// Returns how urgent it is.
@@ -130,7 +130,7 @@
     /// nothing, and its prompt has no part of a parent's line between the shared part and its
     /// own.
     pub(crate) fn may_be_first(&self) -> bool {
-        self.head.begins_line() && self.has_no_parent()
+        self.head.starts_conversation() && self.has_no_parent()
     }
 
     fn has_no_parent(&self) -> bool {
@@ -142,7 +142,7 @@
 
     /// Returns whether it begins a program, as far as this host can tell.
     fn begins_program(&self) -> bool {
-        self.route().repeat.is_stream()
+        self.route().retry_policy.is_stream()
             && self.may_be_first()
             && !self.shared.places.is_under_way(self.head.program.as_deref())
     }
@@ -214,7 +214,7 @@
     let began = clock::now();
     let open = shared.open();
     let was_chunked = req.headers().contains_key(header::TRANSFER_ENCODING);
-    let Ids { request: request_id, program } = head::read_ids(req.headers());
+    let LogIds { request: request_id, program } = head::read_ids(req.headers());
     let mut known = Known::default();
 
     let result = attempt(&shared, req, began, open, &mut known).await;
@@ -278,7 +278,7 @@
 
     // Only calls that run count towards a tenant's rate.
     if let (Err(_), false, Some(tenant)) = (&result, call.may_have_run(), &call.tenant) {
-        call.shared.rates.borrow_mut().give_back(tenant);
+        call.shared.rates.borrow_mut().refund(tenant);
     }
     result
 }
@@ -372,7 +372,7 @@
         return Ok(None);
     }
 
-    let index = head.key.as_ref().and_then(|key| routing.keys.get(key));
+    let index = head.api_key.as_ref().and_then(|key| routing.keys.get(key));
     let unknown = || Refusal::wrong(StatusCode::UNAUTHORIZED, "the key is not known");
 
     index.map(|i| Some(routing.tenants[*i].name.clone())).ok_or_else(unknown)
@@ -393,7 +393,7 @@
 
 /// Refuses what must not run: calls that bring targets down, and those over the tenant's rate.
 async fn admit(call: &Call) -> Result<(), Refusal> {
-    if call.shared.crashes.borrow().is_barred(call.fingerprint) {
+    if call.shared.crashes.borrow().is_blocked(call.fingerprint) {
         return Err(Refusal::wrong(
             StatusCode::SERVICE_UNAVAILABLE,
             "targets went down under this call",
@@ -431,12 +431,12 @@
         request = %call.head.request_id, tenant = %tenant, is_new = call.is_new.get(),
         waited_ms = waited.as_millis() as u64, level = state.level, rate = state.rate,
         demand = state.demand, others_demand = state.others_demand,
-        withheld = state.withheld, "rate: over"
+        withheld = state.reserved, "rate: over"
     );
 }
 
 async fn forward(call: Rc<Call>) -> Result<Answer, Refusal> {
-    if !call.route().repeat.is_stream() {
+    if !call.route().retry_policy.is_stream() {
         return plain::forward(&call).await;
     }
 
