--- a/crates/policy/src/entry/budgets.rs
+++ b/crates/policy/src/entry/budgets.rs
@@ -1,18 +1,20 @@
-//! Programs' budgets of tokens over all hosts, by grants that are written to the store.
+//! Token budgets of programs, enforced across all hosts by grants recorded in the store.
 //!
-//! A row for each program holds its budget and how many tokens each run of a host was granted.
-//! A host spends from its own grant without asking; before it spends more it raises its grant
-//! by a transaction on the row's version. So the tokens of all hosts together never exceed the
-//! budget, over restarts, cuts and lost answers: what a host that died was granted counts as
-//! spent.
+//! The store has one row per program. It holds the program's budget and how many tokens each run of
+//! a host (`RunId`) has been granted. A host spends from its own grant without coordination. To
+//! spend more it raises its grant in a transaction that is conditional on the row's version. The
+//! grants, and so the tokens that all hosts spend, never exceed the budget, even across restarts,
+//! network partitions and lost answers: whatever a dead host was granted counts as spent.
 //!
-//! While the store is away for all, one host at a time grants in its place: the first in a fixed
-//! order of those that a majority of the hosts hears. Its grants are *loose* until they are
-//! written, and are from a share of the budget that the store does not grant (`shares`). Figures of
-//! a row only grow, so rows that were written apart are merged by the highest figure of each run.
+//! During an outage of the store, one host at a time grants tokens in its place: the first live
+//! host in a fixed order per program, provided that a majority of the fleet is live from its point
+//! of view. A host is live if a status update of it has arrived recently. Such grants are
+//! *unstored* until they are written to the store. They come from a share of the budget that the
+//! store does not grant (see `shares`). The figures in a row only ever grow, so rows that were
+//! changed independently are merged by taking the highest figure for each run.
 //!
-//! Tokens that a host was granted and does not need may go to another host without a row that tells
-//! of it: what one receives the other no longer has.
+//! A host can also hand unused tokens directly to another host without changing the row: each
+//! transfer reduces the sender's balance by what it adds to the receiver's.
 
 mod account;
 mod row;
@@ -29,42 +31,46 @@
 use account::Account;
 pub use row::{BudgetRow, Claim, KnownRow, ProgramKey, RunId};
 
-/// The part of the free budget that a grant may take beyond what a turn needs. More saves
-/// writes; less strands fewer tokens at a host that dies or that the program leaves.
-const SPARE_PART: u64 = 4;
+/// A grant may exceed what the turn needs by the free budget divided by this. A smaller divisor
+/// saves writes; a larger one strands fewer tokens on a host that dies or that the program leaves.
+const SPARE_DIVISOR: u64 = 4;
 
-/// After how long a host that spends from its grant writes the row again: rows outlive the time in
-/// which a program may return by more than this, counted from their last write.
+/// A host that keeps spending from an existing grant rewrites the row after this time, so that
+/// other hosts do not delete it as idle. Rows are kept for more than this beyond the time within
+/// which a program may return, counted from their last write.
 const REFRESH_AFTER: Duration = Duration::from_secs(20);
 
-/// What comes of asking for a turn's tokens.
+/// Result of reserving a turn's tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// They are reserved.
+    /// The tokens are reserved.
     Reserved,
-    /// The row is to be written with this content, if it still has this version; then ask again.
+    /// The caller has to write this row, provided that the stored one still has this version, and
+    /// then reserve again.
     Write(BudgetRow, RowVersion),
-    /// The rest of the budget may be granted without the store.
+    /// The remaining budget is not granted by the store, because hosts may grant it without the
+    /// store.
     Withheld(Doubt),
-    /// The budget is spent. `certain` tells that no other host can have tokens left over.
+    /// The budget does not cover the turn.
     Spent {
-        /// Whether all that was granted elsewhere is known to be spent.
+        /// Whether no other host can have tokens left over.
         certain: bool,
     },
 }
 
-/// What comes of asking for a grant to a run of a host.
+/// Result of requesting a grant for a run of a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Proposal {
-    /// The row is to be written with this content, if it still has this version.
+    /// The caller has to write this row, provided that the stored one still has this version.
     Write(BudgetRow, RowVersion),
-    /// The rest of the budget may be granted without the store.
+    /// The remaining budget is not granted by the store, because hosts may grant it without the
+    /// store.
     Withheld(Doubt),
-    /// The budget does not hold the turn.
+    /// The budget does not cover the turn.
     Spent,
 }
 
-/// The programs that run turns at this host.
+/// The budgets of the programs that this host knows of.
 #[derive(Clone, Debug)]
 pub struct Budgets {
     run: RunId,
@@ -72,7 +78,7 @@
 }
 
 impl Budgets {
-    /// Begins with no programs.
+    /// Creates an instance for a run of a host, without any programs.
     ///
     /// ```
     /// use camphorwalk_policy::entry::budgets::{Budgets, ProgramKey, Reservation, RunId};
@@ -90,7 +96,7 @@
         Self { run, accounts: Map::default() }
     }
 
-    /// Asks for the `most` tokens of a turn, where nothing is granted without the store.
+    /// Reserves `most` tokens for a turn, with the whole budget available from the store.
     pub fn reserve(
         &mut self,
         now: Instant,
@@ -101,7 +107,8 @@
         self.reserve_within(now, program, budget, most, Limit::Whole)
     }
 
-    /// Asks for the `most` tokens of a turn. What this host holds already is not subject to `limit`.
+    /// Reserves `most` tokens for a turn. `limit` restricts new grants only, not the tokens that
+    /// this host already holds.
     pub fn reserve_within(
         &mut self,
         now: Instant,
@@ -112,19 +119,21 @@
     ) -> Reservation {
         let run = self.run;
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, budget));
-        account.used_at = now;
+        account.last_used = now;
 
         let needed = account.spent + account.reserved + most;
-        if account.may_spend(run) >= needed {
+        if account.spendable(run) >= needed {
             account.reserved += most;
-            account.stale |= now.since(account.written_at) > REFRESH_AFTER;
+            account.refresh_due |= now.since(account.written_at) > REFRESH_AFTER;
             return Reservation::Reserved;
         }
-        let missing = needed.saturating_sub(account.has(run));
+        let missing = needed.saturating_sub(account.balance(run));
         let total = account.row.held() + missing;
         if total > account.row.budget {
             let others = account.row.held() - account.row.held_by(run);
-            return Reservation::Spent { certain: others == 0 && account.given.is_empty() };
+            return Reservation::Spent {
+                certain: others == 0 && account.transferred_to.is_empty(),
+            };
         }
         let limited = limit.tokens(account.row.budget, most);
         if let Limit::Share(doubt) = limit
@@ -139,7 +148,7 @@
         Reservation::Write(row, account.version)
     }
 
-    /// Takes in what the store holds of a program: after a write, a conflict or a read.
+    /// Merges a program's row as the store holds it, obtained by a write, a conflict or a read.
     pub fn learn(
         &mut self,
         now: Instant,
@@ -152,18 +161,19 @@
         if version < account.version {
             return;
         }
-        // Somebody was granted tokens just now, and may return later than this host's own turns.
+        // Another host was granted tokens just now, and the program may return there later than the
+        // last turn on this host.
         if version > account.version {
-            account.used_at = now;
+            account.last_used = now;
         }
         account.version = version;
         account.stored = row.granted();
         account.merge(&row);
-        account.assure(self.run, &row);
-        account.loose &= account.row != row;
+        account.mark_assured(self.run, &row);
+        account.has_unstored &= account.row != row;
     }
 
-    /// Takes in that this host has written a row.
+    /// Records that this host has written a row.
     pub fn wrote(
         &mut self,
         now: Instant,
@@ -174,23 +184,24 @@
         self.learn(now, program, row, version);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.written_at = now;
-            account.stale = false;
+            account.refresh_due = false;
         }
     }
 
-    /// Takes in that the store has no row of a program: what this host knows is written anew.
+    /// Records that the store has no row for a program. All that this host knows of then has to be
+    /// written again.
     pub fn absent(&mut self, now: Instant, program: ProgramKey) {
         if let Some(account) = self.accounts.get_mut(&program) {
             account.version = RowVersion::ABSENT;
             account.stored = 0;
-            account.loosen(now);
+            account.mark_unstored(now);
         }
     }
 
-    /// Returns the row with a turn's tokens granted to the run `run` of a host, where nothing is
-    /// granted without the store. `known` is what the asking host knows of it.
+    /// Returns the row to write so that the run `run` is granted `most` more tokens, with the whole
+    /// budget available from the store. `known` is the row as the requesting host knows it.
     ///
-    /// Returns `None` if the budget does not hold the turn.
+    /// Returns `None` if the budget does not cover the turn.
     pub fn propose(
         &mut self,
         now: Instant,
@@ -199,7 +210,7 @@
         most: u64,
         known: &BudgetRow,
     ) -> Option<(BudgetRow, RowVersion)> {
-        let claim = self.further(program, run, most, known);
+        let claim = self.additional_claim(program, run, most, known);
 
         match self.propose_within(now, program, claim, known, Limit::Whole) {
             Proposal::Write(row, version) => Some((row, version)),
@@ -207,8 +218,8 @@
         }
     }
 
-    /// Asks for what a host lacks of a turn's tokens, which the store is to grant. `known` is what that
-    /// host knows of the row.
+    /// Determines whether the store may grant `claim`, and the row to write if so. `known` is the
+    /// row as the requesting host knows it.
     pub fn propose_within(
         &mut self,
         now: Instant,
@@ -219,7 +230,7 @@
     ) -> Proposal {
         let account =
             self.accounts.entry(program).or_insert_with(|| Account::new(now, known.budget));
-        account.used_at = now;
+        account.last_used = now;
         account.merge(known);
 
         let mut row = account.row.clone();
@@ -234,13 +245,13 @@
         }
     }
 
-    /// Grants a turn's tokens to the run `run` of a host, in the store's place, and returns the
-    /// row as it then stands. `known` is what the asking host knows of it. The run may spend them
-    /// when a host of another zone has taken note of the row.
+    /// Grants `most` more tokens to the run `run` without the store, and returns the resulting row.
+    /// `known` is the row as the requesting host knows it. The run may spend the tokens once a host
+    /// of another zone has acknowledged the row.
     ///
-    /// Returns `None` if the budget does not hold the turn, or the share of it that is granted
+    /// Returns `None` if the budget does not cover the turn, or if the share that is granted
     /// without the store does not.
-    pub fn grant_loose(
+    pub fn grant_turn_without_store(
         &mut self,
         now: Instant,
         program: ProgramKey,
@@ -248,12 +259,12 @@
         most: u64,
         known: &BudgetRow,
     ) -> Option<BudgetRow> {
-        let claim = self.further(program, run, most, known);
+        let claim = self.additional_claim(program, run, most, known);
 
         self.grant_claim(now, program, claim, known)
     }
 
-    /// Grants what a host lacks of a turn's tokens, as `grant_loose`.
+    /// Grants `claim` without the store, under the same conditions as `grant_turn_without_store`.
     pub fn grant_claim(
         &mut self,
         now: Instant,
@@ -264,72 +275,77 @@
         let proposal = self.propose_within(now, program, claim, known, Limit::Whole);
         let Proposal::Write(row, _) = proposal else { return None };
         let account = self.accounts.get_mut(&program)?;
-        let loose = row.granted().saturating_sub(account.stored);
-        if loose > share_without_store(row.budget, claim.most) {
+        let unstored = row.granted().saturating_sub(account.stored);
+        if unstored > share_without_store(row.budget, claim.most) {
             return None;
         }
 
         account.row = row;
-        account.loosen(now);
+        account.mark_unstored(now);
         Some(account.row.clone())
     }
 
-    /// Takes in a row with loose grants to this host, of which a host of another zone has taken
-    /// note.
+    /// Merges a row with unstored grants to this host, after a host of another zone has
+    /// acknowledged it. The grants may be spent from now on.
     pub fn learn_loose(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         self.witness(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
-            account.assure(self.run, row);
+            account.mark_assured(self.run, row);
         }
     }
 
-    /// Takes note of a row with loose grants, which may come to nothing.
+    /// Merges a row with unstored grants reported by another host. This alone does not allow this
+    /// host to spend them: if no host of another zone acknowledges the row, they never take effect.
     pub fn witness(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, row.budget));
-        account.used_at = now;
+        account.last_used = now;
         let before = account.row.clone();
         account.merge(row);
         if account.row != before {
-            account.loosen(now);
+            account.mark_unstored(now);
         }
     }
 
-    /// Takes in a row with a grant to this host that another one has written.
+    /// Merges a row that another host has written to the store with a grant to this host. The grant
+    /// may be spent from now on.
     pub fn learn_written(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         self.note(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
-            account.assure(self.run, row);
+            account.mark_assured(self.run, row);
         }
     }
 
-    /// Takes in how a program's row stands at another host, which writes it itself.
+    /// Merges a row as another host knows it. That host is responsible for writing it.
     pub fn note(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, row.budget));
-        account.used_at = now;
+        account.last_used = now;
         account.merge(row);
     }
 
-    /// Takes in how a program's row stands at another host, and how much of it the store has.
+    /// Merges a row as another host knows it, along with how many of its tokens are stored.
     pub fn note_known(&mut self, now: Instant, program: ProgramKey, known: &KnownRow) {
         self.note(now, program, &known.row);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.stored = account.stored.max(known.stored);
-            // A grant that the store has may be spent, also if it came after its host gave up.
-            if account.granted_loose() == 0 {
+            // If the whole row is stored, this host may spend its grant, even if the grant was
+            // written only after this host had stopped waiting for it.
+            if account.unstored_tokens() == 0 {
                 account.assured = account.assured.max(account.row.granted_to(self.run));
             }
         }
     }
 
-    /// Gives back what this host was granted and does not need now, and returns the row as it
-    /// then stands: asked by a host that finds the budget spent.
+    /// Returns this host's unused tokens to the budget, and returns the resulting row. Requested by
+    /// a host that finds the budget spent.
     ///
-    /// What a run has given back only grows and is set by that run alone, so that rows can be
-    /// merged as before. If the asking host does not write it, the tokens are lost, not doubled.
+    /// The returned total of a run only grows and is changed by that run alone, so rows still merge
+    /// by the highest figure. If the requesting host does not write the row, the tokens are lost
+    /// but never granted twice.
     pub fn yield_rest(&mut self, program: ProgramKey) -> Option<BudgetRow> {
         let account = self.accounts.get_mut(&program)?;
-        let rest = account.has(self.run).saturating_sub(account.spent + account.reserved);
-        // What other runs were granted is theirs in the row.
+        let rest = account.balance(self.run).saturating_sub(account.spent + account.reserved);
+        // Tokens received from other runs are recorded in the row as granted to those runs, so this
+        // run cannot return them.
         let rest = rest.min(account.row.held_by(self.run));
 
         if rest > 0 {
@@ -338,11 +354,11 @@
         Some(account.row.clone())
     }
 
-    /// Returns what this host lacks of the tokens of a turn.
+    /// Returns the claim for the tokens that this host lacks for a turn of `most` tokens.
     pub fn claim(&self, program: ProgramKey, most: u64) -> Claim {
         let account = self.accounts.get(&program);
         let lacks =
-            |a: &Account| (a.spent + a.reserved + most).saturating_sub(a.may_spend(self.run));
+            |a: &Account| (a.spent + a.reserved + most).saturating_sub(a.spendable(self.run));
 
         Claim {
             run: self.run,
@@ -352,17 +368,23 @@
         }
     }
 
-    /// Returns the claim of a run to so many tokens more than it is known to be granted.
-    fn further(&self, program: ProgramKey, run: RunId, most: u64, known: &BudgetRow) -> Claim {
+    /// Returns a claim of `run` for `most` tokens on top of all that it is known to be granted.
+    fn additional_claim(
+        &self,
+        program: ProgramKey,
+        run: RunId,
+        most: u64,
+        known: &BudgetRow,
+    ) -> Claim {
         let here = self.row(program).map_or(0, |row| row.granted_to(run));
 
         Claim { run, assured: here.max(known.granted_to(run)), missing: most, most }
     }
 
-    /// Gives tokens that this host does not need to the run `to` of another one, until that has
-    /// `total` from here, and returns how many it then has.
+    /// Transfers unused tokens to the run `to` of another host, until it has received `total` from
+    /// this host. Returns how many it has received in all.
     ///
-    /// Totals make it harmless that a question or its reply is lost or comes twice.
+    /// Requests and replies carry totals, so a lost or repeated message does no harm.
     ///
     /// ```
     /// use camphorwalk_policy::entry::budgets::{BudgetRow, Budgets, ProgramKey, Reservation, RunId};
@@ -380,45 +402,46 @@
     /// ```
     pub fn give(&mut self, program: ProgramKey, to: RunId, total: u64) -> u64 {
         let Some(account) = self.accounts.get_mut(&program) else { return 0 };
-        let free = account.may_spend(self.run).saturating_sub(account.spent + account.reserved);
-        let before = account.given.get(&to).copied().unwrap_or(0);
+        let free = account.spendable(self.run).saturating_sub(account.spent + account.reserved);
+        let before = account.transferred_to.get(&to).copied().unwrap_or(0);
         let given = before + free.min(total.saturating_sub(before));
         if given > before {
-            account.given.insert(to, given);
+            account.transferred_to.insert(to, given);
         }
 
         given
     }
 
-    /// Takes in how many tokens this host has been given by the run `from` of another one in all.
+    /// Records that the run `from` of another host has given this host `total` tokens in all.
     pub fn receive(&mut self, program: ProgramKey, from: RunId, total: u64) {
         let Some(account) = self.accounts.get_mut(&program) else { return };
-        let received = account.received.entry(from).or_default();
+        let received = account.transferred_from.entry(from).or_default();
 
-        // Turns that spend them write no row, and others would take it for needless.
-        account.stale |= total > *received;
+        // Turns that spend these tokens do not write the row, so other hosts would consider it idle
+        // and delete it.
+        account.refresh_due |= total > *received;
         *received = total.max(*received);
     }
 
-    /// Returns how many tokens this host has been given by a run of another one in all.
+    /// Returns the total of tokens that this host has received from a run of another host.
     pub fn received(&self, program: ProgramKey, from: RunId) -> u64 {
         let account = self.accounts.get(&program);
 
-        account.and_then(|account| account.received.get(&from)).copied().unwrap_or(0)
+        account.and_then(|account| account.transferred_from.get(&from)).copied().unwrap_or(0)
     }
 
-    /// Returns how many tokens this host has given to a run of another one in all.
+    /// Returns the total of tokens that this host has given to a run of another host.
     pub fn given(&self, program: ProgramKey, to: RunId) -> u64 {
         let account = self.accounts.get(&program);
 
-        account.and_then(|account| account.given.get(&to)).copied().unwrap_or(0)
+        account.and_then(|account| account.transferred_to.get(&to)).copied().unwrap_or(0)
     }
 
-    /// Returns the runs of other hosts that this one has given tokens of a program.
+    /// Returns the runs of other hosts to which this host has given tokens of a program.
     pub fn given_to(&self, program: ProgramKey) -> Vec<RunId> {
         let account = self.accounts.get(&program);
 
-        account.into_iter().flat_map(|a| a.given.keys().copied()).collect()
+        account.into_iter().flat_map(|a| a.transferred_to.keys().copied()).collect()
     }
 
     /// Returns the other runs that hold tokens of a program.
@@ -436,69 +459,71 @@
         self.accounts.get(&program).is_some_and(|account| !account.row.granted.is_empty())
     }
 
-    /// Returns whether this host knows of grants to a program that the store does not have.
+    /// Returns whether this host knows of unstored grants to a program.
     pub fn is_loose(&self, program: ProgramKey) -> bool {
-        self.accounts.get(&program).is_some_and(|account| account.loose)
+        self.accounts.get(&program).is_some_and(|account| account.has_unstored)
     }
 
-    /// Returns the row of a program as this host knows it.
+    /// Returns a program's row as this host knows it.
     pub fn row(&self, program: ProgramKey) -> Option<&BudgetRow> {
         self.accounts.get(&program).map(|account| &account.row)
     }
 
-    /// Returns a program's row as this host knows it, with how much of it the store has.
+    /// Returns a program's row as this host knows it, along with how many of its tokens are stored.
     pub fn known(&self, program: ProgramKey) -> Option<KnownRow> {
         let account = self.accounts.get(&program)?;
 
         Some(KnownRow { row: account.row.clone(), stored: account.stored })
     }
 
-    /// Returns whether the budget does not hold `most` more tokens, as far as this host knows.
+    /// Returns whether the budget does not cover `most` more tokens, as far as this host knows.
     pub fn is_spent(&self, program: ProgramKey, most: u64) -> bool {
         self.row(program).is_some_and(|row| row.held() + most > row.budget)
     }
 
-    /// Returns whether this host answers for grants to any program that the store does not have: its
-    /// own, and those to runs that are not heard by `is_heard`. The others tell of theirs.
-    pub fn answers_for_loose(&self, is_heard: impl Fn(RunId) -> bool) -> bool {
+    /// Returns whether this host has to report unstored grants: those to itself, and those to runs
+    /// that are not live (`is_live`). Live hosts report their own.
+    pub fn answers_for_loose(&self, is_live: impl Fn(RunId) -> bool) -> bool {
         let is_own = |a: &Account| a.row.granted.contains_key(&self.run);
-        let any_silent = |a: &Account| !a.row.granted.keys().all(|run| is_heard(*run));
+        let any_silent = |a: &Account| !a.row.granted.keys().all(|run| is_live(*run));
 
-        self.accounts.values().any(|a| a.loose && (is_own(a) || any_silent(a)))
+        self.accounts.values().any(|a| a.has_unstored && (is_own(a) || any_silent(a)))
     }
 
-    /// Returns a program's row and its version as the store holds it, if this host knows that.
+    /// Returns a program's row and version in the store, if this host knows them.
     pub fn stored(&self, program: ProgramKey) -> Option<(BudgetRow, RowVersion)> {
         let account = self.accounts.get(&program)?;
-        let is_whole = !account.loose && account.granted_loose() == 0;
+        let is_whole = !account.has_unstored && account.unstored_tokens() == 0;
         let is_stored = is_whole && account.version != RowVersion::ABSENT;
 
         is_stored.then(|| (account.row.clone(), account.version))
     }
 
-    /// Returns the programs with grants that the store does not have, with their rows and the
-    /// versions that they replace.
+    /// Returns the rows that this host has to write now, with the versions that they replace: rows
+    /// with unstored grants that are due, and rows to refresh.
     ///
-    /// Whoever spends a grant writes it; several hosts that write one row at the same time make each
-    /// other's writes fail. The others do so if it has not: soon if one that runs the program is
-    /// not heard by `is_heard`, and after a long time anyway.
+    /// The host that spends a grant writes it, because several hosts that write the same row at
+    /// once make each other's writes fail. The other hosts write it only if it is still unstored
+    /// after a while: soon if one of the runs in the row is not live (`is_live`), and after a
+    /// longer time in any case.
     pub fn loose(
         &self,
         now: Instant,
-        is_heard: impl Fn(RunId) -> bool,
+        is_live: impl Fn(RunId) -> bool,
     ) -> Vec<(ProgramKey, BudgetRow, RowVersion)> {
         let is_due = |a: &Account| {
-            let age = now.since(a.loose_since);
-            let all_heard = || a.row.granted.keys().all(|run| is_heard(*run));
+            let age = now.since(a.unstored_since);
+            let all_live = || a.row.granted.keys().all(|run| is_live(*run));
 
-            a.row.granted.contains_key(&self.run) || writes_for_others(age, all_heard)
+            a.row.granted.contains_key(&self.run) || writes_for_others(age, all_live)
         };
-        let due = self.accounts.iter().filter(|(_, a)| a.stale || a.loose && is_due(a));
+        let due =
+            self.accounts.iter().filter(|(_, a)| a.refresh_due || a.has_unstored && is_due(a));
 
         due.map(|(program, a)| (*program, a.row.clone(), a.version)).collect()
     }
 
-    /// Settles a turn: of the `most` tokens reserved, `used` were generated.
+    /// Ends a turn: of the `most` tokens reserved for it, `used` were generated.
     pub fn settle(&mut self, program: ProgramKey, most: u64, used: u64) {
         let Some(account) = self.accounts.get_mut(&program) else { return };
 
@@ -506,42 +531,46 @@
         account.spent += used;
     }
 
-    /// Returns the programs that ran nothing for `idle`, with the versions of their rows, which are
-    /// then needless: to be deleted, and then forgotten.
+    /// Returns the programs that have been inactive for longer than `idle`, with the versions of
+    /// their rows. The caller deletes these rows and then calls `deleted`.
     ///
-    /// What this host spent of a grant is remembered until the row is gone. If it came back to a
-    /// row with its grant, it would spend that again. Programs of others are forgotten at once.
+    /// If this host was granted tokens, it keeps what it has spent of them until the row is
+    /// deleted. Otherwise it could find its grant in the row again and spend it a second time. All
+    /// other programs are removed from memory at once.
     pub fn forget(&mut self, now: Instant, idle: Duration) -> Vec<(ProgramKey, RowVersion)> {
         let run = self.run;
-        let is_old =
-            |a: &Account| a.reserved == 0 && !a.loose && !a.stale && now.since(a.used_at) > idle;
+        let is_old = |a: &Account| {
+            a.reserved == 0 && !a.has_unstored && !a.refresh_due && now.since(a.last_used) > idle
+        };
         let mut old = Vec::new();
 
         self.accounts.retain(|program, account| {
             if !is_old(account) {
                 return true;
             }
-            let is_own = account.row.granted.contains_key(&run) || !account.received.is_empty();
+            let is_own =
+                account.row.granted.contains_key(&run) || !account.transferred_from.is_empty();
             if is_own || account.version != RowVersion::ABSENT {
                 old.push((*program, account.version));
             }
-            // If the row cannot be deleted, this is tried again after `idle`.
-            account.used_at = now;
+            // If the row cannot be deleted, it is returned again after `idle`.
+            account.last_used = now;
             is_own
         });
         old
     }
 
-    /// Takes in that a row is deleted which was needless at `asked`.
-    pub fn deleted(&mut self, now: Instant, program: ProgramKey, asked: Instant) {
+    /// Records that a program's row has been deleted because the program was idle at `idle_at`. If
+    /// it has run since, what this host knows of it has to be written again.
+    pub fn deleted(&mut self, now: Instant, program: ProgramKey, idle_at: Instant) {
         match self.accounts.get(&program) {
-            Some(account) if account.used_at > asked => self.absent(now, program),
+            Some(account) if account.last_used > idle_at => self.absent(now, program),
             _ => drop(self.accounts.remove(&program)),
         }
     }
 }
 
-/// Returns what is granted beyond a turn's need.
+/// Returns how many tokens to grant beyond what the turn needs.
 fn spare(budget: u64, total: u64, most: u64) -> u64 {
-    (budget.saturating_sub(total) / SPARE_PART).min(most)
+    (budget.saturating_sub(total) / SPARE_DIVISOR).min(most)
 }
--- a/crates/policy/src/entry/budgets/account.rs
+++ b/crates/policy/src/entry/budgets/account.rs
@@ -1,4 +1,4 @@
-//! A program at one host: the row as it is known there, and what of it is spent.
+//! A program's account on one host: the row as this host knows it, and the tokens spent from it.
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::platform::RowVersion;
@@ -6,30 +6,31 @@
 
 use crate::entry::budgets::row::{BudgetRow, RunId};
 
-/// A program at this host.
+/// A program's account on this host.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
     pub(super) row: BudgetRow,
     pub(super) version: RowVersion,
-    /// How many tokens the store has granted at least.
+    /// Lower bound of the tokens that the stored row grants.
     pub(super) stored: u64,
-    /// Whether the row has grants that the store does not have yet.
-    pub(super) loose: bool,
-    /// Since when.
-    pub(super) loose_since: Instant,
-    /// When this host wrote the row last.
+    /// Whether the row contains grants that are not known to be in the store.
+    pub(super) has_unstored: bool,
+    /// When the row came to contain such grants.
+    pub(super) unstored_since: Instant,
+    /// When this host last wrote the row.
     pub(super) written_at: Instant,
-    /// Whether the row is to be written again, so that it is not taken for needless.
-    pub(super) stale: bool,
-    /// What this run was granted as far as the store or a host of another zone has it.
+    /// Whether the row has to be written again so that other hosts do not delete it as idle.
+    pub(super) refresh_due: bool,
+    /// How many of the tokens granted to this run it may spend, because the store or a host of
+    /// another zone has recorded the grant.
     pub(super) assured: u64,
-    /// The tokens that this run has given to each other one in all.
-    pub(super) given: Map<RunId, u64>,
-    /// The tokens that this run has received from each other one in all.
-    pub(super) received: Map<RunId, u64>,
+    /// Total tokens that this run has given to each other run.
+    pub(super) transferred_to: Map<RunId, u64>,
+    /// Total tokens that this run has received from each other run.
+    pub(super) transferred_from: Map<RunId, u64>,
     pub(super) spent: u64,
     pub(super) reserved: u64,
-    pub(super) used_at: Instant,
+    pub(super) last_used: Instant,
 }
 
 impl Account {
@@ -38,60 +39,61 @@
             row: BudgetRow { budget, ..BudgetRow::default() },
             version: RowVersion::ABSENT,
             stored: 0,
-            loose: false,
-            loose_since: now,
+            has_unstored: false,
+            unstored_since: now,
             written_at: now,
-            stale: false,
+            refresh_due: false,
             assured: 0,
-            given: Map::default(),
-            received: Map::default(),
+            transferred_to: Map::default(),
+            transferred_from: Map::default(),
             spent: 0,
             reserved: 0,
-            used_at: now,
+            last_used: now,
         }
     }
 
-    /// Takes note that the row has grants that the store does not have.
-    pub(super) fn loosen(&mut self, now: Instant) {
-        if !self.loose {
-            self.loose = true;
-            self.loose_since = now;
+    /// Records that the row contains grants that the store does not have.
+    pub(super) fn mark_unstored(&mut self, now: Instant) {
+        if !self.has_unstored {
+            self.has_unstored = true;
+            self.unstored_since = now;
         }
     }
 
-    /// Takes note that what a row grants to a run may be spent by it.
-    pub(super) fn assure(&mut self, run: RunId, row: &BudgetRow) {
+    /// Records that `run`, which is this run, may spend all that `row` grants to it.
+    pub(super) fn mark_assured(&mut self, run: RunId, row: &BudgetRow) {
         self.assured = self.assured.max(row.granted_to(run));
     }
 
-    /// Returns what this run, which is `run`, has of its own grants and those of others.
-    pub(super) fn has(&self, run: RunId) -> u64 {
-        let received: u64 = self.received.values().sum();
-        let given: u64 = self.given.values().sum();
+    /// Returns the tokens that this run (`run`) holds, spent ones included: its own grant with
+    /// transfers from and to other runs.
+    pub(super) fn balance(&self, run: RunId) -> u64 {
+        let received: u64 = self.transferred_from.values().sum();
+        let given: u64 = self.transferred_to.values().sum();
 
         (self.row.held_by(run) + received).saturating_sub(given)
     }
 
-    /// Returns what this run may spend. When trouble begins, one host may still write a grant while
-    /// another is granted the same tokens in the store's place. Whoever learns of both does not spend
-    /// what is too much.
-    pub(super) fn may_spend(&self, run: RunId) -> u64 {
+    /// Returns how many tokens this run may spend in all. At the start of an outage, one host may
+    /// still be writing a grant while another host grants the same tokens without the store. A run
+    /// that learns of both grants does not spend the excess over the budget.
+    pub(super) fn spendable(&self, run: RunId) -> u64 {
         let excess = self.row.held().saturating_sub(self.row.budget);
 
-        self.has(run).saturating_sub(excess).saturating_sub(self.unassured(run))
+        self.balance(run).saturating_sub(excess).saturating_sub(self.unassured(run))
     }
 
-    /// Returns what a run was granted and may not spend yet.
+    /// Returns how many of the tokens granted to a run it may not spend yet.
     pub(super) fn unassured(&self, run: RunId) -> u64 {
         self.row.granted_to(run).saturating_sub(self.assured)
     }
 
-    /// Returns how many tokens were granted without the store and may not be in it.
-    pub(super) fn granted_loose(&self) -> u64 {
+    /// Returns how many of the granted tokens may not be in the store.
+    pub(super) fn unstored_tokens(&self) -> u64 {
         self.row.granted().saturating_sub(self.stored)
     }
 
-    /// Takes over the higher figure of each run.
+    /// Merges a row by taking the higher figure of each run.
     pub(super) fn merge(&mut self, row: &BudgetRow) {
         if self.row.budget == 0 {
             self.row.budget = row.budget;
--- a/crates/policy/src/entry/host_rows.rs
+++ b/crates/policy/src/entry/host_rows.rs
@@ -1,42 +1,43 @@
-//! Which of the hosts that have a row in the store are there.
+//! Determines from the rows in the store which hosts are gone.
 //!
-//! A host writes its row again and again; nobody removes that of a host that was replaced for good.
+//! A running host rewrites its row as a heartbeat. Nothing removes the row of a host that was
+//! replaced for good.
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::platform::RowVersion;
 
-/// A host whose row was read so often without a change is gone: it could not write it for longer than a
-/// cut mostly lasts.
+/// After this many reads without a change, a host counts as gone. It has then been unable to write
+/// its row for longer than most network partitions last.
 pub const READS_TO_GONE: u32 = 4;
 
-/// What a read tells of a host.
+/// What a read of a host's row says about the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It wrote its row since the last read, or the row was not known.
+    /// The row has changed since the last read, or was not known before.
     Wrote,
-    /// It may be there.
+    /// The row has not changed, but the host may still be running.
     Silent,
-    /// It is gone until it writes its row again.
+    /// The host counts as gone until it writes its row again.
     Gone,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     version: RowVersion,
-    /// How often the row was read since it changed.
+    /// How many due reads have found the row unchanged.
     unchanged: u32,
 }
 
-/// The rows as they were read last.
+/// The rows of the hosts as last read.
 #[derive(Clone, Debug, Default)]
 pub struct HostRows {
     seen: Map<HostId, Seen>,
 }
 
 impl HostRows {
-    /// Takes in that the row of a host was read at a version. `is_due` tells that the host has had the
-    /// time to write it again since the last read, and was not heard otherwise.
+    /// Records that a host's row was read at `version`. `is_due` says that the host has had time to
+    /// write the row since the last read, and is not live by its status updates.
     ///
     /// ```
     /// use camphorwalk_core::ids::HostId;
--- a/crates/policy/src/entry/isolation.rs
+++ b/crates/policy/src/entry/isolation.rs
@@ -1,50 +1,51 @@
-//! Whether a host is cut off from all that could keep what it promises.
+//! Whether a host is isolated: partitioned from everything that could store its turns.
 
-/// Whom of some other hosts a host hears.
+/// Whether any of a group of other hosts is live, that is, a status update of it has arrived
+/// recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
     /// It knows of no such host.
     NoneKnown,
-    /// It knows of some and hears none of them.
+    /// It knows of such hosts, and none of them is live.
     Silent,
-    /// It hears one or more.
+    /// At least one of them is live.
     Heard,
 }
 
-/// What a host reaches.
+/// What a host can reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Surroundings {
-    /// Whether the store answers it, or a host that it hears.
+    /// Whether the store answers this host or a live one.
     pub store_in_reach: bool,
-    /// Whom it hears in other availability zones.
+    /// Contact with hosts in other availability zones.
     pub other_zones: Contact,
-    /// Whom it hears at all.
+    /// Contact with any other host.
     pub others: Contact,
 }
 
-/// Returns whether a host is cut off, by itself or with its availability zone.
+/// Returns whether a host is isolated, alone or together with its availability zone.
 ///
-/// What a host that is cut off holds in memory, even at all hosts of its zone, is lost if the
-/// machines lose power before the cut heals, though callers were told that it is kept. Its callers
-/// are served in full by other zones, to which the balancer moves them when the host says that
-/// it is not ready. A host that hears other zones while the store is away for all is not cut off:
-/// no zone can do more.
+/// An isolated host could keep turns in memory only, even if all hosts of its zone had copies. They
+/// would be lost if the machines lost power before the partition heals, although callers were told
+/// that the turns are stored. Other zones can serve its callers in full: the load balancer moves
+/// them there once the host reports that it is not ready. If hosts of other zones are live while
+/// the store is unavailable to all, the host is not isolated, because no zone could do better.
 ///
 /// ```
 /// use camphorwalk_policy::entry::isolation::{Contact, Surroundings, is_isolated};
-/// let cut = Surroundings {
+/// let partitioned = Surroundings {
 ///     store_in_reach: false,
 ///     other_zones: Contact::Silent,
 ///     others: Contact::Heard,
 /// };
-/// assert!(is_isolated(cut));
-/// assert!(!is_isolated(Surroundings { store_in_reach: true, ..cut }));
+/// assert!(is_isolated(partitioned));
+/// assert!(!is_isolated(Surroundings { store_in_reach: true, ..partitioned }));
 /// ```
 pub fn is_isolated(around: Surroundings) -> bool {
     match (around.store_in_reach, around.other_zones) {
         (true, _) | (false, Contact::Heard) => false,
         (false, Contact::Silent) => true,
-        // With one zone only, a host that hears nobody is cut off alone.
+        // With only one zone, a host is isolated if no other host is live.
         (false, Contact::NoneKnown) => around.others == Contact::Silent,
     }
 }
--- a/crates/policy/src/entry/keeping.rs
+++ b/crates/policy/src/entry/keeping.rs
@@ -1,45 +1,46 @@
-//! What comes next for a turn that has ended and is not kept yet.
+//! What to do with a turn that has ended but is not stored yet.
 //!
-//! The end of its answer is passed on only when the turn is kept. A stream that is closed without
-//! its end costs the caller the whole turn, which has been generated and would be once more. So
-//! it is written again for as long as the caller waits.
+//! The end of a stream is passed on to the caller only once the turn is stored. Closing the stream
+//! without its end would cost the caller the whole turn, which would then be generated a second
+//! time. The write is therefore retried for as long as the caller waits.
 
 use std::time::Duration;
 
-/// The pause after the first write that failed.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after the first failed write.
+const INITIAL_PAUSE: Duration = Duration::from_millis(50);
 
-/// The longest pause between writes. Pauses double up to it, so that a store in trouble is not
-/// asked more often for each turn that waits for it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+/// The longest pause between writes. Pauses double up to this length, so that the waiting turns do
+/// not add load to a store in trouble.
+const MAX_PAUSE: Duration = Duration::from_millis(400);
 
-/// How long a host must have been isolated before it breaks answers off. News that are late for an
-/// instant look like isolation.
+/// How long a host must be isolated before it breaks off streams. A short delay of other hosts'
+/// status updates looks like isolation too.
 const ISOLATION_CONFIRMED_AFTER: Duration = Duration::from_secs(1);
 
-/// What to do after a write that failed.
+/// What to do after a failed write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Write again after a pause.
+    /// Write again after this pause.
     Retry(Duration),
-    /// Break the answer off.
+    /// Close the stream without its end.
     BreakOff,
 }
 
-/// The writes of one turn.
+/// The attempts to write one turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Keeping {
     failed: u32,
 }
 
 impl Keeping {
-    /// Returns how many writes failed.
+    /// Returns the number of failed writes.
     pub fn failed(&self) -> u32 {
         self.failed
     }
 
-    /// Takes in that a write failed. `left` is how much longer the caller waits, `isolated_for` how
-    /// long the host has been cut off if it is: its caller is then served by other zones.
+    /// Records a failed write and decides what to do next. `left` is how much longer the caller
+    /// waits. `isolated_for` is how long this host has been isolated, if it is; its caller is then
+    /// better served by another zone.
     ///
     /// ```
     /// use std::time::Duration;
@@ -50,49 +51,50 @@
     /// assert_eq!(keeping.write_failed(left, Some(left)), Next::BreakOff);
     /// ```
     pub fn write_failed(&mut self, left: Duration, isolated_for: Option<Duration>) -> Next {
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.failed.min(8)).min(LONGEST_PAUSE);
+        let pause = INITIAL_PAUSE.saturating_mul(1 << self.failed.min(8)).min(MAX_PAUSE);
         self.failed += 1;
 
-        let is_cut_off = isolated_for.is_some_and(|time| time >= ISOLATION_CONFIRMED_AFTER);
-        match is_cut_off || pause >= left {
+        let is_isolated = isolated_for.is_some_and(|time| time >= ISOLATION_CONFIRMED_AFTER);
+        match is_isolated || pause >= left {
             true => Next::BreakOff,
             false => Next::Retry(pause),
         }
     }
 }
 
-/// The longest gap in a stream that callers bear, the one before its end included.
+/// The longest gap in a stream that callers accept, including the gap before its end.
 pub const CALLER_PATIENCE: Duration = Duration::from_secs(2);
 
-/// When a caller is told to come back while the store is away.
+/// The longest time after which a refused caller is told to retry while the store is unavailable.
 pub const AWAY_RETRY: Duration = Duration::from_secs(1);
 
-/// The part of the time that a caller has left which it waits at most before it comes back.
-const RETRY_PART: u32 = 3;
+/// A refused caller is told to retry after at most its remaining time divided by this.
+const RETRY_DIVISOR: u32 = 3;
 
-/// An outage of the store, as a call that is to be kept meets it.
+/// An outage of the store, at the time of a call whose turn has to be stored.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// For how long the store has not answered the host; `None` if it never has.
+    /// How long the store has not answered this host; `None` if it never has.
     pub silent_for: Option<Duration>,
     /// How much longer the caller waits.
     pub left: Duration,
 }
 
-/// What to do with a turn that is to be kept, and was not sent yet, while the store is away.
+/// Whether to send a turn that has to be stored to its target while the store is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Begin {
-    /// Send it: the store may be back when it ends.
+    /// Send it: the store may have recovered when the turn ends.
     Now,
-    /// Refuse it, and tell its caller to come back after this time.
+    /// Refuse it, and tell the caller to retry after this time.
     Later(Duration),
 }
 
-/// Decides whether a turn that is to be kept begins while the store is away.
+/// Decides whether a turn that has to be stored starts while the store is unavailable.
 ///
-/// An outage of which nothing else is known lasts about as long again as it has lasted. Its end is worth
-/// waiting for while that is less than a caller waits for the end of a stream. Later the target would
-/// run the turn for a caller that leaves, who is better told at once when to come back.
+/// Without other information, an outage is expected to last about as long again as it has lasted so
+/// far. Starting the turn is worthwhile while that is less than a caller waits for the end of a
+/// stream. In a longer outage the target would run the turn for a caller that leaves before its
+/// end, so the call is refused at once with a time to retry.
 ///
 /// ```
 /// use std::time::Duration;
@@ -107,6 +109,6 @@
 pub fn begin(outage: Outage) -> Begin {
     match outage.silent_for {
         Some(time) if time < CALLER_PATIENCE => Begin::Now,
-        _ => Begin::Later(AWAY_RETRY.min(outage.left / RETRY_PART)),
+        _ => Begin::Later(AWAY_RETRY.min(outage.left / RETRY_DIVISOR)),
     }
 }
--- a/crates/policy/src/entry/outage.rs
+++ b/crates/policy/src/entry/outage.rs
@@ -1,61 +1,62 @@
-//! Which parts of the platform's store can be reached, as a host believes it.
+//! Which parts of the platform's store a host considers available.
 
 use std::time::Duration;
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::time::Instant;
 
-/// How often a part that is away is tried again while the rest of the store answers. Calls that
-/// come meanwhile are not held up by it.
+/// How often an unavailable part is retried while the rest of the store answers. Other calls that
+/// need the part meanwhile do not wait for it.
 const RETRY_PERIOD: Duration = Duration::from_millis(250);
 
-/// What an answer or its absence changes.
+/// A change in the availability of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The part is away from now on.
+    /// The part has become unavailable.
     Lost,
     /// The part answers again.
     Regained,
 }
 
-/// What is believed of one part.
+/// The availability of one part.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct PartHealth {
     last_answer: Option<Instant>,
-    /// When it was tried last since it is away.
-    away: Option<Instant>,
-    /// When the last operation without an answer began.
-    failed: Option<Instant>,
+    /// Set while the part is unavailable: when it was last tried.
+    last_try: Option<Instant>,
+    /// When the latest operation that got no answer began.
+    failed_operation_began: Option<Instant>,
 }
 
-/// A host's belief about the store.
+/// A host's view of which parts of the store are available.
 ///
-/// The store may lose all of its parts or some of them. While a part is away, calls that need it
-/// are told so at once instead of waiting for answers that do not come. The part without a name
-/// holds the platform's own tables, which hosts ask for all the time: while it is away, all are.
+/// The store may lose all of its parts or some of them. While a part is unavailable, calls that
+/// need it learn so at once instead of waiting for an answer. The part with the empty name holds
+/// the platform's own tables, which hosts query all the time: while it is unavailable, all parts
+/// count as unavailable.
 #[derive(Clone, Debug, Default)]
 pub struct StoreHealth {
-    parts: Map<Box<str>, Part>,
+    parts: Map<Box<str>, PartHealth>,
 }
 
-/// The part of the platform's own tables.
-const OWN_TABLES: &str = "";
+/// The part that holds the platform's own tables.
+const PLATFORM_TABLES: &str = "";
 
 impl StoreHealth {
-    /// Returns whether a part is believed to be away.
+    /// Returns whether a part is considered unavailable.
     pub fn is_away(&self, part: &str) -> bool {
-        let is_away = |name: &str| self.parts.get(name).is_some_and(|part| part.away.is_some());
+        let is_away = |name: &str| self.parts.get(name).is_some_and(|part| part.last_try.is_some());
 
-        is_away(OWN_TABLES) || is_away(part)
+        is_away(PLATFORM_TABLES) || is_away(part)
     }
 
     /// Returns whether the store as a whole answers this host.
     pub fn answers(&self) -> bool {
-        self.parts.get(OWN_TABLES).is_some_and(|part| part.away.is_none())
+        self.parts.get(PLATFORM_TABLES).is_some_and(|part| part.last_try.is_none())
     }
 
-    /// Returns for how long the store as a whole has not answered this host, if it does not; `None`
-    /// also if it never has.
+    /// Returns how long the store as a whole has not answered this host. Returns `None` if it
+    /// answers, or if it has never answered.
     ///
     /// ```
     /// use std::time::Duration;
@@ -68,7 +69,7 @@
     /// assert_eq!(health.silent_for(Instant::from_millis(900)), Some(Duration::from_millis(800)));
     /// ```
     pub fn silent_for(&self, now: Instant) -> Option<Duration> {
-        let own = self.parts.get(OWN_TABLES).filter(|part| part.away.is_some())?;
+        let own = self.parts.get(PLATFORM_TABLES).filter(|part| part.last_try.is_some())?;
 
         own.last_answer.map(|at| now.since(at))
     }
@@ -78,13 +79,15 @@
         self.parts.values().any(|part| part.last_answer.is_some())
     }
 
-    /// Returns whether any part is away.
+    /// Returns whether any part is considered unavailable.
     pub fn misses_any(&self) -> bool {
-        self.parts.values().any(|part| part.away.is_some())
+        self.parts.values().any(|part| part.last_try.is_some())
     }
 
-    /// Returns whether the store is away, or a part of it left an operation of the time within `lately`
-    /// without an answer. A part that nobody needs is not tried, and is away long after it is back.
+    /// Returns whether the store as a whole is unavailable, or a part that is unavailable failed to
+    /// answer an operation that began within the last `lately`. Older failures are ignored because
+    /// a part that nobody needs is not retried and stays marked as unavailable long after it has
+    /// recovered.
     ///
     /// ```
     /// use std::time::Duration;
@@ -97,20 +100,23 @@
     /// assert!(!health.missed_any(Instant::from_millis(1_500), second));
     /// ```
     pub fn missed_any(&self, now: Instant, lately: Duration) -> bool {
-        let missed = |part: &Part| {
-            part.away.is_some() && part.failed.is_some_and(|at| now.since(at) < lately)
+        let missed = |part: &PartHealth| {
+            part.last_try.is_some()
+                && part.failed_operation_began.is_some_and(|at| now.since(at) < lately)
         };
 
-        self.is_away(OWN_TABLES) || self.parts.values().any(missed)
+        self.is_away(PLATFORM_TABLES) || self.parts.values().any(missed)
     }
 
-    /// Returns whether a part that is away is to be tried again by the call that asks, and takes
-    /// note that it is.
+    /// Returns whether the calling operation should try a part, and records the attempt if the
+    /// part is unavailable. Returns `false` while the store as a whole does not answer.
     pub fn try_again(&mut self, now: Instant, part: &str) -> bool {
         if !self.answers() {
             return false;
         }
-        let Some(Part { away: Some(tried), .. }) = self.parts.get_mut(part) else { return true };
+        let Some(PartHealth { last_try: Some(tried), .. }) = self.parts.get_mut(part) else {
+            return true;
+        };
         let is_due = now.since(*tried) >= RETRY_PERIOD;
 
         if is_due {
@@ -119,16 +125,16 @@
         is_due
     }
 
-    /// Takes in an answer of a part.
+    /// Records an answer of a part.
     pub fn answered(&mut self, now: Instant, part: &str) -> Option<Change> {
         let state = self.state(part);
         state.last_answer = Some(now);
 
-        state.away.take().map(|_| Change::Regained)
+        state.last_try.take().map(|_| Change::Regained)
     }
 
-    /// Takes in that an operation on a part that began at `began` got no answer. If another one
-    /// got an answer since, only this one's is lost.
+    /// Records that an operation on a part, begun at `began`, got no answer. If another operation
+    /// was answered after that time, only this answer was lost and the part remains available.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
@@ -141,18 +147,18 @@
     /// ```
     pub fn failed(&mut self, began: Instant, part: &str) -> Option<Change> {
         let state = self.state(part);
-        state.failed = state.failed.max(Some(began));
+        state.failed_operation_began = state.failed_operation_began.max(Some(began));
 
-        if state.away.is_some() || state.last_answer.is_some_and(|at| at > began) {
+        if state.last_try.is_some() || state.last_answer.is_some_and(|at| at > began) {
             return None;
         }
-        state.away = Some(began);
+        state.last_try = Some(began);
         Some(Change::Lost)
     }
 
-    fn state(&mut self, part: &str) -> &mut Part {
+    fn state(&mut self, part: &str) -> &mut PartHealth {
         if !self.parts.contains_key(part) {
-            self.parts.insert(part.into(), Part::default());
+            self.parts.insert(part.into(), PartHealth::default());
         }
 
         self.parts.entry(part.into()).or_default()
--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -1,24 +1,27 @@
-//! Which share of a program's budget a host may grant, by what it knows of the other hosts.
+//! Which share of a program's budget a host may grant, depending on what it knows of the other
+//! hosts.
 //!
-//! A budget has two shares: one is granted by writes to the store, the other by hosts that it does not
-//! answer. Neither side exceeds its own, so that they need not agree on who may grant: not across a
-//! cut, nor when an outage begins or ends, nor after a start. Only a host that can tell that nothing
-//! is granted without the store has the whole budget granted by it.
+//! A budget has two shares. One is granted by writes to the store, the other by hosts that the
+//! store does not answer. Neither side exceeds its share, so the sides need no agreement on who may
+//! grant: not during a network partition, nor at the start or end of an outage, nor after a
+//! restart. The whole budget is available from the store only through a host that can tell that no
+//! grants exist outside the store.
 
 use std::time::Duration;
 
 use camphorwalk_core::time::Instant;
 use serde::{Deserialize, Serialize};
 
-/// The part of a budget that is kept for hosts without the store.
-const KEPT_PART: u64 = 4;
+/// The share for hosts that cannot reach the store is the budget divided by this.
+const WITHOUT_STORE_DIVISOR: u64 = 4;
 
-/// How long a process runs before it is taken to know of all grants that matter. Those that were made
-/// without the store before it began are written by then, or their programs have mostly ended.
+/// How long a process runs until its grant history counts as complete, that is, until it is assumed
+/// to know of all grants that matter. By then, grants made without the store before the process
+/// started have been written to it, or the programs have mostly ended.
 pub const KNOWS_ALL_AFTER: Duration = Duration::from_secs(90);
 
-/// Returns how many tokens of a budget the store grants to turns of `most` tokens while it cannot be
-/// told what is granted without it.
+/// Returns how many tokens of a budget the store grants to turns of at most `most` tokens while it
+/// is uncertain what has been granted without it.
 ///
 /// ```
 /// use camphorwalk_policy::entry::shares::store_share;
@@ -27,13 +30,14 @@
 /// assert_eq!(store_share(350, 300), 350);
 /// ```
 pub fn store_share(budget: u64, most: u64) -> u64 {
-    let share = budget - budget / KEPT_PART;
+    let share = budget - budget / WITHOUT_STORE_DIVISOR;
 
     if share < most { budget } else { share }
 }
 
-/// Returns how many tokens of a budget hosts without the store grant to turns of `most` tokens. Both
-/// shares together exceed the budget by one turn, which is what a program may exceed it by.
+/// Returns how many tokens of a budget hosts without the store grant to turns of at most `most`
+/// tokens. Both shares together exceed the budget by one turn, which is the most by which a program
+/// may exceed its budget.
 ///
 /// ```
 /// use camphorwalk_policy::entry::shares::{share_without_store, store_share};
@@ -44,17 +48,17 @@
     budget - store_share(budget, most) + most
 }
 
-/// How much of budgets a host may have granted by the store.
+/// How much of a budget the store may grant on request of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// All: nothing is granted without it.
+    /// The whole budget: no grants exist outside the store.
     Whole,
-    /// Its share, as the other one may be granted without it.
+    /// Only the store's share, because hosts may grant the other share without the store.
     Share(Doubt),
 }
 
 impl Limit {
-    /// Returns how many tokens of a budget that is.
+    /// Returns this limit in tokens, for a budget and turns of at most `most` tokens.
     pub fn tokens(self, budget: u64, most: u64) -> u64 {
         match self {
             Self::Whole => budget,
@@ -63,79 +67,87 @@
     }
 }
 
-/// Why it cannot be told what is granted without the store.
+/// Why a host cannot rule out grants that are not in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Doubt {
-    /// Some host may hold grants that the store does not have, or most hosts are not heard.
+    /// Some host may hold grants that the store does not have, or no majority of the hosts is live.
     Unsettled,
-    /// Most hosts began too late to know. What was granted before counts as spent.
+    /// Most hosts started too recently to know of all grants. Whatever they do not know of counts
+    /// as spent.
     Forgotten,
 }
 
 /// What a host knows of the fleet, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Surroundings {
-    /// Whether no host has granted tokens without the store for a while, as far as they tell.
+    /// Whether no host has reported grants without the store for a while.
     pub is_all_stored: bool,
-    /// How many hosts there are.
+    /// The number of hosts.
     pub known: usize,
-    /// How many of them are heard.
+    /// The number of live hosts, that is, hosts of which a status update has arrived recently.
     pub heard: usize,
-    /// How many of those that are heard know of all grants that were made without the store.
+    /// How many of the live hosts have a complete history of the grants made without the store.
     pub remembering: usize,
-    /// How many of these know of no such grant to any program.
+    /// How many of the hosts with a complete history know of no grant made without the store to any
+    /// program.
     pub free_of_loose: usize,
 }
 
 impl Surroundings {
-    /// Adds the host itself, by whether it remembers and whether it knows of grants without the store.
-    pub fn with_itself(self, remembers: bool, knows_of_loose: bool) -> Self {
+    /// Adds the host itself to the counts, which depends on whether its grant history is complete
+    /// and on whether it knows of grants made without the store.
+    pub fn with_itself(self, has_complete_history: bool, knows_of_unstored: bool) -> Self {
         Self {
-            remembering: self.remembering + usize::from(remembers),
-            free_of_loose: self.free_of_loose + usize::from(remembers && !knows_of_loose),
+            remembering: self.remembering + usize::from(has_complete_history),
+            free_of_loose: self.free_of_loose
+                + usize::from(has_complete_history && !knows_of_unstored),
             ..self
         }
     }
 
-    /// Returns whether a majority of the hosts is heard and remembers.
-    fn majority_remembers(&self) -> bool {
+    /// Returns whether a majority of the hosts is live and has a complete grant history.
+    fn majority_has_complete_history(&self) -> bool {
         self.remembering * 2 > self.known
     }
 
-    /// Returns whether all that remember agree that nothing was granted without the store.
+    /// Returns whether all hosts with a complete history report that nothing was granted without
+    /// the store.
     ///
-    /// One host alone may have been cut off while others granted.
-    fn agree_on_none(&self) -> bool {
-        const LEAST: usize = 2;
+    /// A single host is not enough, since it may have been partitioned from the others while these
+    /// made grants.
+    fn none_granted_without_store(&self) -> bool {
+        const MIN_HOSTS: usize = 2;
 
-        self.free_of_loose == self.remembering && self.remembering >= LEAST
+        self.free_of_loose == self.remembering && self.remembering >= MIN_HOSTS
     }
 }
 
-/// Returns how much of budgets a host may have granted by the store.
+/// Returns how much of a budget the store may grant on request of a host.
 ///
-/// A grant without the store needs a majority and is known to most hosts of a small fleet. If a majority
-/// remembers and none of it has granted any for a while, the store has all grants that there are.
+/// A grant without the store needs a majority of the hosts and is known to most hosts of a small
+/// fleet. If a majority has a complete history and none of these hosts has made such a grant for a
+/// while, all existing grants are in the store.
 ///
 /// ```
 /// use camphorwalk_policy::entry::shares::{Doubt, Limit, Surroundings, limit};
-/// let calm =
+/// let healthy =
 ///     Surroundings { is_all_stored: true, known: 5, heard: 4, remembering: 3, free_of_loose: 3 };
-/// assert_eq!(limit(calm), Limit::Whole);
-/// assert_eq!(limit(Surroundings { heard: 2, ..calm }), Limit::Share(Doubt::Unsettled));
-/// assert_eq!(limit(Surroundings { remembering: 2, ..calm }), Limit::Share(Doubt::Forgotten));
+/// assert_eq!(limit(healthy), Limit::Whole);
+/// assert_eq!(limit(Surroundings { heard: 2, ..healthy }), Limit::Share(Doubt::Unsettled));
+/// assert_eq!(limit(Surroundings { remembering: 2, ..healthy }), Limit::Share(Doubt::Forgotten));
 /// ```
 pub fn limit(around: Surroundings) -> Limit {
     let is_settled = around.is_all_stored && around.heard * 2 > around.known;
 
-    match (is_settled, around.majority_remembers()) {
+    match (is_settled, around.majority_has_complete_history()) {
         (true, true) => Limit::Whole,
         (true, false) => Limit::Share(Doubt::Forgotten),
         (false, _) => Limit::Share(Doubt::Unsettled),
     }
 }
 
-/// Whether a process knows of all grants that were made without the store.
+/// Tracks whether a process has a complete history, that is, knows of all grants made without the
+/// store.
 #[derive(Clone, Copy, Debug)]
 pub struct Memory {
     began: Instant,
@@ -143,14 +155,17 @@
 }
 
 impl Memory {
-    /// Begins with a process: with nothing to know if its whole deployment starts for the first time.
+    /// Creates the state of a process that starts now. If the whole deployment starts for the first
+    /// time, there are no earlier grants to know of.
     pub fn new(now: Instant, is_first_start: bool) -> Self {
         Self { began: now, is_complete: is_first_start }
     }
 
-    /// Returns whether the process knows of all. `around` is without itself: what a majority knows
-    /// is in the store by the time at which it is told so, and where nobody knows of any grant there
-    /// is none.
+    /// Returns whether the history is complete. `around` does not include this host.
+    ///
+    /// The history counts as complete once no unstored grants are reported and either a majority
+    /// has a complete history, because the store then holds all that this majority knew of, or all
+    /// hosts with a complete history know of no such grant, because then there is none.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
@@ -162,9 +177,9 @@
     /// assert!(memory.is_complete(Instant(0), Surroundings { is_all_stored: true, ..around }));
     /// ```
     pub fn is_complete(&mut self, now: Instant, around: Surroundings) -> bool {
-        let is_told =
-            around.is_all_stored && (around.majority_remembers() || around.agree_on_none());
-        self.is_complete |= is_told || now.since(self.began) > KNOWS_ALL_AFTER;
+        let is_informed = around.is_all_stored
+            && (around.majority_has_complete_history() || around.none_granted_without_store());
+        self.is_complete |= is_informed || now.since(self.began) > KNOWS_ALL_AFTER;
 
         self.is_complete
     }
--- a/crates/policy/src/entry/turns.rs
+++ b/crates/policy/src/entry/turns.rs
@@ -1,4 +1,4 @@
-//! What is kept of turns, so that a later turn can continue any of them.
+//! The stored form of turns, from which later turns can continue.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -8,25 +8,26 @@
 use serde_with::base64::Base64;
 use serde_with::serde_as;
 
-/// The parts of the store that turns and budgets are spread over. A part takes its transactions one
-/// after another, some 200 a second, and a sixtieth of that when the store is slow. With 256 parts a
-/// slow store still takes some 850 a second, more than a fleet of seventy hosts writes. If it
-/// falls behind, what is held meanwhile is lost if all machines stop. With many more parts each host
-/// would have to find out anew for nearly each call whether its part is away.
+/// The number of store parts over which turns and budgets are distributed. A part executes its
+/// transactions one at a time, about 200 a second, or a sixtieth of that when the store is slow.
+/// With 256 parts, a slow store still takes about 850 a second, more than a fleet of seventy hosts
+/// writes. If the store fell behind, the turns waiting for it would be lost if all machines
+/// stopped. With many more parts, nearly each call of a host would be the first to find out whether
+/// its part is available.
 pub const PARTS: u64 = 256;
 
-/// A turn's name within the fleet: a hash of its tenant and the id of its request, so that a
-/// turn of one tenant cannot be found by another.
+/// Identifies a turn within the fleet: a hash of its tenant and its request id. The tenant is
+/// included so that no tenant can look up a turn of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TurnKey(pub u64);
 
 impl TurnKey {
-    /// Returns the name of a tenant's turn.
+    /// Returns the key of a tenant's turn.
     pub fn new(tenant: &str, request_id: &str) -> Self {
         Self(stable_hash(&[b"turn", tenant.as_bytes(), request_id.as_bytes()]))
     }
 
-    /// Returns the key of its row.
+    /// Returns the key of the turn's row in the store.
     ///
     /// ```
     /// use camphorwalk_policy::entry::turns::TurnKey;
@@ -36,29 +37,29 @@
         format!("{:x}/{:016x}", self.part(), self.0).into()
     }
 
-    /// Returns the number of the part that holds its row.
+    /// Returns the number of the store part that holds its row.
     pub fn part(self) -> u64 {
         self.0 % PARTS
     }
 }
 
-/// A turn as kept: what it adds to the prompt of a turn that continues from it.
+/// A stored turn: what it adds to the prompt of a turn that continues from it.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// The turns that it continues from, the oldest first.
+    /// The earlier turns of its conversation, oldest first. Each of them continues the one before.
     pub line: Vec<TurnKey>,
-    /// Its input and the lines of its answer, if they are text.
+    /// Its input and the lines of its answer, if they are valid UTF-8.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     text: Box<str>,
-    /// The same if they are no text.
+    /// The same, if they are not valid UTF-8.
     #[serde_as(as = "Base64")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     raw: Vec<u8>,
 }
 
 impl Turn {
-    /// Makes a turn of what it adds to the prompt.
+    /// Creates a turn from the earlier turns of its conversation and what it adds to the prompt.
     ///
     /// ```
     /// use camphorwalk_policy::entry::turns::Turn;
@@ -72,13 +73,13 @@
         }
     }
 
-    /// Returns what it adds to the prompt: its input, then the data of each event and a line
-    /// feed.
+    /// Returns what the turn adds to the prompt: its input, then the data of each event followed by
+    /// a line feed.
     pub fn said(&self) -> &[u8] {
         if self.raw.is_empty() { self.text.as_bytes() } else { &self.raw }
     }
 
-    /// Returns the line of a turn that continues from this one.
+    /// Returns the earlier turns of a turn that continues from this one, whose key is `own`.
     pub fn line_with(&self, own: TurnKey) -> Vec<TurnKey> {
         let mut line = Vec::with_capacity(self.line.len() + 1);
         line.extend_from_slice(&self.line);
@@ -88,27 +89,27 @@
     }
 }
 
-/// The turns that this host has at hand, up to a number of bytes; the oldest go first.
+/// A cache of turns, limited by size in bytes. The oldest turns are evicted first.
 #[derive(Debug)]
 pub struct TurnCache {
     turns: Map<TurnKey, Rc<Turn>>,
     order: VecDeque<TurnKey>,
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl TurnCache {
-    /// Makes a cache that holds this many bytes.
-    pub fn new(most_bytes: usize) -> Self {
-        Self { turns: Map::default(), order: VecDeque::new(), bytes: 0, most_bytes }
+    /// Creates a cache with this limit in bytes.
+    pub fn new(max_bytes: usize) -> Self {
+        Self { turns: Map::default(), order: VecDeque::new(), bytes: 0, max_bytes }
     }
 
-    /// Returns a turn if it is at hand.
+    /// Returns a turn if it is cached.
     pub fn get(&self, key: TurnKey) -> Option<Rc<Turn>> {
         self.turns.get(&key).cloned()
     }
 
-    /// Keeps a turn. A turn never changes, so what is at hand stays true.
+    /// Caches a turn. Turns never change, so cached ones cannot become outdated.
     pub fn put(&mut self, key: TurnKey, turn: Rc<Turn>) {
         if self.turns.contains_key(&key) {
             return;
@@ -118,7 +119,7 @@
         self.turns.insert(key, turn);
         self.order.push_back(key);
 
-        while self.bytes > self.most_bytes {
+        while self.bytes > self.max_bytes {
             let Some(oldest) = self.order.pop_front() else { return };
             if let Some(turn) = self.turns.remove(&oldest) {
                 self.bytes -= size(&turn);
@@ -127,10 +128,10 @@
     }
 }
 
-/// Returns the bytes that a turn takes in memory, with what holds it.
+/// Returns the memory that a turn takes in the cache, in bytes.
 fn size(turn: &Turn) -> usize {
-    /// The map's, the queue's and the counter's share.
-    const HOLDING: usize = 96;
+    /// Overhead of the map entry, the queue entry and the reference counts.
+    const ENTRY_OVERHEAD: usize = 96;
 
-    turn.said().len() + turn.line.len() * size_of::<TurnKey>() + HOLDING
+    turn.said().len() + turn.line.len() * size_of::<TurnKey>() + ENTRY_OVERHEAD
 }
--- a/crates/policy/src/entry/write_back.rs
+++ b/crates/policy/src/entry/write_back.rs
@@ -1,22 +1,23 @@
-//! How fast a host writes back what was promised while the store did not take it.
+//! Paces how fast a host writes its backlog of unstored rows after an outage of the store.
 //!
-//! After an outage all hosts have rows to write, and a store that is asked for more than its rate
-//! refuses the rest, which counts all the same. Hosts that then come back with everything keep it
-//! above its rate for good: what they hold is never written, and each call's own write is refused
-//! with it. So each host writes a part of what is due in a round, fewer after a refusal and more
-//! after a round without one; the fleet finds the store's rate without talking about it.
+//! After an outage all hosts have rows to write. A store that gets more requests than its rate
+//! allows refuses the excess, and refused requests count against the rate too. If every host
+//! retried all its rows at once, the store would stay overloaded forever: the backlog would never
+//! be written, and writes for new calls would be refused as well. Each host therefore writes only a
+//! part of its backlog per round, fewer rows after a refusal and more after a round without one.
+//! The fleet converges on the store's rate without coordination.
 
 use std::time::Duration;
 
-/// After how long a host writes what it holds for another that is not heard. In this time the other
-/// one mostly has, and says so.
-const OTHERS_WRITE_AFTER: Duration = Duration::from_millis(700);
+/// How long a host waits before it writes a row on behalf of an owner that is not live. Within this
+/// time the owner has usually written the row and reported it.
+const WRITE_FOR_SILENT_OWNER_AFTER: Duration = Duration::from_millis(700);
 
-/// After how long it does so although the other one is heard. That one writes it itself; if five
-/// hosts wrote each row of a slow store, it would be five times slower still.
-const OWNER_TRUSTED: Duration = Duration::from_secs(5);
+/// How long it waits if the owner is live, which then writes the row itself. If five hosts wrote
+/// each row, a slow store would be five times slower still.
+const WRITE_FOR_LIVE_OWNER_AFTER: Duration = Duration::from_secs(5);
 
-/// Returns whether a host writes what it has held for another for this long.
+/// Returns whether a host should write a row that it has held for another host for the time `held`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -25,44 +26,44 @@
 /// assert!(writes_for_others(second, || false));
 /// assert!(!writes_for_others(second, || true));
 /// ```
-pub fn writes_for_others(held: Duration, owner_is_heard: impl FnOnce() -> bool) -> bool {
-    held >= OWNER_TRUSTED || held >= OTHERS_WRITE_AFTER && !owner_is_heard()
+pub fn writes_for_others(held: Duration, owner_is_live: impl FnOnce() -> bool) -> bool {
+    held >= WRITE_FOR_LIVE_OWNER_AFTER || held >= WRITE_FOR_SILENT_OWNER_AFTER && !owner_is_live()
 }
 
-/// The writes of the first round.
-const FIRST: usize = 32;
+/// The number of writes in the first round.
+const INITIAL_WRITES: usize = 32;
 
-/// The most and the fewest writes of a round. The fewest keep even a large fleet far below the rate
-/// of its store, and tell each host when it is better.
-const MOST: usize = 256;
-const FEWEST: usize = 1;
+/// Bounds on the number of writes in a round. The lower bound keeps even a large fleet far below
+/// the rate of its store, and still lets each host notice when the store has recovered.
+const MAX_WRITES: usize = 256;
+const MIN_WRITES: usize = 1;
 
-/// How many more writes the round after one without a refusal has.
-const MORE: usize = 8;
+/// How much the number of writes grows after a round without a refusal.
+const WRITES_INCREMENT: usize = 8;
 
-/// What came of a round.
+/// The outcome of a round of writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Round {
-    /// Nothing was due.
+    /// There was nothing to write.
     Nothing,
-    /// All that was due was written, or met a write of another host.
+    /// Everything due was written, or conflicted with another host's write.
     All,
-    /// As much was written as the round may have, and more is due.
+    /// The round reached its limit of writes, and more rows are due.
     Part,
-    /// The store refused a write; the rest was not tried.
+    /// The store refused a write, and the remaining rows were not attempted.
     Refused,
 }
 
-/// When the next round is.
+/// When to start the next round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// At once.
+    /// Immediately.
     Now,
-    /// When the period is over or the store is back.
+    /// After the regular period, or when the store recovers.
     Later,
 }
 
-/// How many writes a host makes in a round.
+/// The number of writes that a host may make per round.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteBack {
     allowed: usize,
@@ -70,17 +71,18 @@
 
 impl Default for WriteBack {
     fn default() -> Self {
-        Self { allowed: FIRST }
+        Self { allowed: INITIAL_WRITES }
     }
 }
 
 impl WriteBack {
-    /// Returns how many writes the next round may have.
+    /// Returns the maximum number of writes in the next round.
     pub fn allowed(&self) -> usize {
         self.allowed
     }
 
-    /// Takes in what came of a round; returns when the next one is.
+    /// Adjusts the number of writes to the outcome of a round, and returns when to start the next
+    /// one.
     ///
     /// ```
     /// use camphorwalk_policy::entry::write_back::{Next, Round, WriteBack};
@@ -94,8 +96,8 @@
     pub fn ended(&mut self, round: Round) -> Next {
         self.allowed = match round {
             Round::Nothing => self.allowed,
-            Round::All | Round::Part => (self.allowed + MORE).min(MOST),
-            Round::Refused => (self.allowed / 2).max(FEWEST),
+            Round::All | Round::Part => (self.allowed + WRITES_INCREMENT).min(MAX_WRITES),
+            Round::Refused => (self.allowed / 2).max(MIN_WRITES),
         };
 
         match round {
--- a/crates/policy/tests/budget_late_grants.rs
+++ b/crates/policy/tests/budget_late_grants.rs
@@ -1,4 +1,4 @@
-//! Grants whose rows are written after whoever asked for them has given up.
+//! Grants whose rows are written only after the requesting host has stopped waiting.
 
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_core::time::Instant;
@@ -10,86 +10,95 @@
 const PROGRAM: ProgramKey = ProgramKey(7);
 const NOW: Instant = Instant(0);
 
-/// A budget that holds one turn of the most tokens, and not two.
+/// A budget that covers one turn of `MAX_TOKENS` tokens but not two.
 const BUDGET: u64 = 500;
-const MOST: u64 = 286;
+const MAX_TOKENS: u64 = 286;
 
-const STEWARD: RunId = RunId(1);
-const ASKER: RunId = RunId(2);
+const GRANTER: RunId = RunId(1);
+const REQUESTER: RunId = RunId(2);
 
-/// A host that wrote a grant to `ASKER`, which did not hear of it, and the row in the store.
-fn steward_with_a_late_grant() -> (Budgets, BudgetRow) {
-    let mut steward = Budgets::new(STEWARD);
-    let asker = Budgets::new(ASKER);
-    let Proposal::Write(row, _) = ask(&mut steward, &asker) else {
-        panic!("nothing is granted yet")
+/// Returns a host that wrote a grant to `REQUESTER`, which did not learn of it, and the stored row.
+fn granter_with_a_late_grant() -> (Budgets, BudgetRow) {
+    let mut granter = Budgets::new(GRANTER);
+    let requester = Budgets::new(REQUESTER);
+    let Proposal::Write(row, _) = ask(&mut granter, &requester) else {
+        panic!("a new budget covers the turn")
     };
-    steward.wrote(NOW, PROGRAM, row.clone(), RowVersion(1));
+    granter.wrote(NOW, PROGRAM, row.clone(), RowVersion(1));
 
-    (steward, row)
+    (granter, row)
 }
 
-/// Asks for a turn's tokens as a host does in times of trouble.
-fn ask(steward: &mut Budgets, asker: &Budgets) -> Proposal {
+/// Requests a turn's tokens the way a host does during an outage.
+fn ask(granter: &mut Budgets, requester: &Budgets) -> Proposal {
     let empty = BudgetRow { budget: BUDGET, ..BudgetRow::default() };
-    let known = asker.known(PROGRAM).unwrap_or(KnownRow { row: empty, stored: 0 });
-
-    steward.propose_within(NOW, PROGRAM, asker.claim(PROGRAM, MOST), &known.row, Limit::Whole)
+    let known = requester.known(PROGRAM).unwrap_or(KnownRow { row: empty, stored: 0 });
+
+    granter.propose_within(
+        NOW,
+        PROGRAM,
+        requester.claim(PROGRAM, MAX_TOKENS),
+        &known.row,
+        Limit::Whole,
+    )
 }
 
-/// Has the asking host take in what it is granted, and run turns until nothing is left. Returns how
-/// many tokens these have.
-fn spend(asker: &mut Budgets, proposal: Proposal) -> u64 {
+/// Lets the requesting host merge its grant and run turns until its tokens are used up. Returns how
+/// many tokens these turns used.
+fn spend(requester: &mut Budgets, proposal: Proposal) -> u64 {
     if let Proposal::Write(row, _) = proposal {
-        asker.learn_written(NOW, PROGRAM, &row);
+        requester.learn_written(NOW, PROGRAM, &row);
     }
     let mut spent = 0;
-    while asker.reserve(NOW, PROGRAM, BUDGET, MOST) == Reservation::Reserved {
-        asker.settle(PROGRAM, MOST, MOST);
-        spent += MOST;
+    while requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS) == Reservation::Reserved {
+        requester.settle(PROGRAM, MAX_TOKENS, MAX_TOKENS);
+        spent += MAX_TOKENS;
     }
 
     spent
 }
 
 #[test]
-fn a_grant_that_came_late_is_had_by_asking_again() {
-    // Guards against tokens that the row grants to a run that never heard of it, and 402 for its next try.
-    let (mut steward, _) = steward_with_a_late_grant();
-    let mut asker = Budgets::new(ASKER);
+fn a_late_grant_is_obtained_by_asking_again() {
+    // Guards against stranded tokens: the row grants them to a run that never learned of it, and
+    // the program's retry is answered with 402.
+    let (mut granter, _) = granter_with_a_late_grant();
+    let mut requester = Budgets::new(REQUESTER);
 
-    let again = ask(&mut steward, &asker);
+    let again = ask(&mut granter, &requester);
 
-    assert_eq!(spend(&mut asker, again), MOST);
+    assert_eq!(spend(&mut requester, again), MAX_TOKENS);
 }
 
 #[test]
-fn a_grant_of_which_its_run_was_only_told_is_had_by_asking_again() {
-    // Guards against a claim that counts what the run was granted and may not spend yet a second time.
-    let (mut steward, row) = steward_with_a_late_grant();
-    let mut asker = Budgets::new(ASKER);
-    asker.note_known(NOW, PROGRAM, &KnownRow { stored: MOST, row });
+fn a_grant_that_was_only_reported_is_obtained_by_asking_again() {
+    // Guards against a claim that counts a grant twice, as granted and as missing, because the run
+    // knows of the grant but may not spend it yet.
+    let (mut granter, row) = granter_with_a_late_grant();
+    let mut requester = Budgets::new(REQUESTER);
+    requester.note_known(NOW, PROGRAM, &KnownRow { stored: MAX_TOKENS, row });
 
-    let again = ask(&mut steward, &asker);
+    let again = ask(&mut granter, &requester);
 
-    assert_eq!(spend(&mut asker, again), MOST);
+    assert_eq!(spend(&mut requester, again), MAX_TOKENS);
 }
 
 #[test]
-fn a_grant_of_which_a_host_was_only_told_is_not_passed_on_as_one_that_the_store_has() {
-    // Guards against a row with grants without the store that the next host spends as stored ones.
+fn an_unstored_grant_is_not_passed_on_as_stored() {
+    // Guards against an intermediate host that passes on a row with unstored grants as a stored
+    // one, so that the next host spends them as if the store had granted them.
     let stored =
-        BudgetRow { budget: BUDGET, granted: [(STEWARD, 1)].into(), ..BudgetRow::default() };
-    let mut loose = stored.clone();
-    loose.granted.insert(ASKER, MOST);
-    let mut between = Budgets::new(RunId(3));
-    between.learn(NOW, PROGRAM, stored, RowVersion(1));
-    between.note_known(NOW, PROGRAM, &KnownRow { row: loose, stored: 1 });
-    let mut asker = Budgets::new(ASKER);
-
-    if let Some((row, version)) = between.stored(PROGRAM) {
-        asker.learn(NOW, PROGRAM, row, version);
+        BudgetRow { budget: BUDGET, granted: [(GRANTER, 1)].into(), ..BudgetRow::default() };
+    let mut with_unstored = stored.clone();
+    with_unstored.granted.insert(REQUESTER, MAX_TOKENS);
+    let mut intermediate = Budgets::new(RunId(3));
+    intermediate.learn(NOW, PROGRAM, stored, RowVersion(1));
+    intermediate.note_known(NOW, PROGRAM, &KnownRow { row: with_unstored, stored: 1 });
+    let mut requester = Budgets::new(REQUESTER);
+
+    if let Some((row, version)) = intermediate.stored(PROGRAM) {
+        requester.learn(NOW, PROGRAM, row, version);
     }
 
-    assert_ne!(asker.reserve(NOW, PROGRAM, BUDGET, MOST), Reservation::Reserved);
+    assert_ne!(requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS), Reservation::Reserved);
 }
--- a/crates/policy/tests/entry_budgets.rs
+++ b/crates/policy/tests/entry_budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of programs whose turns run at several hosts, against one row.
+//! Budgets of programs whose turns run on several hosts that share one stored row.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const PROGRAM: ProgramKey = ProgramKey(7);
 const NOW: Instant = Instant(0);
 
-/// The row as the store holds it.
+/// The program's row in the store.
 #[derive(Default)]
 struct Store {
     row: Option<(BudgetRow, RowVersion)>,
@@ -31,7 +31,8 @@
     }
 }
 
-/// Reserves as a host does: writes, and learns from a conflict.
+/// Reserves tokens as a host does: writes the row and merges the stored one after each write or
+/// conflict.
 fn reserve(host: &mut Budgets, store: &mut Store, budget: u64, most: u64) -> bool {
     for _ in 0..6 {
         match host.reserve(NOW, PROGRAM, budget, most) {
@@ -39,17 +40,19 @@
             Reservation::Spent { .. } | Reservation::Withheld(_) => return false,
             Reservation::Write(row, version) => {
                 store.write(row, version);
-                let (row, version) = store.row.clone().expect("a write or a conflict leaves it");
+                let (row, version) =
+                    store.row.clone().expect("the row exists after a write or a conflict");
                 host.learn(NOW, PROGRAM, row, version);
             }
         }
     }
 
-    panic!("nobody else writes");
+    panic!("six attempts are enough without concurrent writers");
 }
 
 #[test]
 fn one_host_spends_a_budget_with_few_writes() {
+    // Guards against a write to the store for each turn, and against tokens that are left unused.
     let mut store = Store::default();
     let mut host = Budgets::new(RunId(1));
 
@@ -59,33 +62,34 @@
         turns += 1;
     }
 
-    // 2,288 tokens hold 26 turns of 77 and one more of 286.
+    // 2,288 tokens are enough for 26 turns of 77 and one more of up to 286.
     assert_eq!(turns, 27);
     assert!(store.version <= 16, "{} writes", store.version);
 }
 
 #[test]
 fn what_a_dead_host_was_granted_counts_as_spent() {
-    // A host is killed while it streams. Nobody knows how much of its grant reached the caller,
-    // so a host that takes over must not hand it out again.
+    // Guards against granting a dead host's tokens again. A host is killed while it streams. Nobody
+    // knows how much of its grant reached the caller, so a host that takes over must treat all of
+    // it as spent.
     let mut store = Store::default();
     let mut dead = Budgets::new(RunId(1));
     let mut next = Budgets::new(RunId(2));
     assert!(reserve(&mut dead, &mut store, 572, 286));
     let granted: u64 = store.row.as_ref().unwrap().0.granted.values().sum();
 
-    let mut handed = 0;
+    let mut spent = 0;
     while reserve(&mut next, &mut store, 572, 286) {
         next.settle(PROGRAM, 286, 286);
-        handed += 286;
+        spent += 286;
     }
 
-    assert!(granted + handed <= 572, "{granted} and {handed}");
+    assert!(granted + spent <= 572, "{granted} and {spent}");
 }
 
 #[test]
 fn a_spent_budget_stays_spent_at_a_host_that_never_saw_the_program() {
-    // A program that was told that its budget is spent comes back at another host.
+    // Guards against a spent budget that is granted again when the program moves to another host.
     let mut store = Store::default();
     let mut first = Budgets::new(RunId(1));
     while reserve(&mut first, &mut store, 858, 286) {
@@ -98,14 +102,17 @@
 }
 
 #[test]
-fn grants_without_the_store_are_kept_when_it_is_back() {
-    // The store is away. A host grants in its place, and the program's turns run at two others.
-    // When the store is back, a host that knows nothing of it must find all that was granted.
+fn unstored_grants_are_written_when_the_store_recovers() {
+    // Guards against losing grants that were made during an outage. One host grants tokens without
+    // the store, and another host spends them. When the store recovers, a host that knows nothing
+    // of this must find the grants in the row.
     let mut store = Store::default();
-    let mut steward = Budgets::new(RunId(1));
+    let mut granter = Budgets::new(RunId(1));
     let mut entry = Budgets::new(RunId(2));
     let known = BudgetRow { budget: 572, ..BudgetRow::default() };
-    let row = steward.grant_loose(NOW, PROGRAM, RunId(2), 286, &known).expect("there is enough");
+    let row = granter
+        .grant_turn_without_store(NOW, PROGRAM, RunId(2), 286, &known)
+        .expect("the budget covers the turn");
     entry.learn_loose(NOW, PROGRAM, &row);
     assert_eq!(entry.reserve(NOW, PROGRAM, 572, 286), Reservation::Reserved);
 
@@ -113,69 +120,74 @@
         assert!(store.write(row, version));
     }
 
-    let mut stranger = Budgets::new(RunId(3));
-    assert!(reserve(&mut stranger, &mut store, 572, 286));
-    assert!(!reserve(&mut stranger, &mut store, 572, 286));
+    let mut newcomer = Budgets::new(RunId(3));
+    assert!(reserve(&mut newcomer, &mut store, 572, 286));
+    assert!(!reserve(&mut newcomer, &mut store, 572, 286));
 }
 
 #[test]
-fn a_grant_that_another_host_spends_is_written_only_if_that_host_does_not() {
-    // A slow store was asked for the same rows by six hosts at a time, and took few others. The
-    // host that spends a grant writes it; the one that knows of it does so if it is left alone.
-    let mut witness = Budgets::new(RunId(1));
+fn a_grant_to_another_host_is_written_only_if_that_host_does_not_write_it() {
+    // Guards against duplicate writes that overload a slow store: six hosts wrote the same rows at
+    // the same time, so that the store took few others. The host that spends a grant writes it.
+    // Another host that knows of the grant writes it only if that host does not.
+    let mut other = Budgets::new(RunId(1));
     let row = BudgetRow {
         budget: 572,
         granted: BTreeMap::from([(RunId(2), 286)]),
         ..BudgetRow::default()
     };
 
-    witness.learn_loose(NOW, PROGRAM, &row);
-    let at_once = witness.loose(NOW, |_| false);
-    let later = witness.loose(Instant::from_millis(700), |_| false);
-    witness.learn(Instant::from_millis(701), PROGRAM, row, RowVersion(1));
+    other.learn_loose(NOW, PROGRAM, &row);
+    let at_once = other.loose(NOW, |_| false);
+    let later = other.loose(Instant::from_millis(700), |_| false);
+    other.learn(Instant::from_millis(701), PROGRAM, row, RowVersion(1));
 
     assert!(at_once.is_empty());
     assert_eq!(later.len(), 1);
-    assert!(!witness.is_loose(PROGRAM));
+    assert!(!other.is_loose(PROGRAM));
 }
 
 #[test]
-fn what_was_granted_twice_is_spent_once() {
-    // A host's write is under way when the store turns slow, and another host is granted the same
-    // tokens in the store's place. Both learn of it.
+fn tokens_granted_twice_are_spent_once() {
+    // Guards against spending the same tokens twice. A host's write is in flight when the store
+    // becomes slow, and another host is granted the same tokens without the store. Both hosts learn
+    // of both grants.
     let row = BudgetRow {
         budget: 572,
         granted: BTreeMap::from([(RunId(1), 429), (RunId(2), 429)]),
         ..BudgetRow::default()
     };
-    let mut handed = 0;
+    let mut spent = 0;
 
     for run in [1, 2] {
         let mut host = Budgets::new(RunId(run));
         host.learn(NOW, PROGRAM, row.clone(), RowVersion(1));
         while host.reserve(NOW, PROGRAM, 572, 100) == Reservation::Reserved {
             host.settle(PROGRAM, 100, 100);
-            handed += 100;
+            spent += 100;
         }
     }
 
-    assert!(handed <= 572, "{handed}");
+    assert!(spent <= 572, "{spent}");
 }
 
 #[test]
-fn loose_grants_survive_that_the_store_got_others_meanwhile() {
-    // The store turned some hosts away and served others, which wrote the same program's row.
+fn unstored_grants_survive_writes_by_other_hosts() {
+    // Guards against losing unstored grants to a write conflict. The store was unavailable to some
+    // hosts only, and others wrote the row of the same program meanwhile.
     let mut store = Store::default();
-    let mut apart = Budgets::new(RunId(1));
+    let mut without_store = Budgets::new(RunId(1));
     let mut served = Budgets::new(RunId(2));
     let known = BudgetRow { budget: 1_000, ..BudgetRow::default() };
-    apart.grant_loose(NOW, PROGRAM, RunId(1), 300, &known).expect("there is enough");
+    without_store
+        .grant_turn_without_store(NOW, PROGRAM, RunId(1), 300, &known)
+        .expect("the budget covers the turn");
     assert!(reserve(&mut served, &mut store, 1_000, 300));
 
-    while let Some((_, row, version)) = apart.loose(NOW, |_| false).pop() {
+    while let Some((_, row, version)) = without_store.loose(NOW, |_| false).pop() {
         store.write(row, version);
         let (row, version) = store.row.clone().unwrap();
-        apart.learn(NOW, PROGRAM, row, version);
+        without_store.learn(NOW, PROGRAM, row, version);
     }
 
     let granted = &store.row.as_ref().unwrap().0.granted;
@@ -184,38 +196,40 @@
 }
 
 #[test]
-fn a_spent_budget_gets_nothing_from_whoever_grants_in_the_stores_place() {
-    let mut steward = Budgets::new(RunId(1));
+fn a_spent_budget_gets_no_grant_without_the_store() {
+    // Guards against granting without the store what the store has already granted.
+    let mut granter = Budgets::new(RunId(1));
     let known = BudgetRow {
         budget: 572,
         granted: BTreeMap::from([(RunId(9), 572)]),
         ..BudgetRow::default()
     };
 
-    let grant = steward.grant_loose(NOW, PROGRAM, RunId(2), 286, &known);
+    let grant = granter.grant_turn_without_store(NOW, PROGRAM, RunId(2), 286, &known);
 
     assert_eq!(grant, None);
 }
 
 #[test]
-fn one_host_grants_all_while_beliefs_about_the_store_differ() {
-    // The store is slow: some hosts get answers and others give up. A program without end asks
-    // for tokens at three hosts at the same time. All go to one host, which writes a grant when
-    // the store takes it and grants in its place when it does not.
+fn a_single_granter_grants_the_budget_once_while_the_store_is_unreliable() {
+    // Guards against granting the same tokens by two ways. While the store is slow, some hosts get
+    // answers and others time out. A program requests tokens on three hosts at the same time. All
+    // requests go to one host, which writes a grant if the store takes it and otherwise grants
+    // without the store.
     let mut store = Store::default();
-    let mut steward = Budgets::new(RunId(1));
+    let mut granter = Budgets::new(RunId(1));
     let known = BudgetRow { budget: 858, ..BudgetRow::default() };
     let mut granted = 0;
 
     for round in 0..9 {
         let run = RunId(2 + round % 3);
         let row = match round % 2 {
-            0 => steward.propose(NOW, PROGRAM, run, 286, &known).map(|(row, version)| {
+            0 => granter.propose(NOW, PROGRAM, run, 286, &known).map(|(row, version)| {
                 if store.write(row.clone(), version) {
-                    steward.learn(NOW, PROGRAM, row, RowVersion(store.version));
+                    granter.learn(NOW, PROGRAM, row, RowVersion(store.version));
                 }
             }),
-            _ => steward.grant_loose(NOW, PROGRAM, run, 286, &known).map(drop),
+            _ => granter.grant_turn_without_store(NOW, PROGRAM, run, 286, &known).map(drop),
         };
         granted += 286 * u64::from(row.is_some());
     }
@@ -224,7 +238,8 @@
 }
 
 #[test]
-fn a_program_is_forgotten_only_when_nothing_of_it_runs() {
+fn a_program_counts_as_idle_only_when_it_runs_no_turn() {
+    // Guards against deleting the row of a program with a long turn.
     let mut store = Store::default();
     let mut host = Budgets::new(RunId(1));
     assert!(reserve(&mut host, &mut store, 858, 286));
@@ -239,7 +254,7 @@
 }
 
 #[test]
-fn a_row_reads_as_it_was_written() {
+fn a_row_survives_serialization() {
     let row = BudgetRow {
         budget: 858,
         granted: BTreeMap::from([(RunId(u64::MAX), 286)]),
@@ -254,9 +269,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
-    /// Whatever hosts run turns in whatever order, are restarted with their grants lost, give back
-    /// what they do not need, or use
-    /// more or less of a turn: no more than the budget is ever handed out.
+    /// Hosts run turns in any order, lose their grants by restarts, return unused tokens, and use
+    /// any part of a turn's tokens. The tokens spent must never exceed the budget.
     #[test]
     fn no_order_of_turns_and_restarts_exceeds_the_budget(
         steps in prop::collection::vec((0usize..4, 0u64..=100, any::<bool>()), 1..60),
@@ -266,7 +280,7 @@
         let mut runs = 0..;
         let mut new = || Budgets::new(RunId(runs.next().unwrap()));
         let mut hosts: Vec<Budgets> = (0..4).map(|_| new()).collect();
-        let mut handed = 0;
+        let mut spent = 0;
 
         for (host, used, restarts) in steps {
             if restarts && used % 5 == 0 {
@@ -277,16 +291,17 @@
             }
             if reserve(&mut hosts[host], &mut store, budget, 100) {
                 hosts[host].settle(PROGRAM, 100, used);
-                handed += used;
+                spent += used;
             }
         }
 
-        prop_assert!(handed <= budget, "{} of {}", handed, budget);
+        prop_assert!(spent <= budget, "{} of {}", spent, budget);
     }
 }
 
 #[test]
-fn a_program_from_before_a_cut_keeps_its_whole_budget_where_the_store_is() {
+fn a_program_keeps_its_whole_budget_where_the_store_answers() {
+    // Guards against refusing the second turn of a budget that covers two.
     let mut store = Store::default();
     let mut host = Budgets::new(RunId(1));
     assert!(reserve(&mut host, &mut store, 572, 286));
@@ -299,8 +314,10 @@
 
 #[test]
 fn a_turn_that_did_not_run_at_one_host_runs_at_the_next() {
-    // A caller's first try is refused after its tokens were granted; its next try reaches
-    // another host. The budget holds one turn and a half, and was answered as spent 38 times.
+    // Guards against a budget that is reported as spent although its tokens are unused; 38 calls
+    // got this answer. A turn is refused on one host after its tokens were granted, and the
+    // caller's retry reaches another host. The budget covers only one and a half turns, so the
+    // second host needs the first host's tokens.
     let mut store = Store::default();
     let mut first = Budgets::new(RunId(1));
     let mut next = Budgets::new(RunId(2));
@@ -309,7 +326,7 @@
     assert!(!reserve(&mut next, &mut store, 500, 286));
     assert_eq!(next.holders(PROGRAM), [RunId(1)]);
 
-    let row = first.yield_rest(PROGRAM).expect("it holds all of it");
+    let row = first.yield_rest(PROGRAM).expect("the host knows the program");
     next.note(NOW, PROGRAM, &row);
 
     assert!(reserve(&mut next, &mut store, 500, 286));
@@ -318,22 +335,26 @@
 }
 
 #[test]
-fn a_grant_to_itself_that_nobody_noted_is_not_spent_by_the_next_turn() {
-    // A host of a zone that was cut off refused the first turn and ran the second one.
+fn an_unacknowledged_grant_to_itself_is_not_spent_by_the_next_turn() {
+    // Guards against spending an unacknowledged grant. A host of an isolated zone refused the first
+    // turn, because no other zone had acknowledged the grant, but then ran the second turn from it.
     let mut host = Budgets::new(RunId(1));
     let known = BudgetRow { budget: 858, ..BudgetRow::default() };
 
-    let row = host.grant_loose(NOW, PROGRAM, RunId(1), 286, &known).expect("there is enough");
-    let unnoted = host.reserve(NOW, PROGRAM, 858, 286);
+    let row = host
+        .grant_turn_without_store(NOW, PROGRAM, RunId(1), 286, &known)
+        .expect("the budget covers the turn");
+    let unacknowledged = host.reserve(NOW, PROGRAM, 858, 286);
     host.learn_loose(NOW, PROGRAM, &row);
 
-    assert!(matches!(unnoted, Reservation::Write(..)), "{unnoted:?}");
+    assert!(matches!(unacknowledged, Reservation::Write(..)), "{unacknowledged:?}");
     assert_eq!(host.reserve(NOW, PROGRAM, 858, 286), Reservation::Reserved);
 }
 
 #[test]
-fn a_grant_that_a_witness_only_heard_of_is_not_spent_by_it() {
-    // The host that is granted tokens may be told of them before a host of another zone is.
+fn a_reported_unstored_grant_is_not_spent_before_it_is_acknowledged() {
+    // Guards against spending a grant too early. A host may learn of a grant to itself before any
+    // host of another zone has acknowledged it.
     let mut host = Budgets::new(RunId(1));
     let row = BudgetRow {
         budget: 858,
@@ -347,27 +368,31 @@
 }
 
 #[test]
-fn a_host_that_only_hears_of_a_program_does_not_take_it_for_idle() {
-    // It took the first turn for the last one, and deleted the row under a program of two minutes.
-    let mut told = Budgets::new(RunId(2));
+fn a_host_that_only_receives_rows_does_not_consider_the_program_idle() {
+    // Guards against deleting the row of an active program. A host that only received the row
+    // counted the program's idle time from the first turn instead of the latest one, and deleted
+    // the row of a program that had been running for two minutes.
+    let mut listener = Budgets::new(RunId(2));
     for (seconds, version) in [(0, 1), (60, 2), (100, 3)] {
         let row = BudgetRow {
             budget: 4_000,
             granted: BTreeMap::from([(RunId(1), 286 * version)]),
             ..BudgetRow::default()
         };
-        told.learn(Instant::from_millis(seconds * 1_000), PROGRAM, row, RowVersion(version));
+        listener.learn(Instant::from_millis(seconds * 1_000), PROGRAM, row, RowVersion(version));
     }
 
     let idle = Duration::from_secs(90);
 
-    assert!(told.forget(Instant::from_millis(120_000), idle).is_empty());
-    assert_eq!(told.forget(Instant::from_millis(191_000), idle), [(PROGRAM, RowVersion(3))]);
+    assert!(listener.forget(Instant::from_millis(120_000), idle).is_empty());
+    assert_eq!(listener.forget(Instant::from_millis(191_000), idle), [(PROGRAM, RowVersion(3))]);
 }
 
 #[test]
-fn a_host_that_spends_from_an_old_grant_writes_the_row_again() {
-    // Others deleted the row 90 seconds after its last write, with the last turn 50 seconds old.
+fn a_host_that_spends_from_an_old_grant_refreshes_the_row() {
+    // Guards against other hosts deleting the row of an active program. A host that spends from an
+    // older grant does not write the row, and 90 seconds after the last write the others deleted
+    // it, although the last turn was only 50 seconds old.
     let mut store = Store::default();
     let mut host = Budgets::new(RunId(1));
     assert!(reserve(&mut host, &mut store, 4_000, 286));
@@ -385,7 +410,8 @@
 
 #[test]
 fn a_host_that_returns_to_a_program_does_not_spend_its_grant_again() {
-    // It had forgotten what it spent, and found its grant in the row.
+    // Guards against spending a grant twice. A host that had dropped its record of what it spent
+    // found its grant in the row again and spent it once more.
     let mut store = Store::default();
     let mut host = Budgets::new(RunId(1));
     assert!(reserve(&mut host, &mut store, 572, 286));
@@ -401,7 +427,9 @@
 }
 
 #[test]
-fn a_program_whose_row_is_deleted_is_forgotten_unless_it_ran_meanwhile() {
+fn a_program_is_removed_with_its_row_unless_it_ran_meanwhile() {
+    // Guards against losing the grants of a program that runs a turn while its row is being
+    // deleted.
     let mut store = Store::default();
     let mut host = Budgets::new(RunId(1));
     assert!(reserve(&mut host, &mut store, 858, 286));
@@ -422,8 +450,10 @@
 }
 
 #[test]
-fn tokens_that_a_host_gave_away_are_asked_for_again() {
-    // A program whose tries were refused at two hosts was told by the first that its budget is spent.
+fn tokens_given_to_another_host_can_be_requested_back() {
+    // Guards against a budget that is reported as spent although another host holds unused tokens.
+    // A program's attempts were refused on two hosts, and the first one had given its tokens to the
+    // second.
     let mut store = Store::default();
     let (mut first, mut next) = (Budgets::new(RunId(1)), Budgets::new(RunId(2)));
     assert!(reserve(&mut first, &mut store, 500, 286));
--- a/crates/policy/tests/entry_fuzz/asks.rs
+++ b/crates/policy/tests/entry_fuzz/asks.rs
@@ -13,70 +13,76 @@
 use crate::store::{Op, StoreReply};
 use crate::world::{Net, World};
 
-/// What a bad network does to a message.
+/// Probabilities with which a bad network loses, repeats and delays a message.
 const LOST: f64 = 0.05;
 const REPEATED: f64 = 0.05;
 const LATE: f64 = 0.1;
 
-/// What a host tells of itself.
+/// The status update that a host sends to the others.
 #[derive(Clone, Copy)]
-pub struct News {
+pub struct Status {
     pub run: RunId,
     pub store_answers: bool,
     pub in_trouble: bool,
-    pub remembers: bool,
-    pub grants_loose: bool,
-    pub knows_of_loose: bool,
+    pub has_complete_history: bool,
+    pub may_have_unstored: bool,
+    pub knows_of_unstored: bool,
 }
 
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum Query {
     Store(Op),
-    Grant(GrantAsk),
+    Grant(GrantQuery),
     Stored(ProgramKey, BudgetRow, RowVersion),
-    Loose(ProgramKey, KnownRow),
+    Unstored(ProgramKey, KnownRow),
     KnownRow(ProgramKey),
     StoredRow(ProgramKey),
-    Yield(ProgramKey),
-    Give(ProgramKey, KnownRow, RunId, u64),
+    ReturnUnused(ProgramKey),
+    Transfer(ProgramKey, KnownRow, RunId, u64),
 }
 
 #[derive(Clone, Debug)]
-pub struct GrantAsk {
+pub struct GrantQuery {
     pub program: ProgramKey,
     pub claim: Claim,
     pub known: KnownRow,
-    /// Whether the turn may begin its program.
+    /// Whether the turn may be the first one of its program.
     pub begins: bool,
 }
 
 #[derive(Clone, Debug)]
-pub enum Reply {
+pub enum QueryReply {
     Store(StoreReply),
     Granted(BudgetRow),
     Known(KnownRow),
     StoredRow(Option<(BudgetRow, RowVersion)>),
     Written(BudgetRow),
-    Given(u64, Vec<RunId>),
+    Transferred(u64, Vec<RunId>),
     Withheld(Doubt),
     Spent,
     Done,
     Refused,
 }
 
-/// Asks another host. Returns `None` if no reply came in time: it may have done what was asked.
-pub async fn ask(shared: &Shared, to: usize, ask: Ask, limit: Duration) -> Option<Reply> {
+/// Sends a request to another host. Returns `None` if no reply arrives in time, in which case the
+/// request may still have taken effect.
+pub async fn query(
+    shared: &Shared,
+    to: usize,
+    query: Query,
+    limit: Duration,
+) -> Option<QueryReply> {
     let reply = Slot::new(&shared.world.sim);
     let replied = reply.clone();
     let from = shared.host.name;
     let run = shared.host.run;
 
     send(&shared.world, from, to, move |other| {
-        let (ask, replied) = (ask.clone(), replied.clone());
+        let (query, replied) = (query.clone(), replied.clone());
         other.clone().spawn(async move {
-            let reply = answer(&other, ask).await;
-            send(&other.world.clone(), other.host.name, from, move |asking| {
-                if asking.host.run == run {
+            let reply = answer(&other, query).await;
+            send(&other.world.clone(), other.host.name, from, move |requester| {
+                if requester.host.run == run {
                     replied.put(reply.clone());
                 }
             });
@@ -85,25 +91,25 @@
     shared.world.sim.timeout(limit, reply.get()).await
 }
 
-/// Tells another host something without waiting for its reply.
-pub fn tell(shared: &Shared, to: usize, ask: Ask) {
+/// Sends a request to another host without waiting for the reply.
+pub fn notify(shared: &Shared, to: usize, query: Query) {
     send(&shared.world, shared.host.name, to, move |other| {
-        let ask = ask.clone();
+        let query = query.clone();
         other.clone().spawn(async move {
-            answer(&other, ask).await;
+            answer(&other, query).await;
         });
     });
 }
 
-pub fn tell_news(shared: &Shared, to: usize, news: News) {
+pub fn send_status(shared: &Shared, to: usize, status: Status) {
     let from = shared.host.name;
 
     if shared.host.has_joined() {
-        send(&shared.world, from, to, move |other| other.hear(from, news));
+        send(&shared.world, from, to, move |other| other.apply_status(from, status));
     }
 }
 
-/// Sends what is then done at the other host, if it gets there.
+/// Runs `done` on the other host after the message delay, unless the message is lost.
 fn send(world: &Rc<World>, from: usize, to: usize, done: impl Fn(Shared) + 'static) {
     let sim = &world.sim;
     let is_bad = world.net.get() == Net::Bad;
@@ -112,16 +118,16 @@
     }
     let late = if is_bad && sim.chance(LATE) { 400 } else { 3 };
     let times = if is_bad && sim.chance(REPEATED) { 2 } else { 1 };
-    let delays: Vec<_> = (0..times).map(|_| sim.millis(1..late)).collect();
+    let delays: Vec<_> = (0..times).map(|_| sim.random_millis(1..late)).collect();
     let world = Rc::clone(world);
 
-    sim.spawn(World::OUTSIDE, {
+    sim.spawn(World::NO_RUN, {
         let sim = Rc::clone(sim);
         async move {
             for delay in delays {
                 sim.sleep(delay).await;
                 let Some(host) = world.host(to) else { return };
-                if world.is_linked(from, to) && host.has_joined() {
+                if world.is_connected(from, to) && host.has_joined() {
                     done(Shared { world: Rc::clone(&world), host });
                 }
             }
@@ -129,37 +135,40 @@
     });
 }
 
-async fn answer(shared: &Shared, ask: Ask) -> Reply {
+async fn answer(shared: &Shared, query: Query) -> QueryReply {
     let budgets = &shared.host.budgets;
 
-    match ask {
-        Ask::Store(op) if shared.answers_store() => Reply::Store(shared.ask_straight(op).await),
-        Ask::Store(_) => Reply::Refused,
-        Ask::Grant(ask) => {
-            let _turn = shared.lock(ask.program).await;
-            grants::grant(shared, &ask).await
+    match query {
+        Query::Store(op) if shared.answers_store() => {
+            QueryReply::Store(shared.run_direct(op).await)
         }
-        Ask::Stored(program, row, version) => {
+        Query::Store(_) => QueryReply::Refused,
+        Query::Grant(query) => {
+            let _turn = shared.lock(query.program).await;
+            grants::grant(shared, &query).await
+        }
+        Query::Stored(program, row, version) => {
             budgets.borrow_mut().learn(shared.now(), program, row, version);
-            Reply::Done
+            QueryReply::Done
         }
-        Ask::Loose(program, known) => {
+        Query::Unstored(program, known) => {
             let mut budgets = budgets.borrow_mut();
             budgets.witness(shared.now(), program, &known.row);
             budgets.note_known(shared.now(), program, &known);
-            Reply::Done
+            QueryReply::Done
         }
-        Ask::KnownRow(program) => {
-            budgets.borrow().known(program).map_or(Reply::Refused, Reply::Known)
+        Query::KnownRow(program) => {
+            budgets.borrow().known(program).map_or(QueryReply::Refused, QueryReply::Known)
         }
-        Ask::StoredRow(program) => Reply::StoredRow(budgets.borrow().stored(program)),
-        Ask::Give(program, known, to, total) => {
+        Query::StoredRow(program) => QueryReply::StoredRow(budgets.borrow().stored(program)),
+        Query::Transfer(program, known, to, total) => {
             let mut budgets = budgets.borrow_mut();
             budgets.note_known(shared.now(), program, &known);
-            Reply::Given(budgets.give(program, to, total), budgets.given_to(program))
-        }
-        Ask::Yield(program) => {
-            budgets.borrow_mut().yield_rest(program).map_or(Reply::Refused, Reply::Granted)
+            QueryReply::Transferred(budgets.give(program, to, total), budgets.given_to(program))
         }
+        Query::ReturnUnused(program) => budgets
+            .borrow_mut()
+            .yield_rest(program)
+            .map_or(QueryReply::Refused, QueryReply::Granted),
     }
 }
--- a/crates/policy/tests/entry_fuzz/budget.rs
+++ b/crates/policy/tests/entry_fuzz/budget.rs
@@ -1,4 +1,4 @@
-//! How a turn gets its tokens, as `camphorwalk-entry` does it.
+//! Reserving the tokens of a turn, following `camphorwalk-entry`.
 
 use std::time::Duration;
 
@@ -8,88 +8,88 @@
 use camphorwalk_policy::entry::budgets::{BudgetRow, ProgramKey, Reservation};
 use camphorwalk_policy::entry::shares::{Doubt, Limit};
 
-use crate::asks::{self, Ask, Reply};
-use crate::grants::{self, Granted, Hedged, WITNESSES};
+use crate::asks::{self, Query, QueryReply};
+use crate::grants::{self, Granted, Hedged, REPLICAS};
 use crate::host::Shared;
 use crate::sim::join_all;
 use crate::store::{Op, StoreReply};
-use crate::world::{MOST, Program};
+use crate::world::{MAX_TOKENS, Program};
 
-pub const MOST_WRITES: u32 = 6;
-const TELL_DEADLINE: Duration = Duration::from_millis(150);
+pub const MAX_WRITES: u32 = 6;
+const QUERY_DEADLINE: Duration = Duration::from_millis(150);
 const ROW_DEADLINE: Duration = Duration::from_millis(20);
 
-/// What a turn is answered.
+/// The answer to a turn that requests its tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum TurnAnswer {
     Tokens,
     Spent,
     Unsure,
     Contended,
 }
 
-/// What came of writing a row.
+/// The result of writing a row.
 pub enum Written {
     Committed,
-    Learned,
-    Away,
+    Merged,
+    Unavailable,
     Unsure,
 }
 
 /// Reserves the tokens of a turn.
-pub async fn hold(shared: &Shared, program: &Program) -> Held {
+pub async fn reserve(shared: &Shared, program: &Program) -> TurnAnswer {
     let Program { key, budget, .. } = *program;
     let begins = program.last_turn.is_none();
     let budgets = &shared.host.budgets;
     let _turn = shared.lock(key).await;
 
     fetch_row(shared, program).await;
-    let mut recalled = false;
-    for _ in 0..MOST_WRITES {
+    let mut collected = false;
+    for _ in 0..MAX_WRITES {
         let is_settled = shared.is_settled();
         let limit = if is_settled { shared.limit() } else { Limit::Whole };
         let reservation =
-            budgets.borrow_mut().reserve_within(shared.now(), key, budget, MOST, limit);
+            budgets.borrow_mut().reserve_within(shared.now(), key, budget, MAX_TOKENS, limit);
 
         match reservation {
-            Reservation::Reserved => return Held::Tokens,
-            Reservation::Spent { certain: false } | Reservation::Withheld(_) if !recalled => {
-                recalled = true;
-                collect(shared, key, is_settled).await;
+            Reservation::Reserved => return TurnAnswer::Tokens,
+            Reservation::Spent { certain: false } | Reservation::Withheld(_) if !collected => {
+                collected = true;
+                collect_tokens(shared, key, is_settled).await;
             }
-            Reservation::Spent { .. } => return Held::Spent,
+            Reservation::Spent { .. } => return TurnAnswer::Spent,
             Reservation::Withheld(doubt) => return withheld(doubt),
             Reservation::Write(row, version) if is_settled => {
                 match grants::write_hedged(shared, key, row, version).await {
-                    Hedged::Done(Written::Committed | Written::Learned) => {}
-                    Hedged::Done(_) | Hedged::Overdue(_) => shared.note_slow(),
+                    Hedged::Done(Written::Committed | Written::Merged) => {}
+                    Hedged::Done(_) | Hedged::Overdue(_) => shared.record_slow(),
                 }
             }
             Reservation::Write(..) => {
                 if !budgets.borrow().knows(key) {
-                    grants::learn_from(shared, key, 1).await;
+                    grants::query_known_rows(shared, key, 1).await;
                 }
                 match grants::ask_for_grant(shared, key, budget, begins).await {
                     Granted::Tokens => {}
-                    Granted::Nothing | Granted::Withheld(_) if !recalled => {
-                        recalled = true;
-                        collect(shared, key, is_settled).await;
+                    Granted::Nothing | Granted::Withheld(_) if !collected => {
+                        collected = true;
+                        collect_tokens(shared, key, is_settled).await;
                     }
-                    Granted::Nothing => return Held::Spent,
+                    Granted::Nothing => return TurnAnswer::Spent,
                     Granted::Withheld(doubt) => return withheld(doubt),
-                    Granted::Unsure => return Held::Unsure,
+                    Granted::Unsure => return TurnAnswer::Unsure,
                 }
             }
         }
     }
 
-    Held::Contended
+    TurnAnswer::Contended
 }
 
-fn withheld(doubt: Doubt) -> Held {
+fn withheld(doubt: Doubt) -> TurnAnswer {
     match doubt {
-        Doubt::Unsettled => Held::Unsure,
-        Doubt::Forgotten => Held::Spent,
+        Doubt::Unsettled => TurnAnswer::Unsure,
+        Doubt::Forgotten => TurnAnswer::Spent,
     }
 }
 
@@ -97,94 +97,97 @@
     if shared.host.budgets.borrow().knows(program.key) {
         return;
     }
-    let Some(host) = program.last_host.filter(|host| shared.hears(*host)) else { return };
-    let reply = asks::ask(shared, host, Ask::StoredRow(program.key), ROW_DEADLINE).await;
+    let Some(host) = program.last_host.filter(|host| shared.is_live(*host)) else { return };
+    let reply = asks::query(shared, host, Query::StoredRow(program.key), ROW_DEADLINE).await;
 
-    if let Some(Reply::StoredRow(Some((row, version)))) = reply {
+    if let Some(QueryReply::StoredRow(Some((row, version)))) = reply {
         shared.host.budgets.borrow_mut().learn(shared.now(), program.key, row, version);
     }
 }
 
-async fn collect(shared: &Shared, program: ProgramKey, is_settled: bool) {
+async fn collect_tokens(shared: &Shared, program: ProgramKey, is_settled: bool) {
     if !is_settled {
-        grants::learn_from(shared, program, WITNESSES).await;
+        grants::query_known_rows(shared, program, REPLICAS).await;
     }
-    gather(shared, program).await;
+    request_transfers(shared, program).await;
 
-    if is_settled && shared.host.budgets.borrow().claim(program, MOST).missing > 0 {
-        recall(shared, program).await;
+    if is_settled && shared.host.budgets.borrow().claim(program, MAX_TOKENS).missing > 0 {
+        request_returns(shared, program).await;
     }
 }
 
-/// Has other hosts give this one what it lacks.
-async fn gather(shared: &Shared, program: ProgramKey) {
+/// Asks other hosts to transfer the tokens that this one lacks.
+async fn request_transfers(shared: &Shared, program: ProgramKey) {
     let budgets = &shared.host.budgets;
     let mut runs = budgets.borrow().holders(program);
     runs.extend(budgets.borrow().given_to(program));
-    let mut asked = Set::from_iter([shared.host.run]);
+    let mut queried = Set::from_iter([shared.host.run]);
 
     while let Some(run) = runs.pop() {
-        let missing = budgets.borrow().claim(program, MOST).missing;
+        let missing = budgets.borrow().claim(program, MAX_TOKENS).missing;
         if missing == 0 {
             return;
         }
-        let Some(host) = shared.host_of_run(run).filter(|_| asked.insert(run)) else { continue };
+        let Some(host) = shared.host_of_run(run).filter(|_| queried.insert(run)) else { continue };
         let total = budgets.borrow().received(program, run) + missing;
         let Some(known) = budgets.borrow().known(program) else { return };
-        let ask = Ask::Give(program, known, shared.host.run, total);
-        if let Some(Reply::Given(total, to)) = asks::ask(shared, host, ask, TELL_DEADLINE).await {
+        let query = Query::Transfer(program, known, shared.host.run, total);
+        if let Some(QueryReply::Transferred(total, to)) =
+            asks::query(shared, host, query, QUERY_DEADLINE).await
+        {
             budgets.borrow_mut().receive(program, run, total);
             runs.extend(to);
         }
     }
 }
 
-/// Has the other hosts give back what they do not need.
-async fn recall(shared: &Shared, program: ProgramKey) {
+/// Asks other hosts to return their unused tokens to the row.
+async fn request_returns(shared: &Shared, program: ProgramKey) {
     let holders = shared.host.budgets.borrow().holders(program);
     let hosts = holders.into_iter().filter_map(|run| shared.host_of_run(run));
-    let asked = hosts.map(|host| asks::ask(shared, host, Ask::Yield(program), TELL_DEADLINE));
+    let queries =
+        hosts.map(|host| asks::query(shared, host, Query::ReturnUnused(program), QUERY_DEADLINE));
 
-    for reply in join_all(asked).await.into_iter().flatten() {
-        if let Reply::Granted(row) = reply {
+    for reply in join_all(queries).await.into_iter().flatten() {
+        if let QueryReply::Granted(row) = reply {
             shared.host.budgets.borrow_mut().note(shared.now(), program, &row);
         }
     }
 }
 
-/// Writes a row, and takes in what the store then holds.
+/// Writes a row and merges what the store holds afterwards.
 pub async fn write(
     shared: &Shared,
     program: ProgramKey,
     row: BudgetRow,
     version: RowVersion,
 ) -> Written {
-    match shared.ask_store(Op::Commit(program, Some(row.clone()), version)).await {
+    match shared.run_store_op(Op::Commit(program, Some(row.clone()), version)).await {
         StoreReply::Committed(version) => {
-            grants::tell_stored(shared, program, &row, version);
+            grants::notify_stored(shared, program, &row, version);
             shared.host.budgets.borrow_mut().wrote(shared.now(), program, row, version);
             Written::Committed
         }
-        StoreReply::Conflict(there) => take_in(shared, program, there),
-        StoreReply::Unavailable => Written::Away,
+        StoreReply::Conflict(there) => merge_result(shared, program, there),
+        StoreReply::Unavailable => Written::Unavailable,
         StoreReply::Row(_) | StoreReply::Unknown => {
-            match shared.ask_store(Op::Read(program)).await {
-                StoreReply::Row(there) => take_in(shared, program, there),
-                StoreReply::Unavailable => Written::Away,
+            match shared.run_store_op(Op::Read(program)).await {
+                StoreReply::Row(there) => merge_result(shared, program, there),
+                StoreReply::Unavailable => Written::Unavailable,
                 _ => Written::Unsure,
             }
         }
     }
 }
 
-/// Deletes the row of a program that was needless at `asked`, if it still has this version.
-pub async fn delete(shared: &Shared, program: ProgramKey, version: RowVersion, asked: Instant) {
-    let reply = shared.ask_store(Op::Commit(program, None, version)).await;
+/// Deletes a program's row that was idle at `idle_at`, if it still has this version.
+pub async fn delete(shared: &Shared, program: ProgramKey, version: RowVersion, idle_at: Instant) {
+    let reply = shared.run_store_op(Op::Commit(program, None, version)).await;
     let mut budgets = shared.host.budgets.borrow_mut();
 
     match reply {
         StoreReply::Committed(_) | StoreReply::Conflict(None) => {
-            budgets.deleted(shared.now(), program, asked);
+            budgets.deleted(shared.now(), program, idle_at);
         }
         StoreReply::Conflict(Some((row, version))) if budgets.knows(program) => {
             budgets.learn(shared.now(), program, row, version);
@@ -193,7 +196,7 @@
     }
 }
 
-fn take_in(
+fn merge_result(
     shared: &Shared,
     program: ProgramKey,
     there: Option<(BudgetRow, RowVersion)>,
@@ -204,5 +207,5 @@
         None => budgets.absent(shared.now(), program),
     }
 
-    Written::Learned
+    Written::Merged
 }
--- a/crates/policy/tests/entry_fuzz/fuzz.rs
+++ b/crates/policy/tests/entry_fuzz/fuzz.rs
@@ -1,4 +1,5 @@
-//! The faults. `CAMPHORWALK_FUZZ_CASES` sets the number of cases; the seed is fixed.
+//! Runs random sequences of faults. `CAMPHORWALK_FUZZ_CASES` sets the number of cases; the seed is
+//! fixed.
 
 use std::marker::PhantomData;
 use std::time::Duration;
@@ -8,56 +9,56 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
 use crate::store::Mode;
-use crate::world::{BUDGETS, Cut, Fleet, HOSTS, MOST, Net};
+use crate::world::{BUDGETS, Fleet, HOSTS, MAX_TOKENS, Net, Partition};
 
-/// The cases that run if the environment does not say.
+/// The number of cases if the environment variable is not set.
 const CASES: u32 = 150;
 
-/// The variable that says how many cases run.
+/// The environment variable that sets the number of cases.
 const CASES_VAR: &str = "CAMPHORWALK_FUZZ_CASES";
 
 #[derive(Clone, Debug)]
 enum Fault {
     Turn {
         host: usize,
-        place: usize,
+        index: usize,
         used: u64,
         millis: u64,
     },
-    /// Turns that come one after the other, or tries of one.
-    Line {
+    /// Successive turns, or repeated attempts of one turn.
+    SuccessiveTurns {
         host: usize,
-        place: usize,
+        index: usize,
         count: u8,
         pause: u64,
     },
-    /// The turns of sub-agents come together.
-    Turns {
+    /// Simultaneous turns of sub-agents.
+    SimultaneousTurns {
         hosts: [bool; HOSTS],
-        place: usize,
+        index: usize,
         used: u64,
     },
-    /// A turn that continues none.
+    /// A turn that continues no earlier one.
     FirstTurn {
         host: usize,
-        place: usize,
+        index: usize,
     },
     Run {
         millis: u64,
     },
-    /// The store answers all hosts so.
+    /// Sets how the store behaves toward all hosts.
     Store(Mode),
-    /// The store answers one host so.
+    /// Sets how the store behaves toward one host.
     StoreOf(usize, Mode),
     Net(Net),
-    Cut(Cut),
+    Partition(Partition),
     Kill(usize),
-    /// All hosts lose their memory at once.
+    /// All hosts lose their memory at the same time.
     KillAll,
     Start(usize),
 }
 
-/// Faults need no model: any of them may come at any time.
+/// Faults need no model state, since each of them may occur at any time.
 struct Faults;
 
 impl ReferenceStateMachine for Faults {
@@ -70,20 +71,20 @@
 
     fn transitions(_: &u64) -> BoxedStrategy<Fault> {
         let host = 0..HOSTS;
-        let place = 0..BUDGETS.len();
-        let used = prop_oneof![Just(MOST), Just(0), 0..=MOST];
+        let index = 0..BUDGETS.len();
+        let used = prop_oneof![Just(MAX_TOKENS), Just(0), 0..=MAX_TOKENS];
         let mode = prop_oneof![
             4 => Just(Mode::Up),
-            3 => Just(Mode::Away),
+            3 => Just(Mode::Down),
             1 => Just(Mode::Refuses),
             1 => Just(Mode::Slow),
             1 => Just(Mode::AnswersLost),
             1 => Just(Mode::Late),
         ];
-        let cut = prop_oneof![
-            2 => Just(Cut::Nothing),
-            1 => host.clone().prop_map(Cut::Host),
-            1 => (0..3_usize).prop_map(Cut::Zone),
+        let partition = prop_oneof![
+            2 => Just(Partition::None),
+            1 => host.clone().prop_map(Partition::Host),
+            1 => (0..3_usize).prop_map(Partition::Zone),
         ];
         let millis = prop_oneof![
             6 => 1..100_u64,
@@ -93,18 +94,18 @@
         ];
 
         prop_oneof![
-            12 => (host.clone(), place.clone(), used.clone(), 1..2_000_u64).prop_map(
-                |(host, place, used, millis)| Fault::Turn { host, place, used, millis }
+            12 => (host.clone(), index.clone(), used.clone(), 1..2_000_u64).prop_map(
+                |(host, index, used, millis)| Fault::Turn { host, index, used, millis }
             ),
-            8 => (host.clone(), place.clone(), 2..6_u8, 10..300_u64)
-                .prop_map(|(host, place, count, pause)| Fault::Line { host, place, count, pause }),
-            4 => (prop::array::uniform5(any::<bool>()), place, used)
-                .prop_map(|(hosts, place, used)| Fault::Turns { hosts, place, used }),
+            8 => (host.clone(), index.clone(), 2..6_u8, 10..300_u64)
+                .prop_map(|(host, index, count, pause)| Fault::SuccessiveTurns { host, index, count, pause }),
+            4 => (prop::array::uniform5(any::<bool>()), index, used)
+                .prop_map(|(hosts, index, used)| Fault::SimultaneousTurns { hosts, index, used }),
             16 => millis.prop_map(|millis| Fault::Run { millis }),
             4 => mode.clone().prop_map(Fault::Store),
             2 => (host.clone(), mode).prop_map(|(host, mode)| Fault::StoreOf(host, mode)),
             1 => prop_oneof![Just(Net::Good), Just(Net::Bad)].prop_map(Fault::Net),
-            4 => cut.prop_map(Fault::Cut),
+            4 => partition.prop_map(Fault::Partition),
             1 => host.clone().prop_map(Fault::Kill),
             1 => Just(Fault::KillAll),
             2 => host.prop_map(Fault::Start),
@@ -117,7 +118,8 @@
     }
 }
 
-/// The faults, with programs that have run and send turns that continue none.
+/// The same faults, with additional turns that continue no earlier one although their programs have
+/// run before.
 struct FaultsAndFirstTurns;
 
 impl ReferenceStateMachine for FaultsAndFirstTurns {
@@ -130,7 +132,7 @@
 
     fn transitions(state: &u64) -> BoxedStrategy<Fault> {
         let first_turn =
-            (0..HOSTS, 0..BUDGETS.len()).prop_map(|(host, place)| Fault::FirstTurn { host, place });
+            (0..HOSTS, 0..BUDGETS.len()).prop_map(|(host, index)| Fault::FirstTurn { host, index });
 
         prop_oneof![9 => Faults::transitions(state), 1 => first_turn].boxed()
     }
@@ -154,28 +156,28 @@
 
     fn apply(mut fleet: Fleet, _: &u64, fault: Fault) -> Fleet {
         match fault {
-            Fault::Turn { host, place, used, millis } => {
-                fleet.turn(host, place, used, Duration::from_millis(millis));
+            Fault::Turn { host, index, used, millis } => {
+                fleet.turn(host, index, used, Duration::from_millis(millis));
             }
-            Fault::Line { host, place, count, pause } => {
+            Fault::SuccessiveTurns { host, index, count, pause } => {
                 for _ in 0..count {
-                    fleet.turn(host, place, MOST, Duration::from_millis(1));
+                    fleet.turn(host, index, MAX_TOKENS, Duration::from_millis(1));
                     fleet.run(Duration::from_millis(pause));
                 }
             }
-            Fault::Turns { hosts, place, used } => {
+            Fault::SimultaneousTurns { hosts, index, used } => {
                 for host in (0..HOSTS).filter(|host| hosts[*host]) {
-                    fleet.turn(host, place, used, Duration::from_millis(200));
+                    fleet.turn(host, index, used, Duration::from_millis(200));
                 }
             }
-            Fault::FirstTurn { host, place } => {
-                fleet.first_turn(host, place, MOST, Duration::from_millis(1));
+            Fault::FirstTurn { host, index } => {
+                fleet.first_turn(host, index, MAX_TOKENS, Duration::from_millis(1));
             }
             Fault::Run { millis } => fleet.run(Duration::from_millis(millis)),
             Fault::Store(mode) => fleet.store(None, mode),
             Fault::StoreOf(host, mode) => fleet.store(Some(host), mode),
             Fault::Net(net) => fleet.world.net.set(net),
-            Fault::Cut(cut) => fleet.cut(cut),
+            Fault::Partition(partition) => fleet.partition(partition),
             Fault::Kill(host) => fleet.kill(host),
             Fault::KillAll => fleet.kill_all(),
             Fault::Start(host) => fleet.start(host),
@@ -184,14 +186,14 @@
         fleet
     }
 
-    /// After the faults, each program gets a certain answer at each host.
+    /// After the faults, each program gets a definite answer on each host.
     fn teardown(mut fleet: Fleet) {
         fleet.heal();
         fleet.assert_all_answered();
     }
 }
 
-/// Returns the fixed seed and the number of cases.
+/// Returns the configuration with the fixed seed and the number of cases.
 fn config() -> Config {
     let cases = std::env::var(CASES_VAR).ok().and_then(|text| text.parse().ok());
 
--- a/crates/policy/tests/entry_fuzz/grants.rs
+++ b/crates/policy/tests/entry_fuzz/grants.rs
@@ -1,4 +1,4 @@
-//! Who grants a program's tokens in times of trouble, as `camphorwalk-entry` does it.
+//! Granting tokens during an outage, following `camphorwalk-entry`.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 use camphorwalk_policy::entry::budgets::{BudgetRow, KnownRow, ProgramKey, Proposal};
 use camphorwalk_policy::entry::shares::Doubt;
 
-use crate::asks::{self, Ask, GrantAsk, Reply};
-use crate::budget::{MOST_WRITES, Written, write};
+use crate::asks::{self, GrantQuery, Query, QueryReply};
+use crate::budget::{MAX_WRITES, Written, write};
 use crate::host::Shared;
 use crate::sim::{Slot, join_all};
-use crate::world::MOST;
+use crate::world::MAX_TOKENS;
 
-pub const WITNESSES: usize = 2;
-const LOOSE_WITNESSES: usize = 4;
-const MOST_ASKED: usize = 12;
-const MOST_OVERDUE: u32 = 2;
+pub const REPLICAS: usize = 2;
+const UNSTORED_REPLICAS: usize = 4;
+const MAX_QUERIED: usize = 12;
+const MAX_OVERDUE: u32 = 2;
 const GRANT_DEADLINE: Duration = Duration::from_millis(450);
-const WITNESS_DEADLINE: Duration = Duration::from_millis(80);
+const REPLICA_DEADLINE: Duration = Duration::from_millis(80);
 const HEDGE_AFTER: Duration = Duration::from_millis(60);
 
 pub enum Granted {
@@ -27,16 +27,16 @@
     Unsure,
 }
 
-pub fn tell_stored(shared: &Shared, program: ProgramKey, row: &BudgetRow, version: RowVersion) {
-    let mut hosts: Vec<_> = shared.next_granters(program).take(WITNESSES).collect();
+pub fn notify_stored(shared: &Shared, program: ProgramKey, row: &BudgetRow, version: RowVersion) {
+    let mut hosts: Vec<_> = shared.next_granters(program).take(REPLICAS).collect();
     if shared.host.budgets.borrow().is_loose(program) {
-        hosts.extend(shared.witnesses(program).into_iter().take(LOOSE_WITNESSES));
+        hosts.extend(shared.other_zone_hosts(program).into_iter().take(UNSTORED_REPLICAS));
         hosts.sort_unstable();
         hosts.dedup();
     }
 
     for host in hosts {
-        asks::tell(shared, host, Ask::Stored(program, row.clone(), version));
+        asks::notify(shared, host, Query::Stored(program, row.clone(), version));
     }
 }
 
@@ -50,65 +50,65 @@
     let budgets = &shared.host.budgets;
     let known = budgets.borrow().known(program);
     let known = known.unwrap_or(KnownRow { row: empty, stored: 0 });
-    let claim = budgets.borrow().claim(program, MOST);
-    let ask = GrantAsk { program, claim, known, begins };
+    let claim = budgets.borrow().claim(program, MAX_TOKENS);
+    let query = GrantQuery { program, claim, known, begins };
     let Some(host) = shared.order(program).first().copied() else { return Granted::Unsure };
     let reply = match host == shared.host.name {
-        true => Some(grant(shared, &ask).await),
-        false => asks::ask(shared, host, Ask::Grant(ask), GRANT_DEADLINE).await,
+        true => Some(grant(shared, &query).await),
+        false => asks::query(shared, host, Query::Grant(query), GRANT_DEADLINE).await,
     };
 
     match reply {
-        Some(Reply::Written(row)) => {
+        Some(QueryReply::Written(row)) => {
             budgets.borrow_mut().learn_written(shared.now(), program, &row);
             Granted::Tokens
         }
-        Some(Reply::Granted(row)) => {
+        Some(QueryReply::Granted(row)) => {
             budgets.borrow_mut().learn_loose(shared.now(), program, &row);
             Granted::Tokens
         }
-        Some(Reply::Withheld(doubt)) => Granted::Withheld(doubt),
-        Some(Reply::Spent) => Granted::Nothing,
+        Some(QueryReply::Withheld(doubt)) => Granted::Withheld(doubt),
+        Some(QueryReply::Spent) => Granted::Nothing,
         _ => Granted::Unsure,
     }
 }
 
-/// Grants a turn's tokens: by the store if it answers, or else in its place.
-pub async fn grant(shared: &Shared, ask: &GrantAsk) -> Reply {
-    shared.host.budgets.borrow_mut().note_known(shared.now(), ask.program, &ask.known);
+/// Grants a turn's tokens through the store if it answers, and otherwise without it.
+pub async fn grant(shared: &Shared, query: &GrantQuery) -> QueryReply {
+    shared.host.budgets.borrow_mut().note_known(shared.now(), query.program, &query.known);
 
-    for _ in 0..MOST_OVERDUE {
-        let (row, writing) = match grant_by_store(shared, ask).await {
+    for _ in 0..MAX_OVERDUE {
+        let (row, writing) = match grant_by_store(shared, query).await {
             ByStore::Decided(reply) => return reply,
             ByStore::Overdue(row, writing) => (row, writing),
-            ByStore::Away(otherwise) => {
-                return grant_without_store(shared, ask).await.unwrap_or(otherwise);
+            ByStore::Unavailable(otherwise) => {
+                return grant_without_store(shared, query).await.unwrap_or(otherwise);
             }
         };
-        match grant_without_store(shared, ask).await {
+        match grant_without_store(shared, query).await {
             Some(reply) => return reply,
             None => match shared.world.sim.timeout(GRANT_DEADLINE, writing.get()).await {
-                Some(Written::Committed) => return Reply::Written(row),
-                Some(Written::Learned) => {}
-                _ => return Reply::Refused,
+                Some(Written::Committed) => return QueryReply::Written(row),
+                Some(Written::Merged) => {}
+                _ => return QueryReply::Refused,
             },
         }
     }
 
-    Reply::Refused
+    QueryReply::Refused
 }
 
 enum ByStore {
-    Decided(Reply),
+    Decided(QueryReply),
     Overdue(BudgetRow, Slot<Written>),
-    /// With the reply if nothing is granted in its place.
-    Away(Reply),
+    /// The store is unavailable. Holds the reply to use if nothing can be granted without it.
+    Unavailable(QueryReply),
 }
 
-async fn grant_by_store(shared: &Shared, ask: &GrantAsk) -> ByStore {
-    let GrantAsk { program, claim, known, .. } = ask;
+async fn grant_by_store(shared: &Shared, query: &GrantQuery) -> ByStore {
+    let GrantQuery { program, claim, known, .. } = query;
 
-    for _ in 0..MOST_WRITES {
+    for _ in 0..MAX_WRITES {
         let (now, limit) = (shared.now(), shared.limit());
         let proposal = shared
             .host
@@ -117,55 +117,58 @@
             .propose_within(now, *program, *claim, &known.row, limit);
         let (row, version) = match proposal {
             Proposal::Write(row, version) => (row, version),
-            Proposal::Spent => return ByStore::Decided(Reply::Spent),
-            Proposal::Withheld(doubt) if shared.answers_whole() => {
-                return ByStore::Decided(Reply::Withheld(doubt));
+            Proposal::Spent => return ByStore::Decided(QueryReply::Spent),
+            Proposal::Withheld(doubt) if shared.store_answers_fully() => {
+                return ByStore::Decided(QueryReply::Withheld(doubt));
             }
-            Proposal::Withheld(doubt) => return ByStore::Away(Reply::Withheld(doubt)),
+            Proposal::Withheld(doubt) => return ByStore::Unavailable(QueryReply::Withheld(doubt)),
         };
 
         match write_hedged(shared, *program, row.clone(), version).await {
-            Hedged::Done(Written::Committed) => return ByStore::Decided(Reply::Written(row)),
-            Hedged::Done(Written::Learned) => {}
-            Hedged::Done(_) => return ByStore::Away(Reply::Refused),
+            Hedged::Done(Written::Committed) => return ByStore::Decided(QueryReply::Written(row)),
+            Hedged::Done(Written::Merged) => {}
+            Hedged::Done(_) => return ByStore::Unavailable(QueryReply::Refused),
             Hedged::Overdue(writing) => return ByStore::Overdue(row, writing),
         }
     }
 
-    ByStore::Away(Reply::Refused)
+    ByStore::Unavailable(QueryReply::Refused)
 }
 
-async fn grant_without_store(shared: &Shared, ask: &GrantAsk) -> Option<Reply> {
-    let GrantAsk { program, claim, known, begins } = ask;
+async fn grant_without_store(shared: &Shared, query: &GrantQuery) -> Option<QueryReply> {
+    let GrantQuery { program, claim, known, begins } = query;
     let budgets = &shared.host.budgets;
     let is_entitled = shared.is_majority() && !shared.is_isolated();
-    if !shared.host.health.borrow().has_answered() || !is_entitled || !shared.remembers() {
+    if !shared.host.health.borrow().has_answered() || !is_entitled || !shared.has_complete_history()
+    {
         return None;
     }
 
-    learn_from(shared, *program, WITNESSES).await;
+    query_known_rows(shared, *program, REPLICAS).await;
     if !budgets.borrow().knows(*program) {
-        learn_from(shared, *program, MOST_ASKED).await;
+        query_known_rows(shared, *program, MAX_QUERIED).await;
         if !budgets.borrow().knows(*program) && !begins {
             return None;
         }
     }
     let granted = budgets.borrow_mut().grant_claim(shared.now(), *program, *claim, &known.row);
     match granted {
-        Some(row) if has_witness(shared, *program, &row).await => Some(Reply::Granted(row)),
+        Some(row) if is_acknowledged(shared, *program, &row).await => {
+            Some(QueryReply::Granted(row))
+        }
         Some(_) => None,
-        None if budgets.borrow().is_spent(*program, claim.missing) => Some(Reply::Spent),
-        None => Some(Reply::Withheld(Doubt::Unsettled)),
+        None if budgets.borrow().is_spent(*program, claim.missing) => Some(QueryReply::Spent),
+        None => Some(QueryReply::Withheld(Doubt::Unsettled)),
     }
 }
 
 pub enum Hedged {
     Done(Written),
-    /// The write goes on.
+    /// The write is still in flight.
     Overdue(Slot<Written>),
 }
 
-/// Writes a row, and waits for a short time for what comes of it.
+/// Writes a row and waits a short time for the result.
 pub async fn write_hedged(
     shared: &Shared,
     program: ProgramKey,
@@ -179,54 +182,57 @@
     match shared.world.sim.timeout(HEDGE_AFTER, written.get()).await {
         Some(written) => Hedged::Done(written),
         None => {
-            shared.note_slow();
+            shared.record_slow();
             Hedged::Overdue(written)
         }
     }
 }
 
-async fn has_witness(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
+async fn is_acknowledged(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
     let stored = shared.host.budgets.borrow().known(program).map_or(0, |known| known.stored);
-    let ask = Ask::Loose(program, KnownRow { row: row.clone(), stored });
-    let elsewhere: Vec<_> = shared.witnesses(program).into_iter().take(LOOSE_WITNESSES).collect();
-    let next = shared.next_granters(program).take(WITNESSES);
-    for host in next.filter(|host| !elsewhere.contains(host)) {
-        asks::tell(shared, host, ask.clone());
+    let query = Query::Unstored(program, KnownRow { row: row.clone(), stored });
+    let replicas: Vec<_> =
+        shared.other_zone_hosts(program).into_iter().take(UNSTORED_REPLICAS).collect();
+    let next = shared.next_granters(program).take(REPLICAS);
+    for host in next.filter(|host| !replicas.contains(host)) {
+        asks::notify(shared, host, query.clone());
     }
 
-    // The first that takes note is enough; the others are told all the same.
+    // One acknowledgement is enough, but all of these hosts are queried.
     let first = Slot::new(&shared.world.sim);
-    for host in elsewhere {
-        let (asking, ask, first) = (shared.clone(), ask.clone(), first.clone());
+    for host in replicas {
+        let (requester, query, first) = (shared.clone(), query.clone(), first.clone());
         shared.spawn(async move {
-            if let Some(Reply::Done) = asks::ask(&asking, host, ask, WITNESS_DEADLINE).await {
+            if let Some(QueryReply::Done) =
+                asks::query(&requester, host, query, REPLICA_DEADLINE).await
+            {
                 first.put(());
             }
         });
     }
-    shared.world.sim.timeout(WITNESS_DEADLINE, first.get()).await.is_some()
+    shared.world.sim.timeout(REPLICA_DEADLINE, first.get()).await.is_some()
 }
 
-/// Learns what the next hosts in the order know.
-pub async fn learn_from(shared: &Shared, program: ProgramKey, count: usize) {
+/// Merges what the next `count` hosts in the order of granting know of the row.
+pub async fn query_known_rows(shared: &Shared, program: ProgramKey, count: usize) {
     let hosts: Vec<_> = shared.next_granters(program).take(count).collect();
-    let asked = hosts
+    let queries = hosts
         .into_iter()
-        .map(|host| asks::ask(shared, host, Ask::KnownRow(program), WITNESS_DEADLINE));
-    let replies = join_all(asked).await;
+        .map(|host| asks::query(shared, host, Query::KnownRow(program), REPLICA_DEADLINE));
+    let replies = join_all(queries).await;
 
     for reply in replies.into_iter().flatten() {
-        if let Reply::Known(known) = reply {
+        if let QueryReply::Known(known) = reply {
             shared.host.budgets.borrow_mut().note_known(shared.now(), program, &known);
         }
     }
 }
 
-/// Writes the grants that were made without the store and are due.
-pub async fn write_loose(shared: &Shared) {
-    let loose = shared.host.budgets.borrow().loose(shared.now(), |run| shared.hears_run(run));
+/// Writes the rows that are due, among them those with unstored grants.
+pub async fn write_unstored(shared: &Shared) {
+    let rows = shared.host.budgets.borrow().loose(shared.now(), |run| shared.is_run_live(run));
     let writes =
-        loose.into_iter().map(|(program, row, version)| write(shared, program, row, version));
+        rows.into_iter().map(|(program, row, version)| write(shared, program, row, version));
 
     join_all(writes).await;
 }
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -1,4 +1,4 @@
-//! A host: its memory, what it hears, and its way to the store.
+//! A simulated host: its memory, the status updates that it receives, and its access to the store.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,60 +14,60 @@
 use camphorwalk_policy::entry::outage::StoreHealth;
 use camphorwalk_policy::entry::shares::{self, KNOWS_ALL_AFTER, Limit, Memory};
 
-use crate::asks::{self, Ask, News, Reply};
-use crate::budget::{self, Held};
+use crate::asks::{self, Query, QueryReply, Status};
+use crate::budget::{self, TurnAnswer};
 use crate::grants;
 use crate::oracle;
 use crate::sim::{Lock, Locked};
 use crate::store::{self, Op, StoreReply};
-use crate::world::{HOSTS, MOST, Program, RETENTION, World, ZONES};
+use crate::world::{HOSTS, MAX_TOKENS, Program, RETENTION, World, ZONES};
 
-const NEWS_PERIOD: Duration = Duration::from_millis(100);
-const FRESH: Duration = Duration::from_millis(700);
-const SETTLED: Duration = Duration::from_secs(3);
-const ALL_TOLD: Duration = Duration::from_secs(1);
-const SLOW_TOLD: Duration = Duration::from_millis(500);
+const STATUS_PERIOD: Duration = Duration::from_millis(100);
+const LIVE_FOR: Duration = Duration::from_millis(700);
+const SETTLED_AFTER: Duration = Duration::from_secs(3);
+const UNSTORED_REPORT_WINDOW: Duration = Duration::from_secs(1);
+const SLOW_REPORT_TIME: Duration = Duration::from_millis(500);
 const LONG_SILENCE: Duration = Duration::from_millis(300);
 const RELAY_DEADLINE: Duration = Duration::from_millis(600);
 const PROBE_PERIOD: Duration = Duration::from_millis(500);
-const BEAT_PERIOD: Duration = Duration::from_secs(5);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(5);
 const WRITE_BACK_PERIOD: Duration = Duration::from_millis(500);
 const SWEEP_PERIOD: Duration = Duration::from_secs(5);
 const SWEEP_MARGIN: Duration = Duration::from_secs(30);
 
-/// What another host told last of itself.
+/// The latest status update from another host.
 #[derive(Clone, Copy)]
-struct Heard {
+struct ReceivedStatus {
     at: Instant,
     run: RunId,
     store_answers: bool,
-    remembers: bool,
-    knows_of_loose: bool,
+    has_complete_history: bool,
+    knows_of_unstored: bool,
 }
 
 pub struct Host {
     pub name: usize,
     pub run: RunId,
-    /// Whether the whole fleet started with it.
+    /// Whether the whole fleet started for the first time together with this host.
     is_first_start: bool,
     began: Instant,
-    memory: RefCell<Memory>,
+    history: RefCell<Memory>,
     pub budgets: RefCell<Budgets>,
     pub health: RefCell<StoreHealth>,
-    /// Whether it has read who the others are, without which it talks to none.
+    /// Whether the host has read who the others are. Until then it exchanges no messages with them.
     joined: Cell<bool>,
-    /// The rows of the others as it read them last, and which of these are there.
+    /// The rows of the other hosts as last read, and which of these hosts do not count as gone.
     rows: RefCell<HostRows>,
     known: RefCell<Set<usize>>,
-    beat_at: Cell<Option<Instant>>,
-    heard: RefCell<Map<usize, Heard>>,
-    away_at: Cell<Option<Instant>>,
+    heartbeat_at: Cell<Option<Instant>>,
+    received: RefCell<Map<usize, ReceivedStatus>>,
+    trouble_at: Cell<Option<Instant>>,
     slow_at: Cell<Option<Instant>>,
-    loose_at: Cell<Option<Instant>>,
+    unstored_at: Cell<Option<Instant>>,
     locks: RefCell<Map<ProgramKey, Rc<Lock>>>,
 }
 
-/// A host in its world.
+/// A host together with its world.
 #[derive(Clone)]
 pub struct Shared {
     pub world: Rc<World>,
@@ -81,17 +81,17 @@
             run,
             is_first_start,
             began: now,
-            memory: RefCell::new(Memory::new(now, is_first_start)),
+            history: RefCell::new(Memory::new(now, is_first_start)),
             budgets: RefCell::new(Budgets::new(run)),
             health: RefCell::default(),
             joined: Cell::new(false),
             rows: RefCell::default(),
             known: RefCell::new((0..HOSTS).filter(|other| *other != name).collect()),
-            beat_at: Cell::new(None),
-            heard: RefCell::default(),
-            away_at: Cell::new(None),
+            heartbeat_at: Cell::new(None),
+            received: RefCell::default(),
+            trouble_at: Cell::new(None),
             slow_at: Cell::new(None),
-            loose_at: Cell::new(None),
+            unstored_at: Cell::new(None),
             locks: RefCell::default(),
         }
     }
@@ -106,25 +106,29 @@
         self.world.sim.now()
     }
 
-    fn fresh(&self) -> Vec<(usize, Heard)> {
+    fn live_hosts(&self) -> Vec<(usize, ReceivedStatus)> {
         let now = self.now();
-        let heard = self.host.heard.borrow();
-        let fresh = heard.iter().filter(|(_, heard)| now.since(heard.at) < FRESH);
+        let received = self.host.received.borrow();
+        let live_hosts = received.iter().filter(|(_, received)| now.since(received.at) < LIVE_FOR);
 
-        let mut fresh: Vec<_> = fresh.map(|(host, heard)| (*host, *heard)).collect();
-        fresh.sort_unstable_by_key(|(host, _)| *host);
-        fresh
+        let mut live_hosts: Vec<_> =
+            live_hosts.map(|(host, received)| (*host, *received)).collect();
+        live_hosts.sort_unstable_by_key(|(host, _)| *host);
+        live_hosts
     }
 
-    pub fn hears(&self, host: usize) -> bool {
-        self.fresh().iter().any(|(heard, _)| *heard == host)
+    pub fn is_live(&self, host: usize) -> bool {
+        self.live_hosts().iter().any(|(received, _)| *received == host)
     }
 
     pub fn host_of_run(&self, run: RunId) -> Option<usize> {
-        self.fresh().into_iter().find(|(_, heard)| heard.run == run).map(|(host, _)| host)
+        self.live_hosts()
+            .into_iter()
+            .find(|(_, received)| received.run == run)
+            .map(|(host, _)| host)
     }
 
-    pub fn hears_run(&self, run: RunId) -> bool {
+    pub fn is_run_live(&self, run: RunId) -> bool {
         run == self.host.run || self.host_of_run(run).is_some()
     }
 
@@ -133,26 +137,26 @@
         if self.host.has_joined() { self.host.known.borrow().len() + 1 } else { 1 }
     }
 
-    fn fresh_known(&self) -> Vec<(usize, Heard)> {
+    fn live_known_hosts(&self) -> Vec<(usize, ReceivedStatus)> {
         let known = self.host.known.borrow();
 
-        self.fresh().into_iter().filter(|(host, _)| known.contains(host)).collect()
+        self.live_hosts().into_iter().filter(|(host, _)| known.contains(host)).collect()
     }
 
-    /// Writes this host's row and reads those of the others, if that is due.
-    fn beat(&self) {
+    /// Writes this host's row and reads those of the others, if it is time to do so.
+    fn heartbeat(&self) {
         let now = self.now();
-        let last = self.host.beat_at.get();
-        if last.is_some_and(|at| now.since(at) < BEAT_PERIOD) {
+        let last = self.host.heartbeat_at.get();
+        if last.is_some_and(|at| now.since(at) < HEARTBEAT_PERIOD) {
             return;
         }
-        self.host.beat_at.set(Some(now));
+        self.host.heartbeat_at.set(Some(now));
         self.world.write_host_row(self.host.name);
 
         let mut known = self.host.known.borrow_mut();
         for other in (0..HOSTS).filter(|other| *other != self.host.name) {
             let version = RowVersion(self.world.host_rows.get()[other]);
-            let is_due = last.is_some() && !self.hears(other);
+            let is_due = last.is_some() && !self.is_live(other);
             let host = HostId(other as u64);
             match self.host.rows.borrow_mut().read(host, version, is_due) {
                 Presence::Wrote => drop(known.insert(other)),
@@ -163,43 +167,45 @@
     }
 
     pub fn is_majority(&self) -> bool {
-        (self.fresh_known().len() + 1) * 2 > self.known()
+        (self.live_known_hosts().len() + 1) * 2 > self.known()
     }
 
     pub fn is_isolated(&self) -> bool {
         let contact = |which: &dyn Fn(usize) -> bool| match self.host.has_joined() {
             false => Contact::NoneKnown,
-            true if self.fresh().iter().any(|(host, _)| which(*host)) => Contact::Heard,
+            true if self.live_hosts().iter().any(|(host, _)| which(*host)) => Contact::Heard,
             true => Contact::Silent,
         };
-        let answers_whole = self.answers_whole();
+        let store_answers_fully = self.store_answers_fully();
         let own = ZONES[self.host.name];
 
-        !answers_whole
+        !store_answers_fully
             && isolation::is_isolated(Surroundings {
-                store_in_reach: answers_whole || self.store_peer().is_some(),
+                store_in_reach: store_answers_fully || self.peer_with_store().is_some(),
                 other_zones: contact(&|host| ZONES[host] != own),
                 others: contact(&|_| true),
             })
     }
 
-    /// Returns the hosts that are heard and this one, in the order in which they grant.
+    /// Returns the live hosts and this one, in the order in which they grant a program's tokens.
     pub fn order(&self, program: ProgramKey) -> Vec<usize> {
-        let heard = self.fresh().into_iter().map(|(host, _)| host).chain([self.host.name]);
-        let order = rendezvous_order(program.0, heard.map(|host| host as u64));
-        let remembers = |host: &usize| match *host == self.host.name {
-            true => self.remembers(),
-            false => self.hears_that_it_remembers(*host),
+        let received = self.live_hosts().into_iter().map(|(host, _)| host).chain([self.host.name]);
+        let order = rendezvous_order(program.0, received.map(|host| host as u64));
+        let has_complete_history = |host: &usize| match *host == self.host.name {
+            true => self.has_complete_history(),
+            false => self.reports_complete_history(*host),
         };
         let (mut order, late): (Vec<_>, Vec<_>) =
-            order.into_iter().map(|host| host as usize).partition(remembers);
+            order.into_iter().map(|host| host as usize).partition(has_complete_history);
         order.extend(late);
 
         order
     }
 
-    fn hears_that_it_remembers(&self, host: usize) -> bool {
-        self.fresh().iter().any(|(heard, news)| *heard == host && news.remembers)
+    fn reports_complete_history(&self, host: usize) -> bool {
+        self.live_hosts()
+            .iter()
+            .any(|(received, status)| *received == host && status.has_complete_history)
     }
 
     pub fn next_granters(&self, program: ProgramKey) -> impl Iterator<Item = usize> {
@@ -208,87 +214,93 @@
         self.order(program).into_iter().filter(move |host| *host != own)
     }
 
-    pub fn witnesses(&self, program: ProgramKey) -> Vec<usize> {
+    pub fn other_zone_hosts(&self, program: ProgramKey) -> Vec<usize> {
         let own = ZONES[self.host.name];
 
         self.order(program).into_iter().filter(|host| ZONES[*host] != own).collect()
     }
 
-    pub fn answers_whole(&self) -> bool {
+    pub fn store_answers_fully(&self) -> bool {
         let health = self.host.health.borrow();
 
         health.answers() && !health.misses_any()
     }
 
-    fn store_peer(&self) -> Option<usize> {
-        self.fresh().into_iter().find(|(_, heard)| heard.store_answers).map(|(host, _)| host)
+    fn peer_with_store(&self) -> Option<usize> {
+        self.live_hosts()
+            .into_iter()
+            .find(|(_, received)| received.store_answers)
+            .map(|(host, _)| host)
     }
 
     pub fn is_settled(&self) -> bool {
-        let away_at = self.host.away_at.get();
+        let trouble_at = self.host.trouble_at.get();
 
-        self.has_heard_of_trouble() && away_at.is_none_or(|at| self.now().since(at) > SETTLED)
+        self.would_know_of_trouble()
+            && trouble_at.is_none_or(|at| self.now().since(at) > SETTLED_AFTER)
     }
 
-    fn has_heard_of_trouble(&self) -> bool {
-        self.host.is_first_start || self.now().since(self.host.began) > SETTLED
+    fn would_know_of_trouble(&self) -> bool {
+        self.host.is_first_start || self.now().since(self.host.began) > SETTLED_AFTER
     }
 
-    fn grants_loose(&self) -> bool {
-        let misses_any = self.host.health.borrow().missed_any(self.now(), ALL_TOLD);
+    fn may_have_unstored(&self) -> bool {
+        let any_unavailable =
+            self.host.health.borrow().missed_any(self.now(), UNSTORED_REPORT_WINDOW);
 
-        misses_any || self.host.budgets.borrow().answers_for_loose(|run| self.hears_run(run))
+        any_unavailable || self.host.budgets.borrow().answers_for_loose(|run| self.is_run_live(run))
     }
 
     fn is_all_stored(&self) -> bool {
-        if self.grants_loose() {
-            self.host.loose_at.set(Some(self.now()));
+        if self.may_have_unstored() {
+            self.host.unstored_at.set(Some(self.now()));
         }
-        let loose_at = self.host.loose_at.get();
+        let unstored_at = self.host.unstored_at.get();
 
-        self.has_heard_of_trouble() && loose_at.is_none_or(|at| self.now().since(at) > ALL_TOLD)
+        self.would_know_of_trouble()
+            && unstored_at.is_none_or(|at| self.now().since(at) > UNSTORED_REPORT_WINDOW)
     }
 
-    pub fn remembers(&self) -> bool {
-        let others = self.surroundings_without_itself();
+    pub fn has_complete_history(&self) -> bool {
+        let others = self.fleet_view_without_self();
 
-        self.host.memory.borrow_mut().is_complete(self.now(), others)
+        self.host.history.borrow_mut().is_complete(self.now(), others)
     }
 
-    /// Returns how much of budgets this host may have granted by the store.
+    /// Returns how much of a budget the store may grant on request of this host.
     pub fn limit(&self) -> Limit {
-        shares::limit(self.surroundings())
+        shares::limit(self.fleet_view())
     }
 
-    fn knows_of_loose(&self) -> bool {
-        let loose_at = self.host.loose_at.get();
+    fn knows_of_unstored(&self) -> bool {
+        let unstored_at = self.host.unstored_at.get();
 
-        loose_at.is_some_and(|at| self.now().since(at) <= KNOWS_ALL_AFTER)
+        unstored_at.is_some_and(|at| self.now().since(at) <= KNOWS_ALL_AFTER)
     }
 
-    fn surroundings(&self) -> shares::Surroundings {
-        let others = self.surroundings_without_itself();
+    fn fleet_view(&self) -> shares::Surroundings {
+        let others = self.fleet_view_without_self();
 
-        others.with_itself(self.remembers(), self.knows_of_loose())
+        others.with_itself(self.has_complete_history(), self.knows_of_unstored())
     }
 
-    fn surroundings_without_itself(&self) -> shares::Surroundings {
-        let fresh = self.fresh_known();
-        let remembering = fresh.iter().filter(|(_, heard)| heard.remembers);
-        let free_of_loose = remembering.clone().filter(|(_, heard)| !heard.knows_of_loose);
+    fn fleet_view_without_self(&self) -> shares::Surroundings {
+        let live_hosts = self.live_known_hosts();
+        let complete = live_hosts.iter().filter(|(_, received)| received.has_complete_history);
+        let without_unstored = complete.clone().filter(|(_, received)| !received.knows_of_unstored);
 
         shares::Surroundings {
             is_all_stored: self.is_all_stored(),
             known: self.known(),
-            heard: fresh.len() + 1,
-            remembering: remembering.count(),
-            free_of_loose: free_of_loose.count(),
+            heard: live_hosts.len() + 1,
+            remembering: complete.count(),
+            free_of_loose: without_unstored.count(),
         }
     }
 
-    pub fn note_slow(&self) {
+    pub fn record_slow(&self) {
         self.host.slow_at.set(Some(self.now()));
-        self.host.away_at.set(Some(self.now()));
+        self.host.trouble_at.set(Some(self.now()));
     }
 
     pub async fn lock(&self, program: ProgramKey) -> Locked {
@@ -304,27 +316,28 @@
         self.world.sim.spawn(self.host.run, work);
     }
 
-    /// Runs an operation for a turn: through another host if the store is believed to be away.
-    pub async fn ask_store(&self, op: Op) -> StoreReply {
-        let is_held_up = {
+    /// Runs a store operation for a turn, through another host if the store is considered
+    /// unavailable.
+    pub async fn run_store_op(&self, op: Op) -> StoreReply {
+        let is_skipped = {
             let mut health = self.host.health.borrow_mut();
             health.is_away(op.part()) && !health.try_again(self.now(), op.part())
         };
 
-        match is_held_up {
+        match is_skipped {
             true => self.relay(op).await,
             false => self.probe(op).await,
         }
     }
 
     pub async fn probe(&self, op: Op) -> StoreReply {
-        match self.ask_straight(op.clone()).await {
+        match self.run_direct(op.clone()).await {
             StoreReply::Unavailable => self.relay(op).await,
             reply => reply,
         }
     }
 
-    pub async fn ask_straight(&self, op: Op) -> StoreReply {
+    pub async fn run_direct(&self, op: Op) -> StoreReply {
         let began = self.now();
         let part = op.part();
         let mode = self.world.modes.get()[self.host.name];
@@ -339,16 +352,16 @@
             _ => drop(health.answered(now, part)),
         }
         if health.misses_any() {
-            self.host.away_at.set(Some(now));
+            self.host.trouble_at.set(Some(now));
         }
         reply
     }
 
     async fn relay(&self, op: Op) -> StoreReply {
-        let Some(peer) = self.store_peer() else { return StoreReply::Unavailable };
+        let Some(peer) = self.peer_with_store() else { return StoreReply::Unavailable };
 
-        match asks::ask(self, peer, Ask::Store(op), RELAY_DEADLINE).await {
-            Some(Reply::Store(reply)) => reply,
+        match asks::query(self, peer, Query::Store(op), RELAY_DEADLINE).await {
+            Some(QueryReply::Store(reply)) => reply,
             Some(_) => StoreReply::Unavailable,
             None => StoreReply::Unknown,
         }
@@ -358,40 +371,54 @@
         self.host.health.borrow().answers()
     }
 
-    pub fn hear(&self, from: usize, news: News) {
-        let News { run, store_answers, in_trouble, remembers, grants_loose, knows_of_loose } = news;
-        let heard = Heard { at: self.now(), run, store_answers, remembers, knows_of_loose };
+    pub fn apply_status(&self, from: usize, status: Status) {
+        let Status {
+            run,
+            store_answers,
+            in_trouble,
+            has_complete_history,
+            may_have_unstored,
+            knows_of_unstored,
+        } = status;
+        let received = ReceivedStatus {
+            at: self.now(),
+            run,
+            store_answers,
+            has_complete_history,
+            knows_of_unstored,
+        };
 
-        self.host.heard.borrow_mut().insert(from, heard);
-        if grants_loose {
-            self.host.loose_at.set(Some(self.now()));
+        self.host.received.borrow_mut().insert(from, received);
+        if may_have_unstored {
+            self.host.unstored_at.set(Some(self.now()));
         }
         if in_trouble {
-            self.host.away_at.set(Some(self.now()));
+            self.host.trouble_at.set(Some(self.now()));
         }
     }
 
-    fn news(&self) -> News {
-        let is_slow = self.host.slow_at.get().is_some_and(|at| self.now().since(at) < SLOW_TOLD);
-        let misses_any = self.host.health.borrow().misses_any();
+    fn status(&self) -> Status {
+        let is_slow =
+            self.host.slow_at.get().is_some_and(|at| self.now().since(at) < SLOW_REPORT_TIME);
+        let any_unavailable = self.host.health.borrow().misses_any();
 
-        News {
+        Status {
             run: self.host.run,
             store_answers: self.answers_store(),
-            in_trouble: is_slow || misses_any,
-            grants_loose: self.grants_loose(),
-            knows_of_loose: self.knows_of_loose(),
-            remembers: self.remembers(),
+            in_trouble: is_slow || any_unavailable,
+            may_have_unstored: self.may_have_unstored(),
+            knows_of_unstored: self.knows_of_unstored(),
+            has_complete_history: self.has_complete_history(),
         }
     }
 }
 
-/// Starts what a host does all the time.
+/// Starts the background tasks of a host.
 pub fn start(world: &Rc<World>, host: &Rc<Host>) {
     let shared = Shared { world: Rc::clone(world), host: Rc::clone(host) };
 
     shared.spawn(probe_store(shared.clone()));
-    shared.spawn(tell_news(shared.clone()));
+    shared.spawn(send_status(shared.clone()));
     shared.spawn(write_back(shared.clone()));
     shared.spawn(sweep(shared.clone()));
 }
@@ -402,28 +429,32 @@
 
     shared.clone().spawn(async move {
         let key = program.key;
-        if let Held::Tokens = budget::hold(&shared, &program).await {
-            shared.world.turn_runs(key, &shared.host, used);
+        if let TurnAnswer::Tokens = budget::reserve(&shared, &program).await {
+            shared.world.record_turn_start(key, &shared.host, used);
             oracle::check_turn(&shared.world, key, &shared.host);
             shared.world.sim.sleep(time).await;
-            shared.host.budgets.borrow_mut().settle(key, MOST, used);
-            shared.world.turn_ended(key, &shared.host, used);
+            shared.host.budgets.borrow_mut().settle(key, MAX_TOKENS, used);
+            shared.world.record_turn_end(key, &shared.host, used);
         }
     });
 }
 
-/// Asks for the tokens of a turn that then generates none; the answer comes later.
-pub fn ask_turn(world: &Rc<World>, host: &Rc<Host>, program: Program) -> Rc<Cell<Option<Held>>> {
+/// Requests the tokens of a turn that then generates none. The answer is filled in later.
+pub fn request_turn(
+    world: &Rc<World>,
+    host: &Rc<Host>,
+    program: Program,
+) -> Rc<Cell<Option<TurnAnswer>>> {
     let shared = Shared { world: Rc::clone(world), host: Rc::clone(host) };
     let answer = Rc::new(Cell::new(None));
     let answered = Rc::clone(&answer);
 
     shared.clone().spawn(async move {
-        let held = budget::hold(&shared, &program).await;
-        if held == Held::Tokens {
-            shared.host.budgets.borrow_mut().settle(program.key, MOST, 0);
+        let answer = budget::reserve(&shared, &program).await;
+        if answer == TurnAnswer::Tokens {
+            shared.host.budgets.borrow_mut().settle(program.key, MAX_TOKENS, 0);
         }
-        answered.set(Some(held));
+        answered.set(Some(answer));
     });
     answer
 }
@@ -432,36 +463,36 @@
     loop {
         if let StoreReply::Row(_) = shared.probe(Op::Probe).await {
             shared.host.joined.set(true);
-            shared.beat();
+            shared.heartbeat();
         }
         shared.world.sim.sleep(PROBE_PERIOD).await;
     }
 }
 
-async fn tell_news(shared: Shared) {
+async fn send_status(shared: Shared) {
     loop {
-        shared.world.sim.sleep(NEWS_PERIOD).await;
+        shared.world.sim.sleep(STATUS_PERIOD).await;
         for other in (0..HOSTS).filter(|other| *other != shared.host.name) {
-            asks::tell_news(&shared, other, shared.news());
+            asks::send_status(&shared, other, shared.status());
         }
     }
 }
 
 async fn write_back(shared: Shared) {
     loop {
-        grants::write_loose(&shared).await;
+        grants::write_unstored(&shared).await;
         shared.world.sim.sleep(WRITE_BACK_PERIOD).await;
     }
 }
 
-/// Deletes rows that no program may need any more.
+/// Deletes rows of programs that may not return any more.
 async fn sweep(shared: Shared) {
     loop {
         shared.world.sim.sleep(SWEEP_PERIOD).await;
-        let asked = shared.now();
-        let old = shared.host.budgets.borrow_mut().forget(asked, RETENTION + SWEEP_MARGIN);
+        let idle_at = shared.now();
+        let old = shared.host.budgets.borrow_mut().forget(idle_at, RETENTION + SWEEP_MARGIN);
         for (program, version) in old {
-            budget::delete(&shared, program, version, asked).await;
+            budget::delete(&shared, program, version, idle_at).await;
         }
     }
 }
--- a/crates/policy/tests/entry_fuzz/main.rs
+++ b/crates/policy/tests/entry_fuzz/main.rs
@@ -1,11 +1,12 @@
-//! Random faults against programs' budgets: the decisions of `entry::budgets`, used as the entry
-//! hosts use them.
+//! Random faults against the budgets of programs: the decisions of `entry::budgets`, used the way
+//! entry hosts use them.
 //!
-//! Simulated hosts share a store and a network in simulated time; what a host does is modelled on
-//! `camphorwalk-entry`, step by step. Grants that the store does not have are known in two zones,
-//! so the faults take one host or zone at a time from those that know them. All else comes in any
-//! order: hosts start while others hold grants, the store goes and comes while hosts are cut off, and
-//! all hosts are killed at once. What is known to fail beyond that stands in `faults`.
+//! Simulated hosts share a store and a network in simulated time. Their behaviour follows
+//! `camphorwalk-entry` step by step. Unstored grants are known in at least two zones, so the faults
+//! remove only one host or zone at a time from those that know a grant. Everything else happens in
+//! any order: hosts start while others hold grants, the store fails and recovers during network
+//! partitions, and all hosts are killed at once. `faults` has further cases, which are known to
+//! fail.
 
 mod asks;
 mod budget;
--- a/crates/policy/tests/entry_fuzz/merge.rs
+++ b/crates/policy/tests/entry_fuzz/merge.rs
@@ -1,4 +1,4 @@
-//! Rows that were written apart merge to the same row in any order, and again to the same.
+//! Merging rows gives the same result in any order, and merging a row again changes nothing.
 
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_core::time::Instant;
@@ -19,7 +19,7 @@
     })
 }
 
-/// Takes rows in, in one of the ways in which a host learns of them.
+/// Merges rows, each in one of the ways in which a host receives them.
 fn merged(rows: &[(&BudgetRow, u8)]) -> BudgetRow {
     let mut budgets = Budgets::new(RunId(9));
 
--- a/crates/policy/tests/entry_fuzz/oracle.rs
+++ b/crates/policy/tests/entry_fuzz/oracle.rs
@@ -1,18 +1,18 @@
-//! What must hold of budgets, whatever happens.
+//! The invariants of budgets, which must hold under all faults.
 
 use camphorwalk_policy::entry::budgets::{BudgetRow, ProgramKey, RunId};
 use std::collections::BTreeMap;
 
 use crate::host::Host;
-use crate::world::{MOST, Program, RETENTION, World};
+use crate::world::{MAX_TOKENS, Program, RETENTION, World};
 
-/// A program never spends more than its budget and the most of one turn. What a host spends is
-/// covered by a row that somebody else knows.
+/// A program never spends more than its budget plus the maximum of one turn, and each host's
+/// spending is covered by a row that the store or another host knows.
 pub fn check_turn(world: &World, key: ProgramKey, host: &Host) {
     let Some(program) = world.program_of(key) else { return };
 
     assert!(
-        program.spent <= program.budget + MOST,
+        program.spent <= program.budget + MAX_TOKENS,
         "{} of {} tokens are spent; {}",
         program.spent,
         program.budget,
@@ -21,7 +21,7 @@
     check_covered(world, key, host);
 }
 
-/// A row only grows, and stays for as long as its program may return.
+/// The figures of a row only grow, and the row exists as long as its program may return.
 pub fn check_write(
     world: &World,
     key: ProgramKey,
@@ -44,7 +44,7 @@
     assert!(grows(&before.returned, &after.returned), "{before:?} became {after:?}");
 }
 
-/// What all hosts spend of programs that may return is covered.
+/// On each host, the spending of all programs that may return is covered.
 pub fn check(world: &World) {
     let programs = world.programs.borrow();
     let now = world.sim.now();
@@ -55,11 +55,11 @@
     }
 }
 
-/// Tokens that a live host has spent, reserved or given away are covered by the row that the store or
-/// another host knows and by what others gave it, if no host was lost since they were granted
-/// without the store.
+/// Tokens that a running host has spent, reserved or given away must be covered by the row in the
+/// store or on another host, plus the tokens received from others. This is not checked while a host
+/// has been lost that may have held the only copy of an unstored grant.
 fn check_covered(world: &World, key: ProgramKey, host: &Host) {
-    if world.is_weakened() {
+    if world.may_have_single_copy() {
         return;
     }
     let committed = world.committed.borrow().get(&(key, host.run)).copied().unwrap_or(0);
@@ -81,8 +81,8 @@
     );
 }
 
-/// Returns what a host has given to others and received from them. No host has more from another one
-/// than that has given.
+/// Returns the tokens that a host has given to other hosts and received from them. Asserts that no
+/// host has received more from another one than that one has given.
 fn transferred(world: &World, key: ProgramKey, host: &Host) -> (u64, u64) {
     let budgets = host.budgets.borrow();
     let runs = (1..=world.runs()).map(RunId).filter(|run| *run != host.run);
@@ -97,7 +97,7 @@
     })
 }
 
-/// Returns the rows of a program at all that know one, for a message.
+/// Formats a program's row as the store and all hosts know it, for assert messages.
 fn rows(world: &World, key: ProgramKey) -> String {
     let alive = world.alive();
     let hosts = alive.iter().map(|host| {
@@ -112,7 +112,7 @@
     row.granted.get(&run).copied().unwrap_or(0)
 }
 
-/// Returns whether all figures are there, as high or higher.
+/// Returns whether `after` has all entries of `before`, with equal or higher figures.
 pub fn grows(before: &BTreeMap<RunId, u64>, after: &BTreeMap<RunId, u64>) -> bool {
     before.iter().all(|(run, tokens)| after.get(run).is_some_and(|later| later >= tokens))
 }
--- a/crates/policy/tests/entry_fuzz/sim.rs
+++ b/crates/policy/tests/entry_fuzz/sim.rs
@@ -1,4 +1,4 @@
-//! Time and tasks of a simulated fleet, in one thread and by one seed.
+//! Simulated time and tasks of a fleet, single-threaded and reproducible by seed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -16,19 +16,19 @@
 
 type Work = Pin<Box<dyn Future<Output = ()>>>;
 
-/// What a run of a host does at the moment; dropped when the run is killed.
+/// A task of one run of a host. It is dropped when the run is killed.
 struct Task {
     run: RunId,
     work: Work,
 }
 
-/// The clock and the chance that all tasks share.
+/// The clock and the random numbers that all tasks share.
 pub struct Sim {
     now: Cell<Instant>,
     wakes: RefCell<BTreeSet<Instant>>,
     spawned: RefCell<Vec<Task>>,
-    /// Whether something happened that another task may wait for.
-    stirred: Cell<bool>,
+    /// Whether something has happened that another task may be waiting for.
+    progressed: Cell<bool>,
     rng: RefCell<SmallRng>,
 }
 
@@ -38,7 +38,7 @@
             now: Cell::new(Instant::from_millis(1_000_000)),
             wakes: RefCell::default(),
             spawned: RefCell::default(),
-            stirred: Cell::new(false),
+            progressed: Cell::new(false),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
         }
     }
@@ -47,17 +47,17 @@
         self.now.get()
     }
 
-    pub fn chance(&self, part: f64) -> bool {
-        self.rng.borrow_mut().random_bool(part)
+    pub fn chance(&self, probability: f64) -> bool {
+        self.rng.borrow_mut().random_bool(probability)
     }
 
-    pub fn millis(&self, range: Range<u64>) -> Duration {
+    pub fn random_millis(&self, range: Range<u64>) -> Duration {
         Duration::from_millis(self.rng.borrow_mut().random_range(range))
     }
 
     pub fn spawn(&self, run: RunId, work: impl Future<Output = ()> + 'static) {
         self.spawned.borrow_mut().push(Task { run, work: Box::pin(work) });
-        self.stirred.set(true);
+        self.progressed.set(true);
     }
 
     pub async fn sleep(&self, time: Duration) {
@@ -66,7 +66,7 @@
         poll_fn(|_| if self.now() >= until { Poll::Ready(()) } else { Poll::Pending }).await;
     }
 
-    /// Returns `None` if the future is not ready within `limit`; then it is dropped.
+    /// Runs `future` for at most `limit`. Returns `None` if it is not ready by then, and drops it.
     pub async fn timeout<F: Future>(&self, limit: Duration, future: F) -> Option<F::Output> {
         let until = self.wake_in(limit);
         let mut future = pin!(future);
@@ -87,7 +87,7 @@
     }
 }
 
-/// A value that one task gives and another waits for.
+/// A cell that one task fills and another task waits for.
 pub struct Slot<T>(Rc<(RefCell<Option<T>>, Rc<Sim>)>);
 
 impl<T> Clone for Slot<T> {
@@ -103,7 +103,7 @@
 
     pub fn put(&self, value: T) {
         *self.0.0.borrow_mut() = Some(value);
-        self.0.1.stirred.set(true);
+        self.0.1.progressed.set(true);
     }
 
     pub async fn get(&self) -> T {
@@ -115,10 +115,10 @@
     }
 }
 
-/// A lock that tasks of one host take in turn.
+/// A mutex between tasks of one host.
 pub struct Lock(Rc<Cell<bool>>, Rc<Sim>);
 
-/// Frees its lock when it is dropped.
+/// Releases its lock when it is dropped.
 pub struct Locked(Rc<Cell<bool>>, Rc<Sim>);
 
 impl Lock {
@@ -136,11 +136,11 @@
 impl Drop for Locked {
     fn drop(&mut self) {
         self.0.set(false);
-        self.1.stirred.set(true);
+        self.1.progressed.set(true);
     }
 }
 
-/// Waits for all futures, which run at the same time.
+/// Runs all futures concurrently and waits until all are complete.
 pub async fn join_all<F: Future>(futures: impl IntoIterator<Item = F>) -> Vec<F::Output> {
     let mut left: Vec<_> = futures.into_iter().map(|f| (Box::pin(f), None)).collect();
 
@@ -163,7 +163,7 @@
 pub struct Tasks(Vec<Task>);
 
 impl Tasks {
-    /// Runs all tasks for a while.
+    /// Runs all tasks for the simulated time `time`.
     pub fn run(&mut self, sim: &Sim, time: Duration) {
         let end = sim.now() + time;
 
@@ -177,21 +177,21 @@
         sim.now.set(end);
     }
 
-    /// Ends a run with all that it does.
+    /// Drops all tasks of a run.
     pub fn kill(&mut self, sim: &Sim, run: RunId) {
         self.0.extend(sim.spawned.take());
         self.0.retain(|task| task.run != run);
     }
 
-    /// Runs all tasks until each waits for the time.
+    /// Polls all tasks until each of them waits for a later time.
     fn settle(&mut self, sim: &Sim) {
         let mut cx = Context::from_waker(Waker::noop());
 
         loop {
-            sim.stirred.set(false);
+            sim.progressed.set(false);
             self.0.extend(sim.spawned.take());
             self.0.retain_mut(|task| task.work.as_mut().poll(&mut cx).is_pending());
-            if !sim.stirred.get() {
+            if !sim.progressed.get() {
                 return;
             }
         }
--- a/crates/policy/tests/entry_fuzz/store.rs
+++ b/crates/policy/tests/entry_fuzz/store.rs
@@ -1,4 +1,4 @@
-//! The store of budgets' rows, as each host reaches it.
+//! The store of budget rows, as each host can reach it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 use crate::world::World;
 
 /// How long a host waits for an answer of the store.
-const PATIENCE: Duration = Duration::from_millis(500);
+const ANSWER_DEADLINE: Duration = Duration::from_millis(500);
 
-/// How the store answers a host.
+/// How the store behaves toward a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     Up,
-    /// Answers take up to some seconds.
+    /// Answers take up to a few seconds.
     Slow,
-    /// Nothing takes effect and nothing is answered.
-    Away,
-    /// It refuses at once.
+    /// Operations have no effect and get no answer.
+    Down,
+    /// It refuses operations immediately.
     Refuses,
-    /// Writes take effect and are not answered.
+    /// Writes take effect, but their answers are lost.
     AnswersLost,
-    /// Writes may take effect seconds after the host has given up.
+    /// Writes may take effect seconds after the host has stopped waiting.
     Late,
 }
 
 /// An operation on a program's row.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// Writes the row, or deletes it, if it has this version.
+    /// Writes the row, or deletes it, provided that the stored one has this version.
     Commit(ProgramKey, Option<BudgetRow>, RowVersion),
     Read(ProgramKey),
     /// An operation on the platform's own tables.
@@ -40,7 +40,7 @@
 }
 
 impl Op {
-    /// Returns the name of the part of the store that it is on.
+    /// Returns the name of the store part that the operation uses.
     pub fn part(&self) -> &'static str {
         if let Self::Probe = self { "" } else { "budgets" }
     }
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub enum StoreReply {
     Committed(RowVersion),
-    /// The row that is there instead.
+    /// Holds the row that the store has instead.
     Conflict(Option<(BudgetRow, RowVersion)>),
     Row(Option<(BudgetRow, RowVersion)>),
     Unavailable,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Runs an operation for a host, in the mode of that host.
+/// Runs an operation for a host to which the store behaves according to `mode`.
 pub async fn run(world: &Rc<World>, mode: Mode, op: Op) -> StoreReply {
     let sim = &world.sim;
     let effect = || world.store.borrow_mut().run(world, &op);
@@ -105,44 +105,44 @@
             let most = if mode == Mode::Slow { 900 } else { 10 };
             let overdue = mode == Mode::Up && sim.chance(0.02);
             let most = if overdue { 200 } else { most };
-            sim.sleep(sim.millis(1..most)).await;
+            sim.sleep(sim.random_millis(1..most)).await;
             let reply = effect();
-            sim.sleep(sim.millis(1..most)).await;
+            sim.sleep(sim.random_millis(1..most)).await;
             reply
         }
         Mode::Refuses => {
-            sim.sleep(sim.millis(1..10)).await;
+            sim.sleep(sim.random_millis(1..10)).await;
             StoreReply::Unavailable
         }
-        Mode::Away => {
-            sim.sleep(PATIENCE).await;
+        Mode::Down => {
+            sim.sleep(ANSWER_DEADLINE).await;
             StoreReply::Unavailable
         }
         Mode::AnswersLost => {
-            sim.sleep(sim.millis(1..100)).await;
+            sim.sleep(sim.random_millis(1..100)).await;
             if let Op::Commit(..) = op {
                 effect();
-                sim.sleep(sim.millis(50..500)).await;
+                sim.sleep(sim.random_millis(50..500)).await;
                 return no_answer;
             }
             effect()
         }
         Mode::Late => {
             if let Op::Commit(..) = op {
-                land_late(world, op);
+                apply_late(world, op);
             }
-            sim.sleep(PATIENCE).await;
+            sim.sleep(ANSWER_DEADLINE).await;
             no_answer
         }
     }
 }
 
-/// Lets a write take effect after a while, whether its host lives or not.
-fn land_late(world: &Rc<World>, op: Op) {
+/// Lets a write take effect after a delay, whether or not its host is still running.
+fn apply_late(world: &Rc<World>, op: Op) {
     let world = Rc::clone(world);
 
-    world.clone().sim.spawn(World::OUTSIDE, async move {
-        world.sim.sleep(world.sim.millis(100..4_000)).await;
+    world.clone().sim.spawn(World::NO_RUN, async move {
+        world.sim.sleep(world.sim.random_millis(100..4_000)).await;
         world.store.borrow_mut().run(&world, &op);
     });
 }
