--- a/crates/policy/tests/entry_fuzz/world.rs
+++ b/crates/policy/tests/entry_fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Some hosts in zones, the store, and the network between them.
+//! A fleet of hosts in zones, the store, and the network between them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::budgets::{ProgramKey, RunId};
 
-use crate::budget::Held;
+use crate::budget::TurnAnswer;
 use crate::host::{self, Host};
 use crate::oracle;
 use crate::sim::{Sim, Tasks};
@@ -17,51 +17,53 @@
 pub const ZONES: [usize; 5] = [0, 0, 1, 1, 2];
 pub const HOSTS: usize = ZONES.len();
 
-/// The programs at a time, by budget.
+/// The budgets of the programs that run at the same time.
 pub const BUDGETS: [u64; 3] = [700, 1_430, 4_000];
 
-/// The most tokens of a turn.
-pub const MOST: u64 = 286;
+/// The maximum number of tokens of a turn.
+pub const MAX_TOKENS: u64 = 286;
 
-/// For how long a program may return.
+/// How long after its last turn a program may return.
 pub const RETENTION: Duration = Duration::from_secs(60);
 
-/// After how long hosts that were cut off have told each other their news.
-const NEWS_ARE_HEARD: Duration = Duration::from_millis(300);
+/// How long it takes after a network partition heals until all hosts have received each other's
+/// status updates.
+const STATUS_DELAY: Duration = Duration::from_millis(300);
 
-/// A program that has not run for longer does not return; another one comes in its place.
+/// A program. Once it has been inactive for longer than `RETENTION` it does not return, and another
+/// program takes its place.
 #[derive(Clone, Debug)]
 pub struct Program {
     pub key: ProgramKey,
     pub budget: u64,
     pub last_turn: Option<Instant>,
     pub last_host: Option<usize>,
-    /// The tokens that all its turns generated.
+    /// The tokens that all its turns have generated.
     pub spent: u64,
 }
 
-/// How messages between hosts fare.
+/// Condition of the network between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Net {
     Good,
-    /// Some messages are late, lost or repeated.
+    /// Some messages are delayed, lost or repeated.
     Bad,
 }
 
-/// What is cut off from all the rest.
+/// What is partitioned from the rest of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    Nothing,
+pub enum Partition {
+    None,
     Host(usize),
     Zone(usize),
 }
 
-impl Cut {
+impl Partition {
     fn is_inside(self, host: usize) -> bool {
         match self {
-            Self::Nothing => false,
-            Self::Host(cut) => host == cut,
-            Self::Zone(cut) => ZONES[host] == cut,
+            Self::None => false,
+            Self::Host(inside) => host == inside,
+            Self::Zone(inside) => ZONES[host] == inside,
         }
     }
 }
@@ -70,31 +72,31 @@
     pub sim: Rc<Sim>,
     pub store: RefCell<Rows>,
     pub hosts: RefCell<Vec<Option<Rc<Host>>>>,
-    /// The versions of the rows in which hosts tell that they are there.
+    /// The versions of the rows that hosts write as heartbeats.
     pub host_rows: Cell<[u64; HOSTS]>,
     pub modes: Cell<[Mode; HOSTS]>,
     pub net: Cell<Net>,
-    pub cut: Cell<Cut>,
+    pub partition: Cell<Partition>,
     pub programs: RefCell<Vec<Program>>,
-    /// All programs that were, by key.
-    pub past: RefCell<Map<ProgramKey, Program>>,
+    /// All earlier programs, by key.
+    pub past_programs: RefCell<Map<ProgramKey, Program>>,
     /// The tokens that each run has spent and reserved.
     pub committed: RefCell<Map<(ProgramKey, RunId), u64>>,
-    /// Whether what is known of some grant without the store may be at one host only.
-    weakened: Cell<bool>,
+    /// Whether some grant made without the store may be known to a single host only.
+    may_have_single_copy: Cell<bool>,
     next_run: Cell<u64>,
     next_program: Cell<u64>,
 }
 
 impl World {
-    /// The run that stands for what no host does.
-    pub const OUTSIDE: RunId = RunId(0);
+    /// The run of tasks that belong to no host.
+    pub const NO_RUN: RunId = RunId(0);
 
     pub fn host(&self, name: usize) -> Option<Rc<Host>> {
         self.hosts.borrow()[name].clone()
     }
 
-    /// Writes the row of a host anew.
+    /// Updates a host's row.
     pub fn write_host_row(&self, name: usize) {
         let mut rows = self.host_rows.get();
         rows[name] += 1;
@@ -105,55 +107,57 @@
         self.hosts.borrow().iter().flatten().cloned().collect()
     }
 
-    pub fn is_linked(&self, a: usize, b: usize) -> bool {
-        self.cut.get().is_inside(a) == self.cut.get().is_inside(b)
+    pub fn is_connected(&self, a: usize, b: usize) -> bool {
+        self.partition.get().is_inside(a) == self.partition.get().is_inside(b)
     }
 
-    /// Returns how many runs of hosts there were. They are numbered from one.
+    /// Returns how many runs of hosts there have been. They are numbered from one.
     pub fn runs(&self) -> u64 {
         self.next_run.get() - 1
     }
 
-    /// Returns the program that runs in a place now.
-    pub fn program(&self, place: usize) -> Program {
+    /// Returns the current program with this index. Replaces it first if it may not return any
+    /// more.
+    pub fn program(&self, index: usize) -> Program {
         let mut programs = self.programs.borrow_mut();
         let now = self.sim.now();
-        let is_over = |p: &Program| p.last_turn.is_some_and(|last| now.since(last) > RETENTION);
+        let has_ended = |p: &Program| p.last_turn.is_some_and(|last| now.since(last) > RETENTION);
 
-        if is_over(&programs[place]) {
-            let next = self.new_program(place);
-            let past = std::mem::replace(&mut programs[place], next);
-            self.past.borrow_mut().insert(past.key, past);
+        if has_ended(&programs[index]) {
+            let next = self.new_program(index);
+            let past = std::mem::replace(&mut programs[index], next);
+            self.past_programs.borrow_mut().insert(past.key, past);
         }
-        programs[place].clone()
+        programs[index].clone()
     }
 
-    /// Returns a program of now or of before.
+    /// Returns a current or earlier program.
     pub fn program_of(&self, key: ProgramKey) -> Option<Program> {
         let programs = self.programs.borrow();
         let now = programs.iter().find(|program| program.key == key).cloned();
 
-        now.or_else(|| self.past.borrow().get(&key).cloned())
+        now.or_else(|| self.past_programs.borrow().get(&key).cloned())
     }
 
-    /// Returns whether a live host knows of grants that the store does not have.
-    fn any_loose(&self) -> bool {
+    /// Returns whether a running host knows of unstored grants.
+    fn any_unstored(&self) -> bool {
         let programs = self.programs.borrow();
-        let knows_loose = |host: &Rc<Host>| {
+        let knows_unstored = |host: &Rc<Host>| {
             programs.iter().any(|program| host.budgets.borrow().is_loose(program.key))
         };
 
-        self.alive().iter().any(knows_loose)
+        self.alive().iter().any(knows_unstored)
     }
 
-    /// Returns whether what is known of some grant may be at one host only.
-    pub fn is_weakened(&self) -> bool {
-        self.weakened.get()
+    /// Returns whether some grant made without the store may be known to a single host only.
+    pub fn may_have_single_copy(&self) -> bool {
+        self.may_have_single_copy.get()
     }
 
-    /// Takes in that a turn was granted its tokens at a host, and how many it generates.
-    pub fn turn_runs(&self, key: ProgramKey, host: &Host, used: u64) {
-        *self.committed.borrow_mut().entry((key, host.run)).or_default() += MOST;
+    /// Records that a turn has been granted its tokens on a host, and that it generates `used` of
+    /// them.
+    pub fn record_turn_start(&self, key: ProgramKey, host: &Host, used: u64) {
+        *self.committed.borrow_mut().entry((key, host.run)).or_default() += MAX_TOKENS;
         let mut programs = self.programs.borrow_mut();
         let Some(program) = programs.iter_mut().find(|program| program.key == key) else {
             return;
@@ -164,18 +168,18 @@
         program.spent += used;
     }
 
-    /// Takes in that a turn ended.
-    pub fn turn_ended(&self, key: ProgramKey, host: &Host, used: u64) {
-        *self.committed.borrow_mut().entry((key, host.run)).or_default() -= MOST - used;
+    /// Records that a turn has ended.
+    pub fn record_turn_end(&self, key: ProgramKey, host: &Host, used: u64) {
+        *self.committed.borrow_mut().entry((key, host.run)).or_default() -= MAX_TOKENS - used;
     }
 
-    fn new_program(&self, place: usize) -> Program {
+    fn new_program(&self, index: usize) -> Program {
         let number = self.next_program.get() + 1;
         self.next_program.set(number);
 
         Program {
             key: ProgramKey(number),
-            budget: BUDGETS[place],
+            budget: BUDGETS[index],
             last_turn: None,
             last_host: None,
             spent: 0,
@@ -183,7 +187,7 @@
     }
 }
 
-/// The world with all that goes on in it.
+/// The world together with the tasks that run in it.
 pub struct Fleet {
     pub world: Rc<World>,
     tasks: Tasks,
@@ -198,15 +202,15 @@
             host_rows: Cell::new([0; HOSTS]),
             modes: Cell::new([Mode::Up; HOSTS]),
             net: Cell::new(Net::Good),
-            cut: Cell::new(Cut::Nothing),
+            partition: Cell::new(Partition::None),
             programs: RefCell::default(),
-            past: RefCell::default(),
+            past_programs: RefCell::default(),
             committed: RefCell::default(),
-            weakened: Cell::new(false),
+            may_have_single_copy: Cell::new(false),
             next_run: Cell::new(1),
             next_program: Cell::new(0),
         });
-        let programs = (0..BUDGETS.len()).map(|place| world.new_program(place)).collect();
+        let programs = (0..BUDGETS.len()).map(|index| world.new_program(index)).collect();
         *world.programs.borrow_mut() = programs;
         let mut fleet = Self { world, tasks: Tasks::default() };
 
@@ -217,13 +221,13 @@
 
     pub fn run(&mut self, time: Duration) {
         self.tasks.run(&self.world.sim, time);
-        if !self.world.any_loose() {
-            self.world.weakened.set(false);
+        if !self.world.any_unstored() {
+            self.world.may_have_single_copy.set(false);
         }
         oracle::check(&self.world);
     }
 
-    /// Starts a host that does not run, with an empty memory.
+    /// Starts a host that is not running, with empty memory.
     pub fn start(&mut self, name: usize) {
         if self.world.host(name).is_some() {
             return;
@@ -237,22 +241,22 @@
         host::start(&self.world, &host);
     }
 
-    /// Kills a host, unless that could take the last copy of a grant with it.
+    /// Kills a host, unless this could destroy the last copy of a grant.
     pub fn kill(&mut self, name: usize) {
         let Some(host) = self.world.host(name) else { return };
-        if self.bears_a_loss() {
+        if self.can_lose_host_or_zone() {
             self.end(&host);
         }
     }
 
-    /// Kills all hosts at once, whatever they hold, and starts them again.
+    /// Kills all hosts at once, whatever they hold, and restarts them.
     pub fn kill_all(&mut self) {
         self.kill_at_once(&Vec::from_iter(0..HOSTS));
     }
 
-    /// Kills hosts at once, whatever they hold, and starts them again.
+    /// Kills several hosts at once, whatever they hold, and restarts them.
     pub fn kill_at_once(&mut self, names: &[usize]) {
-        self.world.weakened.set(true);
+        self.world.may_have_single_copy.set(true);
         let hosts: Vec<_> = names.iter().filter_map(|name| self.world.host(*name)).collect();
         hosts.iter().for_each(|host| self.end(host));
         names.iter().for_each(|name| self.start(*name));
@@ -263,19 +267,20 @@
         self.world.hosts.borrow_mut()[host.name] = None;
     }
 
-    /// Cuts hosts off, unless that could part the only copy of a grant from the rest.
-    pub fn cut(&mut self, cut: Cut) {
-        let is_healed = cut == Cut::Nothing && self.world.cut.get() != cut;
+    /// Partitions the network, unless this could separate the last copy of a grant from the other
+    /// hosts.
+    pub fn partition(&mut self, partition: Partition) {
+        let is_healed = partition == Partition::None && self.world.partition.get() != partition;
 
-        if cut == Cut::Nothing || self.bears_a_loss() {
-            self.world.cut.set(cut);
+        if partition == Partition::None || self.can_lose_host_or_zone() {
+            self.world.partition.set(partition);
         }
         if is_healed {
-            self.run(NEWS_ARE_HEARD);
+            self.run(STATUS_DELAY);
         }
     }
 
-    /// Lets the store answer one host or all in another way.
+    /// Sets how the store answers one host, or all hosts.
     pub fn store(&mut self, host: Option<usize>, mode: Mode) {
         let mut modes = self.world.modes.get();
         match host {
@@ -285,53 +290,55 @@
         self.world.modes.set(modes);
     }
 
-    /// Returns whether one more host or zone may be lost: grants that the store does not have are
-    /// known in two zones at least, and so bear one loss.
-    fn bears_a_loss(&self) -> bool {
-        let any_loose = self.world.any_loose();
-        let any_lost = self.world.cut.get() != Cut::Nothing || self.world.weakened.get();
-        if any_loose && any_lost {
+    /// Returns whether one more host or zone may be lost. Unstored grants are known in at least two
+    /// zones, so they survive one loss.
+    fn can_lose_host_or_zone(&self) -> bool {
+        let any_unstored = self.world.any_unstored();
+        let any_lost =
+            self.world.partition.get() != Partition::None || self.world.may_have_single_copy.get();
+        if any_unstored && any_lost {
             return false;
         }
 
-        self.world.weakened.set(any_loose);
+        self.world.may_have_single_copy.set(any_unstored);
         true
     }
 
-    /// Runs a turn at a host: `used` of its tokens are generated, and it takes this long.
-    pub fn turn(&mut self, host: usize, place: usize, used: u64, time: Duration) {
+    /// Runs a turn on a host. It takes this time and generates `used` tokens.
+    pub fn turn(&mut self, host: usize, index: usize, used: u64, time: Duration) {
         let Some(host) = self.world.host(host) else { return };
-        let program = self.world.program(place);
+        let program = self.world.program(index);
 
         host::turn(&self.world, &host, program, used, time);
     }
 
-    /// Runs a turn that continues none, as of a program that begins or begins a line again.
-    pub fn first_turn(&mut self, host: usize, place: usize, used: u64, time: Duration) {
+    /// Runs a turn that continues no earlier one, like the first turn of a program or of a new
+    /// conversation.
+    pub fn first_turn(&mut self, host: usize, index: usize, used: u64, time: Duration) {
         let Some(host) = self.world.host(host) else { return };
-        let program = Program { last_turn: None, last_host: None, ..self.world.program(place) };
+        let program = Program { last_turn: None, last_host: None, ..self.world.program(index) };
 
         host::turn(&self.world, &host, program, used, time);
     }
 
-    /// Checks that a turn of each program gets a certain answer at each host.
+    /// Asserts that a turn of each program gets a definite answer on each host.
     pub fn assert_all_answered(&mut self) {
-        for place in 0..BUDGETS.len() {
+        for index in 0..BUDGETS.len() {
             for host in self.world.alive() {
-                let program = self.world.program(place);
-                let answer = host::ask_turn(&self.world, &host, program.clone());
+                let program = self.world.program(index);
+                let answer = host::request_turn(&self.world, &host, program.clone());
                 self.run(Duration::from_secs(2));
                 let answer = answer.take();
-                let is_certain = matches!(answer, Some(Held::Tokens | Held::Spent));
+                let is_certain = matches!(answer, Some(TurnAnswer::Tokens | TurnAnswer::Spent));
                 assert!(is_certain, "{:?} at host {}: {answer:?}", program.key, host.name);
             }
         }
     }
 
-    /// Mends everything, and lets what is held be written.
+    /// Repairs everything, and gives hosts the time to write their backlogs.
     pub fn heal(&mut self) {
         self.world.net.set(Net::Good);
-        self.cut(Cut::Nothing);
+        self.partition(Partition::None);
         self.world.modes.set([Mode::Up; HOSTS]);
         self.run(Duration::from_secs(10));
         (0..HOSTS).for_each(|name| self.start(name));
--- a/crates/policy/tests/entry_host_rows.rs
+++ b/crates/policy/tests/entry_host_rows.rs
@@ -1,4 +1,4 @@
-//! Which hosts are there, by their rows in the store.
+//! Which hosts count as gone, according to their rows in the store.
 
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::platform::RowVersion;
@@ -6,13 +6,13 @@
 
 const HOST: HostId = HostId(1);
 
-/// Reads a row that does not change some times; returns what the reads tell.
+/// Reads an unchanged row `times` times and returns the results.
 fn read_unchanged(rows: &mut HostRows, version: u64, times: u32) -> Vec<Presence> {
     (0..times).map(|_| rows.read(HOST, RowVersion(version), true)).collect()
 }
 
-/// Guards against a host that was replaced for good, is known again with each further read, and so is
-/// counted among those that hold a majority or a share of a rate.
+/// Guards against a replaced host that becomes known again with each later read, and so counts
+/// toward the majority or gets a share of a rate limit.
 #[test]
 fn a_host_that_is_gone_stays_so_while_its_row_does_not_change() {
     let mut rows = HostRows::default();
@@ -23,7 +23,7 @@
     assert!(later.iter().all(|presence| *presence == Presence::Gone));
 }
 
-/// Guards against a host that returns after a long cut and is not known any more.
+/// Guards against a host that stays unknown after it returns from a long network partition.
 #[test]
 fn a_host_that_is_gone_is_back_when_it_writes_its_row() {
     let mut rows = HostRows::default();
@@ -35,7 +35,8 @@
     assert_eq!((back, after), (Presence::Wrote, Presence::Silent));
 }
 
-/// Guards against a host that is heard and is taken for gone since it cannot write its row.
+/// Guards against a running host that counts as gone because it cannot write its row, although it
+/// sends status updates.
 #[test]
 fn reads_that_are_not_due_do_not_count() {
     let mut rows = HostRows::default();
--- a/crates/policy/tests/entry_keeping.rs
+++ b/crates/policy/tests/entry_keeping.rs
@@ -1,88 +1,89 @@
-//! Keeping a turn whose stream has ended, while the store and the other hosts are in trouble.
+//! Storing a turn whose stream has ended while the store or other hosts fail.
 
 use std::time::Duration;
 
 use camphorwalk_policy::entry::keeping::{Begin, CALLER_PATIENCE, Keeping, Next, Outage, begin};
 
-/// How much longer a caller waits, from the end of its turn on.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How much longer a caller waits from the end of its turn.
+const CALLER_WAIT: Duration = Duration::from_secs(3);
 
-/// What came of the writes, and when.
+/// How the attempts to store a turn ended, and when.
 #[derive(Debug, PartialEq, Eq)]
 enum End {
-    Kept(Duration),
+    Stored(Duration),
     BrokenOff(Duration),
 }
 
-/// Plays writes that take `each` and fail until `kept_at`. Returns what came of them and how many
+/// Simulates writes that take `each` and fail until `stored_at`. Returns how they ended and how many
 /// failed.
-fn play(each: Duration, kept_at: Duration) -> (End, u32) {
-    let mut keeping = Keeping::default();
+fn simulate(each: Duration, stored_at: Duration) -> (End, u32) {
+    let mut writes = Keeping::default();
     let mut now = Duration::ZERO;
 
     loop {
         now += each;
-        if now >= kept_at {
-            return (End::Kept(now), keeping.failed());
+        if now >= stored_at {
+            return (End::Stored(now), writes.failed());
         }
-        match keeping.write_failed(PATIENCE.saturating_sub(now), None) {
+        match writes.write_failed(CALLER_WAIT.saturating_sub(now), None) {
             Next::Retry(pause) => now += pause,
-            Next::BreakOff => return (End::BrokenOff(now), keeping.failed()),
+            Next::BreakOff => return (End::BrokenOff(now), writes.failed()),
         }
     }
 }
 
 #[test]
-fn a_turn_is_kept_soon_after_it_can_be() {
-    // Guards against a stream that is broken off although the store is back within its caller's time.
-    for kept_at in [200, 900, 2_000].map(Duration::from_millis) {
-        let (end, _) = play(Duration::from_millis(160), kept_at);
-
-        let End::Kept(at) = end else { panic!("{end:?} for {kept_at:?}") };
-        assert!(at < kept_at + Duration::from_millis(600), "{at:?} for {kept_at:?}");
+fn a_turn_is_stored_soon_after_the_store_recovers() {
+    // Guards against breaking a stream off although the store recovers while the caller still
+    // waits.
+    for stored_at in [200, 900, 2_000].map(Duration::from_millis) {
+        let (end, _) = simulate(Duration::from_millis(160), stored_at);
+
+        let End::Stored(at) = end else { panic!("{end:?} for {stored_at:?}") };
+        assert!(at < stored_at + Duration::from_millis(600), "{at:?} for {stored_at:?}");
     }
 }
 
 #[test]
-fn a_turn_that_nobody_takes_is_broken_off_within_its_callers_time() {
-    // Guards against an answer that is held after its caller has gone.
-    let (end, _) = play(Duration::from_millis(160), Duration::MAX);
+fn a_turn_that_cannot_be_stored_is_broken_off_while_its_caller_waits() {
+    // Guards against holding back an answer after its caller has left.
+    let (end, _) = simulate(Duration::from_millis(160), Duration::MAX);
 
-    assert!(matches!(end, End::BrokenOff(at) if at <= PATIENCE), "{end:?}");
+    assert!(matches!(end, End::BrokenOff(at) if at <= CALLER_WAIT), "{end:?}");
 }
 
 #[test]
-fn a_store_in_trouble_is_asked_a_few_times_for_a_turn() {
-    // Guards against a store that stays in trouble by the calls of what waits for it.
-    let (_, failed) = play(Duration::from_millis(1), Duration::MAX);
+fn a_failing_store_gets_few_writes_per_turn() {
+    // Guards against retries that keep an overloaded store overloaded.
+    let (_, failed) = simulate(Duration::from_millis(1), Duration::MAX);
 
     assert!(failed <= 12, "{failed}");
 }
 
 #[test]
-fn a_host_that_seems_cut_off_for_an_instant_goes_on() {
-    // Guards against a stream that is broken off since news of other hosts were late once.
+fn a_host_that_seems_isolated_briefly_retries() {
+    // Guards against breaking a stream off because other hosts' status updates were late once.
     let isolated_for = Some(Duration::from_millis(900));
 
     assert!(matches!(
-        Keeping::default().write_failed(PATIENCE, isolated_for),
+        Keeping::default().write_failed(CALLER_WAIT, isolated_for),
         Next::Retry(pause) if pause <= Duration::from_millis(50)
     ));
 }
 
 #[test]
-fn a_host_behind_a_cut_breaks_off() {
-    // Guards against callers who wait in vain at a host that may promise nothing.
+fn an_isolated_host_breaks_off() {
+    // Guards against callers who wait in vain for a host that cannot store their turns.
     let isolated_for = Some(Duration::from_secs(1));
 
-    assert_eq!(Keeping::default().write_failed(PATIENCE, isolated_for), Next::BreakOff);
+    assert_eq!(Keeping::default().write_failed(CALLER_WAIT, isolated_for), Next::BreakOff);
 }
 
 #[test]
 fn a_turn_begins_in_an_outage_that_may_end_while_its_caller_waits() {
-    // Guards against turns that are refused for a lost answer or a short outage.
+    // Guards against refusing turns because of a lost answer or a short outage.
     for silent_for in [0, 500, 1_900].map(Duration::from_millis) {
-        let outage = Outage { silent_for: Some(silent_for), left: PATIENCE };
+        let outage = Outage { silent_for: Some(silent_for), left: CALLER_WAIT };
 
         assert_eq!(begin(outage), Begin::Now, "{silent_for:?}");
     }
@@ -90,11 +91,11 @@
 
 #[test]
 fn a_turn_is_not_begun_when_its_end_would_come_too_late() {
-    // Guards against targets that run turns whose callers leave before the end.
+    // Guards against running turns whose callers leave before the end.
     for silent_for in [None, Some(CALLER_PATIENCE), Some(Duration::from_secs(60))] {
-        let outage = Outage { silent_for, left: PATIENCE };
+        let outage = Outage { silent_for, left: CALLER_WAIT };
 
         let Begin::Later(after) = begin(outage) else { panic!("{silent_for:?}") };
-        assert!(!after.is_zero() && after <= PATIENCE / 3, "{after:?}");
+        assert!(!after.is_zero() && after <= CALLER_WAIT / 3, "{after:?}");
     }
 }
--- a/crates/policy/tests/entry_shares.rs
+++ b/crates/policy/tests/entry_shares.rs
@@ -8,8 +8,8 @@
 
 const NOW: Instant = Instant(0);
 
-/// A fleet of five hosts without trouble, all of which are heard.
-fn calm() -> Surroundings {
+/// A healthy fleet of five hosts, all of which are live.
+fn healthy() -> Surroundings {
     Surroundings { is_all_stored: true, known: 5, heard: 5, remembering: 5, free_of_loose: 5 }
 }
 
@@ -23,24 +23,26 @@
     }
 }
 
-/// Guards against a first turn that fits neither share of a small budget.
+/// Guards against a small budget neither of whose shares covers the first turn.
 #[test]
-fn a_budget_that_holds_one_turn_is_not_parted() {
+fn a_budget_that_holds_one_turn_is_not_split() {
     assert_eq!(store_share(350, 300), 350);
 }
 
-/// Guards against a side of a cut that grants what the other one grants without the store.
+/// Guards against granting tokens on one side of a network partition that the other side grants
+/// without the store.
 #[test]
-fn a_host_that_hears_too_few_grants_a_share() {
-    let cut_off = Surroundings { heard: 2, remembering: 2, free_of_loose: 2, ..calm() };
+fn a_host_that_hears_no_majority_grants_only_a_share() {
+    let partitioned = Surroundings { heard: 2, remembering: 2, free_of_loose: 2, ..healthy() };
 
-    assert_eq!(limit(cut_off), Limit::Share(Doubt::Unsettled));
+    assert_eq!(limit(partitioned), Limit::Share(Doubt::Unsettled));
 }
 
-/// Guards against grants that are made anew after all hosts were lost with what they knew.
+/// Guards against granting tokens again after all hosts were killed and their knowledge of earlier
+/// grants was lost.
 #[test]
-fn hosts_that_all_have_just_started_grant_a_share() {
-    let started = Surroundings { remembering: 0, free_of_loose: 0, ..calm() };
+fn hosts_that_have_all_just_started_grant_only_a_share() {
+    let started = Surroundings { remembering: 0, free_of_loose: 0, ..healthy() };
     let mut memory = Memory::new(NOW, false);
 
     assert_eq!(limit(started), Limit::Share(Doubt::Forgotten));
@@ -48,18 +50,20 @@
     assert!(memory.is_complete(NOW + KNOWS_ALL_AFTER * 2, started));
 }
 
-/// Guards against budgets that are cut short for minutes after most hosts were killed in calm.
+/// Guards against budgets that are restricted for minutes after most hosts were killed while
+/// nothing was wrong with the store.
 #[test]
-fn a_few_that_know_of_no_grant_vouch_for_those_that_started() {
-    let few = Surroundings { remembering: 2, free_of_loose: 2, ..calm() };
+fn a_few_hosts_that_know_of_no_grant_complete_the_history_of_new_ones() {
+    let few = Surroundings { remembering: 2, free_of_loose: 2, ..healthy() };
 
     assert!(Memory::new(NOW, false).is_complete(NOW, few));
 }
 
-/// Guards against grants that are lost with most hosts in an outage and made anew.
+/// Guards against granting tokens again after most hosts that knew of the grants were killed during
+/// an outage.
 #[test]
-fn a_few_of_which_one_knows_of_grants_do_not_vouch() {
-    let few = Surroundings { remembering: 2, free_of_loose: 1, ..calm() };
+fn a_few_hosts_do_not_complete_the_history_if_one_knows_of_grants() {
+    let few = Surroundings { remembering: 2, free_of_loose: 1, ..healthy() };
 
     assert!(!Memory::new(NOW, false).is_complete(NOW, few));
 }
--- a/crates/policy/tests/entry_write_back.rs
+++ b/crates/policy/tests/entry_write_back.rs
@@ -1,8 +1,8 @@
-//! Writing back what was promised while the store did not take it, by many hosts at once.
+//! Many hosts write their backlogs to a store with a limited rate.
 
 use camphorwalk_policy::entry::write_back::{Next, Round, WriteBack};
 
-/// A store that takes so many writes in a tenth of a second, and refuses those beyond.
+/// A store that accepts a fixed number of writes per tenth of a second and refuses the excess.
 struct Store {
     left: usize,
     asked: usize,
@@ -23,12 +23,12 @@
 struct Host {
     pace: WriteBack,
     due: usize,
-    /// The tenth of a second of its next round.
+    /// The tenth of a second at which its next round starts.
     next: usize,
 }
 
 impl Host {
-    /// Makes the writes of a round, eight at the same time.
+    /// Makes the writes of a round, eight at a time.
     fn round(&mut self, store: &mut Store) -> Round {
         const AT_ONCE: usize = 8;
         let mut left = self.pace.allowed().min(self.due);
@@ -51,9 +51,10 @@
 
 #[test]
 fn a_fleet_does_not_keep_the_store_above_its_rate_after_an_outage() {
-    // Seventy hosts hold a hundred rows each when the store is back, which takes 1,200 writes a
-    // second. When each wrote all of its rows in each round, the store got 14,000 calls a second, nine of ten
-    // refused, and the calls of new programs were refused with them until the end.
+    // Guards against a backlog that keeps the store overloaded. Seventy hosts hold a hundred rows
+    // each when the store recovers, which accepts 1,200 writes a second. When each host wrote all
+    // its rows in each round, the store got 14,000 calls a second and refused nine of ten,
+    // including those of new programs, until the end of the run.
     let mut hosts: Vec<_> =
         (0..70).map(|i| Host { pace: WriteBack::default(), due: 100, next: i % 5 }).collect();
     let mut store = Store { left: 0, asked: 0 };
@@ -71,7 +72,7 @@
             host.next = tenths + 5;
         }
         tenths += 1;
-        assert!(tenths < 600, "rows are left after a minute");
+        assert!(tenths < 600, "rows are still unwritten after a minute");
     }
 
     let least_tenths = 70 * 100 / Store::RATE;
@@ -80,8 +81,9 @@
 }
 
 #[test]
-fn one_host_writes_all_that_it_holds_at_once() {
-    // The power may be lost a second after the store is back.
+fn a_single_host_writes_its_whole_backlog_at_once() {
+    // Guards against rows that stay unstored longer than necessary: power may be lost a second
+    // after the store has recovered.
     let mut host = Host { pace: WriteBack::default(), due: 500, next: 0 };
     let mut store = Store { left: 1_000, asked: 0 };
 
