--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -26,7 +26,7 @@
 /// ```
 /// use camphorwalk_policy::entry::shares::store_share;
 /// assert_eq!(store_share(2_000, 300), 1_500);
-/// // A budget that holds one turn is not parted.
+/// // A budget that covers only one turn is not split.
 /// assert_eq!(store_share(350, 300), 350);
 /// ```
 pub fn store_share(budget: u64, most: u64) -> u64 {
@@ -72,8 +72,8 @@
 pub enum Doubt {
     /// Some host may hold grants that the store does not have, or no majority of the hosts is live.
     Unsettled,
-    /// Most hosts started too recently to know of all grants. Whatever they do not know of counts
-    /// as spent.
+    /// Most hosts started too recently to know of all grants. What may have been granted before
+    /// counts as spent.
     Forgotten,
 }
 
@@ -165,7 +165,8 @@
     ///
     /// The history counts as complete once no unstored grants are reported and either a majority
     /// has a complete history, because the store then holds all that this majority knew of, or all
-    /// hosts with a complete history know of no such grant, because then there is none.
+    /// hosts with a complete history know of no such grant, because then there is none. It also
+    /// counts as complete once the process has run for long enough.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -118,7 +118,7 @@
     }
 
     pub fn is_live(&self, host: usize) -> bool {
-        self.live_hosts().iter().any(|(received, _)| *received == host)
+        self.live_hosts().iter().any(|(live, _)| *live == host)
     }
 
     pub fn host_of_run(&self, run: RunId) -> Option<usize> {
@@ -189,8 +189,8 @@
 
     /// Returns the live hosts and this one, in the order in which they grant a program's tokens.
     pub fn order(&self, program: ProgramKey) -> Vec<usize> {
-        let received = self.live_hosts().into_iter().map(|(host, _)| host).chain([self.host.name]);
-        let order = rendezvous_order(program.0, received.map(|host| host as u64));
+        let hosts = self.live_hosts().into_iter().map(|(host, _)| host).chain([self.host.name]);
+        let order = rendezvous_order(program.0, hosts.map(|host| host as u64));
         let has_complete_history = |host: &usize| match *host == self.host.name {
             true => self.has_complete_history(),
             false => self.reports_complete_history(*host),
@@ -203,9 +203,7 @@
     }
 
     fn reports_complete_history(&self, host: usize) -> bool {
-        self.live_hosts()
-            .iter()
-            .any(|(received, status)| *received == host && status.has_complete_history)
+        self.live_hosts().iter().any(|(live, status)| *live == host && status.has_complete_history)
     }
 
     pub fn next_granters(&self, program: ProgramKey) -> impl Iterator<Item = usize> {
--- a/crates/policy/tests/entry_keeping.rs
+++ b/crates/policy/tests/entry_keeping.rs
@@ -14,8 +14,8 @@
     BrokenOff(Duration),
 }
 
-/// Simulates writes that take `each` and fail until `stored_at`. Returns how they ended and how many
-/// failed.
+/// Simulates writes that take `each` and fail until `stored_at`. Returns how they ended and how
+/// many failed.
 fn simulate(each: Duration, stored_at: Duration) -> (End, u32) {
     let mut writes = Keeping::default();
     let mut now = Duration::ZERO;
