--- a/crates/policy/tests/entry_fuzz/budget.rs
+++ b/crates/policy/tests/entry_fuzz/budget.rs
@@ -69,7 +69,7 @@
                 if !budgets.borrow().knows(key) {
                     grants::query_known_rows(shared, key, 1).await;
                 }
-                match grants::ask_for_grant(shared, key, budget, begins).await {
+                match grants::request_grant(shared, key, budget, begins).await {
                     Granted::Tokens => {}
                     Granted::Nothing | Granted::Withheld(_) if !collected => {
                         collected = true;
--- a/crates/policy/tests/entry_fuzz/grants.rs
+++ b/crates/policy/tests/entry_fuzz/grants.rs
@@ -40,7 +40,7 @@
     }
 }
 
-pub async fn ask_for_grant(
+pub async fn request_grant(
     shared: &Shared,
     program: ProgramKey,
     budget: u64,
