--- a/crates/policy/src/entry/budgets.rs
+++ b/crates/policy/src/entry/budgets.rs
@@ -89,7 +89,7 @@
     /// let Reservation::Write(row, _) = budgets.reserve(Instant(0), program, 1_000, 100) else {
     ///     panic!("nothing is granted yet");
     /// };
-    /// budgets.learn(Instant(0), program, row, RowVersion(5));
+    /// budgets.merge_stored_row(Instant(0), program, row, RowVersion(5));
     /// assert_eq!(budgets.reserve(Instant(0), program, 1_000, 100), Reservation::Reserved);
     /// ```
     pub fn new(run: RunId) -> Self {
@@ -181,7 +181,7 @@
         row: BudgetRow,
         version: RowVersion,
     ) {
-        self.learn(now, program, row, version);
+        self.merge_stored_row(now, program, row, version);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.written_at = now;
             account.refresh_due = false;
@@ -261,7 +261,7 @@
     ) -> Option<BudgetRow> {
         let claim = self.additional_claim(program, run, most, known);
 
-        self.grant_claim(now, program, claim, known)
+        self.grant_without_store(now, program, claim, known)
     }
 
     /// Grants `claim` without the store, under the same conditions as `grant_turn_without_store`.
@@ -393,14 +393,15 @@
     /// let (now, program) = (Instant(0), ProgramKey(9));
     /// let (mut from, mut to) = (Budgets::new(RunId(1)), Budgets::new(RunId(2)));
     /// let row = BudgetRow { budget: 500, granted: [(RunId(1), 300)].into(), ..BudgetRow::default() };
-    /// from.learn(now, program, row.clone(), RowVersion(5));
-    /// to.learn(now, program, row, RowVersion(5));
-    /// let total = from.give(program, RunId(2), to.received(program, RunId(1)) + 100);
-    /// to.receive(program, RunId(1), total);
+    /// from.merge_stored_row(now, program, row.clone(), RowVersion(5));
+    /// to.merge_stored_row(now, program, row, RowVersion(5));
+    /// let wanted = to.transferred_from(program, RunId(1)) + 100;
+    /// let total = from.transfer_to(program, RunId(2), wanted);
+    /// to.record_transfer_from(program, RunId(1), total);
     /// assert_eq!(to.reserve(now, program, 500, 100), Reservation::Reserved);
-    /// assert_eq!(from.give(program, RunId(2), 100), 100);
+    /// assert_eq!(from.transfer_to(program, RunId(2), 100), 100);
     /// ```
-    pub fn give(&mut self, program: ProgramKey, to: RunId, total: u64) -> u64 {
+    pub fn transfer_to(&mut self, program: ProgramKey, to: RunId, total: u64) -> u64 {
         let Some(account) = self.accounts.get_mut(&program) else { return 0 };
         let free = account.spendable(self.run).saturating_sub(account.spent + account.reserved);
         let before = account.transferred_to.get(&to).copied().unwrap_or(0);
@@ -455,7 +456,7 @@
     }
 
     /// Returns whether this host knows of any grant to a program.
-    pub fn knows(&self, program: ProgramKey) -> bool {
+    pub fn has_grants(&self, program: ProgramKey) -> bool {
         self.accounts.get(&program).is_some_and(|account| !account.row.granted.is_empty())
     }
 
--- a/crates/policy/src/entry/host_rows.rs
+++ b/crates/policy/src/entry/host_rows.rs
@@ -44,21 +44,21 @@
     /// use camphorwalk_core::platform::RowVersion;
     /// use camphorwalk_policy::entry::host_rows::{HostRows, Presence};
     /// let mut rows = HostRows::default();
-    /// assert_eq!(rows.read(HostId(1), RowVersion(7), true), Presence::Wrote);
-    /// assert_eq!(rows.read(HostId(1), RowVersion(7), true), Presence::Silent);
-    /// assert_eq!(rows.read(HostId(1), RowVersion(8), true), Presence::Wrote);
+    /// assert_eq!(rows.record_read(HostId(1), RowVersion(7), true), Presence::Updated);
+    /// assert_eq!(rows.record_read(HostId(1), RowVersion(7), true), Presence::Silent);
+    /// assert_eq!(rows.record_read(HostId(1), RowVersion(8), true), Presence::Updated);
     /// ```
-    pub fn read(&mut self, host: HostId, version: RowVersion, is_due: bool) -> Presence {
+    pub fn record_read(&mut self, host: HostId, version: RowVersion, is_due: bool) -> Presence {
         let is_same = self.seen.get(&host).is_some_and(|seen| seen.version == version);
         if !is_same {
             self.seen.insert(host, Seen { version, unchanged: 0 });
-            return Presence::Wrote;
+            return Presence::Updated;
         }
 
         let unchanged = self.seen.get_mut(&host).map_or(0, |seen| {
             seen.unchanged = seen.unchanged.saturating_add(u32::from(is_due));
             seen.unchanged
         });
-        if unchanged < READS_TO_GONE { Presence::Silent } else { Presence::Gone }
+        if unchanged < UNCHANGED_READS_UNTIL_GONE { Presence::Silent } else { Presence::Gone }
     }
 }
--- a/crates/policy/src/entry/outage.rs
+++ b/crates/policy/src/entry/outage.rs
@@ -96,8 +96,8 @@
     /// let mut health = StoreHealth::default();
     /// health.failed(Instant::from_millis(0), "a");
     /// let second = Duration::from_secs(1);
-    /// assert!(health.missed_any(Instant::from_millis(500), second));
-    /// assert!(!health.missed_any(Instant::from_millis(1_500), second));
+    /// assert!(health.any_part_failed_within(Instant::from_millis(500), second));
+    /// assert!(!health.any_part_failed_within(Instant::from_millis(1_500), second));
     /// ```
     pub fn missed_any(&self, now: Instant, lately: Duration) -> bool {
         let missed = |part: &PartHealth| {
@@ -143,7 +143,7 @@
     /// health.answered(Instant(5), "a");
     /// assert_eq!(health.failed(Instant(4), "a"), None);
     /// assert_eq!(health.failed(Instant(6), "a"), Some(Change::Lost));
-    /// assert!(!health.is_away("b"));
+    /// assert!(!health.is_unavailable("b"));
     /// ```
     pub fn failed(&mut self, began: Instant, part: &str) -> Option<Change> {
         let state = self.state(part);
--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -136,8 +136,8 @@
 /// assert_eq!(limit(Surroundings { heard: 2, ..healthy }), Limit::Share(Doubt::Unsettled));
 /// assert_eq!(limit(Surroundings { remembering: 2, ..healthy }), Limit::Share(Doubt::Forgotten));
 /// ```
-pub fn limit(around: Surroundings) -> Limit {
-    let is_settled = around.is_all_stored && around.heard * 2 > around.known;
+pub fn limit(around: FleetView) -> Limit {
+    let is_settled = around.is_all_stored && around.live_hosts * 2 > around.known_hosts;
 
     match (is_settled, around.majority_has_complete_history()) {
         (true, true) => Limit::Whole,
@@ -149,7 +149,7 @@
 /// Tracks whether a process has a complete history, that is, knows of all grants made without the
 /// store.
 #[derive(Clone, Copy, Debug)]
-pub struct Memory {
+pub struct GrantHistory {
     began: Instant,
     is_complete: bool,
 }
@@ -170,12 +170,17 @@
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
-    /// use camphorwalk_policy::entry::shares::{Memory, Surroundings};
-    /// let mut memory = Memory::new(Instant(0), false);
-    /// let around =
-    ///     Surroundings { is_all_stored: false, known: 5, heard: 4, remembering: 4, free_of_loose: 1 };
+    /// use camphorwalk_policy::entry::shares::{FleetView, GrantHistory};
+    /// let mut memory = GrantHistory::new(Instant(0), false);
+    /// let around = FleetView {
+    ///     is_all_stored: false,
+    ///     known_hosts: 5,
+    ///     live_hosts: 4,
+    ///     complete_histories: 4,
+    ///     without_unstored_grants: 1,
+    /// };
     /// assert!(!memory.is_complete(Instant(0), around));
-    /// assert!(memory.is_complete(Instant(0), Surroundings { is_all_stored: true, ..around }));
+    /// assert!(memory.is_complete(Instant(0), FleetView { is_all_stored: true, ..around }));
     /// ```
     pub fn is_complete(&mut self, now: Instant, around: Surroundings) -> bool {
         let is_informed = around.is_all_stored
--- a/crates/policy/src/entry/keeping.rs
+++ b/crates/policy/src/entry/turn_writes.rs
@@ -28,7 +28,7 @@
 
 /// The attempts to write one turn.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Keeping {
+pub struct TurnWrites {
     failed: u32,
 }
 
@@ -44,11 +44,11 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use camphorwalk_policy::entry::keeping::{Keeping, Next};
-    /// let mut keeping = Keeping::default();
+    /// use camphorwalk_policy::entry::turn_writes::{AfterFailedWrite, TurnWrites};
+    /// let mut keeping = TurnWrites::default();
     /// let left = Duration::from_secs(2);
-    /// assert!(matches!(keeping.write_failed(left, None), Next::Retry(_)));
-    /// assert_eq!(keeping.write_failed(left, Some(left)), Next::BreakOff);
+    /// assert!(matches!(keeping.write_failed(left, None), AfterFailedWrite::Retry(_)));
+    /// assert_eq!(keeping.write_failed(left, Some(left)), AfterFailedWrite::BreakOff);
     /// ```
     pub fn write_failed(&mut self, left: Duration, isolated_for: Option<Duration>) -> Next {
         let pause = INITIAL_PAUSE.saturating_mul(1 << self.failed.min(8)).min(MAX_PAUSE);
@@ -98,15 +98,16 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use camphorwalk_policy::entry::keeping::{Begin, Outage, begin};
+/// use camphorwalk_policy::entry::turn_writes::{Outage, StartDecision, start_during_outage};
 /// let left = Duration::from_millis(2_400);
-/// let after = |silent_for| begin(Outage { silent_for, left });
-/// assert_eq!(after(Some(Duration::from_millis(300))), Begin::Now);
-/// assert_eq!(after(Some(Duration::from_secs(3))), Begin::Later(Duration::from_millis(800)));
+/// let after = |silent_for| start_during_outage(Outage { silent_for, left });
+/// assert_eq!(after(Some(Duration::from_millis(300))), StartDecision::Now);
+/// let later = StartDecision::Later(Duration::from_millis(800));
+/// assert_eq!(after(Some(Duration::from_secs(3))), later);
 /// // A process that the store has never answered knows nothing of the outage.
-/// assert_eq!(after(None), Begin::Later(Duration::from_millis(800)));
+/// assert_eq!(after(None), later);
 /// ```
-pub fn begin(outage: Outage) -> Begin {
+pub fn start_during_outage(outage: Outage) -> StartDecision {
     match outage.silent_for {
         Some(time) if time < CALLER_PATIENCE => Begin::Now,
         _ => Begin::Later(AWAY_RETRY.min(outage.left / RETRY_DIVISOR)),
--- a/crates/policy/src/entry/turns.rs
+++ b/crates/policy/src/entry/turns.rs
@@ -31,9 +31,9 @@
     ///
     /// ```
     /// use camphorwalk_policy::entry::turns::TurnKey;
-    /// assert_eq!(&*TurnKey(0x12).row(), "12/0000000000000012");
+    /// assert_eq!(&*TurnKey(0x12).row_key(), "12/0000000000000012");
     /// ```
-    pub fn row(self) -> Box<str> {
+    pub fn row_key(self) -> Box<str> {
         format!("{:x}/{:016x}", self.part(), self.0).into()
     }
 
@@ -64,7 +64,7 @@
     /// ```
     /// use camphorwalk_policy::entry::turns::Turn;
     /// let turn = Turn::new(Vec::new(), b"hello".to_vec());
-    /// assert_eq!(turn.said(), b"hello");
+    /// assert_eq!(turn.transcript(), b"hello");
     /// ```
     pub fn new(line: Vec<TurnKey>, said: Vec<u8>) -> Self {
         match String::from_utf8(said) {
--- a/crates/policy/src/entry/write_back.rs
+++ b/crates/policy/src/entry/write_back.rs
@@ -85,15 +85,15 @@
     /// one.
     ///
     /// ```
-    /// use camphorwalk_policy::entry::write_back::{Next, Round, WriteBack};
+    /// use camphorwalk_policy::entry::write_back::{NextRound, RoundOutcome, WriteBack};
     /// let mut pace = WriteBack::default();
-    /// let before = pace.allowed();
-    /// assert_eq!(pace.ended(Round::Part), Next::Now);
-    /// assert!(pace.allowed() > before);
-    /// assert_eq!(pace.ended(Round::Refused), Next::Later);
-    /// assert!(pace.allowed() < before);
+    /// let before = pace.max_writes();
+    /// assert_eq!(pace.round_ended(RoundOutcome::Partial), NextRound::Now);
+    /// assert!(pace.max_writes() > before);
+    /// assert_eq!(pace.round_ended(RoundOutcome::Refused), NextRound::Later);
+    /// assert!(pace.max_writes() < before);
     /// ```
-    pub fn ended(&mut self, round: Round) -> Next {
+    pub fn round_ended(&mut self, round: RoundOutcome) -> NextRound {
         self.allowed = match round {
             Round::Nothing => self.allowed,
             Round::All | Round::Part => (self.allowed + WRITES_INCREMENT).min(MAX_WRITES),
@@ -101,8 +101,8 @@
         };
 
         match round {
-            Round::Part => Next::Now,
-            Round::Nothing | Round::All | Round::Refused => Next::Later,
+            RoundOutcome::Partial => NextRound::Now,
+            RoundOutcome::Nothing | RoundOutcome::All | RoundOutcome::Refused => NextRound::Later,
         }
     }
 }
--- a/crates/policy/tests/entry_budgets.rs
+++ b/crates/policy/tests/entry_budgets.rs
@@ -116,7 +116,7 @@
     entry.learn_loose(NOW, PROGRAM, &row);
     assert_eq!(entry.reserve(NOW, PROGRAM, 572, 286), Reservation::Reserved);
 
-    for (_, row, version) in entry.loose(NOW, |_| false) {
+    for (_, row, version) in entry.rows_to_write(NOW, |_| false) {
         assert!(store.write(row, version));
     }
 
@@ -161,7 +161,7 @@
 
     for run in [1, 2] {
         let mut host = Budgets::new(RunId(run));
-        host.learn(NOW, PROGRAM, row.clone(), RowVersion(1));
+        host.merge_stored_row(NOW, PROGRAM, row.clone(), RowVersion(1));
         while host.reserve(NOW, PROGRAM, 572, 100) == Reservation::Reserved {
             host.settle(PROGRAM, 100, 100);
             spent += 100;
@@ -245,9 +245,9 @@
     assert!(reserve(&mut host, &mut store, 858, 286));
     let later = Instant::from_millis(100_000);
 
-    let running = host.forget(later, Duration::from_secs(90));
+    let running = host.take_idle(later, Duration::from_secs(90));
     host.settle(PROGRAM, 286, 50);
-    let idle = host.forget(later, Duration::from_secs(90));
+    let idle = host.take_idle(later, Duration::from_secs(90));
 
     assert!(running.is_empty());
     assert_eq!(idle, [(PROGRAM, RowVersion(1))]);
@@ -286,8 +286,8 @@
             if restarts && used % 5 == 0 {
                 hosts[host] = new();
             }
-            if used % 7 == 0 && let Some(row) = hosts[(host + 1) % 4].yield_rest(PROGRAM) {
-                hosts[host].note(NOW, PROGRAM, &row);
+            if used % 7 == 0 && let Some(row) = hosts[(host + 1) % 4].return_unused(PROGRAM) {
+                hosts[host].merge_row(NOW, PROGRAM, &row);
             }
             if reserve(&mut hosts[host], &mut store, budget, 100) {
                 hosts[host].settle(PROGRAM, 100, used);
@@ -362,7 +362,7 @@
         ..BudgetRow::default()
     };
 
-    host.witness(NOW, PROGRAM, &row);
+    host.merge_unstored_row(NOW, PROGRAM, &row);
 
     assert!(matches!(host.reserve(NOW, PROGRAM, 858, 286), Reservation::Write(..)));
 }
@@ -400,12 +400,12 @@
     let later = Instant::from_millis(40_000);
 
     assert_eq!(host.reserve(later, PROGRAM, 4_000, 286), Reservation::Reserved);
-    let due = host.loose(later, |_| true);
+    let due = host.rows_to_write(later, |_| true);
     let (row, version) = store.row.clone().unwrap();
-    host.wrote(later, PROGRAM, row, version);
+    host.record_write(later, PROGRAM, row, version);
 
     assert_eq!(due.len(), 1);
-    assert!(host.loose(later, |_| true).is_empty());
+    assert!(host.rows_to_write(later, |_| true).is_empty());
 }
 
 #[test]
@@ -420,8 +420,8 @@
     host.settle(PROGRAM, 286, 286);
     let (row, version) = store.row.clone().unwrap();
 
-    host.forget(Instant::from_millis(100_000), Duration::from_secs(90));
-    host.learn(Instant::from_millis(100_010), PROGRAM, row, version);
+    host.take_idle(Instant::from_millis(100_000), Duration::from_secs(90));
+    host.merge_stored_row(Instant::from_millis(100_010), PROGRAM, row, version);
 
     assert!(!reserve(&mut host, &mut store, 572, 286));
 }
@@ -436,16 +436,16 @@
     host.settle(PROGRAM, 286, 50);
     let asked = Instant::from_millis(100_000);
     let mut busy = host.clone();
-    host.forget(asked, Duration::from_secs(90));
-    busy.forget(asked, Duration::from_secs(90));
+    host.take_idle(asked, Duration::from_secs(90));
+    busy.take_idle(asked, Duration::from_secs(90));
     let later = Instant::from_millis(100_005);
 
     assert_eq!(busy.reserve(later, PROGRAM, 858, 286), Reservation::Reserved);
-    busy.deleted(later, PROGRAM, asked);
-    host.deleted(later, PROGRAM, asked);
+    busy.record_deletion(later, PROGRAM, asked);
+    host.record_deletion(later, PROGRAM, asked);
 
-    assert!(!host.knows(PROGRAM));
-    let due = busy.loose(later, |_| true);
+    assert!(!host.has_grants(PROGRAM));
+    let due = busy.rows_to_write(later, |_| true);
     assert!(matches!(&due[..], [(PROGRAM, _, RowVersion::ABSENT)]), "{due:?}");
 }
 
@@ -458,14 +458,14 @@
     let (mut first, mut next) = (Budgets::new(RunId(1)), Budgets::new(RunId(2)));
     assert!(reserve(&mut first, &mut store, 500, 286));
     first.settle(PROGRAM, 286, 0);
-    next.note(NOW, PROGRAM, &store.row.as_ref().unwrap().0);
-    let total = first.give(PROGRAM, RunId(2), 286);
-    next.receive(PROGRAM, RunId(1), total);
+    next.merge_row(NOW, PROGRAM, &store.row.as_ref().unwrap().0);
+    let total = first.transfer_to(PROGRAM, RunId(2), 286);
+    next.record_transfer_from(PROGRAM, RunId(1), total);
 
     let without = first.reserve(NOW, PROGRAM, 500, 286);
-    let given_to = first.given_to(PROGRAM);
-    let total = next.give(PROGRAM, RunId(1), first.claim(PROGRAM, 286).missing);
-    first.receive(PROGRAM, RunId(2), total);
+    let given_to = first.transfer_recipients(PROGRAM);
+    let total = next.transfer_to(PROGRAM, RunId(1), first.claim(PROGRAM, 286).missing);
+    first.record_transfer_from(PROGRAM, RunId(2), total);
 
     assert_eq!(without, Reservation::Spent { certain: false });
     assert_eq!(given_to, [RunId(2)]);
--- a/crates/policy/tests/entry_fuzz/budget.rs
+++ b/crates/policy/tests/entry_fuzz/budget.rs
@@ -94,7 +94,7 @@
 }
 
 async fn fetch_row(shared: &Shared, program: &Program) {
-    if shared.host.budgets.borrow().knows(program.key) {
+    if shared.host.budgets.borrow().has_grants(program.key) {
         return;
     }
     let Some(host) = program.last_host.filter(|host| shared.is_live(*host)) else { return };
@@ -189,8 +189,8 @@
         StoreReply::Committed(_) | StoreReply::Conflict(None) => {
             budgets.deleted(shared.now(), program, idle_at);
         }
-        StoreReply::Conflict(Some((row, version))) if budgets.knows(program) => {
-            budgets.learn(shared.now(), program, row, version);
+        StoreReply::Conflict(Some((row, version))) if budgets.has_grants(program) => {
+            budgets.merge_stored_row(shared.now(), program, row, version);
         }
         _ => {}
     }
@@ -203,8 +203,8 @@
 ) -> Written {
     let mut budgets = shared.host.budgets.borrow_mut();
     match there {
-        Some((row, version)) => budgets.learn(shared.now(), program, row, version),
-        None => budgets.absent(shared.now(), program),
+        Some((row, version)) => budgets.merge_stored_row(shared.now(), program, row, version),
+        None => budgets.record_missing_row(shared.now(), program),
     }
 
     Written::Merged
--- a/crates/policy/tests/entry_fuzz/grants.rs
+++ b/crates/policy/tests/entry_fuzz/grants.rs
@@ -48,7 +48,7 @@
 ) -> Granted {
     let empty = BudgetRow { budget, ..BudgetRow::default() };
     let budgets = &shared.host.budgets;
-    let known = budgets.borrow().known(program);
+    let known = budgets.borrow().known_row(program);
     let known = known.unwrap_or(KnownRow { row: empty, stored: 0 });
     let claim = budgets.borrow().claim(program, MAX_TOKENS);
     let query = GrantQuery { program, claim, known, begins };
@@ -151,7 +151,8 @@
             return None;
         }
     }
-    let granted = budgets.borrow_mut().grant_claim(shared.now(), *program, *claim, &known.row);
+    let granted =
+        budgets.borrow_mut().grant_without_store(shared.now(), *program, *claim, &known.row);
     match granted {
         Some(row) if is_acknowledged(shared, *program, &row).await => {
             Some(QueryReply::Granted(row))
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -12,7 +12,7 @@
 use camphorwalk_policy::entry::host_rows::{HostRows, Presence};
 use camphorwalk_policy::entry::isolation::{self, Contact, Surroundings};
 use camphorwalk_policy::entry::outage::StoreHealth;
-use camphorwalk_policy::entry::shares::{self, KNOWS_ALL_AFTER, Limit, Memory};
+use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER, Limit};
 
 use crate::asks::{self, Query, QueryReply, Status};
 use crate::budget::{self, TurnAnswer};
@@ -158,8 +158,8 @@
             let version = RowVersion(self.world.host_rows.get()[other]);
             let is_due = last.is_some() && !self.is_live(other);
             let host = HostId(other as u64);
-            match self.host.rows.borrow_mut().read(host, version, is_due) {
-                Presence::Wrote => drop(known.insert(other)),
+            match self.host.rows.borrow_mut().record_read(host, version, is_due) {
+                Presence::Updated => drop(known.insert(other)),
                 Presence::Silent => {}
                 Presence::Gone => drop(known.remove(&other)),
             }
@@ -221,7 +221,7 @@
     pub fn store_answers_fully(&self) -> bool {
         let health = self.host.health.borrow();
 
-        health.answers() && !health.misses_any()
+        health.answers() && !health.any_part_unavailable()
     }
 
     fn peer_with_store(&self) -> Option<usize> {
@@ -287,7 +287,7 @@
         let complete = live_hosts.iter().filter(|(_, received)| received.has_complete_history);
         let without_unstored = complete.clone().filter(|(_, received)| !received.knows_of_unstored);
 
-        shares::Surroundings {
+        shares::FleetView {
             is_all_stored: self.is_all_stored(),
             known: self.known(),
             heard: live_hosts.len() + 1,
@@ -319,7 +319,7 @@
     pub async fn run_store_op(&self, op: Op) -> StoreReply {
         let is_skipped = {
             let mut health = self.host.health.borrow_mut();
-            health.is_away(op.part()) && !health.try_again(self.now(), op.part())
+            health.is_unavailable(op.part()) && !health.start_retry_if_due(self.now(), op.part())
         };
 
         match is_skipped {
--- a/crates/policy/tests/entry_keeping.rs
+++ b/crates/policy/tests/entry_keeping.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use camphorwalk_policy::entry::keeping::{Begin, CALLER_PATIENCE, Keeping, Next, Outage, begin};
+use camphorwalk_policy::entry::turn_writes::{
+    AfterFailedWrite, MAX_STREAM_GAP, Outage, StartDecision, TurnWrites, start_during_outage,
+};
 
 /// How much longer a caller waits from the end of its turn.
 const CALLER_WAIT: Duration = Duration::from_secs(3);
@@ -85,7 +87,7 @@
     for silent_for in [0, 500, 1_900].map(Duration::from_millis) {
         let outage = Outage { silent_for: Some(silent_for), left: CALLER_WAIT };
 
-        assert_eq!(begin(outage), Begin::Now, "{silent_for:?}");
+        assert_eq!(start_during_outage(outage), StartDecision::Now, "{silent_for:?}");
     }
 }
 
--- a/crates/policy/tests/entry_shares.rs
+++ b/crates/policy/tests/entry_shares.rs
@@ -2,7 +2,8 @@
 
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::shares::{
-    Doubt, KNOWS_ALL_AFTER, Limit, Memory, Surroundings, limit, share_without_store, store_share,
+    Doubt, FleetView, GrantHistory, HISTORY_COMPLETE_AFTER, Limit, limit, share_without_store,
+    store_share,
 };
 use proptest::prelude::*;
 
@@ -47,7 +48,7 @@
 
     assert_eq!(limit(started), Limit::Share(Doubt::Forgotten));
     assert!(!memory.is_complete(NOW, started));
-    assert!(memory.is_complete(NOW + KNOWS_ALL_AFTER * 2, started));
+    assert!(memory.is_complete(NOW + HISTORY_COMPLETE_AFTER * 2, started));
 }
 
 /// Guards against budgets that are restricted for minutes after most hosts were killed while
@@ -56,7 +57,7 @@
 fn a_few_hosts_that_know_of_no_grant_complete_the_history_of_new_ones() {
     let few = Surroundings { remembering: 2, free_of_loose: 2, ..healthy() };
 
-    assert!(Memory::new(NOW, false).is_complete(NOW, few));
+    assert!(GrantHistory::new(NOW, false).is_complete(NOW, few));
 }
 
 /// Guards against granting tokens again after most hosts that knew of the grants were killed during
@@ -65,5 +66,5 @@
 fn a_few_hosts_do_not_complete_the_history_if_one_knows_of_grants() {
     let few = Surroundings { remembering: 2, free_of_loose: 1, ..healthy() };
 
-    assert!(!Memory::new(NOW, false).is_complete(NOW, few));
+    assert!(!GrantHistory::new(NOW, false).is_complete(NOW, few));
 }
--- a/crates/policy/tests/entry_write_back.rs
+++ b/crates/policy/tests/entry_write_back.rs
@@ -1,6 +1,6 @@
 //! Many hosts write their backlogs to a store with a limited rate.
 
-use camphorwalk_policy::entry::write_back::{Next, Round, WriteBack};
+use camphorwalk_policy::entry::write_back::{NextRound, RoundOutcome, WriteBack};
 
 /// A store that accepts a fixed number of writes per tenth of a second and refuses the excess.
 struct Store {
@@ -31,9 +31,9 @@
     /// Makes the writes of a round, eight at a time.
     fn round(&mut self, store: &mut Store) -> Round {
         const AT_ONCE: usize = 8;
-        let mut left = self.pace.allowed().min(self.due);
+        let mut left = self.pace.max_writes().min(self.due);
         if left == 0 {
-            return Round::Nothing;
+            return RoundOutcome::Nothing;
         }
 
         while left > 0 {
@@ -42,10 +42,10 @@
             self.due -= taken;
             left -= at_once;
             if taken < at_once {
-                return Round::Refused;
+                return RoundOutcome::Refused;
             }
         }
-        if self.due > 0 { Round::Part } else { Round::All }
+        if self.due > 0 { RoundOutcome::Partial } else { RoundOutcome::All }
     }
 }
 
@@ -65,7 +65,7 @@
         for host in hosts.iter_mut().filter(|host| host.next <= tenths) {
             loop {
                 let round = host.round(&mut store);
-                if host.pace.ended(round) == Next::Later {
+                if host.pace.round_ended(round) == NextRound::Later {
                     break;
                 }
             }
@@ -89,7 +89,7 @@
 
     loop {
         let round = host.round(&mut store);
-        if host.pace.ended(round) == Next::Later {
+        if host.pace.round_ended(round) == NextRound::Later {
             break;
         }
     }
