--- a/crates/policy/src/entry/budgets.rs
+++ b/crates/policy/src/entry/budgets.rs
@@ -149,7 +149,7 @@
     }
 
     /// Merges a program's row as the store holds it, obtained by a write, a conflict or a read.
-    pub fn learn(
+    pub fn merge_stored_row(
         &mut self,
         now: Instant,
         program: ProgramKey,
@@ -174,7 +174,7 @@
     }
 
     /// Records that this host has written a row.
-    pub fn wrote(
+    pub fn record_write(
         &mut self,
         now: Instant,
         program: ProgramKey,
@@ -190,7 +190,7 @@
 
     /// Records that the store has no row for a program. All that this host knows of then has to be
     /// written again.
-    pub fn absent(&mut self, now: Instant, program: ProgramKey) {
+    pub fn record_missing_row(&mut self, now: Instant, program: ProgramKey) {
         if let Some(account) = self.accounts.get_mut(&program) {
             account.version = RowVersion::ABSENT;
             account.stored = 0;
@@ -265,7 +265,7 @@
     }
 
     /// Grants `claim` without the store, under the same conditions as `grant_turn_without_store`.
-    pub fn grant_claim(
+    pub fn grant_without_store(
         &mut self,
         now: Instant,
         program: ProgramKey,
@@ -287,8 +287,8 @@
 
     /// Merges a row with unstored grants to this host, after a host of another zone has
     /// acknowledged it. The grants may be spent from now on.
-    pub fn learn_loose(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
-        self.witness(now, program, row);
+    pub fn accept_unstored_grant(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+        self.merge_unstored_row(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.mark_assured(self.run, row);
         }
@@ -296,7 +296,7 @@
 
     /// Merges a row with unstored grants reported by another host. This alone does not allow this
     /// host to spend them: if no host of another zone acknowledges the row, they never take effect.
-    pub fn witness(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+    pub fn merge_unstored_row(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, row.budget));
         account.last_used = now;
         let before = account.row.clone();
@@ -308,23 +308,23 @@
 
     /// Merges a row that another host has written to the store with a grant to this host. The grant
     /// may be spent from now on.
-    pub fn learn_written(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
-        self.note(now, program, row);
+    pub fn accept_stored_grant(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+        self.merge_row(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.mark_assured(self.run, row);
         }
     }
 
     /// Merges a row as another host knows it. That host is responsible for writing it.
-    pub fn note(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
+    pub fn merge_row(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, row.budget));
         account.last_used = now;
         account.merge(row);
     }
 
     /// Merges a row as another host knows it, along with how many of its tokens are stored.
-    pub fn note_known(&mut self, now: Instant, program: ProgramKey, known: &KnownRow) {
-        self.note(now, program, &known.row);
+    pub fn merge_known_row(&mut self, now: Instant, program: ProgramKey, known: &KnownRow) {
+        self.merge_row(now, program, &known.row);
         if let Some(account) = self.accounts.get_mut(&program) {
             account.stored = account.stored.max(known.stored);
             // If the whole row is stored, this host may spend its grant, even if the grant was
@@ -341,7 +341,7 @@
     /// The returned total of a run only grows and is changed by that run alone, so rows still merge
     /// by the highest figure. If the requesting host does not write the row, the tokens are lost
     /// but never granted twice.
-    pub fn yield_rest(&mut self, program: ProgramKey) -> Option<BudgetRow> {
+    pub fn return_unused(&mut self, program: ProgramKey) -> Option<BudgetRow> {
         let account = self.accounts.get_mut(&program)?;
         let rest = account.balance(self.run).saturating_sub(account.spent + account.reserved);
         // Tokens received from other runs are recorded in the row as granted to those runs, so this
@@ -414,7 +414,7 @@
     }
 
     /// Records that the run `from` of another host has given this host `total` tokens in all.
-    pub fn receive(&mut self, program: ProgramKey, from: RunId, total: u64) {
+    pub fn record_transfer_from(&mut self, program: ProgramKey, from: RunId, total: u64) {
         let Some(account) = self.accounts.get_mut(&program) else { return };
         let received = account.transferred_from.entry(from).or_default();
 
@@ -425,21 +425,21 @@
     }
 
     /// Returns the total of tokens that this host has received from a run of another host.
-    pub fn received(&self, program: ProgramKey, from: RunId) -> u64 {
+    pub fn transferred_from(&self, program: ProgramKey, from: RunId) -> u64 {
         let account = self.accounts.get(&program);
 
         account.and_then(|account| account.transferred_from.get(&from)).copied().unwrap_or(0)
     }
 
     /// Returns the total of tokens that this host has given to a run of another host.
-    pub fn given(&self, program: ProgramKey, to: RunId) -> u64 {
+    pub fn transferred_to(&self, program: ProgramKey, to: RunId) -> u64 {
         let account = self.accounts.get(&program);
 
         account.and_then(|account| account.transferred_to.get(&to)).copied().unwrap_or(0)
     }
 
     /// Returns the runs of other hosts to which this host has given tokens of a program.
-    pub fn given_to(&self, program: ProgramKey) -> Vec<RunId> {
+    pub fn transfer_recipients(&self, program: ProgramKey) -> Vec<RunId> {
         let account = self.accounts.get(&program);
 
         account.into_iter().flat_map(|a| a.transferred_to.keys().copied()).collect()
@@ -461,7 +461,7 @@
     }
 
     /// Returns whether this host knows of unstored grants to a program.
-    pub fn is_loose(&self, program: ProgramKey) -> bool {
+    pub fn has_unstored_grants(&self, program: ProgramKey) -> bool {
         self.accounts.get(&program).is_some_and(|account| account.has_unstored)
     }
 
@@ -471,7 +471,7 @@
     }
 
     /// Returns a program's row as this host knows it, along with how many of its tokens are stored.
-    pub fn known(&self, program: ProgramKey) -> Option<KnownRow> {
+    pub fn known_row(&self, program: ProgramKey) -> Option<KnownRow> {
         let account = self.accounts.get(&program)?;
 
         Some(KnownRow { row: account.row.clone(), stored: account.stored })
@@ -484,7 +484,7 @@
 
     /// Returns whether this host has to report unstored grants: those to itself, and those to runs
     /// that are not live (`is_live`). Live hosts report their own.
-    pub fn answers_for_loose(&self, is_live: impl Fn(RunId) -> bool) -> bool {
+    pub fn is_responsible_for_unstored(&self, is_live: impl Fn(RunId) -> bool) -> bool {
         let is_own = |a: &Account| a.row.granted.contains_key(&self.run);
         let any_silent = |a: &Account| !a.row.granted.keys().all(|run| is_live(*run));
 
@@ -492,7 +492,7 @@
     }
 
     /// Returns a program's row and version in the store, if this host knows them.
-    pub fn stored(&self, program: ProgramKey) -> Option<(BudgetRow, RowVersion)> {
+    pub fn stored_row(&self, program: ProgramKey) -> Option<(BudgetRow, RowVersion)> {
         let account = self.accounts.get(&program)?;
         let is_whole = !account.has_unstored && account.unstored_tokens() == 0;
         let is_stored = is_whole && account.version != RowVersion::ABSENT;
@@ -507,7 +507,7 @@
     /// once make each other's writes fail. The other hosts write it only if it is still unstored
     /// after a while: soon if one of the runs in the row is not live (`is_live`), and after a
     /// longer time in any case.
-    pub fn loose(
+    pub fn rows_to_write(
         &self,
         now: Instant,
         is_live: impl Fn(RunId) -> bool,
@@ -533,12 +533,12 @@
     }
 
     /// Returns the programs that have been inactive for longer than `idle`, with the versions of
-    /// their rows. The caller deletes these rows and then calls `deleted`.
+    /// their rows. The caller deletes these rows and then calls `record_deletion`.
     ///
     /// If this host was granted tokens, it keeps what it has spent of them until the row is
     /// deleted. Otherwise it could find its grant in the row again and spend it a second time. All
     /// other programs are removed from memory at once.
-    pub fn forget(&mut self, now: Instant, idle: Duration) -> Vec<(ProgramKey, RowVersion)> {
+    pub fn take_idle(&mut self, now: Instant, idle: Duration) -> Vec<(ProgramKey, RowVersion)> {
         let run = self.run;
         let is_old = |a: &Account| {
             a.reserved == 0 && !a.has_unstored && !a.refresh_due && now.since(a.last_used) > idle
@@ -563,9 +563,9 @@
 
     /// Records that a program's row has been deleted because the program was idle at `idle_at`. If
     /// it has run since, what this host knows of it has to be written again.
-    pub fn deleted(&mut self, now: Instant, program: ProgramKey, idle_at: Instant) {
+    pub fn record_deletion(&mut self, now: Instant, program: ProgramKey, idle_at: Instant) {
         match self.accounts.get(&program) {
-            Some(account) if account.last_used > idle_at => self.absent(now, program),
+            Some(account) if account.last_used > idle_at => self.record_missing_row(now, program),
             _ => drop(self.accounts.remove(&program)),
         }
     }
--- a/crates/policy/src/entry/host_rows.rs
+++ b/crates/policy/src/entry/host_rows.rs
@@ -9,13 +9,13 @@
 
 /// After this many reads without a change, a host counts as gone. It has then been unable to write
 /// its row for longer than most network partitions last.
-pub const READS_TO_GONE: u32 = 4;
+pub const UNCHANGED_READS_UNTIL_GONE: u32 = 4;
 
 /// What a read of a host's row says about the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// The row has changed since the last read, or was not known before.
-    Wrote,
+    Updated,
     /// The row has not changed, but the host may still be running.
     Silent,
     /// The host counts as gone until it writes its row again.
--- a/crates/policy/src/entry/isolation.rs
+++ b/crates/policy/src/entry/isolation.rs
@@ -41,11 +41,11 @@
 /// assert!(is_isolated(partitioned));
 /// assert!(!is_isolated(Surroundings { store_in_reach: true, ..partitioned }));
 /// ```
-pub fn is_isolated(around: Surroundings) -> bool {
-    match (around.store_in_reach, around.other_zones) {
+pub fn is_isolated(surroundings: Surroundings) -> bool {
+    match (surroundings.store_in_reach, surroundings.other_zones) {
         (true, _) | (false, Contact::Heard) => false,
         (false, Contact::Silent) => true,
         // With only one zone, a host is isolated if no other host is live.
-        (false, Contact::NoneKnown) => around.others == Contact::Silent,
+        (false, Contact::NoneKnown) => surroundings.others == Contact::Silent,
     }
 }
--- a/crates/policy/src/entry/outage.rs
+++ b/crates/policy/src/entry/outage.rs
@@ -44,10 +44,11 @@
 
 impl StoreHealth {
     /// Returns whether a part is considered unavailable.
-    pub fn is_away(&self, part: &str) -> bool {
-        let is_away = |name: &str| self.parts.get(name).is_some_and(|part| part.last_try.is_some());
+    pub fn is_unavailable(&self, part: &str) -> bool {
+        let is_unavailable =
+            |name: &str| self.parts.get(name).is_some_and(|part| part.last_try.is_some());
 
-        is_away(PLATFORM_TABLES) || is_away(part)
+        is_unavailable(PLATFORM_TABLES) || is_unavailable(part)
     }
 
     /// Returns whether the store as a whole answers this host.
@@ -80,7 +81,7 @@
     }
 
     /// Returns whether any part is considered unavailable.
-    pub fn misses_any(&self) -> bool {
+    pub fn any_part_unavailable(&self) -> bool {
         self.parts.values().any(|part| part.last_try.is_some())
     }
 
@@ -99,18 +100,18 @@
     /// assert!(health.any_part_failed_within(Instant::from_millis(500), second));
     /// assert!(!health.any_part_failed_within(Instant::from_millis(1_500), second));
     /// ```
-    pub fn missed_any(&self, now: Instant, lately: Duration) -> bool {
-        let missed = |part: &PartHealth| {
+    pub fn any_part_failed_within(&self, now: Instant, lately: Duration) -> bool {
+        let failed_lately = |part: &PartHealth| {
             part.last_try.is_some()
                 && part.failed_operation_began.is_some_and(|at| now.since(at) < lately)
         };
 
-        self.is_away(PLATFORM_TABLES) || self.parts.values().any(missed)
+        self.is_unavailable(PLATFORM_TABLES) || self.parts.values().any(failed_lately)
     }
 
     /// Returns whether the calling operation should try a part, and records the attempt if the
     /// part is unavailable. Returns `false` while the store as a whole does not answer.
-    pub fn try_again(&mut self, now: Instant, part: &str) -> bool {
+    pub fn start_retry_if_due(&mut self, now: Instant, part: &str) -> bool {
         if !self.answers() {
             return false;
         }
--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -18,7 +18,7 @@
 /// How long a process runs until its grant history counts as complete, that is, until it is assumed
 /// to know of all grants that matter. By then, grants made without the store before the process
 /// started have been written to it, or the programs have mostly ended.
-pub const KNOWS_ALL_AFTER: Duration = Duration::from_secs(90);
+pub const HISTORY_COMPLETE_AFTER: Duration = Duration::from_secs(90);
 
 /// Returns how many tokens of a budget the store grants to turns of at most `most` tokens while it
 /// is uncertain what has been granted without it.
@@ -79,27 +79,27 @@
 
 /// What a host knows of the fleet, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Surroundings {
+pub struct FleetView {
     /// Whether no host has reported grants without the store for a while.
     pub is_all_stored: bool,
     /// The number of hosts.
-    pub known: usize,
+    pub known_hosts: usize,
     /// The number of live hosts, that is, hosts of which a status update has arrived recently.
-    pub heard: usize,
+    pub live_hosts: usize,
     /// How many of the live hosts have a complete history of the grants made without the store.
-    pub remembering: usize,
+    pub complete_histories: usize,
     /// How many of the hosts with a complete history know of no grant made without the store to any
     /// program.
-    pub free_of_loose: usize,
+    pub without_unstored_grants: usize,
 }
 
-impl Surroundings {
+impl FleetView {
     /// Adds the host itself to the counts, which depends on whether its grant history is complete
     /// and on whether it knows of grants made without the store.
-    pub fn with_itself(self, has_complete_history: bool, knows_of_unstored: bool) -> Self {
+    pub fn including_self(self, has_complete_history: bool, knows_of_unstored: bool) -> Self {
         Self {
-            remembering: self.remembering + usize::from(has_complete_history),
-            free_of_loose: self.free_of_loose
+            complete_histories: self.complete_histories + usize::from(has_complete_history),
+            without_unstored_grants: self.without_unstored_grants
                 + usize::from(has_complete_history && !knows_of_unstored),
             ..self
         }
@@ -107,7 +107,7 @@
 
     /// Returns whether a majority of the hosts is live and has a complete grant history.
     fn majority_has_complete_history(&self) -> bool {
-        self.remembering * 2 > self.known
+        self.complete_histories * 2 > self.known_hosts
     }
 
     /// Returns whether all hosts with a complete history report that nothing was granted without
@@ -118,7 +118,8 @@
     fn none_granted_without_store(&self) -> bool {
         const MIN_HOSTS: usize = 2;
 
-        self.free_of_loose == self.remembering && self.remembering >= MIN_HOSTS
+        self.without_unstored_grants == self.complete_histories
+            && self.complete_histories >= MIN_HOSTS
     }
 }
 
@@ -129,17 +130,17 @@
 /// while, all existing grants are in the store.
 ///
 /// ```
-/// use camphorwalk_policy::entry::shares::{Doubt, Limit, Surroundings, limit};
+/// use camphorwalk_policy::entry::shares::{Doubt, Limit, FleetView, limit};
 /// let healthy =
-///     Surroundings { is_all_stored: true, known: 5, heard: 4, remembering: 3, free_of_loose: 3 };
+///     FleetView { is_all_stored: true, known_hosts: 5, live_hosts: 4, complete_histories: 3, without_unstored_grants: 3 };
 /// assert_eq!(limit(healthy), Limit::Whole);
-/// assert_eq!(limit(Surroundings { heard: 2, ..healthy }), Limit::Share(Doubt::Unsettled));
-/// assert_eq!(limit(Surroundings { remembering: 2, ..healthy }), Limit::Share(Doubt::Forgotten));
+/// assert_eq!(limit(FleetView { live_hosts: 2, ..healthy }), Limit::Share(Doubt::Unsettled));
+/// assert_eq!(limit(FleetView { complete_histories: 2, ..healthy }), Limit::Share(Doubt::Forgotten));
 /// ```
-pub fn limit(around: FleetView) -> Limit {
-    let is_settled = around.is_all_stored && around.live_hosts * 2 > around.known_hosts;
+pub fn limit(fleet: FleetView) -> Limit {
+    let is_settled = fleet.is_all_stored && fleet.live_hosts * 2 > fleet.known_hosts;
 
-    match (is_settled, around.majority_has_complete_history()) {
+    match (is_settled, fleet.majority_has_complete_history()) {
         (true, true) => Limit::Whole,
         (true, false) => Limit::Share(Doubt::Forgotten),
         (false, _) => Limit::Share(Doubt::Unsettled),
@@ -154,14 +155,14 @@
     is_complete: bool,
 }
 
-impl Memory {
+impl GrantHistory {
     /// Creates the state of a process that starts now. If the whole deployment starts for the first
     /// time, there are no earlier grants to know of.
     pub fn new(now: Instant, is_first_start: bool) -> Self {
         Self { began: now, is_complete: is_first_start }
     }
 
-    /// Returns whether the history is complete. `around` does not include this host.
+    /// Returns whether the history is complete. `fleet` does not include this host.
     ///
     /// The history counts as complete once no unstored grants are reported and either a majority
     /// has a complete history, because the store then holds all that this majority knew of, or all
@@ -171,21 +172,21 @@
     /// ```
     /// use camphorwalk_core::time::Instant;
     /// use camphorwalk_policy::entry::shares::{FleetView, GrantHistory};
-    /// let mut memory = GrantHistory::new(Instant(0), false);
-    /// let around = FleetView {
+    /// let mut history = GrantHistory::new(Instant(0), false);
+    /// let fleet = FleetView {
     ///     is_all_stored: false,
     ///     known_hosts: 5,
     ///     live_hosts: 4,
     ///     complete_histories: 4,
     ///     without_unstored_grants: 1,
     /// };
-    /// assert!(!memory.is_complete(Instant(0), around));
-    /// assert!(memory.is_complete(Instant(0), FleetView { is_all_stored: true, ..around }));
+    /// assert!(!history.is_complete(Instant(0), fleet));
+    /// assert!(history.is_complete(Instant(0), FleetView { is_all_stored: true, ..fleet }));
     /// ```
-    pub fn is_complete(&mut self, now: Instant, around: Surroundings) -> bool {
-        let is_informed = around.is_all_stored
-            && (around.majority_has_complete_history() || around.none_granted_without_store());
-        self.is_complete |= is_informed || now.since(self.began) > KNOWS_ALL_AFTER;
+    pub fn is_complete(&mut self, now: Instant, fleet: FleetView) -> bool {
+        let is_informed = fleet.is_all_stored
+            && (fleet.majority_has_complete_history() || fleet.none_granted_without_store());
+        self.is_complete |= is_informed || now.since(self.began) > HISTORY_COMPLETE_AFTER;
 
         self.is_complete
     }
--- a/crates/policy/src/entry/turn_writes.rs
+++ b/crates/policy/src/entry/turn_writes.rs
@@ -19,7 +19,7 @@
 
 /// What to do after a failed write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum AfterFailedWrite {
     /// Write again after this pause.
     Retry(Duration),
     /// Close the stream without its end.
@@ -32,7 +32,7 @@
     failed: u32,
 }
 
-impl Keeping {
+impl TurnWrites {
     /// Returns the number of failed writes.
     pub fn failed(&self) -> u32 {
         self.failed
@@ -45,28 +45,32 @@
     /// ```
     /// use std::time::Duration;
     /// use camphorwalk_policy::entry::turn_writes::{AfterFailedWrite, TurnWrites};
-    /// let mut keeping = TurnWrites::default();
+    /// let mut writes = TurnWrites::default();
     /// let left = Duration::from_secs(2);
-    /// assert!(matches!(keeping.write_failed(left, None), AfterFailedWrite::Retry(_)));
-    /// assert_eq!(keeping.write_failed(left, Some(left)), AfterFailedWrite::BreakOff);
+    /// assert!(matches!(writes.write_failed(left, None), AfterFailedWrite::Retry(_)));
+    /// assert_eq!(writes.write_failed(left, Some(left)), AfterFailedWrite::BreakOff);
     /// ```
-    pub fn write_failed(&mut self, left: Duration, isolated_for: Option<Duration>) -> Next {
+    pub fn write_failed(
+        &mut self,
+        left: Duration,
+        isolated_for: Option<Duration>,
+    ) -> AfterFailedWrite {
         let pause = INITIAL_PAUSE.saturating_mul(1 << self.failed.min(8)).min(MAX_PAUSE);
         self.failed += 1;
 
         let is_isolated = isolated_for.is_some_and(|time| time >= ISOLATION_CONFIRMED_AFTER);
         match is_isolated || pause >= left {
-            true => Next::BreakOff,
-            false => Next::Retry(pause),
+            true => AfterFailedWrite::BreakOff,
+            false => AfterFailedWrite::Retry(pause),
         }
     }
 }
 
 /// The longest gap in a stream that callers accept, including the gap before its end.
-pub const CALLER_PATIENCE: Duration = Duration::from_secs(2);
+pub const MAX_STREAM_GAP: Duration = Duration::from_secs(2);
 
 /// The longest time after which a refused caller is told to retry while the store is unavailable.
-pub const AWAY_RETRY: Duration = Duration::from_secs(1);
+pub const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A refused caller is told to retry after at most its remaining time divided by this.
 const RETRY_DIVISOR: u32 = 3;
@@ -82,7 +86,7 @@
 
 /// Whether to send a turn that has to be stored to its target while the store is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum StartDecision {
     /// Send it: the store may have recovered when the turn ends.
     Now,
     /// Refuse it, and tell the caller to retry after this time.
@@ -109,7 +113,7 @@
 /// ```
 pub fn start_during_outage(outage: Outage) -> StartDecision {
     match outage.silent_for {
-        Some(time) if time < CALLER_PATIENCE => Begin::Now,
-        _ => Begin::Later(AWAY_RETRY.min(outage.left / RETRY_DIVISOR)),
+        Some(time) if time < MAX_STREAM_GAP => StartDecision::Now,
+        _ => StartDecision::Later(OUTAGE_RETRY_AFTER.min(outage.left / RETRY_DIVISOR)),
     }
 }
--- a/crates/policy/src/entry/turns.rs
+++ b/crates/policy/src/entry/turns.rs
@@ -66,8 +66,8 @@
     /// let turn = Turn::new(Vec::new(), b"hello".to_vec());
     /// assert_eq!(turn.transcript(), b"hello");
     /// ```
-    pub fn new(line: Vec<TurnKey>, said: Vec<u8>) -> Self {
-        match String::from_utf8(said) {
+    pub fn new(line: Vec<TurnKey>, transcript: Vec<u8>) -> Self {
+        match String::from_utf8(transcript) {
             Ok(text) => Self { line, text: text.into(), raw: Vec::new() },
             Err(e) => Self { line, text: Box::default(), raw: e.into_bytes() },
         }
@@ -75,12 +75,12 @@
 
     /// Returns what the turn adds to the prompt: its input, then the data of each event followed by
     /// a line feed.
-    pub fn said(&self) -> &[u8] {
+    pub fn transcript(&self) -> &[u8] {
         if self.raw.is_empty() { self.text.as_bytes() } else { &self.raw }
     }
 
     /// Returns the earlier turns of a turn that continues from this one, whose key is `own`.
-    pub fn line_with(&self, own: TurnKey) -> Vec<TurnKey> {
+    pub fn conversation_with(&self, own: TurnKey) -> Vec<TurnKey> {
         let mut line = Vec::with_capacity(self.line.len() + 1);
         line.extend_from_slice(&self.line);
         line.push(own);
@@ -133,5 +133,5 @@
     /// Overhead of the map entry, the queue entry and the reference counts.
     const ENTRY_OVERHEAD: usize = 96;
 
-    turn.said().len() + turn.line.len() * size_of::<TurnKey>() + ENTRY_OVERHEAD
+    turn.transcript().len() + turn.line.len() * size_of::<TurnKey>() + ENTRY_OVERHEAD
 }
--- a/crates/policy/src/entry/write_back.rs
+++ b/crates/policy/src/entry/write_back.rs
@@ -43,20 +43,20 @@
 
 /// The outcome of a round of writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Round {
+pub enum RoundOutcome {
     /// There was nothing to write.
     Nothing,
     /// Everything due was written, or conflicted with another host's write.
     All,
     /// The round reached its limit of writes, and more rows are due.
-    Part,
+    Partial,
     /// The store refused a write, and the remaining rows were not attempted.
     Refused,
 }
 
 /// When to start the next round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextRound {
     /// Immediately.
     Now,
     /// After the regular period, or when the store recovers.
@@ -66,19 +66,19 @@
 /// The number of writes that a host may make per round.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteBack {
-    allowed: usize,
+    max_writes: usize,
 }
 
 impl Default for WriteBack {
     fn default() -> Self {
-        Self { allowed: INITIAL_WRITES }
+        Self { max_writes: INITIAL_WRITES }
     }
 }
 
 impl WriteBack {
     /// Returns the maximum number of writes in the next round.
-    pub fn allowed(&self) -> usize {
-        self.allowed
+    pub fn max_writes(&self) -> usize {
+        self.max_writes
     }
 
     /// Adjusts the number of writes to the outcome of a round, and returns when to start the next
@@ -94,10 +94,12 @@
     /// assert!(pace.max_writes() < before);
     /// ```
     pub fn round_ended(&mut self, round: RoundOutcome) -> NextRound {
-        self.allowed = match round {
-            Round::Nothing => self.allowed,
-            Round::All | Round::Part => (self.allowed + WRITES_INCREMENT).min(MAX_WRITES),
-            Round::Refused => (self.allowed / 2).max(MIN_WRITES),
+        self.max_writes = match round {
+            RoundOutcome::Nothing => self.max_writes,
+            RoundOutcome::All | RoundOutcome::Partial => {
+                (self.max_writes + WRITES_INCREMENT).min(MAX_WRITES)
+            }
+            RoundOutcome::Refused => (self.max_writes / 2).max(MIN_WRITES),
         };
 
         match round {
--- a/crates/policy/tests/budget_late_grants.rs
+++ b/crates/policy/tests/budget_late_grants.rs
@@ -24,7 +24,7 @@
     let Proposal::Write(row, _) = ask(&mut granter, &requester) else {
         panic!("a new budget covers the turn")
     };
-    granter.wrote(NOW, PROGRAM, row.clone(), RowVersion(1));
+    granter.record_write(NOW, PROGRAM, row.clone(), RowVersion(1));
 
     (granter, row)
 }
@@ -32,7 +32,7 @@
 /// Requests a turn's tokens the way a host does during an outage.
 fn ask(granter: &mut Budgets, requester: &Budgets) -> Proposal {
     let empty = BudgetRow { budget: BUDGET, ..BudgetRow::default() };
-    let known = requester.known(PROGRAM).unwrap_or(KnownRow { row: empty, stored: 0 });
+    let known = requester.known_row(PROGRAM).unwrap_or(KnownRow { row: empty, stored: 0 });
 
     granter.propose_within(
         NOW,
@@ -47,7 +47,7 @@
 /// many tokens these turns used.
 fn spend(requester: &mut Budgets, proposal: Proposal) -> u64 {
     if let Proposal::Write(row, _) = proposal {
-        requester.learn_written(NOW, PROGRAM, &row);
+        requester.accept_stored_grant(NOW, PROGRAM, &row);
     }
     let mut spent = 0;
     while requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS) == Reservation::Reserved {
@@ -76,7 +76,7 @@
     // knows of the grant but may not spend it yet.
     let (mut granter, row) = granter_with_a_late_grant();
     let mut requester = Budgets::new(REQUESTER);
-    requester.note_known(NOW, PROGRAM, &KnownRow { stored: MAX_TOKENS, row });
+    requester.merge_known_row(NOW, PROGRAM, &KnownRow { stored: MAX_TOKENS, row });
 
     let again = ask(&mut granter, &requester);
 
@@ -92,12 +92,12 @@
     let mut with_unstored = stored.clone();
     with_unstored.granted.insert(REQUESTER, MAX_TOKENS);
     let mut intermediate = Budgets::new(RunId(3));
-    intermediate.learn(NOW, PROGRAM, stored, RowVersion(1));
-    intermediate.note_known(NOW, PROGRAM, &KnownRow { row: with_unstored, stored: 1 });
+    intermediate.merge_stored_row(NOW, PROGRAM, stored, RowVersion(1));
+    intermediate.merge_known_row(NOW, PROGRAM, &KnownRow { row: with_unstored, stored: 1 });
     let mut requester = Budgets::new(REQUESTER);
 
-    if let Some((row, version)) = intermediate.stored(PROGRAM) {
-        requester.learn(NOW, PROGRAM, row, version);
+    if let Some((row, version)) = intermediate.stored_row(PROGRAM) {
+        requester.merge_stored_row(NOW, PROGRAM, row, version);
     }
 
     assert_ne!(requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS), Reservation::Reserved);
--- a/crates/policy/tests/entry_budgets.rs
+++ b/crates/policy/tests/entry_budgets.rs
@@ -42,7 +42,7 @@
                 store.write(row, version);
                 let (row, version) =
                     store.row.clone().expect("the row exists after a write or a conflict");
-                host.learn(NOW, PROGRAM, row, version);
+                host.merge_stored_row(NOW, PROGRAM, row, version);
             }
         }
     }
@@ -113,7 +113,7 @@
     let row = granter
         .grant_turn_without_store(NOW, PROGRAM, RunId(2), 286, &known)
         .expect("the budget covers the turn");
-    entry.learn_loose(NOW, PROGRAM, &row);
+    entry.accept_unstored_grant(NOW, PROGRAM, &row);
     assert_eq!(entry.reserve(NOW, PROGRAM, 572, 286), Reservation::Reserved);
 
     for (_, row, version) in entry.rows_to_write(NOW, |_| false) {
@@ -137,14 +137,14 @@
         ..BudgetRow::default()
     };
 
-    other.learn_loose(NOW, PROGRAM, &row);
-    let at_once = other.loose(NOW, |_| false);
-    let later = other.loose(Instant::from_millis(700), |_| false);
-    other.learn(Instant::from_millis(701), PROGRAM, row, RowVersion(1));
+    other.accept_unstored_grant(NOW, PROGRAM, &row);
+    let at_once = other.rows_to_write(NOW, |_| false);
+    let later = other.rows_to_write(Instant::from_millis(700), |_| false);
+    other.merge_stored_row(Instant::from_millis(701), PROGRAM, row, RowVersion(1));
 
     assert!(at_once.is_empty());
     assert_eq!(later.len(), 1);
-    assert!(!other.is_loose(PROGRAM));
+    assert!(!other.has_unstored_grants(PROGRAM));
 }
 
 #[test]
@@ -184,10 +184,10 @@
         .expect("the budget covers the turn");
     assert!(reserve(&mut served, &mut store, 1_000, 300));
 
-    while let Some((_, row, version)) = without_store.loose(NOW, |_| false).pop() {
+    while let Some((_, row, version)) = without_store.rows_to_write(NOW, |_| false).pop() {
         store.write(row, version);
         let (row, version) = store.row.clone().unwrap();
-        without_store.learn(NOW, PROGRAM, row, version);
+        without_store.merge_stored_row(NOW, PROGRAM, row, version);
     }
 
     let granted = &store.row.as_ref().unwrap().0.granted;
@@ -226,7 +226,7 @@
         let row = match round % 2 {
             0 => granter.propose(NOW, PROGRAM, run, 286, &known).map(|(row, version)| {
                 if store.write(row.clone(), version) {
-                    granter.learn(NOW, PROGRAM, row, RowVersion(store.version));
+                    granter.merge_stored_row(NOW, PROGRAM, row, RowVersion(store.version));
                 }
             }),
             _ => granter.grant_turn_without_store(NOW, PROGRAM, run, 286, &known).map(drop),
@@ -326,8 +326,8 @@
     assert!(!reserve(&mut next, &mut store, 500, 286));
     assert_eq!(next.holders(PROGRAM), [RunId(1)]);
 
-    let row = first.yield_rest(PROGRAM).expect("the host knows the program");
-    next.note(NOW, PROGRAM, &row);
+    let row = first.return_unused(PROGRAM).expect("the host knows the program");
+    next.merge_row(NOW, PROGRAM, &row);
 
     assert!(reserve(&mut next, &mut store, 500, 286));
     assert!(next.holders(PROGRAM).is_empty());
@@ -345,7 +345,7 @@
         .grant_turn_without_store(NOW, PROGRAM, RunId(1), 286, &known)
         .expect("the budget covers the turn");
     let unacknowledged = host.reserve(NOW, PROGRAM, 858, 286);
-    host.learn_loose(NOW, PROGRAM, &row);
+    host.accept_unstored_grant(NOW, PROGRAM, &row);
 
     assert!(matches!(unacknowledged, Reservation::Write(..)), "{unacknowledged:?}");
     assert_eq!(host.reserve(NOW, PROGRAM, 858, 286), Reservation::Reserved);
@@ -379,13 +379,18 @@
             granted: BTreeMap::from([(RunId(1), 286 * version)]),
             ..BudgetRow::default()
         };
-        listener.learn(Instant::from_millis(seconds * 1_000), PROGRAM, row, RowVersion(version));
+        listener.merge_stored_row(
+            Instant::from_millis(seconds * 1_000),
+            PROGRAM,
+            row,
+            RowVersion(version),
+        );
     }
 
     let idle = Duration::from_secs(90);
 
-    assert!(listener.forget(Instant::from_millis(120_000), idle).is_empty());
-    assert_eq!(listener.forget(Instant::from_millis(191_000), idle), [(PROGRAM, RowVersion(3))]);
+    assert!(listener.take_idle(Instant::from_millis(120_000), idle).is_empty());
+    assert_eq!(listener.take_idle(Instant::from_millis(191_000), idle), [(PROGRAM, RowVersion(3))]);
 }
 
 #[test]
--- a/crates/policy/tests/entry_fuzz/asks.rs
+++ b/crates/policy/tests/entry_fuzz/asks.rs
@@ -148,27 +148,30 @@
             grants::grant(shared, &query).await
         }
         Query::Stored(program, row, version) => {
-            budgets.borrow_mut().learn(shared.now(), program, row, version);
+            budgets.borrow_mut().merge_stored_row(shared.now(), program, row, version);
             QueryReply::Done
         }
         Query::Unstored(program, known) => {
             let mut budgets = budgets.borrow_mut();
-            budgets.witness(shared.now(), program, &known.row);
-            budgets.note_known(shared.now(), program, &known);
+            budgets.merge_unstored_row(shared.now(), program, &known.row);
+            budgets.merge_known_row(shared.now(), program, &known);
             QueryReply::Done
         }
         Query::KnownRow(program) => {
-            budgets.borrow().known(program).map_or(QueryReply::Refused, QueryReply::Known)
+            budgets.borrow().known_row(program).map_or(QueryReply::Refused, QueryReply::Known)
         }
-        Query::StoredRow(program) => QueryReply::StoredRow(budgets.borrow().stored(program)),
+        Query::StoredRow(program) => QueryReply::StoredRow(budgets.borrow().stored_row(program)),
         Query::Transfer(program, known, to, total) => {
             let mut budgets = budgets.borrow_mut();
-            budgets.note_known(shared.now(), program, &known);
-            QueryReply::Transferred(budgets.give(program, to, total), budgets.given_to(program))
+            budgets.merge_known_row(shared.now(), program, &known);
+            QueryReply::Transferred(
+                budgets.transfer_to(program, to, total),
+                budgets.transfer_recipients(program),
+            )
         }
         Query::ReturnUnused(program) => budgets
             .borrow_mut()
-            .yield_rest(program)
+            .return_unused(program)
             .map_or(QueryReply::Refused, QueryReply::Granted),
     }
 }
--- a/crates/policy/tests/entry_fuzz/budget.rs
+++ b/crates/policy/tests/entry_fuzz/budget.rs
@@ -66,7 +66,7 @@
                 }
             }
             Reservation::Write(..) => {
-                if !budgets.borrow().knows(key) {
+                if !budgets.borrow().has_grants(key) {
                     grants::query_known_rows(shared, key, 1).await;
                 }
                 match grants::request_grant(shared, key, budget, begins).await {
@@ -101,7 +101,7 @@
     let reply = asks::query(shared, host, Query::StoredRow(program.key), ROW_DEADLINE).await;
 
     if let Some(QueryReply::StoredRow(Some((row, version)))) = reply {
-        shared.host.budgets.borrow_mut().learn(shared.now(), program.key, row, version);
+        shared.host.budgets.borrow_mut().merge_stored_row(shared.now(), program.key, row, version);
     }
 }
 
@@ -120,7 +120,7 @@
 async fn request_transfers(shared: &Shared, program: ProgramKey) {
     let budgets = &shared.host.budgets;
     let mut runs = budgets.borrow().holders(program);
-    runs.extend(budgets.borrow().given_to(program));
+    runs.extend(budgets.borrow().transfer_recipients(program));
     let mut queried = Set::from_iter([shared.host.run]);
 
     while let Some(run) = runs.pop() {
@@ -129,13 +129,13 @@
             return;
         }
         let Some(host) = shared.host_of_run(run).filter(|_| queried.insert(run)) else { continue };
-        let total = budgets.borrow().received(program, run) + missing;
-        let Some(known) = budgets.borrow().known(program) else { return };
+        let total = budgets.borrow().transferred_from(program, run) + missing;
+        let Some(known) = budgets.borrow().known_row(program) else { return };
         let query = Query::Transfer(program, known, shared.host.run, total);
         if let Some(QueryReply::Transferred(total, to)) =
             asks::query(shared, host, query, QUERY_DEADLINE).await
         {
-            budgets.borrow_mut().receive(program, run, total);
+            budgets.borrow_mut().record_transfer_from(program, run, total);
             runs.extend(to);
         }
     }
@@ -150,7 +150,7 @@
 
     for reply in join_all(queries).await.into_iter().flatten() {
         if let QueryReply::Granted(row) = reply {
-            shared.host.budgets.borrow_mut().note(shared.now(), program, &row);
+            shared.host.budgets.borrow_mut().merge_row(shared.now(), program, &row);
         }
     }
 }
@@ -165,7 +165,7 @@
     match shared.run_store_op(Op::Commit(program, Some(row.clone()), version)).await {
         StoreReply::Committed(version) => {
             grants::notify_stored(shared, program, &row, version);
-            shared.host.budgets.borrow_mut().wrote(shared.now(), program, row, version);
+            shared.host.budgets.borrow_mut().record_write(shared.now(), program, row, version);
             Written::Committed
         }
         StoreReply::Conflict(there) => merge_result(shared, program, there),
@@ -187,7 +187,7 @@
 
     match reply {
         StoreReply::Committed(_) | StoreReply::Conflict(None) => {
-            budgets.deleted(shared.now(), program, idle_at);
+            budgets.record_deletion(shared.now(), program, idle_at);
         }
         StoreReply::Conflict(Some((row, version))) if budgets.has_grants(program) => {
             budgets.merge_stored_row(shared.now(), program, row, version);
--- a/crates/policy/tests/entry_fuzz/grants.rs
+++ b/crates/policy/tests/entry_fuzz/grants.rs
@@ -29,7 +29,7 @@
 
 pub fn notify_stored(shared: &Shared, program: ProgramKey, row: &BudgetRow, version: RowVersion) {
     let mut hosts: Vec<_> = shared.next_granters(program).take(REPLICAS).collect();
-    if shared.host.budgets.borrow().is_loose(program) {
+    if shared.host.budgets.borrow().has_unstored_grants(program) {
         hosts.extend(shared.other_zone_hosts(program).into_iter().take(UNSTORED_REPLICAS));
         hosts.sort_unstable();
         hosts.dedup();
@@ -60,11 +60,11 @@
 
     match reply {
         Some(QueryReply::Written(row)) => {
-            budgets.borrow_mut().learn_written(shared.now(), program, &row);
+            budgets.borrow_mut().accept_stored_grant(shared.now(), program, &row);
             Granted::Tokens
         }
         Some(QueryReply::Granted(row)) => {
-            budgets.borrow_mut().learn_loose(shared.now(), program, &row);
+            budgets.borrow_mut().accept_unstored_grant(shared.now(), program, &row);
             Granted::Tokens
         }
         Some(QueryReply::Withheld(doubt)) => Granted::Withheld(doubt),
@@ -75,7 +75,7 @@
 
 /// Grants a turn's tokens through the store if it answers, and otherwise without it.
 pub async fn grant(shared: &Shared, query: &GrantQuery) -> QueryReply {
-    shared.host.budgets.borrow_mut().note_known(shared.now(), query.program, &query.known);
+    shared.host.budgets.borrow_mut().merge_known_row(shared.now(), query.program, &query.known);
 
     for _ in 0..MAX_OVERDUE {
         let (row, writing) = match grant_by_store(shared, query).await {
@@ -145,9 +145,9 @@
     }
 
     query_known_rows(shared, *program, REPLICAS).await;
-    if !budgets.borrow().knows(*program) {
+    if !budgets.borrow().has_grants(*program) {
         query_known_rows(shared, *program, MAX_QUERIED).await;
-        if !budgets.borrow().knows(*program) && !begins {
+        if !budgets.borrow().has_grants(*program) && !begins {
             return None;
         }
     }
@@ -190,7 +190,7 @@
 }
 
 async fn is_acknowledged(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
-    let stored = shared.host.budgets.borrow().known(program).map_or(0, |known| known.stored);
+    let stored = shared.host.budgets.borrow().known_row(program).map_or(0, |known| known.stored);
     let query = Query::Unstored(program, KnownRow { row: row.clone(), stored });
     let replicas: Vec<_> =
         shared.other_zone_hosts(program).into_iter().take(UNSTORED_REPLICAS).collect();
@@ -224,14 +224,15 @@
 
     for reply in replies.into_iter().flatten() {
         if let QueryReply::Known(known) = reply {
-            shared.host.budgets.borrow_mut().note_known(shared.now(), program, &known);
+            shared.host.budgets.borrow_mut().merge_known_row(shared.now(), program, &known);
         }
     }
 }
 
 /// Writes the rows that are due, among them those with unstored grants.
 pub async fn write_unstored(shared: &Shared) {
-    let rows = shared.host.budgets.borrow().loose(shared.now(), |run| shared.is_run_live(run));
+    let rows =
+        shared.host.budgets.borrow().rows_to_write(shared.now(), |run| shared.is_run_live(run));
     let writes =
         rows.into_iter().map(|(program, row, version)| write(shared, program, row, version));
 
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -51,7 +51,7 @@
     /// Whether the whole fleet started for the first time together with this host.
     is_first_start: bool,
     began: Instant,
-    history: RefCell<Memory>,
+    history: RefCell<GrantHistory>,
     pub budgets: RefCell<Budgets>,
     pub health: RefCell<StoreHealth>,
     /// Whether the host has read who the others are. Until then it exchanges no messages with them.
@@ -81,7 +81,7 @@
             run,
             is_first_start,
             began: now,
-            history: RefCell::new(Memory::new(now, is_first_start)),
+            history: RefCell::new(GrantHistory::new(now, is_first_start)),
             budgets: RefCell::new(Budgets::new(run)),
             health: RefCell::default(),
             joined: Cell::new(false),
@@ -244,9 +244,10 @@
 
     fn may_have_unstored(&self) -> bool {
         let any_unavailable =
-            self.host.health.borrow().missed_any(self.now(), UNSTORED_REPORT_WINDOW);
+            self.host.health.borrow().any_part_failed_within(self.now(), UNSTORED_REPORT_WINDOW);
 
-        any_unavailable || self.host.budgets.borrow().answers_for_loose(|run| self.is_run_live(run))
+        any_unavailable
+            || self.host.budgets.borrow().is_responsible_for_unstored(|run| self.is_run_live(run))
     }
 
     fn is_all_stored(&self) -> bool {
@@ -273,26 +274,26 @@
     fn knows_of_unstored(&self) -> bool {
         let unstored_at = self.host.unstored_at.get();
 
-        unstored_at.is_some_and(|at| self.now().since(at) <= KNOWS_ALL_AFTER)
+        unstored_at.is_some_and(|at| self.now().since(at) <= HISTORY_COMPLETE_AFTER)
     }
 
-    fn fleet_view(&self) -> shares::Surroundings {
+    fn fleet_view(&self) -> shares::FleetView {
         let others = self.fleet_view_without_self();
 
-        others.with_itself(self.has_complete_history(), self.knows_of_unstored())
+        others.including_self(self.has_complete_history(), self.knows_of_unstored())
     }
 
-    fn fleet_view_without_self(&self) -> shares::Surroundings {
+    fn fleet_view_without_self(&self) -> shares::FleetView {
         let live_hosts = self.live_known_hosts();
         let complete = live_hosts.iter().filter(|(_, received)| received.has_complete_history);
         let without_unstored = complete.clone().filter(|(_, received)| !received.knows_of_unstored);
 
         shares::FleetView {
             is_all_stored: self.is_all_stored(),
-            known: self.known(),
-            heard: live_hosts.len() + 1,
-            remembering: complete.count(),
-            free_of_loose: without_unstored.count(),
+            known_hosts: self.known(),
+            live_hosts: live_hosts.len() + 1,
+            complete_histories: complete.count(),
+            without_unstored_grants: without_unstored.count(),
         }
     }
 
@@ -349,7 +350,7 @@
             StoreReply::Unknown => drop(health.failed(began, part)),
             _ => drop(health.answered(now, part)),
         }
-        if health.misses_any() {
+        if health.any_part_unavailable() {
             self.host.trouble_at.set(Some(now));
         }
         reply
@@ -398,7 +399,7 @@
     fn status(&self) -> Status {
         let is_slow =
             self.host.slow_at.get().is_some_and(|at| self.now().since(at) < SLOW_REPORT_TIME);
-        let any_unavailable = self.host.health.borrow().misses_any();
+        let any_unavailable = self.host.health.borrow().any_part_unavailable();
 
         Status {
             run: self.host.run,
@@ -488,7 +489,7 @@
     loop {
         shared.world.sim.sleep(SWEEP_PERIOD).await;
         let idle_at = shared.now();
-        let old = shared.host.budgets.borrow_mut().forget(idle_at, RETENTION + SWEEP_MARGIN);
+        let old = shared.host.budgets.borrow_mut().take_idle(idle_at, RETENTION + SWEEP_MARGIN);
         for (program, version) in old {
             budget::delete(&shared, program, version, idle_at).await;
         }
--- a/crates/policy/tests/entry_fuzz/world.rs
+++ b/crates/policy/tests/entry_fuzz/world.rs
@@ -143,7 +143,7 @@
     fn any_unstored(&self) -> bool {
         let programs = self.programs.borrow();
         let knows_unstored = |host: &Rc<Host>| {
-            programs.iter().any(|program| host.budgets.borrow().is_loose(program.key))
+            programs.iter().any(|program| host.budgets.borrow().has_unstored_grants(program.key))
         };
 
         self.alive().iter().any(knows_unstored)
--- a/crates/policy/tests/entry_keeping.rs
+++ b/crates/policy/tests/entry_keeping.rs
@@ -19,7 +19,7 @@
 /// Simulates writes that take `each` and fail until `stored_at`. Returns how they ended and how
 /// many failed.
 fn simulate(each: Duration, stored_at: Duration) -> (End, u32) {
-    let mut writes = Keeping::default();
+    let mut writes = TurnWrites::default();
     let mut now = Duration::ZERO;
 
     loop {
@@ -28,8 +28,8 @@
             return (End::Stored(now), writes.failed());
         }
         match writes.write_failed(CALLER_WAIT.saturating_sub(now), None) {
-            Next::Retry(pause) => now += pause,
-            Next::BreakOff => return (End::BrokenOff(now), writes.failed()),
+            AfterFailedWrite::Retry(pause) => now += pause,
+            AfterFailedWrite::BreakOff => return (End::BrokenOff(now), writes.failed()),
         }
     }
 }
@@ -68,8 +68,8 @@
     let isolated_for = Some(Duration::from_millis(900));
 
     assert!(matches!(
-        Keeping::default().write_failed(CALLER_WAIT, isolated_for),
-        Next::Retry(pause) if pause <= Duration::from_millis(50)
+        TurnWrites::default().write_failed(CALLER_WAIT, isolated_for),
+        AfterFailedWrite::Retry(pause) if pause <= Duration::from_millis(50)
     ));
 }
 
@@ -78,7 +78,10 @@
     // Guards against callers who wait in vain for a host that cannot store their turns.
     let isolated_for = Some(Duration::from_secs(1));
 
-    assert_eq!(Keeping::default().write_failed(CALLER_WAIT, isolated_for), Next::BreakOff);
+    assert_eq!(
+        TurnWrites::default().write_failed(CALLER_WAIT, isolated_for),
+        AfterFailedWrite::BreakOff
+    );
 }
 
 #[test]
@@ -94,10 +97,12 @@
 #[test]
 fn a_turn_is_not_begun_when_its_end_would_come_too_late() {
     // Guards against running turns whose callers leave before the end.
-    for silent_for in [None, Some(CALLER_PATIENCE), Some(Duration::from_secs(60))] {
+    for silent_for in [None, Some(MAX_STREAM_GAP), Some(Duration::from_secs(60))] {
         let outage = Outage { silent_for, left: CALLER_WAIT };
 
-        let Begin::Later(after) = begin(outage) else { panic!("{silent_for:?}") };
+        let StartDecision::Later(after) = start_during_outage(outage) else {
+            panic!("{silent_for:?}")
+        };
         assert!(!after.is_zero() && after <= CALLER_WAIT / 3, "{after:?}");
     }
 }
--- a/crates/policy/tests/entry_shares.rs
+++ b/crates/policy/tests/entry_shares.rs
@@ -10,8 +10,14 @@
 const NOW: Instant = Instant(0);
 
 /// A healthy fleet of five hosts, all of which are live.
-fn healthy() -> Surroundings {
-    Surroundings { is_all_stored: true, known: 5, heard: 5, remembering: 5, free_of_loose: 5 }
+fn healthy() -> FleetView {
+    FleetView {
+        is_all_stored: true,
+        known_hosts: 5,
+        live_hosts: 5,
+        complete_histories: 5,
+        without_unstored_grants: 5,
+    }
 }
 
 proptest! {
@@ -34,7 +40,8 @@
 /// without the store.
 #[test]
 fn a_host_that_hears_no_majority_grants_only_a_share() {
-    let partitioned = Surroundings { heard: 2, remembering: 2, free_of_loose: 2, ..healthy() };
+    let partitioned =
+        FleetView { live_hosts: 2, complete_histories: 2, without_unstored_grants: 2, ..healthy() };
 
     assert_eq!(limit(partitioned), Limit::Share(Doubt::Unsettled));
 }
@@ -43,19 +50,19 @@
 /// grants was lost.
 #[test]
 fn hosts_that_have_all_just_started_grant_only_a_share() {
-    let started = Surroundings { remembering: 0, free_of_loose: 0, ..healthy() };
-    let mut memory = Memory::new(NOW, false);
+    let started = FleetView { complete_histories: 0, without_unstored_grants: 0, ..healthy() };
+    let mut history = GrantHistory::new(NOW, false);
 
     assert_eq!(limit(started), Limit::Share(Doubt::Forgotten));
-    assert!(!memory.is_complete(NOW, started));
-    assert!(memory.is_complete(NOW + HISTORY_COMPLETE_AFTER * 2, started));
+    assert!(!history.is_complete(NOW, started));
+    assert!(history.is_complete(NOW + HISTORY_COMPLETE_AFTER * 2, started));
 }
 
 /// Guards against budgets that are restricted for minutes after most hosts were killed while
 /// nothing was wrong with the store.
 #[test]
 fn a_few_hosts_that_know_of_no_grant_complete_the_history_of_new_ones() {
-    let few = Surroundings { remembering: 2, free_of_loose: 2, ..healthy() };
+    let few = FleetView { complete_histories: 2, without_unstored_grants: 2, ..healthy() };
 
     assert!(GrantHistory::new(NOW, false).is_complete(NOW, few));
 }
@@ -64,7 +71,7 @@
 /// an outage.
 #[test]
 fn a_few_hosts_do_not_complete_the_history_if_one_knows_of_grants() {
-    let few = Surroundings { remembering: 2, free_of_loose: 1, ..healthy() };
+    let few = FleetView { complete_histories: 2, without_unstored_grants: 1, ..healthy() };
 
     assert!(!GrantHistory::new(NOW, false).is_complete(NOW, few));
 }
--- a/crates/policy/tests/entry_write_back.rs
+++ b/crates/policy/tests/entry_write_back.rs
@@ -29,7 +29,7 @@
 
 impl Host {
     /// Makes the writes of a round, eight at a time.
-    fn round(&mut self, store: &mut Store) -> Round {
+    fn round(&mut self, store: &mut Store) -> RoundOutcome {
         const AT_ONCE: usize = 8;
         let mut left = self.pace.max_writes().min(self.due);
         if left == 0 {
