--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -131,11 +131,19 @@
 ///
 /// ```
 /// use camphorwalk_policy::entry::shares::{Doubt, Limit, FleetView, limit};
-/// let healthy =
-///     FleetView { is_all_stored: true, known_hosts: 5, live_hosts: 4, complete_histories: 3, without_unstored_grants: 3 };
+/// let healthy = FleetView {
+///     is_all_stored: true,
+///     known_hosts: 5,
+///     live_hosts: 4,
+///     complete_histories: 3,
+///     without_unstored_grants: 3,
+/// };
 /// assert_eq!(limit(healthy), Limit::Whole);
 /// assert_eq!(limit(FleetView { live_hosts: 2, ..healthy }), Limit::Share(Doubt::Unsettled));
-/// assert_eq!(limit(FleetView { complete_histories: 2, ..healthy }), Limit::Share(Doubt::Forgotten));
+/// assert_eq!(
+///     limit(FleetView { complete_histories: 2, ..healthy }),
+///     Limit::Share(Doubt::Forgotten)
+/// );
 /// ```
 pub fn limit(fleet: FleetView) -> Limit {
     let is_settled = fleet.is_all_stored && fleet.live_hosts * 2 > fleet.known_hosts;
--- a/crates/policy/tests/entry_fuzz/fuzz.rs
+++ b/crates/policy/tests/entry_fuzz/fuzz.rs
@@ -26,7 +26,7 @@
         millis: u64,
     },
     /// Successive turns, or repeated attempts of one turn.
-    SuccessiveTurns {
+    TurnSequence {
         host: usize,
         index: usize,
         count: u8,
@@ -97,8 +97,9 @@
             12 => (host.clone(), index.clone(), used.clone(), 1..2_000_u64).prop_map(
                 |(host, index, used, millis)| Fault::Turn { host, index, used, millis }
             ),
-            8 => (host.clone(), index.clone(), 2..6_u8, 10..300_u64)
-                .prop_map(|(host, index, count, pause)| Fault::SuccessiveTurns { host, index, count, pause }),
+            8 => (host.clone(), index.clone(), 2..6_u8, 10..300_u64).prop_map(
+                |(host, index, count, pause)| Fault::TurnSequence { host, index, count, pause }
+            ),
             4 => (prop::array::uniform5(any::<bool>()), index, used)
                 .prop_map(|(hosts, index, used)| Fault::SimultaneousTurns { hosts, index, used }),
             16 => millis.prop_map(|millis| Fault::Run { millis }),
@@ -159,7 +160,7 @@
             Fault::Turn { host, index, used, millis } => {
                 fleet.turn(host, index, used, Duration::from_millis(millis));
             }
-            Fault::SuccessiveTurns { host, index, count, pause } => {
+            Fault::TurnSequence { host, index, count, pause } => {
                 for _ in 0..count {
                     fleet.turn(host, index, MAX_TOKENS, Duration::from_millis(1));
                     fleet.run(Duration::from_millis(pause));
