--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: those of targets, and refusals of our own.
+//! Answers to callers: those of targets, and refusals made by the host itself.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,20 +11,20 @@
 use hyper::body::{Body, Frame, SizeHint};
 use rand::Rng as _;
 
-/// The reason that an answer's body ends before it is whole. The connection is then closed
-/// without the end of the body, so that the caller cannot take it for whole.
+/// Why the body of an answer ends early. The connection is then closed without the terminating
+/// chunk, so that the caller cannot mistake the answer for a complete one.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer broke off: {0}")]
 pub struct Broken(pub &'static str);
 
-/// The pieces of an answer that is passed on as it comes.
+/// The body of an answer that is forwarded as it arrives, in pieces.
 pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
 
 /// The body of an answer.
 pub enum AnswerBody {
-    /// All of it is here.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// It is passed on as it comes.
+    /// A body that is forwarded as it arrives.
     Pieces(Pieces),
 }
 
@@ -62,35 +62,35 @@
 /// An answer to a caller.
 pub type Answer = Response<AnswerBody>;
 
-/// A final answer of our own.
+/// An answer that the host makes itself because the call cannot be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Its status. 429, 503, 408 and 421 promise that the call has not run and never will.
+    /// The HTTP status. 429, 503, 408 and 421 promise that the call has not run and never will.
     pub status: StatusCode,
-    /// Why, for the caller and the logs.
+    /// The reason, for the caller and the logs.
     pub reason: &'static str,
-    /// When to come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Makes a refusal of a call that cannot be right at any time.
+    /// Creates a refusal of a call for which a retry would not help.
     pub fn wrong(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after: None }
     }
 
-    /// Makes a refusal of a call that has not run, and may be sent again after `after`.
+    /// Creates a refusal of a call that has not run and may be retried after `after`.
     pub fn later(reason: &'static str, after: Duration) -> Self {
         Self { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry_after: Some(after) }
     }
 
-    /// Makes a refusal as `later` does, of a call that many others come with. Their return is
-    /// spread, so that they do not come back together.
+    /// Creates a refusal like [`Refusal::later`] for a situation that affects many callers. The
+    /// retry time is randomised, so that they do not all return at once.
     pub fn later_spread(reason: &'static str, after: Duration) -> Self {
         Self::later(reason, after.mul_f64(rand::rng().random_range(0.7..1.3)))
     }
 
-    /// Makes a refusal of a call over its tenant's rate.
+    /// Creates a refusal of a call over its tenant's rate.
     pub fn over_rate(after: Duration) -> Self {
         Self {
             status: StatusCode::TOO_MANY_REQUESTS,
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Makes the answer to a call that may have run and whose answer is lost.
+    /// Creates the answer to a call that may have run and whose answer was lost.
     pub fn lost(reason: &'static str) -> Self {
         Self { status: StatusCode::BAD_GATEWAY, reason, retry_after: None }
     }
 
-    /// Makes the answer to a call whose time is over. Only if it was never sent to a target
-    /// may it be told that it has not run.
+    /// Creates the answer to a call whose deadline has passed. Only a call that was never sent to a
+    /// target can be reported as not run.
     pub fn late(may_have_run: bool) -> Self {
         match may_have_run {
             true => Self {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Makes the answer.
+    /// Builds the HTTP answer.
     pub fn answer(&self, request_id: &str) -> Answer {
         let body = format!("{{\"error\":\"{}\"}}\n", self.reason);
         let mut answer = Response::new(AnswerBody::Whole(Some(body.into())));
@@ -132,7 +132,7 @@
     }
 }
 
-/// Has the connection closed after an answer.
+/// Marks an answer so that the connection is closed after it.
 pub fn close_after(answer: &mut Answer) {
     answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/entry/src/asks.rs
+++ b/crates/entry/src/asks.rs
@@ -1,4 +1,4 @@
-//! Questions between hosts, and their replies.
+//! Requests between hosts and their replies.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,86 +21,90 @@
 use crate::host::Shared;
 use crate::{budget, clock, grants, manifests, store, turns};
 
-/// A question to another host.
+/// A request to another host.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Ask {
-    /// To run an operation on the store.
+    /// Runs an operation on the store.
     Store(PlatformOp),
-    /// For a turn's tokens, while the store is away.
+    /// Grants the tokens of a turn while the store is unavailable.
     Grant(GrantAsk),
-    /// To take in that a program's row stands so in the store.
+    /// Reports the row that the store holds for a program.
     Stored(ProgramKey, BudgetRow, RowVersion),
-    /// To take in grants that the store does not have, and to write them if it can.
+    /// Records provisional grants, and writes them to the store later if their owner does not.
     Loose(ProgramKey, KnownRow),
-    /// For a program's row as the other host knows it.
+    /// Returns a program's row as the receiver knows it.
     KnownRow(ProgramKey),
-    /// For a program's row as the store holds it, if the other host knows that.
+    /// Returns a program's row as the store holds it, if the receiver knows that.
     StoredRow(ProgramKey),
-    /// To give back what the other host holds of a program's tokens and does not need.
+    /// Returns the receiver's unused tokens of a program to the row.
     Yield(ProgramKey),
-    /// For tokens of a program that the other host does not need, until the run has so many from it. The
-    /// row tells that host of grants to it that it did not hear of.
+    /// Transfers unused tokens of a program to a run, until the run has this total from the
+    /// receiver. The row includes grants to the receiver that it may not know of yet.
     Give(ProgramKey, KnownRow, RunId, u64),
-    /// For a turn.
+    /// Returns a turn.
     Find(TurnKey),
-    /// For a turn and those before it in its line, as far as they are at hand.
+    /// Returns a turn and the earlier turns of its chain, as far as the receiver has them in
+    /// memory.
     Line(TurnKey),
-    /// For what the other host knows of targets' entries, if it changed since a version of the store.
+    /// Returns the receiver's copy of the target table. The rows are left out if none has changed
+    /// since this version of the store.
     Targets(RowVersion),
-    /// For the manifest in force at the other host, which comes as a message of its own.
+    /// Sends the manifest in force at the receiver, as a separate message before the reply.
     Manifest,
 }
 
-/// A question for a turn's tokens.
+/// A request for the tokens of a turn.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct GrantAsk {
     pub(crate) program: ProgramKey,
     pub(crate) claim: Claim,
-    /// The row as the asking host knows it.
+    /// The row as the requesting host knows it.
     pub(crate) known: KnownRow,
-    /// Whether the turn may begin its program.
+    /// Whether the turn may be the first of its program.
     pub(crate) begins: bool,
 }
 
-/// The reply to a question.
+/// The reply to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// What the store replied.
+    /// The reply of the store.
     Store(PlatformReply),
-    /// A program's row, with the tokens granted if they were asked for.
+    /// A program's row as the replying host knows it, including the requested grant if there was
+    /// one.
     Granted(BudgetRow),
-    /// A program's row as this host knows it.
+    /// A program's row as the replying host knows it, and how much of it the store has.
     Known(KnownRow),
     /// A program's row as the store holds it.
     StoredRow(Option<(BudgetRow, RowVersion)>),
-    /// A program's row as the store has it, with the tokens granted.
+    /// A program's row including the requested grant, as written to the store.
     Written(BudgetRow),
-    /// How many tokens the host has been given by this one in all, and the runs that it gave others to.
+    /// The total that the replying host has transferred to the requesting run, and all runs to
+    /// which it has transferred tokens.
     Given(u64, Vec<RunId>),
-    /// The rest of the budget may be granted without the store.
+    /// The rest of the budget may have been granted without the store.
     Withheld(Doubt),
-    /// The budget does not hold them.
+    /// The budget does not have enough tokens left.
     Spent,
-    /// It is done.
+    /// The request was carried out.
     Done,
-    /// The turn, if it is at hand.
+    /// The turn, if the replying host has it in memory.
     Turn(Option<Turn>),
-    /// Turns that are at hand.
+    /// The turns that the replying host has in memory.
     Line(Vec<(TurnKey, Turn)>),
-    /// What is known of targets' entries, once anything is.
+    /// The copy of the target table; `None` if the replying host has none yet.
     Targets(Option<target_table::TableCopy>),
-    /// This host cannot answer now.
+    /// The host cannot carry out the request now.
     Refused,
 }
 
-/// The questions that wait for replies.
+/// The requests of this host that wait for a reply.
 #[derive(Default)]
 pub(crate) struct Asks {
     waiting: RefCell<Map<u64, oneshot::Sender<Reply>>>,
     next: Cell<u64>,
 }
 
-/// A question that waits for its reply; forgotten when dropped.
+/// A request that waits for its reply. Dropping it discards a late reply.
 struct Waiting<'a> {
     asks: &'a Asks,
     id: u64,
@@ -112,8 +116,8 @@
     }
 }
 
-/// Asks another host. Returns `None` if no reply came within `limit`: then it may or may not
-/// have done what it was asked.
+/// Sends a request to another host. Returns `None` if no reply came within `limit`; the other host
+/// may or may not have carried the request out.
 pub(crate) async fn ask(
     shared: &Shared,
     host: HostId,
@@ -123,8 +127,8 @@
     timeout(limit, ask_on(shared, host, question)).await.ok()?
 }
 
-/// Asks another host, and waits for its reply until dropped. Returns `None` if the question cannot
-/// be sent.
+/// Sends a request to another host, and waits for the reply until dropped. Returns `None` if the
+/// request cannot be sent.
 pub(crate) async fn ask_on(shared: &Shared, host: HostId, question: &Ask) -> Option<Reply> {
     let question = encode(question)?;
     let asks = &shared.asks;
@@ -140,18 +144,19 @@
     rx.await.ok()
 }
 
-/// Tells another host something without waiting for its reply.
+/// Sends a request to another host without waiting for the reply.
 pub(crate) fn tell(shared: &Shared, host: HostId, question: &Ask) {
-    /// No question has this number, so that the reply finds nobody waiting.
+    /// An id that no pending request has, so that the reply is ignored.
     const NOBODY: u64 = u64::MAX;
 
     if let Some(question) = encode(question) {
-        // What is told this way is told again in another way if it is lost.
+        // Whatever is sent this way also reaches the other host in another way if this message is
+        // lost.
         shared.fleet.send(host, Body::Ask(wire::Ask { id: NOBODY, question }));
     }
 }
 
-/// Answers a question of another host.
+/// Handles a request of another host and sends the reply.
 pub(crate) async fn serve(shared: Rc<Shared>, from: HostId, message: wire::Ask) {
     let reply = match serde_json::from_slice(&message.question) {
         Ok(question) => answer(&shared, from, question).await,
@@ -162,7 +167,7 @@
     };
 
     if let Some(reply) = encode(&reply) {
-        // The asking host notices by a timeout if it does not arrive.
+        // If the reply is lost, the requesting host runs into its timeout.
         shared.fleet.send(from, Body::Reply(wire::Reply { id: message.id, reply }));
     }
 }
@@ -186,12 +191,12 @@
     }
 }
 
-/// Takes in a reply.
+/// Passes a reply on to the task that waits for it.
 pub(crate) fn take_in(shared: &Shared, message: &wire::Reply) {
     let Some(tx) = shared.asks.waiting.borrow_mut().remove(&message.id) else { return };
 
     match serde_json::from_slice(&message.reply) {
-        // Whoever asked may have gone.
+        // The waiting task may have ended in the meantime.
         Ok(reply) => drop(tx.send(reply)),
         Err(e) => warn!(error = %e, "ask: reply of another host not understood"),
     }
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -1,4 +1,4 @@
-//! Programs' budgets: grants are written to the store before tokens are generated.
+//! Token budgets of programs. A grant is written to the store before its tokens are generated.
 
 use std::rc::Rc;
 
@@ -27,35 +27,36 @@
 /// The table of budgets.
 const TABLE: &str = "budgets";
 
-/// How often a row is written again when other hosts change it at the same time. A program has a
-/// handful of lines of turns.
+/// How many times a row is written again after a conflict with other hosts. A program usually has a
+/// handful of concurrent chains of turns, so a few attempts suffice.
 pub(crate) const MOST_WRITES: u32 = 6;
 
-/// When a caller is told to come back while the count cannot be had.
+/// Retry-After of a turn whose budget cannot be determined at the moment.
 const UNSURE_RETRY: Duration = Duration::from_millis(300);
 
-/// How long another host may take to say what it knows of a program: the way there and back.
+/// How long another host may take to transfer or return tokens: one round trip with some margin.
 const TELL_DEADLINE: Duration = Duration::from_millis(150);
 
-/// How long the host that had a program's last turn may take to tell its row: some times the usual
-/// time, and about that of the transaction that it saves.
+/// How long the host that ran the program's last turn may take to send the row: several times the
+/// usual round trip, and about as long as the store transaction that the row saves.
 const ROW_DEADLINE: Duration = Duration::from_millis(20);
 
-/// The most tokens of a turn that does not say. A turn without a size cannot be reserved for.
+/// Tokens reserved for a turn that does not declare its maximum. Nothing can be reserved without a
+/// size.
 const UNSAID_MOST: u64 = 1_024;
 
-/// A turn's reserved tokens; what was not used is free again when it is dropped.
+/// Tokens reserved for a turn. Dropping it frees the tokens that were not used.
 pub(crate) struct Hold {
     shared: Rc<Shared>,
     program: ProgramKey,
     most: u64,
     used: u64,
-    /// Whether this turn is the first that was granted tokens of its program's budget.
+    /// Whether this is the first turn of its program that was granted tokens of the budget.
     pub(crate) is_first: bool,
 }
 
 impl Hold {
-    /// Takes in how many tokens the turn has generated so far.
+    /// Records how many tokens the turn has generated so far.
     pub(crate) fn used(&mut self, tokens: u64) {
         self.used = tokens;
     }
@@ -67,7 +68,7 @@
     }
 }
 
-/// Returns the row of a program.
+/// Returns the key of a program's row.
 pub(crate) fn row_key(program: ProgramKey) -> RowKey {
     RowKey::new(TABLE, format!("{:x}/{:016x}", program.0 % PARTS, program.0))
 }
@@ -82,8 +83,8 @@
     let program = ProgramKey(stable_hash(&[b"program", tenant.as_bytes(), program.as_bytes()]));
     let most = call.head.tokens.map_or(UNSAID_MOST, |tokens| u64::from(tokens.most_output));
 
-    // The turns of sub-agents come together. One after the other they find what the first one's
-    // write left over, and do not fail each other's writes.
+    // Turns of sub-agents arrive at the same time. Handled one by one, the later ones find spare
+    // tokens from the first one's write, and their writes do not conflict with each other.
     let lock = lock(shared, program);
     let _turn = lock.lock().await;
 
@@ -92,7 +93,8 @@
     let mut is_first = !shared.budgets.borrow().knows(program);
     for _ in 0..MOST_WRITES {
         let is_settled = shared.is_settled();
-        // In times of trouble the one host that is asked for a grant knows more than this one.
+        // While the store is unsettled, one elected host grants. It knows more than this host, so
+        // the limit is applied there.
         let limit = if is_settled { grants::limit(shared) } else { Limit::Whole };
         let reservation =
             shared.budgets.borrow_mut().reserve_within(clock::now(), program, budget, most, limit);
@@ -119,7 +121,8 @@
                 match grants::write_hedged(shared, program, row, version).await {
                     Hedged::Done(Ok(Written::Committed)) => {}
                     Hedged::Done(Ok(Written::Learned)) => is_first = false,
-                    // From now on one host grants the program's tokens.
+                    // The store now counts as unsettled, so the next iteration requests the grant
+                    // from the elected host.
                     Hedged::Done(_) | Hedged::Overdue(_) => shared.store.note_slow(clock::now()),
                 }
             }
@@ -146,11 +149,11 @@
     Err(Refusal::later("the program's budget is contended", UNSURE_RETRY))
 }
 
-/// Gets the row of a program under way from the host that had its last turn, if this one does not know
-/// it.
+/// Fetches the row of a running program from the host that ran its last turn, if this host has no
+/// grants for the program.
 ///
-/// Without it this host writes a row as if there were none, is told of the one that is there, and
-/// writes again, with the caller waiting for both. If what it gets is out of date, the same happens.
+/// Otherwise this host would try to create the row, get a conflict with the existing one, and write
+/// again while the caller waits for both transactions. A stale row only causes the same conflict.
 async fn fetch_row(call: &Call, program: ProgramKey) {
     let shared = &call.shared;
     if shared.budgets.borrow().knows(program) {
@@ -164,12 +167,12 @@
     }
 }
 
-/// Returns the lock that is taken while a program's tokens are asked for.
+/// Returns the lock that is held while tokens of a program are requested.
 pub(crate) fn lock(shared: &Shared, program: ProgramKey) -> Rc<Mutex<()>> {
     shared.budget_locks.borrow_mut().entry(program).or_default().clone()
 }
 
-/// Refuses a turn whose tokens may have been granted without the store.
+/// Refuses a turn because its tokens may have been granted without the store.
 fn withheld(call: &Call, program: ProgramKey, most: u64, doubt: Doubt) -> Refusal {
     info!(
         request = %call.head.request_id, program = %program.0, most, ?doubt,
@@ -178,7 +181,7 @@
 
     match doubt {
         Doubt::Unsettled => unsure(&call.shared),
-        // Nobody is left who could tell, for longer than the program runs.
+        // No host can tell for longer than the program runs, so a retry would not help.
         Doubt::Forgotten => spent(),
     }
 }
@@ -187,8 +190,8 @@
     Refusal::wrong(StatusCode::PAYMENT_REQUIRED, "the program's budget is spent")
 }
 
-/// Gets tokens of a program from the other hosts that do not need them: straight, or by way of the
-/// store if that takes the row.
+/// Collects unused tokens of a program from other hosts: by direct transfer first, then by having
+/// them returned to the row if the store is settled.
 async fn collect(shared: &Shared, program: ProgramKey, most: u64, is_settled: bool) {
     if !is_settled {
         grants::learn_from(shared, program, WITNESSES).await;
@@ -200,8 +203,8 @@
     }
 }
 
-/// Has other hosts give this one what it lacks of a turn's tokens: those that were granted some, and
-/// those that these gave theirs to.
+/// Requests the missing tokens of a turn from the runs that were granted some, and from the runs to
+/// which those have transferred tokens.
 async fn gather(shared: &Shared, program: ProgramKey, most: u64) {
     let mut runs = shared.budgets.borrow().holders(program);
     runs.extend(shared.budgets.borrow().given_to(program));
@@ -225,7 +228,7 @@
     }
 }
 
-/// Gives another host tokens of a program that this one does not need.
+/// Transfers tokens that this host does not need to another host.
 pub(crate) fn give(
     shared: &Shared,
     program: ProgramKey,
@@ -239,7 +242,7 @@
     Reply::Given(budgets.give(program, to, total), budgets.given_to(program))
 }
 
-/// Has the other hosts give back what they hold of a program's tokens and do not need.
+/// Asks the other hosts to return their unused tokens of a program to the row.
 async fn recall(shared: &Shared, program: ProgramKey) {
     let holders = shared.budgets.borrow().holders(program);
     let hosts = holders.into_iter().filter_map(|run| shared.fleet.host_of_run(run.0));
@@ -253,24 +256,24 @@
     }
 }
 
-/// Gives back what this host holds of a program's tokens and does not need.
+/// Returns the unused tokens that this host holds of a program to the row.
 pub(crate) fn yield_rest(shared: &Shared, program: ProgramKey) -> Reply {
     let row = shared.budgets.borrow_mut().yield_rest(program);
 
     row.map_or(Reply::Refused, Reply::Granted)
 }
 
-/// What came of writing a row.
+/// The outcome of writing a row.
 pub(crate) enum Written {
-    /// It is written.
+    /// The row was written.
     Committed,
-    /// It was not written as the store held another row, which is known now.
+    /// The store held another row, which this host has now merged. The row was not written.
     Learned,
-    /// The store is away, for this host and those that it hears.
+    /// The store is unavailable to this host and to its live peers.
     Away,
 }
 
-/// Writes a program's row, and takes in what the store then holds.
+/// Writes a program's row and merges what the store then holds.
 pub(crate) async fn write(
     shared: &Rc<Shared>,
     program: ProgramKey,
@@ -298,8 +301,8 @@
         }
         PlatformReply::Conflict(rows) => take_in(shared, program, &rows),
         PlatformReply::Unavailable => Ok(Written::Away),
-        // It may have taken effect or may still do so: the row tells, and whatever is written
-        // next changes the version that a late one waits for.
+        // The write may have been applied or may still be applied. Reading the row tells; the next
+        // write changes the version, so that a delayed write then fails its check.
         _ => match store::ask(shared, PlatformOp::Read(vec![key])).await {
             PlatformReply::Rows(rows) => take_in(shared, program, &rows),
             PlatformReply::Unavailable => Ok(Written::Away),
@@ -308,7 +311,7 @@
     }
 }
 
-/// Deletes the row of a program that was needless at `asked`, if it still has this version.
+/// Deletes the row of a program that was idle at `asked`, unless the row's version has changed.
 pub(crate) async fn delete(
     shared: &Rc<Shared>,
     program: ProgramKey,
@@ -336,7 +339,7 @@
         && !is_gone
         && shared.budgets.borrow().knows(program)
     {
-        // A row that cannot be read is logged there, and stays.
+        // A row that cannot be parsed is logged there and left in the store.
         let _ = take_in(shared, program, &rows);
     }
     if !shared.budgets.borrow().knows(program) {
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's call, from its head to its answer.
+//! A caller's call, from the request head to the answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,30 +28,31 @@
 use crate::turns::{self, Continuation};
 use crate::{callers, clock, places, plain, stream};
 
-/// How long a call may take where neither the caller nor the route says.
+/// The time-out of a call for which neither the caller nor the route sets one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a caller may take to send a body.
+/// How long a caller may take to send the body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a caller is told to come back while no manifest is known yet.
+/// Retry-After of a call that arrives before the first manifest is known.
 const NO_MANIFEST_RETRY: Duration = Duration::from_millis(400);
 
-/// When a caller is told to come back who came to a host that is about to end: another host takes
+/// Retry-After of a call that arrives at a host which is about to shut down. Another host accepts
 /// the new connection, if any is left.
 const LEAVING_RETRY: Duration = Duration::from_millis(200);
 
-/// How a call was answered by a target, for the logs.
+/// How a target answered a call, for the logs.
 #[derive(Clone, Copy)]
 pub(crate) struct Answered<'a> {
     /// The target's id.
     pub(crate) target: &'a str,
-    /// What all hosts had in flight there, this call included, as this host knew.
+    /// The calls that all hosts had in flight at the target, this one included, as far as this host
+    /// knew.
     pub(crate) load: u32,
     pub(crate) status: StatusCode,
-    /// To how many targets it was offered.
+    /// To how many targets the call was sent.
     pub(crate) offers: u32,
-    /// The events passed on, of a stream.
+    /// The number of events that were forwarded, for a stream.
     pub(crate) events: Option<u64>,
 }
 
@@ -60,7 +61,7 @@
     pub(crate) shared: Rc<Shared>,
     pub(crate) head: CallHead,
     pub(crate) method: Method,
-    /// The path and query as sent.
+    /// The path and query as received.
     pub(crate) path: Box<str>,
     /// The caller's headers.
     pub(crate) headers: HeaderMap,
@@ -69,40 +70,40 @@
     route: usize,
     pub(crate) tenant: Option<Box<str>>,
     pub(crate) service: Box<str>,
-    /// When its head was read.
+    /// When the request head was read.
     pub(crate) began: Instant,
     /// When the caller or the route gives up.
     pub(crate) deadline: Instant,
-    /// What is known of its attempts.
+    /// Whether an attempt may have run at a target.
     pub(crate) attempts: Cell<Attempts>,
     fingerprint: Fingerprint,
-    /// Whether it begins a program.
+    /// Whether the call begins a program.
     is_new: Cell<bool>,
-    /// Held until the answer is whole.
+    /// Counts the request as open until the answer is complete.
     _open: OpenRequest,
 }
 
 impl Call {
-    /// Returns its route.
+    /// Returns the call's route.
     pub(crate) fn route(&self) -> &Route {
         &self.routing.routes[self.route]
     }
 
-    /// Returns the tokens that each event of its stream stands for.
+    /// Returns how many tokens each event of the call's stream represents.
     pub(crate) fn tokens_per_event(&self) -> u64 {
         let engine = self.routing.services.get(&self.service).and_then(|s| s.engine.as_ref());
 
         engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
-    /// Returns the name of the line of calls that are best served by one target.
+    /// Returns the key of calls that should preferably go to the same target.
     fn line(head: &CallHead) -> &str {
         let named = head.session.as_deref().or(head.affinity.as_deref());
 
         named.unwrap_or(&head.request_id)
     }
 
-    /// Returns what placement is told of it.
+    /// Returns what placement needs to know of the call.
     pub(crate) fn shape(&self) -> Shape {
         let parts: Vec<_> = self.head.prefix.iter().map(|p| (p.id, p.tokens)).collect();
         let named = self.head.affinity.as_deref().filter(|_| self.route().sticky);
@@ -114,7 +115,7 @@
         Shape { begins, parts, object, avoid: Vec::new(), seed }
     }
 
-    /// Returns how urgent it is.
+    /// Returns the call's urgency in the queue for a place.
     pub(crate) fn urgency(&self) -> Urgency {
         let should_end = self.head.program_deadline.map(|left| self.began + left);
         let is_late = should_end.is_some_and(|at| at <= clock::now());
@@ -126,28 +127,29 @@
         Urgency { is_late, is_new: self.is_new.get(), rank: self.route().rank, deadline }
     }
 
-    /// Returns whether it may be the first turn of its program by its head alone: it continues
-    /// nothing, and its prompt has no part of a parent's line between the shared part and its
-    /// own.
+    /// Returns whether the call may be the first turn of its program, judging by its head alone: it
+    /// continues no earlier turn, and its prompt has no part of a parent's chain between the shared
+    /// part and its own.
     pub(crate) fn may_be_first(&self) -> bool {
         self.head.begins_line() && self.has_no_parent()
     }
 
     fn has_no_parent(&self) -> bool {
-        /// The part that calls of a kind share, and the line's own.
+        /// The part that all calls of a kind share, and the part of the chain itself.
         const FIRST_TURN_PARTS: usize = 2;
 
         self.head.prefix.len() <= FIRST_TURN_PARTS
     }
 
-    /// Returns whether it begins a program, as far as this host can tell.
+    /// Returns whether the call begins a program, as far as this host can tell.
     fn begins_program(&self) -> bool {
         self.route().repeat.is_stream()
             && self.may_be_first()
             && !self.shared.places.is_under_way(self.head.program.as_deref())
     }
 
-    /// Logs that a target answered it, and on what it was sent there.
+    /// Logs that a target answered the call, and the load that the target had when the call was
+    /// sent.
     pub(crate) fn log_answer(&self, answered: &Answered<'_>) {
         if !self.shared.stories.keeps(&self.head.request_id) {
             return;
@@ -163,27 +165,26 @@
         );
     }
 
-    /// Returns whether a target may have run it.
+    /// Returns whether a target may have run the call.
     pub(crate) fn may_have_run(&self) -> bool {
         self.attempts.get().may_have_run()
     }
 
-    /// Takes in that it is sent to a target.
+    /// Records that the call is being sent to a target.
     pub(crate) fn sent(&self) {
         let mut attempts = self.attempts.get();
         attempts.sent();
         self.attempts.set(attempts);
     }
 
-    /// Takes in that the target that it was sent to last has certainly not run it.
+    /// Records that the last target to which the call was sent has certainly not run it.
     pub(crate) fn not_run(&self) {
         let mut attempts = self.attempts.get();
         attempts.not_run();
         self.attempts.set(attempts);
     }
 
-    /// Returns the refusal as this call may be given it: one that a target may have run cannot be
-    /// told that it has not.
+    /// Replaces a refusal that promises that the call has not run, if a target may have run it.
     pub(crate) fn refuse(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run() {
             true => Refusal::lost(refusal.reason),
@@ -191,13 +192,13 @@
         }
     }
 
-    /// Returns what it is known by when it comes again.
+    /// Returns the hash that identifies the call if it is sent again.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         self.fingerprint
     }
 }
 
-/// What came to be known of a call, for the logs of a refusal.
+/// What is known of a request so far, for the log line and metrics of a refusal.
 struct Known {
     route: Box<str>,
     tenant: Box<str>,
@@ -241,8 +242,9 @@
         shared.metrics.tenant_latency.with_label_values(&[&tenant]).observe(took);
     }
 
-    // After a chunked body the library may have dropped a second length of the request, and
-    // what follows could be a request hidden in the body. Closing leaves it unread.
+    // After a chunked body the HTTP library may have dropped a conflicting Content-Length header,
+    // so the following bytes could be a smuggled request. Closing the connection leaves them
+    // unread.
     let rejected = matches!(
         status,
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT
@@ -283,7 +285,7 @@
     result
 }
 
-/// Reads a request, and finds its route and tenant.
+/// Reads a request, and determines its route and tenant.
 async fn read(
     shared: &Rc<Shared>,
     req: Request<Incoming>,
@@ -391,7 +393,7 @@
     }
 }
 
-/// Refuses what must not run: calls that bring targets down, and those over the tenant's rate.
+/// Refuses calls that have repeatedly crashed targets, and calls over the tenant's rate.
 async fn admit(call: &Call) -> Result<(), Refusal> {
     if call.shared.crashes.borrow().is_barred(call.fingerprint) {
         return Err(Refusal::wrong(
@@ -442,13 +444,13 @@
 
     turns::may_be_kept(&call)?;
 
-    // A new program that is refused after its budget was granted would come back as one under
-    // way, and take the places of those that are.
+    // A new program that is refused after its budget was granted would retry as a running program,
+    // and take places from programs that really are running.
     if call.is_new.get() {
         places::may_begin(&call.shared, &call.service, &call.shape())?;
     }
 
-    // The store is asked for the budget and for earlier turns at the same time.
+    // The budget and the earlier turns are requested from the store concurrently.
     let (hold, continuation) = tokio::join!(budget::hold(&call), turns::continuation(&call));
     let hold: Option<Hold> = hold?;
     let continuation: Continuation = continuation?;
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Accepts the connections of callers.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -15,13 +15,13 @@
 use crate::host::Shared;
 use crate::{call, connections};
 
-/// The pause after a failed accept, mostly for want of descriptors.
+/// The pause after a failed accept, which is mostly caused by a lack of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The least buffer that the HTTP library takes.
+/// The smallest buffer that the HTTP library accepts.
 const LEAST_BUFFER: usize = 8_192;
 
-/// What callers may send before a manifest is known.
+/// The limits on requests until the first manifest is known.
 const FIRST_LIMITS: CallLimits = CallLimits {
     head_bytes: 16_384,
     body_bytes: 4 << 20,
@@ -29,7 +29,7 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// Starts to take callers' connections; returns where.
+/// Starts to accept connections, and returns the address.
 pub(crate) async fn start(shared: &Rc<Shared>) -> Result<SocketAddr> {
     let address = shared.settings.callers;
     let listener = TcpListener::bind(address).await.map_err(|e| Error::listen(address, e))?;
@@ -53,7 +53,7 @@
     Ok(local)
 }
 
-/// Returns what callers may send.
+/// Returns the limits on callers' requests.
 pub(crate) fn limits(shared: &Shared) -> CallLimits {
     shared.routes.borrow().as_ref().map_or(FIRST_LIMITS, |table| table.routing().limits)
 }
@@ -68,15 +68,16 @@
             async move { Ok::<_, Infallible>(call::serve(shared, req).await) }
         })
     };
-    // The time for a head also bounds how long a connection stays unused, so it is the longer
-    // of the two.
+    // The header timeout also limits how long a connection may stay idle, so it is the longer of
+    // the two.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout.max(limits.idle_timeout))
         .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
 
-    // A caller may go at any time; what ran for it is ended by the drop of its future.
+    // A caller may disconnect at any time. Dropping the service's future then ends the work for its
+    // call.
     if let Err(e) = connection.await {
         tracing::trace!(error = %e, "callers: connection closed");
     }
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clock by which ages and deadlines are told.
+//! The clock for ages and deadlines.
 
 use std::time::Duration;
 
 use camphorwalk_core::time::Instant;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Returns the time since the machine's start, the time for which it was suspended included.
+/// Returns the time since the machine booted, including the time for which it was suspended.
 ///
-/// A clock that stands still while the machine is suspended would take an old manifest, share
-/// or deadline for a fresh one after it wakes.
+/// With a clock that stops during a suspension, an old manifest, share or deadline would seem
+/// recent after the machine resumes.
 ///
 /// ```
 /// assert!(camphorwalk_entry::clock::now() <= camphorwalk_entry::clock::now());
@@ -21,7 +21,7 @@
     Instant(seconds * 1_000_000 + micros)
 }
 
-/// Returns the time until `deadline`.
+/// Returns the time left until `deadline`.
 pub(crate) fn until(deadline: Instant) -> Duration {
     deadline.since(now())
 }
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -1,4 +1,4 @@
-//! Kept connections to targets.
+//! A pool of connections to targets.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,30 +17,30 @@
 
 use crate::clock;
 
-/// How long a connect may take. Zones are a millisecond apart; a target behind a cut answers
-/// nothing, and the call is better sent elsewhere.
+/// How long connecting may take. Zones are a millisecond apart. A target behind a partition does
+/// not answer at all, and the call should then go to another one soon.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long bytes may stay unacknowledged, as a guard against connections that fell silent.
+/// How long sent bytes may stay unacknowledged before the connection counts as broken.
 const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// How long an unused connection is kept where the target does not say.
+/// How long an idle connection is kept if the target sets no keep-alive time.
 const DEFAULT_KEEP: Duration = Duration::from_secs(4);
 
-/// A connection is left unused this long before its target would close it, so that no call
-/// crosses the close.
+/// An idle connection is dropped this long before the target would close it, so that no call is
+/// sent while the target is closing it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How long a used connection may take to be ready again before it is dropped.
+/// How long a used connection may take to become ready again before it is dropped.
 const READY_LIMIT: Duration = Duration::from_millis(100);
 
-/// The most unused connections kept to one target. A host rarely has more calls in flight at
-/// one target, whose connections all hosts share.
+/// The maximum number of idle connections to one target. A host rarely has more calls in flight at
+/// one target, because all hosts share the target's slots.
 const MOST_UNUSED: usize = 6;
 
-/// A connection in use. Dropping it closes it, which has its target stop work.
+/// A connection in use. Dropping it closes it, which makes the target stop its work.
 pub struct Connection {
-    /// The sending side.
+    /// The sending half.
     pub sender: SendRequest<Full<Bytes>>,
 }
 
@@ -49,17 +49,18 @@
     until: Instant,
 }
 
-/// The unused connections to all targets.
+/// The idle connections to all targets.
 #[derive(Default)]
 pub struct Connections {
     unused: RefCell<Map<TargetKey, VecDeque<Unused>>>,
 }
 
 impl Connections {
-    /// Returns an unused connection to a target.
+    /// Takes an idle connection to a target from the pool.
     ///
-    /// The one that was unused the longest comes first: a late second answer of a target in
-    /// disorder then shows while the connection is unused, and closes it.
+    /// The one that has been idle for the longest comes first. If a malfunctioning target sends an
+    /// unexpected second answer late, that then arrives while the connection is idle, and closes
+    /// it.
     pub fn take(&self, key: TargetKey) -> Option<Connection> {
         let mut unused = self.unused.borrow_mut();
         let queue = unused.get_mut(&key)?;
@@ -74,7 +75,7 @@
         None
     }
 
-    /// Keeps a connection whose answer was taken whole.
+    /// Returns a connection to the pool after a complete answer.
     pub async fn put_back(
         &self,
         key: TargetKey,
@@ -96,24 +97,24 @@
         }
     }
 
-    /// Closes the unused connections to a target that is gone.
+    /// Closes the idle connections to a target that no longer exists.
     pub fn close(&self, key: TargetKey) {
         self.unused.borrow_mut().remove(&key);
     }
 }
 
-/// Why no connection could be made.
+/// Why connecting failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// Nothing listens there: the target's process is gone.
+    /// Nothing listens at the address, so the target's process has ended.
     Refused,
-    /// Nothing answered in time.
+    /// There was no answer in time.
     Silent,
-    /// The connection broke at once.
+    /// The connection broke immediately.
     Broken,
 }
 
-/// Makes a new connection.
+/// Opens a new connection.
 pub async fn connect(address: SocketAddr) -> Result<Connection, ConnectError> {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
@@ -130,7 +131,8 @@
         .await
         .map_err(|_| ConnectError::Broken)?;
     tokio::task::spawn_local(async move {
-        // A broken connection shows at the call that uses it; on an unused one it is no news.
+        // A failure is reported by the call that uses the connection. On an idle connection it does
+        // not matter.
         if let Err(e) = connection.await {
             tracing::trace!(error = %e, "connection: closed");
         }
@@ -139,11 +141,11 @@
     Ok(Connection { sender })
 }
 
-/// Sets what a connection needs to notice that the other side fell silent.
+/// Sets the socket options that make an unresponsive peer noticeable.
 pub fn guard(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
 
-    // Without these options the connection works, only silence is noticed later.
+    // The connection also works without these options, but an unresponsive peer is noticed later.
     if let Err(e) = stream.set_nodelay(true).and(socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))) {
         tracing::debug!(error = %e, "connection: options not set");
     }
--- a/crates/entry/src/errors.rs
+++ b/crates/entry/src/errors.rs
@@ -1,4 +1,4 @@
-//! The error of this crate.
+//! The error type of this crate.
 
 use std::net::SocketAddr;
 
@@ -8,18 +8,18 @@
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// An address cannot be listened on.
+    /// The host cannot listen on an address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The store's client cannot be made.
+    /// The client of the store could not be created.
     #[error("store: {0}")]
     Store(#[from] camphorwalk_store::Error),
-    /// The metrics cannot be made.
+    /// The metrics could not be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
@@ -28,7 +28,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Makes the error of an address that cannot be listened on.
+    /// Creates the error for an address on which the host cannot listen.
     pub(crate) fn listen(address: SocketAddr, source: std::io::Error) -> Self {
         Self::Listen { address, source }
     }
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -1,37 +1,38 @@
-//! The events of a stream, cut out of the bytes that a target sends.
+//! A parser for the server-sent events of a stream.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the empty line at its end included.
+    /// The bytes as received, including the empty line at the end.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its data: the values of its data lines, with line feeds between.
+    /// The values of the data lines, separated by line feeds.
     pub data: Vec<u8>,
 }
 
-/// The most bytes of one event; a target that sends more without an end is out of order.
+/// The maximum size of an event. A target that sends more without ending the event is
+/// malfunctioning.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into events.
+/// Splits the bytes of a stream into events.
 ///
-/// Only whole events are passed on: a target may break off within one, and the stream may then
-/// go on at another target from the last whole one.
+/// Only complete events are forwarded. If a target fails within an event, the stream can then
+/// resume at another target after the last complete one.
 #[derive(Debug, Default)]
 pub struct Cutter {
     buf: BytesMut,
 }
 
 impl Cutter {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next(&mut self) -> Option<Event> {
         let end = event_end(&self.buf)?;
         let bytes = self.buf.split_to(end).freeze();
@@ -39,23 +40,23 @@
         Some(read(bytes))
     }
 
-    /// Returns whether the bytes taken in end within an event.
+    /// Returns whether the received bytes end within an event.
     pub fn is_within_event(&self) -> bool {
         self.buf.has_remaining()
     }
 
-    /// Returns whether an event is longer than any target's should be.
+    /// Returns whether the unfinished event exceeds the maximum size.
     pub fn is_overlong(&self) -> bool {
         self.buf.len() > MAX_EVENT_BYTES
     }
 
-    /// Forgets what was taken in of an unfinished event.
+    /// Discards the unfinished event.
     pub fn reset(&mut self) {
         self.buf.clear();
     }
 }
 
-/// Returns where the first event ends: after the first empty line.
+/// Returns the end of the first event, which is after its first empty line.
 fn event_end(buf: &[u8]) -> Option<usize> {
     let mut line_start = 0;
 
@@ -96,7 +97,7 @@
     Event { bytes, id, data: data.unwrap_or_default() }
 }
 
-/// Returns the value of a line with this field name; one space after the colon is not part of it.
+/// Returns the value of a line that has this field name, without one space after the colon.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
 
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The other hosts: who they are, by their rows in the store, and what they tell of themselves.
+//! The other hosts of the fleet: which exist, according to their rows in the store, and their
+//! latest status updates.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -25,49 +26,49 @@
 use crate::host::Shared;
 use crate::{asks, clock, news, store, watch};
 
-/// The table of hosts, each under its name.
+/// The table of hosts. Each host's row is stored under its name.
 const HOSTS_TABLE: &str = "hosts";
 
-/// The table of what the fleet shares.
+/// The table of settings that all hosts share.
 const FLEET_TABLE: &str = "fleet";
 
-/// How often a host writes its row, and reads those of the others.
+/// How often a host writes its own row and reads the rows of the others.
 const BEAT_PERIOD: Duration = Duration::from_secs(5);
 
-/// So many rounds after the start are short.
+/// How many heartbeats after the start follow each other with a short pause.
 const FIRST_BEATS: u64 = 4;
 
-/// A host that told nothing for this long has nothing in flight that counts.
+/// After how long without a status update the in-flight calls of a host no longer count.
 const SILENT: Duration = Duration::from_secs(2);
 
-/// What a host told within this time still holds.
+/// How long a status update is valid. A host is live while its latest one is valid.
 const FRESH: Duration = Duration::from_millis(700);
 
-/// The pause after a failed question to the store.
+/// The pause after an operation on the store that failed.
 const FAILED_PAUSE: Duration = Duration::from_millis(500);
 
-/// How many messages of other hosts wait.
+/// How many received messages may wait to be processed.
 const INBOUND_BUFFER: usize = 1_024;
 
-/// A host's row.
+/// A host's row in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HostRow {
-    /// Where its peers reach it.
+    /// The address at which other hosts connect to it.
     peers: SocketAddr,
     zone: Box<str>,
-    /// The run of its process.
+    /// The id of this run of its process.
     run: u64,
-    /// Counts up with each write.
+    /// Incremented by each write, so that the row's version changes.
     beat: u64,
 }
 
-/// Another host, as its row shows it.
+/// Another host, according to its row in the store.
 struct Known {
     address: SocketAddr,
     zone: Box<str>,
 }
 
-/// What is known of the fleet.
+/// The hosts of the fleet, as this host knows them.
 pub(crate) struct Fleet {
     name: Box<str>,
     zone: Box<str>,
@@ -78,19 +79,19 @@
     peers: RefCell<Option<Peers>>,
 }
 
-/// What another host told last of itself.
+/// The latest status update of another host.
 #[derive(Clone, Copy)]
 pub(crate) struct Heard {
     pub(crate) at: Instant,
-    /// Whether the store answers it.
+    /// Whether the store answers the sender.
     pub(crate) store_answers: bool,
-    /// The run of its process.
+    /// The id of the run of the sender's process.
     pub(crate) run: u64,
-    /// The version of the manifest in force there; 0 for none.
+    /// The version of the manifest in force at the sender; 0 for none.
     pub(crate) manifest_version: u64,
-    /// Whether it knows of all that was granted to programs without the store.
+    /// Whether the sender knows of all provisional grants that any host made.
     pub(crate) remembers: bool,
-    /// Whether it knows that there were such grants to programs that may still return.
+    /// Whether the sender knows of provisional grants to programs that may still be running.
     pub(crate) knows_of_loose: bool,
 }
 
@@ -101,7 +102,7 @@
 }
 
 impl Fleet {
-    /// Begins with no other hosts.
+    /// Creates a fleet without other hosts.
     pub(crate) fn new(name: &str, zone: &str) -> Self {
         Self {
             name: name.into(),
@@ -114,17 +115,17 @@
         }
     }
 
-    /// Returns how many hosts there are, this one included.
+    /// Returns the number of known hosts, including this one.
     pub(crate) fn size(&self) -> usize {
         self.known.borrow().len() + 1
     }
 
-    /// Returns whether a host told its news of late.
+    /// Returns whether a host is live.
     fn is_heard(&self, host: HostId) -> bool {
         self.heard.borrow().get(&host).is_some_and(|heard| heard.is_fresh(clock::now()))
     }
 
-    /// Returns the hosts that told their news of late, and what they told.
+    /// Returns the live hosts with their latest status.
     fn fresh(&self) -> Vec<(HostId, Heard)> {
         let now = clock::now();
         let heard = self.heard.borrow();
@@ -132,21 +133,21 @@
         heard.iter().filter(|(_, h)| h.is_fresh(now)).map(|(host, h)| (*host, *h)).collect()
     }
 
-    /// Returns a host that the store answers, by its last news.
+    /// Returns a random live host that the store answers, according to its latest status.
     pub(crate) fn store_peer(&self) -> Option<HostId> {
         let reaching = self.fresh().into_iter().filter(|(_, heard)| heard.store_answers);
 
         reaching.map(|(host, _)| host).choose(&mut rand::rng())
     }
 
-    /// Returns the host that a run of a process is on, if it is heard.
+    /// Returns the live host that has this run of a process.
     pub(crate) fn host_of_run(&self, run: u64) -> Option<HostId> {
         self.fresh().into_iter().find(|(_, heard)| heard.run == run).map(|(host, _)| host)
     }
 
-    /// Returns a host that is heard, has a newer manifest than `version` and is one that `may_ask`
-    /// picks, of this host's own availability zone if there is one: a manifest may be far longer
-    /// than all other news.
+    /// Returns a random live host that has a newer manifest than `version` and that `may_ask`
+    /// accepts. Hosts of the own availability zone are preferred, since a manifest may be far
+    /// longer than all other messages.
     pub(crate) fn manifest_peer(
         &self,
         version: u64,
@@ -163,13 +164,13 @@
             .or_else(|| far.into_iter().choose(&mut rand::rng()))
     }
 
-    /// Returns a host that is heard.
+    /// Returns a random live host.
     pub(crate) fn any_peer(&self) -> Option<HostId> {
         self.fresh().into_iter().map(|(host, _)| host).choose(&mut rand::rng())
     }
 
-    /// Returns whether this host hears more than half of all hosts, itself included. Of two
-    /// groups of hosts that are cut from each other, at most one does.
+    /// Returns whether more than half of all known hosts are live, including this one. Of two
+    /// groups of hosts that are partitioned from each other, this holds in one at most.
     pub(crate) fn is_majority(&self) -> bool {
         let known = self.known.borrow();
         let there = self.fresh().into_iter().filter(|(host, _)| known.contains_key(host));
@@ -177,7 +178,7 @@
         (there.count() + 1) * 2 > known.len() + 1
     }
 
-    /// Returns what the other known hosts that are heard told last.
+    /// Returns the latest status of each known live host.
     pub(crate) fn fresh_news(&self) -> Vec<Heard> {
         let known = self.known.borrow();
         let fresh = self.fresh().into_iter().filter(|(host, _)| known.contains_key(host));
@@ -185,25 +186,27 @@
         fresh.map(|(_, heard)| heard).collect()
     }
 
-    /// Returns the hosts that are heard, this one included, in the fixed order of an item.
+    /// Returns the live hosts, including this one, in an order that is fixed for each item
+    /// (rendezvous hashing).
     pub(crate) fn order(&self, item: u64) -> Vec<HostId> {
         let fresh = self.fresh().into_iter().map(|(host, _)| host.0);
 
         rendezvous_order(item, fresh.chain([self.own.0])).into_iter().map(HostId).collect()
     }
 
-    /// Returns the hosts of other zones that are heard, in the fixed order of an item; with one
-    /// zone only, the other hosts that are heard.
+    /// Returns the live hosts of other zones, in the fixed order of an item. In a fleet with a
+    /// single zone it returns the other live hosts.
     ///
-    /// What is told to one of them and acknowledged is known outside of this host's zone, and so
-    /// no cut of the zone had begun. A belief about the cut would come most of a second late.
+    /// An acknowledgement by one of them shows that the data is known outside of this host's zone,
+    /// so that the zone was not cut off yet. The liveness of hosts would show the partition only
+    /// after most of a second.
     pub(crate) fn witnesses(&self, item: u64) -> Vec<HostId> {
         let witnesses = self.known_witnesses();
 
         self.order(item).into_iter().filter(|host| witnesses.contains(host)).collect()
     }
 
-    /// Returns the known hosts that may be witnesses, heard or not.
+    /// Returns the known hosts that may hold copies for this one, live or not.
     fn known_witnesses(&self) -> Set<HostId> {
         let known = self.known.borrow();
         let has_other_zones = known.values().any(|known| known.zone != self.zone);
@@ -213,28 +216,27 @@
         witnesses.map(|(host, _)| *host).collect()
     }
 
-    /// Returns when a host told its news last.
+    /// Returns when the latest status update of a host arrived.
     pub(crate) fn heard_at(&self, host: HostId) -> Option<Instant> {
         self.heard.borrow().get(&host).map(|heard| heard.at)
     }
 
-    /// Returns whether a host told its news of late.
+    /// Returns whether a host is live.
     pub(crate) fn hears(&self, host: HostId) -> bool {
         self.heard.borrow().get(&host).is_some_and(|heard| heard.is_fresh(clock::now()))
     }
 
-    /// Returns whether a run of a process told its news of late.
+    /// Returns whether the host that has this run of a process is live.
     pub(crate) fn hears_run(&self, run: u64) -> bool {
         self.host_of_run(run).is_some()
     }
 
-    /// Returns whether another host knows of all that was granted to programs without the store, by
-    /// its last news.
+    /// Returns whether another host has a complete grant history, according to its latest status.
     pub(crate) fn remembers(&self, host: HostId) -> bool {
         self.heard.borrow().get(&host).is_some_and(|heard| heard.remembers)
     }
 
-    /// Returns whether the store answers another host, by its last news.
+    /// Returns whether the store answers another host, according to its latest status.
     pub(crate) fn store_answers(&self, host: HostId) -> bool {
         self.heard.borrow().get(&host).is_some_and(|heard| heard.store_answers)
     }
@@ -244,27 +246,27 @@
         self.own
     }
 
-    /// Returns all other hosts that are known, heard or not.
+    /// Returns all other known hosts, live or not.
     pub(crate) fn known_hosts(&self) -> Vec<HostId> {
         self.known.borrow().keys().copied().collect()
     }
 
-    /// Returns whether a host of a zone told its news of late.
+    /// Returns whether any other host of a zone is live.
     pub(crate) fn hears_zone(&self, zone: &str) -> bool {
         self.contact(|known| *known.zone == *zone) == Contact::Heard
     }
 
-    /// Returns whom this host hears in other zones.
+    /// Returns whether hosts of other zones are known, and whether any of them is live.
     pub(crate) fn contact_elsewhere(&self) -> Contact {
         self.contact(|known| known.zone != self.zone)
     }
 
-    /// Returns whom this host hears at all.
+    /// Returns whether other hosts are known, and whether any of them is live.
     pub(crate) fn contact_anywhere(&self) -> Contact {
         self.contact(|_| true)
     }
 
-    /// Returns whom this host hears of the known hosts that `which` picks.
+    /// Returns whether hosts that `which` selects are known, and whether any of them is live.
     fn contact(&self, which: impl Fn(&Known) -> bool) -> Contact {
         let known = self.known.borrow();
         let is_picked = |host: &HostId| known.get(host).is_some_and(&which);
@@ -278,23 +280,23 @@
         }
     }
 
-    /// Sends a message to another host. Returns false if it cannot be sent; a message that is
-    /// sent may still be lost.
+    /// Queues a message to another host. Returns false if that is not possible. A queued message
+    /// may still be lost.
     pub(crate) fn send(&self, host: HostId, body: Body) -> bool {
         let peers = self.peers.borrow();
 
         peers.as_ref().is_some_and(|peers| peers.send(host, PeerMessage::from(body)))
     }
 
-    /// Returns the hosts of this host's own availability zone, without itself, and all others.
+    /// Returns the other hosts of this host's availability zone, and the hosts of all other zones.
     pub(crate) fn by_distance(&self) -> (Vec<HostId>, Vec<HostId>) {
         let known = self.known.borrow();
 
         known.keys().partition(|host| known[*host].zone == self.zone)
     }
 
-    /// Takes in that another host told its news. Returns whether it was silent before or is another
-    /// run of its process.
+    /// Stores the status update of another host. Returns whether the host was silent before or its
+    /// process has restarted.
     pub(crate) fn heard(&self, host: HostId, heard: Heard) -> bool {
         let before = self.heard.borrow_mut().insert(host, heard);
 
@@ -302,7 +304,7 @@
     }
 }
 
-/// Starts to know the other hosts and to talk with them.
+/// Starts the exchange with the other hosts: listening, connecting and broadcasting.
 pub(crate) fn start(shared: &Rc<Shared>) {
     tokio::task::spawn_local(run(Rc::clone(shared)));
 }
@@ -332,7 +334,8 @@
     news::tell(shared, peers).await;
 }
 
-/// Gets the secret by which the hosts know each other. The first host of a fleet writes it.
+/// Loads the secret with which the hosts of a fleet authenticate each other. The first host creates
+/// it.
 async fn secret(shared: &Rc<Shared>) -> Secret {
     let key = RowKey::new(FLEET_TABLE, "secret");
 
@@ -361,7 +364,7 @@
     }
 }
 
-/// Writes this host's row and reads those of the others, again and again.
+/// Periodically writes this host's row and reads the rows of the others.
 async fn beat(shared: Rc<Shared>, peers: Peers) {
     let mut beat = 0;
 
@@ -392,8 +395,8 @@
             _ => false,
         };
 
-        // The first rounds are short: hosts start together, and each must know the others
-        // before it knows its share of the rates.
+        // The first rounds are short, because hosts of a fleet start at the same time and each must
+        // know the others to determine its share of the rates.
         let pause = match answered {
             true if beat >= FIRST_BEATS => BEAT_PERIOD,
             _ => FAILED_PAUSE,
@@ -402,7 +405,7 @@
     }
 }
 
-/// Takes in the rows of all hosts. `is_period_over` tells that each has had the time to write
+/// Applies the rows of all hosts. `is_period_over` tells whether each host has had time to write
 /// its row again since the last read.
 fn know(shared: &Rc<Shared>, peers: &Peers, rows: &[Row], is_period_over: bool) {
     let fleet = &shared.fleet;
@@ -441,7 +444,8 @@
     shared.rates.borrow_mut().set_others(known.keys().copied().collect());
 }
 
-/// What a silent host had in flight no longer counts.
+/// Drops the status of hosts that have been silent for [`SILENCE_TIMEOUT`], so that their in-flight
+/// calls no longer count.
 pub(crate) fn forget_silent(shared: &Rc<Shared>) {
     let now = clock::now();
     let silent: Vec<_> = {
@@ -455,7 +459,7 @@
     }
 }
 
-/// Takes in what other hosts tell.
+/// Processes the messages of other hosts.
 async fn hear(shared: Rc<Shared>, mut rx: mpsc::Receiver<Inbound>) {
     while let Some(inbound) = rx.recv().await {
         let Inbound::Message { from, message } = inbound else { continue };
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -1,4 +1,4 @@
-//! Sending a call to a target once, and what is known after it.
+//! Sends a call to a target once, and determines whether the target may have run it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use crate::host::Shared;
 use crate::places::Place;
 
-/// An answer's head, whose body is still to come.
+/// An answer of which the head was received, and the body is still to come.
 pub(crate) struct Started {
     pub(crate) response: Response<Incoming>,
     pub(crate) head: AnswerHead,
@@ -28,30 +28,30 @@
     pub(crate) place: Place,
 }
 
-/// What is known after a call was sent.
+/// The outcome of sending a call.
 pub(crate) enum Sent {
-    /// The target answers.
+    /// The target has begun to answer.
     Started(Box<Started>),
-    /// The call has not run at this target and never will.
+    /// The target has not run the call and never will.
     NotRun(&'static str),
-    /// It may have run.
+    /// The target may have run the call.
     Unknown {
-        /// What happened.
+        /// The failure.
         reason: &'static str,
-        /// Whether the target's process went down under it.
+        /// Whether the target's process crashed while it had the call.
         crashed: bool,
     },
 }
 
-/// What is sent.
+/// What to send.
 pub(crate) struct Sending<'a> {
     /// The call.
     pub(crate) call: &'a Call,
-    /// Its body for the target.
+    /// The body for the target.
     pub(crate) body: Bytes,
-    /// The last event received, of a stream that is to go on.
+    /// The id of the last event that was received, if a stream is to be resumed.
     pub(crate) last_event: Option<u64>,
-    /// How long the answer's head may take.
+    /// How long to wait for the answer's head.
     pub(crate) patience: Duration,
 }
 
@@ -66,7 +66,8 @@
         return Sent::NotRun("the target is gone");
     };
 
-    // A kept connection may be closing. Then the request comes back unsent, and goes on a new one.
+    // The target may be closing an idle connection. The request then comes back unsent and is sent
+    // on another connection.
     while let Some(connection) = shared.connections.take(key) {
         match exchange(sending, connection, &id).await {
             Exchange::Unsent => continue,
@@ -101,11 +102,11 @@
 }
 
 enum Exchange {
-    /// Nothing was sent.
+    /// The request was not sent.
     Unsent,
-    /// The head of an answer came.
+    /// The head of an answer was received.
     Answered(Response<Incoming>, Connection),
-    /// The request was sent, and no head came.
+    /// The request was sent, but no head was received.
     Lost(&'static str),
 }
 
@@ -140,7 +141,7 @@
     }
 }
 
-/// Judges the head of an answer.
+/// Classifies an answer by its head.
 fn judge(
     sending: &Sending<'_>,
     place: Place,
@@ -169,7 +170,7 @@
     Sent::Started(Box::new(Started { response, head, connection, place }))
 }
 
-/// Keeps a connection whose answer was taken whole, unless its target closes it.
+/// Returns a connection to the pool after a complete answer, unless the target closes it.
 pub(crate) fn put_back(
     shared: &Rc<Shared>,
     key: TargetKey,
@@ -186,7 +187,7 @@
     });
 }
 
-/// Reads a refusal's body, so that its connection can be kept.
+/// Reads the body of a refusal, so that the connection can be reused.
 fn drain(
     sending: &Sending<'_>,
     key: TargetKey,
@@ -194,7 +195,7 @@
     connection: Connection,
     keep: Option<Duration>,
 ) {
-    /// A refusal's body is short and comes with its head.
+    /// A refusal's body is short and arrives together with its head.
     const LIMIT: Duration = Duration::from_millis(100);
     let shared = Rc::clone(&sending.call.shared);
     let Some(keep) = keep else { return };
@@ -207,8 +208,8 @@
     });
 }
 
-/// Finds out whether the target's process went down under a call whose answer was lost: then
-/// nothing listens at its address.
+/// Classifies a call whose answer was lost. If nothing listens at the target's address, its process
+/// has crashed.
 async fn lost(sending: &Sending<'_>, place: Place, reason: &'static str) -> Sent {
     let shared = &sending.call.shared;
     let key = place.key;
@@ -217,8 +218,8 @@
     Sent::Unknown { reason, crashed: is_down(shared, key, sending.call).await }
 }
 
-/// Returns whether nothing listens at the address of a target; whether it went down under the
-/// call is then found out.
+/// Returns whether nothing listens at the address of a target. If so, a background task checks
+/// whether the target crashed because of the call.
 pub(crate) async fn is_down(shared: &Rc<Shared>, key: TargetKey, call: &Call) -> bool {
     let target = {
         let targets = shared.targets.borrow();
@@ -242,7 +243,7 @@
     }
 }
 
-/// A target that may have gone down under a call.
+/// A target that may have crashed because of a call.
 struct Suspect {
     address: SocketAddr,
     zone: Box<str>,
@@ -250,15 +251,15 @@
     fingerprint: Fingerprint,
 }
 
-/// Counts a crash unless the target's zone is cut off.
+/// Counts a crash, unless the target's zone is cut off.
 ///
-/// A cut may refuse connections like the machine of a process that is gone. Without the
-/// difference, calls that were under way when a zone was cut off are barred as if they had
-/// brought its targets down. Some time later a host behind a cut is silent, while one beside a
-/// crashed target still tells its news.
+/// A partition may refuse connections just like the machine of a crashed process. If it counted as
+/// a crash, the calls that were running in a zone when it was cut off would be blocked as the
+/// cause. After a short while the two can be told apart: hosts behind a partition have become
+/// silent, while those beside a crashed target still send status updates.
 async fn count_crash(shared: Rc<Shared>, suspect: Suspect) {
-    /// Longer than news are fresh, so that hosts behind a new cut are silent; shorter than
-    /// targets take to be back.
+    /// Longer than a status update is valid, so that hosts behind a new partition are no longer
+    /// live. Shorter than a target takes to restart.
     const DELAY: Duration = Duration::from_millis(900);
     let Suspect { address, zone, request, fingerprint } = suspect;
     tokio::time::sleep(DELAY).await;
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -1,4 +1,8 @@
-//! Who grants a program's tokens in times of trouble, and who knows of it.
+//! Granting tokens of a program while the store is slow, unavailable or unsettled, and replicating
+//! those grants to other hosts.
+//!
+//! A grant that the store does not have yet is provisional. It is replicated to hosts of other
+//! zones and written once the store accepts it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,33 +25,34 @@
 use crate::host::Shared;
 use crate::{clock, store};
 
-/// How many hosts know a program's row besides those that run it. Two survive one loss.
+/// How many hosts keep a copy of a program's row besides those that run the program. Two survive
+/// the loss of one.
 pub(crate) const WITNESSES: usize = 2;
 
-/// How many hosts of other zones are told of a grant that the store does not have, so that half of
-/// a small fleet may be killed before the store is back.
+/// To how many hosts of other zones a provisional grant is replicated. Half of a small fleet may be
+/// killed before the store recovers.
 const LOOSE_WITNESSES: usize = 4;
 
-/// How many hosts are asked for a program that those next in the order do not know: all of a small
+/// How many hosts are queried about a program that the next granters do not know: all of a small
 /// fleet.
 const MOST_ASKED: usize = 12;
 
-/// How long a grant by another host may take: the way there and back, and its tries to write it to
-/// a store that is slow or has just fallen silent.
+/// How long a grant by another host may take: a round trip, and that host's attempts to write to a
+/// store that is slow or has just stopped answering.
 const GRANT_DEADLINE: Duration = Duration::from_millis(450);
 
-/// How many writes of a grant are waited for longer than usual.
+/// How many writes of one grant are awaited beyond the hedging delay.
 const MOST_OVERDUE: u32 = 2;
 
-/// How long a host of another zone may take to take note of a grant: some times the way there
-/// and back, and less than what is left of the time for the grant.
+/// How long another host may take to send or store a row: several round trips, and less than what
+/// remains of [`GRANT_TIMEOUT`].
 const WITNESS_DEADLINE: Duration = Duration::from_millis(80);
 
-/// How many rows are written at the same time after the store's return.
+/// How many rows are written concurrently after the store has recovered.
 const WRITES_AT_ONCE: usize = 8;
 
-/// Returns the hosts that are heard, in the order in which they grant a program's tokens while
-/// the store is away. Those that may not, since they began too late to know, come last.
+/// Returns the live hosts in the order in which they grant a program's tokens while the store is
+/// unavailable. Hosts without a complete grant history come last, since they may not grant.
 fn grant_order(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
     let own = shared.fleet.own();
     let remembers = |host: &HostId| match *host == own {
@@ -61,9 +66,9 @@
     order
 }
 
-/// Tells the hosts that would grant in the store's place how a program's row stands in it. They
-/// need it the moment that the store is away. Those that took note of a grant made without the
-/// store need not write it any more.
+/// Sends a row that the store has accepted to the hosts that would grant if the store failed, which
+/// need it at that moment. Also sends it to the replicas of provisional grants, so that they do not
+/// write those grants again.
 pub(crate) fn tell_stored(
     shared: &Shared,
     program: ProgramKey,
@@ -82,25 +87,26 @@
     }
 }
 
-/// Returns the hosts of other zones that take note of a program's grants without the store.
+/// Returns the hosts of other zones that hold copies of a program's provisional grants.
 fn loose_witnesses(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
     shared.fleet.witnesses(program.0).into_iter().take(LOOSE_WITNESSES).collect()
 }
 
-/// What came of asking for a grant.
+/// The outcome of a grant request.
 pub(crate) enum Granted {
-    /// The row holds the turn's tokens.
+    /// The row now includes the turn's tokens.
     Tokens,
-    /// The rest of the budget may be granted without the store.
+    /// The rest of the budget may have been granted without the store.
     Withheld(Doubt),
-    /// The budget does not hold them, as the rows stand.
+    /// The budget does not have enough tokens left, according to the known rows.
     Nothing,
 }
 
-/// Asks for a turn's tokens at the one host that grants a program's tokens in times of trouble.
+/// Requests a turn's tokens from the one host that grants a program's tokens while the store is
+/// unsettled.
 ///
-/// Beliefs about the store differ: it may be slow, or answer some hosts. If each host then decided
-/// for itself, one would write a grant while another is granted the same tokens without the store.
+/// Hosts may disagree about the store: it may be slow, or answer only some of them. If each decided
+/// alone, one could write a grant to the store while another grants the same tokens without it.
 pub(crate) async fn ask_for_grant(
     call: &Call,
     program: ProgramKey,
@@ -140,7 +146,7 @@
     }
 }
 
-/// Grants a turn's tokens to another host, one at a time for each program.
+/// Handles a grant request of another host. Requests for the same program run one at a time.
 pub(crate) async fn grant_for_peer(shared: &Rc<Shared>, ask: &GrantAsk) -> Reply {
     let lock = lock(shared, ask.program);
     let _turn = lock.lock().await;
@@ -148,7 +154,8 @@
     grant(shared, ask).await
 }
 
-/// Grants a turn's tokens: by the store if it answers for the program's part, or else in its place.
+/// Grants a turn's tokens: by a write to the store if the program's part of it answers, and
+/// provisionally otherwise.
 async fn grant(shared: &Rc<Shared>, ask: &GrantAsk) -> Reply {
     shared.budgets.borrow_mut().note_known(clock::now(), ask.program, &ask.known);
 
@@ -162,7 +169,7 @@
         };
         match grant_without_store(shared, ask).await {
             Some(reply) => return reply,
-            // The write may still end in time, or have met another one.
+            // The write may still succeed, or may have conflicted with another one.
             None => match timeout(GRANT_DEADLINE, overdue.writing).await {
                 Ok(Ok(Ok(Written::Committed))) => return Reply::Written(overdue.row),
                 Ok(Ok(Ok(Written::Learned))) => {}
@@ -174,17 +181,17 @@
     Reply::Refused
 }
 
-/// What came of a grant by the store.
+/// The outcome of a grant by a write to the store.
 enum ByStore {
-    /// The reply to whoever asked.
+    /// The final reply to the requesting host.
     Decided(Reply),
     /// The store has not answered in time.
     Overdue(Overdue),
-    /// It is away. This is the reply if nothing is granted in its place.
+    /// The store is unavailable. The reply applies if no provisional grant is made either.
     Away(Reply),
 }
 
-/// A row of which the store has not answered whether it took it.
+/// A row whose write the store has not answered yet.
 struct Overdue {
     row: BudgetRow,
     writing: Writing,
@@ -200,7 +207,8 @@
         let (row, version) = match proposal {
             Proposal::Write(row, version) => (row, version),
             Proposal::Spent => return ByStore::Decided(Reply::Spent),
-            // Where the store answers, a grant without it would be from the wrong share.
+            // While the store answers, a provisional grant would use the share that is reserved for
+            // an outage.
             Proposal::Withheld(doubt) if shared.store.answers_whole() => {
                 info!(program = %program.0, ?doubt, "budget: the rest is withheld");
                 return ByStore::Decided(Reply::Withheld(doubt));
@@ -219,13 +227,13 @@
     ByStore::Away(Reply::Refused)
 }
 
-/// Grants a turn's tokens in the store's place. Returns `None` if this host may not.
+/// Grants a turn's tokens provisionally. Returns `None` if this host may not.
 ///
-/// Only a host that hears a majority does, so that of two groups that are cut from each other at
-/// most one grants. Hosts that are cut off with their zone grant nothing even if they are the
-/// majority: their grants would be forgotten if all machines lost power. A process that the store
-/// never answered knows nothing of before, and one whose fleet was lost with its memory does not
-/// know what was granted to programs that return: by the store, perhaps all, or in its place.
+/// The host must reach a majority, so that at most one side of a network partition grants. Hosts
+/// that are cut off together with their zone do not grant even as a majority, because their grants
+/// would be lost if all machines lost power. A process that the store has never answered has no
+/// earlier state. A process that restarted together with all others does not know what was granted
+/// before, by the store or provisionally, to programs that are still running.
 async fn grant_without_store(shared: &Rc<Shared>, ask: &GrantAsk) -> Option<Reply> {
     let GrantAsk { program, claim, known, .. } = ask;
     let is_entitled = shared.fleet.is_majority() && !shared.is_isolated();
@@ -239,7 +247,8 @@
 
     learn_from(shared, *program, WITNESSES).await;
     if !shared.budgets.borrow().knows(*program) {
-        // Hosts that were stopped in turn know nothing of before. Whoever ran the program does.
+        // After a rolling restart the next granters may have no state of the program. The host that
+        // ran it does.
         learn_from(shared, *program, MOST_ASKED).await;
         if !shared.budgets.borrow().knows(*program) && !ask.begins {
             info!(program = %program.0, "budget: the row of a program under way is not known");
@@ -265,23 +274,24 @@
     }
 }
 
-/// Returns how much of budgets this host may have granted by the store.
+/// Returns which share of budgets this host may have granted by the store.
 pub(crate) fn limit(shared: &Shared) -> Limit {
     shares::limit(shared.budget_surroundings())
 }
 
-/// The write of a row that is under way.
+/// A row write that is in progress.
 type Writing = JoinHandle<std::result::Result<Written, Refusal>>;
 
-/// What came of a write for which a call waits for a short time.
+/// The outcome of a row write that is awaited only for the hedging delay.
 pub(crate) enum Hedged {
-    /// It ended.
+    /// The write has ended.
     Done(std::result::Result<Written, Refusal>),
-    /// It goes on. A grant in the store's place makes the same row, so that nothing is granted twice.
+    /// The write is still in progress. A provisional grant made meanwhile produces the same row, so
+    /// nothing is granted twice.
     Overdue(Writing),
 }
 
-/// Writes a program's row, and waits for a short time for what comes of it.
+/// Writes a program's row, and waits for the outcome for at most the hedging delay.
 pub(crate) async fn write_hedged(
     shared: &Rc<Shared>,
     program: ProgramKey,
@@ -302,12 +312,12 @@
     }
 }
 
-/// Has other hosts take note of a row with grants that the store does not have: those that would
-/// grant next, and hosts of other zones. Returns whether one of another zone did.
+/// Replicates a row with provisional grants to the next granters and to hosts of other zones.
+/// Returns whether a host of another zone has acknowledged it.
 ///
-/// A zone that is being cut off takes itself for a part of the majority for most of a second. What
-/// it grants in that time would be forgotten if all machines lost power. Nobody elsewhere
-/// acknowledges it then, so it is not spent.
+/// For most of a second after a partition begins, a zone that is being cut off still believes it
+/// belongs to the majority. Its grants would be lost if all machines lost power. In that time no
+/// other zone acknowledges the grant, so its tokens are not spent.
 async fn has_witness(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
     let stored = shared.budgets.borrow().known(program).map_or(0, |known| known.stored);
     let ask = Ask::Loose(program, KnownRow { row: row.clone(), stored });
@@ -335,11 +345,11 @@
     grant_order(shared, program).into_iter().filter(move |host| *host != own)
 }
 
-/// Learns what the next hosts in the order know, `count` of them.
+/// Fetches a program's row from the next `count` granters and merges it.
 ///
-/// A host that was silent for a while, or is new, may become the first in the order although
-/// others granted in its place meanwhile. Whoever did stands next in the order, or has told those
-/// that do.
+/// A host that is new, or was unreachable for a while, may become the first granter although others
+/// have granted in the meantime. The host that granted is next in the order, or has replicated the
+/// row to the hosts that are.
 pub(crate) async fn learn_from(shared: &Shared, program: ProgramKey, count: usize) {
     let ask = Ask::KnownRow(program);
     let hosts = next_granters(shared, program).take(count);
@@ -352,7 +362,7 @@
     }
 }
 
-/// Takes in how a program's row stands in the store.
+/// Merges a row that the store holds.
 pub(crate) fn take_stored(
     shared: &Shared,
     program: ProgramKey,
@@ -364,8 +374,8 @@
     Reply::Done
 }
 
-/// Takes in grants that the store does not have. They are written if the host that spends them
-/// does not: it may be cut off from now on, and this one not.
+/// Records provisional grants of another host. This host writes them if the host that spends them
+/// does not, which may be cut off from now on.
 pub(crate) fn take_loose(shared: &Shared, program: ProgramKey, known: &KnownRow) -> Reply {
     let mut budgets = shared.budgets.borrow_mut();
     budgets.witness(clock::now(), program, &known.row);
@@ -374,9 +384,9 @@
     Reply::Done
 }
 
-/// Writes a part of the grants that were made without the store: those of this host at once, and those
-/// that it knows of for others if they have not been written after a while. What fails, or met
-/// another write of the same row, stays loose until the next round.
+/// Writes up to `max_writes` rows with provisional grants: those to this host at once, and those to
+/// other hosts if they have not been written after a while. A row whose write fails or conflicts is
+/// tried again in the next round.
 pub(crate) async fn write_loose(shared: &Rc<Shared>, most: usize) -> Round {
     let mut loose = shared.budgets.borrow().loose(clock::now(), |run| shared.hears_run(run));
     if loose.is_empty() {
@@ -391,7 +401,7 @@
             matches!(write(shared, program, row, version).await, Ok(Written::Away))
         });
         refused = join_all(writes).await.contains(&true);
-        // The rest would be refused too, and each refusal counts against the store's rate.
+        // The store would refuse the rest too, and each refusal counts against its rate limit.
         if refused {
             break;
         }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -1,4 +1,4 @@
-//! A running entry host.
+//! A running entry host: its shared state, startup and shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -36,56 +36,59 @@
 use crate::stories::Stories;
 use crate::{callers, clock, fleet, news, probes, registry, retention, store, watch};
 
-/// The longest that one try of a call to the store may take. Its answers come within some
+/// The longest time-out of one attempt of a store operation. The store answers within some
 /// milliseconds, and within a third of a second when it is slow.
 const STORE_DEADLINE: Duration = Duration::from_millis(500);
 
-/// The least time of one try: some times the usual time of a transaction.
+/// The shortest time-out of one attempt: several times the usual duration of a transaction.
 const STORE_LEAST_DEADLINE: Duration = Duration::from_millis(80);
 
-/// For how long an operation is tried again. A caller's whole program takes a second or two.
+/// How long a store operation is retried. A whole program of a caller takes a second or two.
 const STORE_RETRY_WINDOW: Duration = Duration::from_millis(400);
 
-/// The part of the store's rates that one host may use: no host needs more, and a host in
-/// disorder leaves the others the rest.
+/// The fraction of the store's rate limits that one host may use. No host needs more, and a
+/// malfunctioning host leaves the rest to the others.
 const STORE_SHARE: f64 = 0.25;
 
-/// The part of the process's memory that turns at hand may take.
+/// The cache of turns may take up to this fraction of the process's memory: one part of so many.
 const TURN_CACHE_PART: u64 = 6;
 
-/// Of how many lines of turns a host remembers where the last turn was: those of some seconds, in
-/// which lines go on.
+/// For how many chains of turns a host remembers which host ran the last turn. This covers some
+/// seconds, within which a chain usually continues.
 const LINES_REMEMBERED: usize = 16_384;
 
-/// How long a leaving host stays after the last call, so that the balancer, which asks each
-/// second and believes the second answer, has sent its new connections elsewhere.
+/// How long at least a host keeps serving after its shutdown began. The load balancer checks
+/// readiness every second and acts on the second failed check, so by then it sends new connections
+/// elsewhere.
 const BALANCER_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long the store must have answered all hosts before each writes grants by itself again. In
-/// this time the grants that were made without it are written.
+/// How long the store must have answered all hosts before each host writes grants by itself again.
+/// Within this time the provisional grants are written back.
 const SETTLED: Duration = Duration::from_secs(3);
 
-/// Within how long each host that is heard has told whether it grants tokens without the store: longer
-/// than its news count as heard.
+/// Within this time each live host has reported whether it has provisional grants. It is longer
+/// than a status update is valid.
 const ALL_TOLD: Duration = Duration::from_secs(1);
 
-/// When a caller that cannot be served behind a cut is told to come back. The balancer asks each
-/// second and believes the second answer, so it sends new connections elsewhere two seconds
-/// after a cut is noticed at the latest; callers come back two or three times within that.
+/// Retry-After of a caller that a host without access to the store cannot serve. The load balancer
+/// checks readiness every second and acts on the second failed check, so it moves new connections
+/// at most two seconds after the host notices that it is cut off. Callers retry two or three times
+/// within that.
 const MOVE_RETRY: Duration = Duration::from_millis(800);
 
-/// How long a leaving host takes calls. The balancer has sent its new connections elsewhere by then,
-/// unless less than half of the zone's hosts are left; a call that came later might still be
-/// under way when the host ends.
+/// How long a host accepts calls after its shutdown began. By then the load balancer sends new
+/// connections elsewhere, unless less than half of the zone's hosts are left. A later call might
+/// still be running when the process ends.
 const LAST_CALLS: Duration = Duration::from_millis(3_500);
 
-/// The part of the grace period that this time is at most, so that what was taken can end.
+/// The largest fraction of the grace period for which calls are still accepted, so that the
+/// accepted calls can finish.
 const LAST_CALLS_PART: f64 = 0.45;
 
-/// How long before the end of the grace period a leaving host ends, whatever still runs.
+/// How long before the end of the grace period a host shuts down even if calls are still running.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What the parts of a host share.
+/// The state that all parts of a host share.
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
     pub(crate) run: RunId,
@@ -93,47 +96,50 @@
     pub(crate) store: Store,
     pub(crate) asks: Asks,
     pub(crate) routes: RefCell<Option<RouteTable>>,
-    /// The text of the manifest in force, for hosts that cannot reach the store.
+    /// The text of the manifest in force, which is sent to hosts that cannot get it from the store.
     pub(crate) manifest_text: RefCell<Box<str>>,
     pub(crate) manifests: Manifests,
     pub(crate) rates: RefCell<Rates>,
     pub(crate) told_all: news::ToldAll,
-    /// What is known of the entries under which targets register themselves.
+    /// The entries under which targets have registered themselves.
     pub(crate) target_table: RefCell<TargetTable>,
     pub(crate) targets: RefCell<Targets>,
     pub(crate) places: Places,
     pub(crate) connections: Connections,
     pub(crate) budgets: RefCell<Budgets>,
     memory: RefCell<Memory>,
-    /// When a host last granted tokens without the store, or held such grants.
+    /// When any host was last known to grant tokens provisionally, or to have provisional grants
+    /// that the store lacks.
     pub(crate) loose_at: Cell<Option<Instant>>,
-    /// Taken while a program's budget is asked for.
+    /// Held while tokens of a program's budget are requested.
     pub(crate) budget_locks: RefCell<Map<ProgramKey, Rc<Mutex<()>>>>,
     pub(crate) turns: RefCell<TurnCache>,
-    /// The hosts that had the last turn of a line, by the id of the line's prompt part.
+    /// The host that ran the last turn of a chain, by the id of the chain's prompt part.
     pub(crate) line_hosts: RefCell<Recent<u64, HostId>>,
     pub(crate) written: RefCell<retention::Written>,
     pub(crate) crashes: RefCell<Crashes>,
     pub(crate) fleet: Fleet,
     pub(crate) metrics: Metrics,
     pub(crate) stories: Stories,
-    /// Since when the host leaves.
+    /// When the shutdown began.
     leaving: Cell<Option<Instant>>,
-    /// Since when the host is cut off, as far as that was asked.
+    /// When the host became isolated, as far as that was checked.
     isolated_since: Cell<Option<Instant>>,
-    /// Requests that were read and are not answered.
+    /// The number of requests that were received and are not answered yet.
     open_requests: Cell<usize>,
 }
 
 impl Shared {
-    /// Returns whether the host takes new callers.
+    /// Returns whether the host accepts new callers.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_leaving() && self.routes.borrow().is_some() && !self.is_isolated()
     }
 
-    /// Returns whether the host is cut off from all that could keep what it promises.
+    /// Returns whether the host is cut off from the store and from all hosts that could make its
+    /// data durable.
     pub(crate) fn is_isolated(&self) -> bool {
-        // Asked at each answer: whom the host hears matters only if the store does not answer.
+        // This runs for each answer, so the live hosts are only looked at if the store does not
+        // answer.
         let isolated = !self.store.answers_whole() && isolation::is_isolated(self.surroundings());
 
         if self.isolated_since.get().is_some() != isolated {
@@ -144,18 +150,18 @@
         isolated
     }
 
-    /// Returns for how long the host has been cut off, if it is.
+    /// Returns for how long the host has been isolated, if it is.
     pub(crate) fn isolated_for(&self) -> Option<Duration> {
         let is_isolated = self.is_isolated();
 
         self.isolated_since.get().filter(|_| is_isolated).map(|since| clock::now().since(since))
     }
 
-    /// Returns the host that had the last turn of a call's line, or of its parent's, if that is another
-    /// one and is heard.
+    /// Returns the host that ran the last turn of a call's chain, or of its parent's chain, if that
+    /// is another host and live.
     pub(crate) fn host_before(&self, head: &CallHead) -> Option<HostId> {
         let line_hosts = self.line_hosts.borrow();
-        // A sub-agent continues the line of its parent, whose part comes before its own.
+        // A sub-agent continues the chain of its parent, whose prompt part precedes its own.
         let host = head.prefix.iter().rev().find_map(|part| line_hosts.get(&part.id))?;
 
         self.fleet.hears(host).then_some(host)
@@ -166,7 +172,7 @@
         self.routes.borrow().as_ref().map_or(0, |table| table.routing().version)
     }
 
-    /// Returns whether the store answers this host or one that it hears.
+    /// Returns whether the store answers this host or a live peer.
     pub(crate) fn reaches_store(&self) -> bool {
         self.store.answers() || self.fleet.store_peer().is_some()
     }
@@ -179,8 +185,8 @@
         }
     }
 
-    /// Returns when a call that cannot be decided now is to come back: after `usual`, or if the
-    /// host is cut off when the balancer has moved its caller to another zone.
+    /// Returns the Retry-After of a call that cannot be decided now: `usual`, or if the host is
+    /// isolated the time that the load balancer needs to move the caller to another zone.
     pub(crate) fn come_back(&self, usual: Duration) -> Duration {
         match self.is_isolated() {
             true => MOVE_RETRY,
@@ -188,40 +194,43 @@
         }
     }
 
-    /// Returns whether callers are to come back on a new connection, which may lead elsewhere.
+    /// Returns whether callers must reconnect, so that the load balancer can assign them to another
+    /// host.
     pub(crate) fn sends_callers_away(&self) -> bool {
         self.is_leaving() || self.is_isolated()
     }
 
-    /// Returns whether an empty read of the store proves that there was no such turn within the last
-    /// `retention`: not if the store was away, or if a former run of this process may have known more.
+    /// Returns whether an empty read of the store proves that there was no such turn within the
+    /// last `retention`. It does not if the store was unavailable in that time, or if an earlier
+    /// run of this process may have known of the turn.
     pub(crate) fn knows_all_turns(&self, retention: Duration) -> bool {
         let is_old = clock::now().since(self.began) > retention;
 
         (is_old || self.settings.is_first_start) && self.store.was_there_for(retention)
     }
 
-    /// Returns whether the store has answered all hosts for a while, as far as they told this one. A
-    /// process that has just started was told nothing.
+    /// Returns whether the store has answered all hosts for a while, according to their status
+    /// updates. This is false for a process that has just started and received none.
     pub(crate) fn is_settled(&self) -> bool {
         self.has_heard_of_trouble() && self.store.was_there_for(SETTLED)
     }
 
-    /// Returns whether the process has run for long enough to have heard of trouble from the others.
+    /// Returns whether the process has run for long enough to have received reports of trouble from
+    /// the other hosts.
     fn has_heard_of_trouble(&self) -> bool {
         self.settings.is_first_start || clock::now().since(self.began) > SETTLED
     }
 
-    /// Returns whether this host grants tokens without the store, or did and the store does not have
-    /// all of them yet.
+    /// Returns whether this host may grant tokens provisionally now, or is responsible for
+    /// provisional grants that the store does not have yet.
     pub(crate) fn grants_loose(&self) -> bool {
         let is_heard = |run| self.hears_run(run);
 
         self.store.missed_any(ALL_TOLD) || self.budgets.borrow().answers_for_loose(is_heard)
     }
 
-    /// Returns whether no host has granted tokens without the store for a while, as far as they told
-    /// this one.
+    /// Returns whether no host has granted provisionally for a while, according to their status
+    /// updates.
     fn is_all_stored(&self) -> bool {
         let now = clock::now();
         if self.grants_loose() {
@@ -231,24 +240,25 @@
         self.has_heard_of_trouble() && self.loose_at.get().is_none_or(|at| now.since(at) > ALL_TOLD)
     }
 
-    /// Returns whether a run of a process is this one or is heard.
+    /// Returns whether a run is that of this process, or of a live host.
     pub(crate) fn hears_run(&self, run: RunId) -> bool {
         run == self.run || self.fleet.hears_run(run.0)
     }
 
-    /// Returns whether this host knows of grants without the store to programs that may return.
+    /// Returns whether this host knows of provisional grants to programs that may still be running.
     pub(crate) fn knows_of_loose(&self) -> bool {
         self.loose_at.get().is_some_and(|at| clock::now().since(at) <= KNOWS_ALL_AFTER)
     }
 
-    /// Returns whether this process knows of all that was granted to programs without the store.
+    /// Returns whether this process knows of all provisional grants that any host made.
     pub(crate) fn remembers(&self) -> bool {
         let around = self.surroundings_without_itself();
 
         self.memory.borrow_mut().is_complete(clock::now(), around)
     }
 
-    /// Returns what this host knows of the fleet that decides how much of budgets may be granted.
+    /// Returns what this host knows of the fleet, which determines the share of budgets that may be
+    /// granted.
     pub(crate) fn budget_surroundings(&self) -> shares::Surroundings {
         let others = self.surroundings_without_itself();
 
@@ -269,19 +279,19 @@
         }
     }
 
-    /// Returns whether the host was asked to end.
+    /// Returns whether the shutdown has begun.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.get().is_some()
     }
 
-    /// Returns whether a call that comes now might still be under way when the host ends.
+    /// Returns whether a call that arrives now might still be running when the process ends.
     pub(crate) fn takes_no_more(&self) -> bool {
         let longest = LAST_CALLS.min(self.settings.grace.mul_f64(LAST_CALLS_PART));
 
         self.leaving.get().is_some_and(|at| clock::now().since(at) > longest)
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as open until the guard is dropped.
     pub(crate) fn open(self: &Rc<Self>) -> OpenRequest {
         self.open_requests.set(self.open_requests.get() + 1);
 
@@ -289,7 +299,7 @@
     }
 }
 
-/// A request that was read and is not answered.
+/// A request that was received and is not answered yet.
 pub(crate) struct OpenRequest(Rc<Shared>);
 
 impl Drop for OpenRequest {
@@ -310,7 +320,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if an address cannot be listened on.
+    /// Returns an error if the host cannot listen on an address, or if the client of the store or
+    /// the metrics cannot be set up.
     pub async fn start(settings: EntrySettings) -> Result<Self> {
         let metrics = Metrics::new()?;
         let run = RunId(rand::rng().next_u64());
@@ -363,25 +374,25 @@
         Ok(Self { shared, callers, ready })
     }
 
-    /// Returns where callers reach it.
+    /// Returns the address that callers connect to.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where it is asked whether it is ready.
+    /// Returns the address of the readiness endpoint.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Takes in that the settings file was read anew. A process keeps its addresses; nothing
-    /// else of the settings changes while it runs.
+    /// Logs that the settings file was read again. The settings of a running process, its addresses
+    /// included, do not change.
     pub fn reloaded(&self, settings: &EntrySettings) {
         let same = *settings == self.shared.settings;
         info!(same, "host: settings read again");
     }
 
-    /// Leaves: says that it is not ready, serves what comes until callers have moved on, and
-    /// returns when nothing is open or the grace period is over.
+    /// Shuts down gracefully: reports not ready, serves calls until callers have moved to other
+    /// hosts, and returns when no request is open or the grace period is nearly over.
     pub async fn leave(&self) {
         let shared = &self.shared;
         shared.leaving.set(Some(clock::now()));
--- a/crates/entry/src/keeping.rs
+++ b/crates/entry/src/keeping.rs
@@ -1,4 +1,4 @@
-//! Keeping turns: the store has each before the end of its answer is passed on.
+//! Persists turns: a turn is written to the store before the end of its stream is forwarded.
 
 use std::rc::Rc;
 
@@ -16,15 +16,15 @@
 use crate::turns::{Continuation, row_key};
 use crate::{clock, retention, store};
 
-/// Why a turn is not in the store.
+/// Why a turn could not be written to the store.
 #[derive(Clone, Copy, Debug)]
 struct NotStored {
     reason: &'static str,
-    /// Whether no further write can change that.
+    /// Whether retrying the write cannot succeed.
     is_final: bool,
 }
 
-/// What came of a write.
+/// The result of a write.
 type Result<T> = std::result::Result<T, NotStored>;
 
 impl NotStored {
@@ -33,23 +33,24 @@
     }
 }
 
-/// A turn that has ended and is to be kept.
+/// A turn that has ended and must be persisted.
 struct EndedTurn<'a> {
     call: &'a Call,
     key: TurnKey,
     turn: Rc<Turn>,
-    /// Its row.
+    /// The row's value.
     value: Rc<str>,
     at: Instant,
 }
 
-/// Keeps a turn whose stream has ended, if its route keeps turns. Until then its end may not be
-/// passed on: the caller could continue it at another host, or after all hosts lost power. So only
-/// the store counts, however many hosts have the turn in memory.
+/// Writes a turn whose stream has ended to the store, if its route stores turns. The end of the
+/// stream must not be forwarded before, because the caller could then continue the turn at another
+/// host, or after all hosts lost power. For the same reason copies in the memory of other hosts do
+/// not count.
 ///
 /// # Errors
 ///
-/// Returns why, if the turn could not be kept while its caller waits.
+/// Returns the reason if the turn could not be written before the caller's deadline.
 pub(crate) async fn keep(
     call: &Call,
     continuation: &Continuation,
@@ -80,12 +81,13 @@
 }
 
 impl EndedTurn<'_> {
-    /// Writes the turn until the store has it, or no further write is worth while.
+    /// Writes the turn until the store has it or retrying is pointless.
     async fn store(&self) -> std::result::Result<(), &'static str> {
         let mut keeping = Keeping::default();
 
         loop {
-            // The write goes on when the caller leaves, so that the row is deleted in time.
+            // The task continues if the caller disconnects, so that a row that gets written is also
+            // tracked for deletion.
             let writing = tokio::task::spawn_local(write_and_note(
                 Rc::clone(&self.call.shared),
                 self.key,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Decides what to do after a write that failed.
+    /// Decides what to do after a failed write.
     fn next(&self, keeping: &mut Keeping, failure: NotStored) -> Next {
         let NotStored { reason, is_final } = failure;
         let shared = &self.call.shared;
@@ -124,7 +126,7 @@
     }
 }
 
-/// Writes the row of a turn, and takes note that the store has it.
+/// Writes the row of a turn and tracks it for deletion after its retention.
 async fn write_and_note(shared: Rc<Shared>, key: TurnKey, value: Rc<str>) -> Result<()> {
     write(&shared, key, &value).await?;
     retention::written(&shared, key);
@@ -142,9 +144,9 @@
 
     let read = PlatformOp::Read(vec![row_key(key)]);
 
-    // Writing it a second time is harmless: the row is there only once, and only this turn can
-    // have written it with this content. Reading tells whether a write whose answer was lost
-    // took effect. The second time may go through another host.
+    // Repeating the write is harmless: the check allows the row to be created only once, and only
+    // this turn writes this content. After a lost answer, reading the row tells whether the write
+    // was applied. The second attempt may go through another host.
     for _ in 0..2 {
         match store::ask(shared, PlatformOp::Commit(tx.clone())).await {
             PlatformReply::Committed(_) => return Ok(()),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! An entry host on the users' platform: it takes any call of a caller, finds its route and
-//! target, and forwards it.
+//! An entry host on the users' platform. It accepts all calls of callers, determines the route and
+//! the target of each, and forwards it.
 //!
-//! Everything runs on one thread: a host has half a core or less, and a second thread would
-//! cost a switch for each call. Decisions are made by `camphorwalk_policy::entry`, which does no
-//! I/O; this crate carries them out.
+//! Everything runs on one thread, because a host has half a core or less and a second thread would
+//! cost a context switch for each call. Decisions are made by `camphorwalk_policy::entry`, which
+//! does no I/O; this crate carries them out.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -1,4 +1,4 @@
-//! Newer manifests that other hosts have.
+//! Transfers of newer manifests between hosts.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,23 +23,23 @@
 /// The state of manifest transfers to and from this host.
 #[derive(Default)]
 pub(crate) struct Manifests {
-    /// Whether a newer one is waited for, or requested from another host.
+    /// Whether this host is waiting for a newer manifest, or has requested one from another host.
     is_fetching: Cell<bool>,
-    /// When a part of one last came from the store, or one was read and the next asked for.
+    /// When a part of a manifest was last received from the store, or the processing of one ended.
     last_progress: Cell<Option<Instant>>,
     /// Transfers to other hosts.
     transfers: RefCell<Transfers>,
-    /// Hosts that refused to send theirs are not asked for a while.
+    /// Hosts that recently refused to send their manifest and are not asked for a while.
     backoff: RefCell<Backoff>,
 }
 
 impl Manifests {
-    /// Notes that a transfer from the store makes progress.
+    /// Records that a transfer from the store makes progress.
     pub(crate) fn note_progress(&self) {
         self.last_progress.set(Some(clock::now()));
     }
 
-    /// Takes in which version another host told that it has.
+    /// Records the manifest version that another host has reported.
     fn told(&self, host: HostId, version: u64) {
         self.transfers.borrow_mut().told(host, version);
     }
@@ -50,12 +50,12 @@
     }
 }
 
-/// Takes in that another host has a manifest of this version. If it is newer than the one in force
-/// and the store does not bring it, it is asked for.
+/// Handles the manifest version that another host has reported. If it is newer than the one in
+/// force and does not arrive from the store, it is requested from a host.
 ///
-/// The store turns some hosts away while it answers others. If all of these sent their manifest
-/// unasked, a host that is turned away would get it from each of them, again with each of their
-/// news, until its link is full. So it asks one of them at a time.
+/// The store may refuse some hosts while it answers others. If all of the others sent their
+/// manifest unasked, a refused host would receive it from each of them with each status update,
+/// until its link is saturated. So the host requests it, from one host at a time.
 pub(crate) fn heard_version(shared: &Rc<Shared>, from: HostId, version: u64) {
     shared.manifests.told(from, version);
     if version <= shared.manifest_version() || shared.manifests.is_fetching.replace(true) {
@@ -69,7 +69,7 @@
     });
 }
 
-/// Waits for a newer manifest, and asks one host for it if the store does not bring it.
+/// Waits for a newer manifest, and requests it from a host if it does not arrive from the store.
 async fn seek(shared: &Shared, version: u64) {
     let heard = clock::now();
 
@@ -89,14 +89,15 @@
     }
 }
 
-/// Asks a host for its manifest. Without one the next news lead to a new question.
+/// Requests the manifest from a host. If it does not arrive, the next status update starts another
+/// request.
 async fn ask_peer(shared: &Shared, version: u64) {
     let own = shared.manifest_version();
     let may_ask = |host: &HostId| shared.manifests.may_ask(*host);
     let Some(host) = shared.fleet.manifest_peer(own, may_ask) else { return };
     let asked = clock::now();
 
-    // The manifest itself comes before the reply.
+    // The manifest itself arrives before the reply.
     let reply = tokio::select! {
         reply = asks::ask_on(shared, host, &Ask::Manifest) => reply,
         () = no_answer(shared, host, asked) => None,
@@ -109,15 +110,15 @@
     info!(host = host.0, own, version, ?reply, ?took, "manifest: asked for at another host");
 }
 
-/// Waits until no answer can be expected to a question.
+/// Waits until a request can no longer be expected to get a reply.
 async fn no_answer(shared: &Shared, host: HostId, asked: Instant) {
     while question(clock::now(), asked, shared.fleet.heard_at(host)) == Question::Wait {
         sleep(QUESTION_PERIOD).await;
     }
 }
 
-/// Sends the manifest in force to another host that asked for it, unless enough copies are under
-/// way.
+/// Sends the manifest in force to another host that requested it, unless too many transfers are in
+/// progress.
 pub(crate) fn tell(shared: &Shared, to: HostId) -> Reply {
     let version = shared.manifest_version();
     let decision = shared.manifests.transfers.borrow_mut().asked(clock::now(), to, version);
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a host counts.
+//! The metrics of a host.
 
 use prometheus::{
     Encoder as _, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
@@ -7,58 +7,59 @@
     register_int_counter_with_registry, register_int_gauge_with_registry,
 };
 
-/// Bounds of latencies, in seconds: from a call within a zone to the longest time limit.
+/// Bucket bounds of latencies, in seconds: from a call within a zone to the longest time limit.
 const LATENCY_BOUNDS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 2.0, 4.0, 8.0];
 
-/// Bounds of waits, in seconds: from none to the longest that a call waits.
+/// Bucket bounds of waiting times, in seconds: from no wait to the longest that a call waits.
 const WAIT_BOUNDS: [f64; 7] = [0.001, 0.005, 0.02, 0.05, 0.2, 0.8, 4.0];
 
-/// The counters of a host.
+/// The metrics of a host and their registry.
 pub(crate) struct Metrics {
     registry: Registry,
     /// Answers by route and status.
     pub(crate) answers: IntCounterVec,
-    /// The time to an answer's head, by route.
+    /// The time from a request to the head of its answer, by route.
     pub(crate) latency: HistogramVec,
-    /// The time to an answer's head, by tenant. There are some hundred tenants at most.
+    /// The time from a request to the head of its answer, by tenant. There are a few hundred
+    /// tenants at most.
     pub(crate) tenant_latency: HistogramVec,
-    /// Answers of our own by reason.
+    /// Answers that the host made itself, by reason.
     pub(crate) refusals: IntCounterVec,
-    /// Calls sent again, by reason.
+    /// Calls that were sent to another target or resumed, by reason.
     pub(crate) resends: IntCounterVec,
-    /// Calls that waited for a place.
+    /// Calls that had to wait for a place.
     pub(crate) waited: IntCounter,
-    /// How long those that got one waited.
+    /// How long calls waited for the place that they got.
     pub(crate) place_wait: Histogram,
-    /// How long calls waited for a token of their tenant's rate.
+    /// How long calls waited for a token of their tenant's rate limit.
     pub(crate) rate_wait: Histogram,
-    /// Targets that got no calls for a while after failures.
+    /// Ejections: targets that get no calls for a while after failures.
     pub(crate) ejections: IntCounter,
     /// New connections to targets.
     pub(crate) connects: IntCounter,
     /// The version of the manifest in force.
     pub(crate) manifest_version: IntGauge,
-    /// Other hosts that asked for the manifest, by what came of it.
+    /// Requests of other hosts for the manifest, by outcome.
     pub(crate) manifest_copies: IntCounterVec,
-    /// Whether the host takes itself for cut off.
+    /// Whether the host considers itself cut off.
     pub(crate) isolated: IntGauge,
-    /// Writes of turns that failed, by reason.
+    /// Failed writes of turns, by reason.
     pub(crate) keep_failures: IntCounterVec,
-    /// How long turns that had ended waited until they were kept.
+    /// The time from the end of a turn until it was persisted.
     pub(crate) keep_wait: Histogram,
-    /// Grants made without the store, by this host.
+    /// Provisional grants that this host made without the store.
     pub(crate) loose_grants: IntCounter,
-    /// Operations on the store that another host ran.
+    /// Operations on the store that were relayed through another host.
     pub(crate) relayed: IntCounter,
-    /// Turns read from the store because they were not at hand.
+    /// Turns that were read from the store because they were not in memory.
     pub(crate) turn_reads: IntCounter,
-    /// Turns that another host sent.
+    /// Turns that were received from another host.
     pub(crate) turns_fetched: IntCounter,
 }
 
 impl Metrics {
-    /// Makes the counters.
+    /// Creates and registers the metrics.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
         let r = Registry::new();
         let latency = |name, help, label: &str| {
@@ -155,7 +156,7 @@
         &self.registry
     }
 
-    /// Returns all figures as text.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
 
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -1,9 +1,9 @@
-//! What hosts tell each other several times a second: what they have under way, what came of it,
-//! and what they believe of the store.
+//! Status updates, which hosts send each other several times a second: calls in flight, tenants'
+//! demand, prompts and crashes, and whether the store answers.
 //!
-//! Hosts of an availability zone tell each other more often than those of others. The next call
-//! mostly goes to a target of its own zone, and what is in flight there changes within the time
-//! of a call; news to all hosts as often would take most of a small host's processor.
+//! Hosts of the same availability zone are updated more often than the others. A call mostly goes
+//! to a target of its own zone, where the load changes within the duration of a call. Updating all
+//! hosts as often would take most of the processor time of a small host.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,37 +26,37 @@
 use crate::host::Shared;
 use crate::{clock, manifests, places};
 
-/// How often a host tells its news to few others. Calls take a fifth of a second; within this time
-/// no host can fill a target that others think idle.
+/// The shortest period of status updates. A call takes about a fifth of a second, so no host can
+/// fill a target within this period while the others still think it idle.
 const LEAST_PERIOD: Duration = Duration::from_millis(100);
 
-/// What each host that is told adds to that period, so that a host's messages stay under a few
-/// hundred a second at any size.
+/// The period is at least this long for each receiver, so that a host sends no more than a few
+/// hundred messages a second in a fleet of any size.
 const PERIOD_PER_HOST: Duration = Duration::from_millis(5);
 
-/// How often hosts tell each other of all tenants, not only of those of which something has
-/// changed: news that were lost are made up for after this time at the latest. A host that was away
-/// or has just started is told of all at once.
+/// How often the demand of all tenants is sent instead of only the changes. Lost updates are
+/// repaired after this time at the latest. A host that was silent or has just started gets the
+/// demand of all tenants at once.
 const ALL_DEMAND_PERIOD: Duration = Duration::from_secs(10);
 
-/// Returns how often so many hosts are told.
+/// Returns the period of status updates to this many hosts.
 fn period(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
 
     LEAST_PERIOD.max(PERIOD_PER_HOST.saturating_mul(hosts))
 }
 
-/// What came up since hosts were told last. All else in the news is as it stands.
+/// What has changed since the last status update. The rest of an update is the current state.
 #[derive(Clone, Default)]
 struct Changes {
-    /// The last parts of the prompts that were sent to each target.
+    /// The last part of each prompt that was sent to a target, by target.
     prompts: Map<Box<str>, Vec<Part>>,
     demand: Map<Box<str>, TenantNews>,
     crashes: Vec<CrashNews>,
 }
 
 impl Changes {
-    /// Takes what came up at this host since this was called last.
+    /// Takes the changes at this host since the previous call.
     fn take(shared: &Shared) -> Self {
         Self {
             prompts: shared.targets.borrow_mut().take_news().into_iter().collect(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Adds what came up later.
+    /// Adds changes that came later.
     fn add(&mut self, later: Changes) {
         for (target, parts) in later.prompts {
             self.prompts.entry(target).or_default().extend(parts);
@@ -75,17 +75,18 @@
     }
 }
 
-/// The hosts that were told of all tenants, and have not been silent or started again since.
+/// The hosts that have received the demand of all tenants, and have not been silent or restarted
+/// since.
 #[derive(Default)]
 pub(crate) struct ToldAll(RefCell<Set<HostId>>);
 
 impl ToldAll {
-    /// Takes in that a host may not know what it was told.
+    /// Removes a host that may have missed earlier updates.
     fn forget(&self, host: HostId) {
         self.0.borrow_mut().remove(&host);
     }
 
-    /// Parts hosts into those that were told of all tenants and the others.
+    /// Splits hosts into those that have received the demand of all tenants, and the others.
     fn part(&self, hosts: Vec<HostId>) -> (Vec<HostId>, Vec<HostId>) {
         let told = self.0.borrow();
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// Tells the other hosts what is under way, again and again.
+/// Periodically sends status updates to the other hosts.
 pub(crate) async fn tell(shared: Rc<Shared>, peers: Peers) {
     let mut told_all_demand = Instant(0);
     let mut told_far = Instant(0);
@@ -122,12 +123,14 @@
     }
 }
 
-/// Tells hosts what changed, and those that may not know the rest of all tenants.
+/// Sends a status update to some hosts, with the demand of all tenants to those that may not know
+/// it.
 fn send(shared: &Shared, peers: &Peers, hosts: Vec<HostId>, changes: &Changes) {
     let (told, untold) = shared.told_all.part(hosts);
     let to_all = |hosts: &[HostId], news: EntryNews| {
-        // What is as it stands is told again in the next round. What came up is lost with news that
-        // do not go out: prompts are read again, and admitted calls are told as a total.
+        // The current state is sent again in the next round. The changes in an update that cannot
+        // be sent are lost. That is harmless: a target may process a prompt again, and admitted
+        // calls are counted as a running total.
         hosts
             .iter()
             .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryNews(news.clone()))))
@@ -192,7 +195,7 @@
     Prompts { target: target.into(), parts, tokens }
 }
 
-/// Takes in the news of another host.
+/// Applies a status update of another host.
 pub(crate) fn take_in(shared: &Rc<Shared>, from: HostId, news: EntryNews) {
     let now = clock::now();
     let heard = Heard {
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -1,4 +1,5 @@
-//! Places at targets: a call gets one at once, or waits for one.
+//! Places at targets. A call needs one to be sent to a target, and waits in a queue while none is
+//! free.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,22 +18,21 @@
 use crate::clock;
 use crate::host::Shared;
 
-/// When a call that finds no target at all is told to come back, if nothing is known.
+/// Retry-After of a call for which no target is usable, if no ejected target is due to return.
 const NOWHERE_RETRY: Duration = Duration::from_millis(300);
 
-/// The time that a new program is told to stay away from a full service: about the hold of one
-/// place.
+/// Retry-After of a new program while its service is full: about as long as a call holds its place.
 const FULL_RETRY: Duration = Duration::from_millis(250);
 
-/// The longest time that a call is told to stay away.
+/// The longest Retry-After of a call that would wait beyond its deadline.
 const LONGEST_RETRY: Duration = Duration::from_secs(1);
 
-/// How long a new program may wait for a place: a quarter of the objective of its first event.
-/// After that it is better told to come back than kept.
+/// How long a new program may wait for a place: a quarter of the latency objective of its first
+/// event. Beyond that a quick refusal serves the caller better than more waiting.
 const NEW_WAIT: Duration = Duration::from_millis(50);
 
-/// While so many calls wait, a new program is refused at once: none of the places that become
-/// free within its wait would be its own.
+/// A new program is refused at once while this many calls wait: they would take all places that
+/// become free within [`MAX_NEW_WAIT`].
 const MOST_NEW_WAITING: usize = 4;
 
 struct Waiter {
@@ -40,16 +40,16 @@
     tx: oneshot::Sender<Place>,
 }
 
-/// The calls that wait at this host.
+/// The calls that wait for a place at this host.
 pub(crate) struct Places {
     waiting: RefCell<Waiting>,
     waiters: RefCell<Map<WaiterId, Waiter>>,
     next: Cell<u64>,
-    /// Programs that have run something at this host.
+    /// Programs that have run a turn at this host.
     under_way: RefCell<Recent<u64, ()>>,
 }
 
-/// How many programs are remembered as under way.
+/// How many running programs are remembered.
 const PROGRAMS_REMEMBERED: usize = 8_192;
 
 impl Default for Places {
@@ -64,7 +64,7 @@
 }
 
 impl Places {
-    /// Takes in that a program runs a turn here.
+    /// Records that a program runs a turn at this host.
     pub(crate) fn began(&self, program: Option<&str>) {
         let Some(program) = program else { return };
 
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    /// Returns whether a program has run something at this host.
+    /// Returns whether a program has run a turn at this host.
     pub(crate) fn is_under_way(&self, program: Option<&str>) -> bool {
         let Some(program) = program else { return false };
         let program = stable_hash(&[program.as_bytes()]);
@@ -93,23 +93,24 @@
     }
 }
 
-/// A place at a target. Dropped without an outcome it counts as left by its caller.
+/// A place at a target. Dropping it without an outcome counts as abandoned by the caller.
 pub(crate) struct Place {
     shared: Rc<Shared>,
     /// The target.
     pub(crate) key: TargetKey,
     service: Box<str>,
     taken: Instant,
-    /// The prompt tokens that are to be read, as far as is known.
+    /// The estimated prompt tokens that the target must process for the call.
     missing: u32,
-    /// The events that the target has made, and when the first and the last one came.
+    /// The number of events that the target has generated, and when the first and the last of them
+    /// came.
     events: u32,
     came: Option<(Instant, Instant)>,
     ended: bool,
 }
 
 impl Place {
-    /// Takes a place for a call that is sent now.
+    /// Takes a place for a call that is about to be sent.
     fn new(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Self {
         let missing = shared.targets.borrow_mut().sent(key, shape);
 
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Takes in that the target made events of a stream.
+    /// Records that the target has generated events of a stream.
     pub(crate) fn made(&mut self, events: u32) {
         let now = clock::now();
 
@@ -138,19 +139,20 @@
         self.events += events;
     }
 
-    /// Returns the target's id, and what all hosts have in flight there as this one knows.
+    /// Returns the target's id and the number of calls that all hosts have in flight there, as far
+    /// as this host knows.
     pub(crate) fn target(&self) -> (Box<str>, u32) {
         let targets = self.shared.targets.borrow();
 
         targets.get(self.key).map_or_else(Default::default, |t| (t.entry.id.clone(), t.load()))
     }
 
-    /// Ends the call at its target.
+    /// Frees the place with the outcome of the call.
     pub(crate) fn end(mut self, outcome: Outcome) {
         self.finish(outcome);
     }
 
-    /// Ends the call with a whole answer.
+    /// Frees the place after a complete answer.
     pub(crate) fn answered(self) {
         let now = clock::now();
         let held = now.since(self.taken);
@@ -184,7 +186,7 @@
     }
 }
 
-/// A waiting call; dropping it takes it out of the queue.
+/// A waiting call. Dropping it removes the call from the queue.
 struct Queued<'a> {
     shared: &'a Rc<Shared>,
     service: &'a str,
@@ -200,7 +202,7 @@
     }
 }
 
-/// Gets a place at a target of a service, waiting for one until the urgency's deadline.
+/// Takes a place at a target of a service. Waits for one until the deadline in `urgency`.
 pub(crate) async fn take(
     shared: &Rc<Shared>,
     service: &str,
@@ -235,7 +237,7 @@
     wait(shared, service, shape, urgency).await
 }
 
-/// Refuses a new program while no target has room for one.
+/// Refuses a new program if no target has room for it.
 pub(crate) fn may_begin(shared: &Shared, service: &str, shape: &Shape) -> Result<(), Refusal> {
     match shared.targets.borrow().choose(clock::now(), service, shape) {
         Choice::Full => Err(full()),
@@ -243,8 +245,8 @@
     }
 }
 
-/// Returns how long a call will wait by what goes before it at this host, which gets an even
-/// share of the places that become free.
+/// Estimates how long a call will wait behind the calls ahead of it at this host, which gets an
+/// even share of the places that become free.
 fn expected_wait(shared: &Shared, service: &str, urgency: Urgency) -> Duration {
     let ahead = shared.places.waiting.borrow().ahead(service, urgency);
     let targets = shared.targets.borrow();
@@ -254,13 +256,13 @@
     targets.mean_hold(service).mul_f64(ahead as f64 / places)
 }
 
-/// The answer to a new program while all targets are taken.
+/// Returns the refusal of a new program while all targets are full.
 fn full() -> Refusal {
     Refusal::later_spread("all targets are full", FULL_RETRY)
 }
 
-/// Takes a place at a target that a call was at before, whatever waits for it: the call held
-/// its slot until now.
+/// Takes a place at the target that already runs the call, ahead of all waiting calls, because the
+/// call has held its slot until now.
 pub(crate) fn same(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Place {
     Place::new(shared, service, key, shape)
 }
@@ -300,7 +302,7 @@
     }
 }
 
-/// Gives free places of a service to the calls that wait, in their order.
+/// Assigns free places of a service to the waiting calls, in the order of the queue.
 pub(crate) fn wake(shared: &Rc<Shared>, service: &str) {
     loop {
         let places = &shared.places;
@@ -318,14 +320,14 @@
         places.waiting.borrow_mut().remove_first(service);
         let Some(waiter) = places.waiters.borrow_mut().remove(&id) else { continue };
 
-        // Dropping the sender of a call that has nowhere to go tells it so.
+        // Without a usable target, dropping the sender wakes the call with an error.
         let Choice::Target(key) = choice else { continue };
-        // If the call has gone meanwhile, its place is dropped and free again.
+        // If the call has ended in the meantime, the place is dropped and becomes free again.
         drop(waiter.tx.send(Place::new(shared, service, key, &waiter.shape)));
     }
 }
 
-/// Gives free places of all services.
+/// Assigns free places of all services.
 pub(crate) fn wake_all(shared: &Rc<Shared>) {
     let services = shared.places.waiting.borrow().services();
 
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer is passed on whole.
+//! Forwards calls whose answer is received completely before it is passed to the caller.
 
 use std::time::Duration;
 
@@ -14,23 +14,24 @@
 use crate::forward::{self, Sending, Sent, Started};
 use crate::{clock, places};
 
-/// The most targets that a call is offered to while each says that it has not run it.
+/// To how many targets a call is sent, as long as each of them has certainly not run it.
 const MOST_OFFERS: u32 = 4;
 
-/// An idempotent call goes to another target when its answer takes this many times its route's
-/// objective: far over the longest work of such a call, and a fraction of what callers wait.
+/// An idempotent call is sent to another target if the answer's head takes longer than this many
+/// times the latency objective of the route. This is far beyond the longest regular work of such a
+/// call, and a fraction of the time that callers wait.
 const SILENT_OBJECTIVES: u32 = 3;
 
-/// The least time that an answer may take before the call goes elsewhere.
+/// The least time to wait for an answer's head before the call is sent to another target.
 const LEAST_PATIENCE: Duration = Duration::from_millis(150);
 
-/// The most bytes of an answer that is taken whole.
+/// The maximum size of an answer's body.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// When a call that all targets refused is told to come back: after about one call's work.
+/// Retry-After of a call that all targets refused: about the duration of one call.
 const FULL_RETRY: Duration = Duration::from_millis(120);
 
-/// Forwards a call until a target answers it.
+/// Sends a call to targets until one of them answers.
 pub(crate) async fn forward(call: &Call) -> Result<Answer, Refusal> {
     let may_repeat = call.route().repeat == Repeat::Idempotent;
     let mut shape = call.shape();
@@ -75,7 +76,7 @@
     }
 }
 
-/// Returns how long an answer's head may take.
+/// Returns how long to wait for an answer's head.
 fn patience(call: &Call, can_go_on: bool) -> Duration {
     let left = clock::until(call.deadline);
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// Takes an answer whole, and passes it on if it is the target's own.
+/// Receives the whole answer, and returns it if it is valid.
 async fn finish(call: &Call, started: Started, offers: u32) -> Result<Answer, &'static str> {
     let Started { response, head, connection, place } = started;
     let (parts, body) = response.into_parts();
@@ -115,10 +116,10 @@
     Ok(answer)
 }
 
-/// Returns why an answer cannot be passed on, if it cannot.
+/// Returns why an answer must not be passed to the caller, if so.
 ///
-/// A success counts only if it is signed. A status that promises that the call has not run may
-/// be passed on only if the target made that promise, which is known from its head alone.
+/// A successful answer must be signed. Some statuses promise that the call has not run. They are
+/// only passed on if the target made that promise explicitly in the head, which was handled before.
 pub(crate) fn fault(status: StatusCode, head: &head::AnswerHead) -> Option<&'static str> {
     let promises = matches!(
         status,
--- a/crates/entry/src/probes.rs
+++ b/crates/entry/src/probes.rs
@@ -1,4 +1,4 @@
-//! What the platform asks of a host: whether it is ready, and its metrics.
+//! The endpoints for the platform: readiness and metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 use crate::errors::{Error, Result};
 use crate::host::Shared;
 
-/// Starts to answer at the addresses of the settings; returns where it is asked whether the
-/// host is ready.
+/// Starts to listen on the readiness and metrics addresses of the settings. Returns the readiness
+/// address.
 pub(crate) async fn start(shared: &Rc<Shared>) -> Result<SocketAddr> {
     listen(shared, shared.settings.metrics).await?;
     listen(shared, shared.settings.ready).await
@@ -46,7 +46,7 @@
             });
 
             tokio::task::spawn_local(async move {
-                // Whoever asks may hang up at any time.
+                // The client may disconnect at any time.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -1,4 +1,4 @@
-//! Following the entries under which targets register themselves in the store.
+//! Follows the table of the store in which targets register themselves.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -21,19 +21,21 @@
 use crate::host::Shared;
 use crate::{clock, places, store};
 
-/// The most rows of one page of a whole read.
+/// The page size of a full read of the table.
 const PAGE_ROWS: u32 = 500;
 
-/// The least pause between two looks for lapsed targets: while the store is silent none ends.
+/// The shortest pause between two checks for lapsed entries that expire. No entry expires while the
+/// store does not answer, so an overdue expiry must not cause a busy loop.
 const LEAST_EXPIRE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Starts to follow them.
+/// Starts the tasks that follow the table.
 pub(crate) fn start(shared: &Rc<Shared>) {
     tokio::task::spawn_local(follow(Rc::clone(shared)));
     tokio::task::spawn_local(expire(Rc::clone(shared)));
 }
 
-/// Ends the grace of lapsed targets in time, however long the store lets questions wait.
+/// Ends the grace periods of lapsed entries on time, independently of how long the store takes to
+/// answer.
 async fn expire(shared: Rc<Shared>) {
     loop {
         let ended = shared.target_table.borrow_mut().expire(clock::now());
@@ -63,13 +65,14 @@
     }
 }
 
-/// Returns whether the store may lack entries of living targets, which other hosts know.
+/// Returns whether the store may lack entries of running targets, which other hosts still know.
 fn expects_lapses(shared: &Shared) -> bool {
     shared.target_table.borrow().may_miss_rows(clock::now())
         && !shared.store.was_there_for(LAPSE_GRACE)
 }
 
-/// Asks the store for what changed, or for all entries if that is due. Returns whether it answered.
+/// Polls the store for changes, or for the whole table if that is due. Returns whether the store
+/// answered.
 async fn ask_store(shared: &Rc<Shared>, listed_at: &mut Option<Instant>) -> bool {
     let after = shared.target_table.borrow().as_of();
     let is_list_due = listed_at.is_none_or(|at| clock::now().since(at) >= RELIST_PERIOD);
@@ -87,11 +90,11 @@
     }
 }
 
-/// What came of a question to the store.
+/// The result of polling the store for changes.
 enum Answer {
-    /// It was taken in.
+    /// The changes were applied.
     Taken,
-    /// The changes cannot be told any more.
+    /// The store no longer has all changes since that version.
     HistoryGone,
     /// The store did not answer.
     None,
@@ -117,7 +120,7 @@
     }
 }
 
-/// Reads all entries. Returns whether the store answered.
+/// Reads the whole table. Returns whether the store answered.
 async fn list(shared: &Rc<Shared>, listed_at: &mut Option<Instant>) -> bool {
     let asked_at = clock::now();
     let mut rows = Vec::new();
@@ -131,9 +134,9 @@
             return false;
         };
         let page_rows: Vec<_> = page.written().map(entry_row).collect();
-        // Without a last row there is nothing to go on from.
+        // Without a last row there is no key from which to continue.
         let is_last = !page.has_more || page_rows.is_empty();
-        // What changes between two pages is told by the changes after the first.
+        // Rows that change while the pages are read are part of the changes after the first page.
         version.get_or_insert(page.version);
         after = page_rows.last().map(|row| row.id.clone()).unwrap_or_default();
         rows.extend(page_rows);
@@ -166,7 +169,7 @@
     EntryRow { id: row.key.key.clone(), version: row.version, entry }
 }
 
-/// Asks other hosts while the store lets this one wait.
+/// Asks other hosts for their copy of the table while the store keeps this host waiting.
 async fn learn_while_waiting(shared: &Rc<Shared>) -> Infallible {
     sleep(HEDGE_DELAY).await;
 
@@ -176,7 +179,7 @@
     }
 }
 
-/// Takes in the copy of another host, of one that the store answers if there is any.
+/// Fetches and applies the copy of another host, preferably of one that the store answers.
 async fn learn_from_peer(shared: &Rc<Shared>) {
     let Some(host) = shared.fleet.store_peer().or_else(|| shared.fleet.any_peer()) else { return };
     let asked_at = clock::now();
@@ -192,7 +195,7 @@
     carry_out(shared, Source::Peer, effects);
 }
 
-/// Carries out what knowledge of the entries comes to.
+/// Applies the effects of a change of the table to the targets in use.
 fn carry_out(shared: &Rc<Shared>, source: Source, effects: Vec<Effect>) {
     if effects.is_empty() {
         return;
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -1,4 +1,4 @@
-//! How long rows of turns and budgets lie in the store.
+//! Deletes rows of turns and budgets from the store when they are no longer needed.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -13,31 +13,31 @@
 use crate::turns::row_key;
 use crate::{budget, clock, store};
 
-/// How much longer than its retention a turn's row stays, so that a turn that was read just
-/// before is still there when it is used.
+/// How long a turn's row is kept beyond its retention, so that a turn that was found just before
+/// its expiry still exists when it is used.
 const SWEEP_MARGIN: Duration = Duration::from_secs(30);
 
-/// How long programs may return where no route keeps turns.
+/// How long a program may pause between turns if no route stores turns.
 const DEFAULT_RETENTION: Duration = Duration::from_secs(60);
 
-/// How often rows that are past their time are deleted.
+/// How often expired rows are deleted.
 const SWEEP_PERIOD: Duration = Duration::from_secs(5);
 
-/// The most rows that one transaction deletes.
+/// The maximum number of rows that one transaction deletes.
 const SWEEP_BATCH: usize = 50;
 
-/// The rows that this host wrote, in the order of their writing.
+/// The rows that this host has written, oldest first.
 #[derive(Default)]
 pub(crate) struct Written {
     rows: VecDeque<(Instant, TurnKey)>,
 }
 
-/// Takes in that the store has a turn.
+/// Records that the row of a turn was written.
 pub(crate) fn written(shared: &Shared, key: TurnKey) {
     shared.written.borrow_mut().rows.push_back((clock::now(), key));
 }
 
-/// Starts to delete the rows of turns that can no longer be continued.
+/// Starts the task that deletes the rows of turns that can no longer be continued.
 pub(crate) fn start_sweeper(shared: &Rc<Shared>) {
     let shared = Rc::clone(shared);
 
@@ -52,8 +52,8 @@
 async fn sweep(shared: &Rc<Shared>) {
     let retention = longest_retention(shared).unwrap_or(DEFAULT_RETENTION);
 
-    // Budgets are needed for as long as a program may return, which is as long as its turns
-    // are kept.
+    // A budget is needed as long as its program may continue, which is as long as its turns are
+    // kept.
     let asked = clock::now();
     let old = shared.budgets.borrow_mut().forget(asked, retention + SWEEP_MARGIN);
     for (program, version) in old {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Takes out the oldest rows that lie in one part of the store.
+/// Removes and returns the oldest expired rows that are in the same part of the store.
 fn past_retention(shared: &Shared, age: Duration) -> Vec<RowKey> {
     let now = clock::now();
     let mut written = shared.written.borrow_mut();
@@ -92,8 +92,8 @@
     batch
 }
 
-/// Deletes rows. What fails is left lying: it does no harm, and the host that reads it finds a
-/// turn that was true.
+/// Deletes rows. A row whose deletion fails stays in the store. That is harmless, because the turn
+/// that it holds is still valid.
 async fn delete(shared: &Rc<Shared>, keys: Vec<RowKey>) {
     let rows = keys.len();
     let writes = keys.into_iter().map(|key| Write { key, value: None }).collect();
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -1,4 +1,5 @@
-//! The way to the platform's store: straight, or through another host that it answers.
+//! Access to the platform's store: directly, or relayed through another host that the store
+//! answers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,38 +18,39 @@
 use crate::host::Shared;
 use crate::{clock, grants};
 
-/// How long a reply through another host may take: that host's own tries, and the way.
+/// How long a relayed operation may take: the other host's own attempts and a round trip.
 const RELAY_DEADLINE: Duration = Duration::from_millis(600);
 
-/// How often what was made without the store is written, if the store answers. One round at a time
-/// is under way: rounds that overlap take all writes of a slow store for the same rows.
+/// How often provisional grants are written back while the store answers. Only one round runs at a
+/// time: overlapping rounds would use up the writes of a slow store for the same rows.
 const WRITE_BACK_PERIOD: Duration = Duration::from_millis(500);
 
-/// An operation without an answer for this long was tried several times: the store is silent.
+/// An operation that stays unanswered for this long was tried several times, so the store counts as
+/// unavailable.
 const LONG_SILENCE: Duration = Duration::from_millis(300);
 
-/// After how long without an answer to a write a call goes on in another way, while the write does
-/// too. The store answers a transaction in some 10 ms; when it is slow, in a quarter of a second
-/// and more, of which a program would lose a whole second.
+/// How long a call waits for a write before it continues in another way, while the write stays in
+/// progress. The store usually answers a transaction in about 10 ms. A slow store takes a quarter
+/// of a second or more per transaction, which would cost a program a whole second.
 pub(crate) const HEDGE_AFTER: Duration = Duration::from_millis(60);
 
-/// For how long other hosts are told that the store was slow: some periods of news.
+/// How long status updates report that the store was slow: several broadcast periods.
 const SLOW_TOLD: Duration = Duration::from_millis(500);
 
-/// The way to the store.
+/// A client of the store that tracks which parts of it are available.
 pub(crate) struct Store {
     client: Client,
     health: RefCell<StoreHealth>,
-    /// When it was last away or slow, for this host or another.
+    /// When the store was last slow or unavailable, for this host or another one.
     away_at: Cell<Option<Instant>>,
-    /// When it was last slow for this host.
+    /// When the store was last slow for this host.
     slow_at: Cell<Option<Instant>>,
-    /// Told when a part is back, or answers another host again.
+    /// Notified when a part recovers, for this host or for a peer.
     returned: Notify,
 }
 
 impl Store {
-    /// Makes the way; it connects when it is used.
+    /// Creates the client wrapper. Connections are made on first use.
     pub(crate) fn new(client: Client) -> Self {
         Self {
             client,
@@ -64,15 +66,15 @@
         self.health.borrow().answers()
     }
 
-    /// Returns whether all parts of the store answer this host, as far as they were asked.
+    /// Returns whether all parts of the store that were tried answer this host.
     pub(crate) fn answers_whole(&self) -> bool {
         let health = self.health.borrow();
 
         health.answers() && !health.misses_any()
     }
 
-    /// Returns whether the other hosts are to be told of trouble: the store or a part of it does
-    /// not answer this host, or was slow since the last news.
+    /// Returns whether status updates report trouble to the other hosts: the store or a part of it
+    /// does not answer this host, or was slow within the last broadcast periods.
     pub(crate) fn is_in_trouble(&self) -> bool {
         let now = clock::now();
         let is_slow = self.slow_at.get().is_some_and(|at| now.since(at) < SLOW_TOLD);
@@ -80,33 +82,34 @@
         is_slow || self.health.borrow().misses_any()
     }
 
-    /// Returns whether a part of the store that was tried within `lately` does not answer this host.
+    /// Returns whether a part of the store that was tried within `lately` does not answer this
+    /// host.
     pub(crate) fn missed_any(&self, lately: Duration) -> bool {
         self.health.borrow().missed_any(clock::now(), lately)
     }
 
-    /// Takes in that an answer of the store is overdue.
+    /// Records that an answer of the store is overdue.
     pub(crate) fn note_slow(&self, now: Instant) {
         self.slow_at.set(Some(now));
         self.away_at.set(Some(now));
     }
 
-    /// Waits until a part of the store is back, for this host or for one that it hears, for
-    /// `longest` at most.
+    /// Waits until a part of the store recovers, for this host or a live peer, for at most
+    /// `longest`.
     pub(crate) async fn wait_for_return(&self, longest: Duration) {
-        // That the time is over is as good a reason to look again.
+        // After a timeout the caller checks again as well.
         let _ = timeout(longest, self.returned.notified()).await;
     }
 
-    /// Takes in that the store answers another host again.
+    /// Records that the store answers another host again.
     pub(crate) fn returned_elsewhere(&self) {
         if !self.answers() {
             self.returned.notify_waiters();
         }
     }
 
-    /// Returns for how long the store has not answered this host, if it does not; `None` also if
-    /// it never has.
+    /// Returns for how long the store has not answered this host. Returns `None` if it does answer,
+    /// and also if it never has.
     pub(crate) fn silent_for(&self) -> Option<Duration> {
         self.health.borrow().silent_for(clock::now())
     }
@@ -116,12 +119,12 @@
         self.health.borrow().has_answered()
     }
 
-    /// Takes in that the store does not answer some host.
+    /// Records that the store does not answer some host.
     pub(crate) fn away_somewhere(&self, now: Instant) {
         self.away_at.set(Some(now));
     }
 
-    /// Returns whether the store answered all hosts, as far as is known, for this long.
+    /// Returns whether all hosts, as far as is known, could use the store for this long.
     pub(crate) fn was_there_for(&self, time: Duration) -> bool {
         self.away_at.get().is_none_or(|at| clock::now().since(at) > time)
     }
@@ -132,7 +135,7 @@
     key.split_once('/').map_or("", |(part, _)| part)
 }
 
-/// Returns the name of the part of the store that an operation is on.
+/// Returns the name of the part of the store that an operation accesses.
 fn part(op: &PlatformOp) -> &str {
     match op {
         PlatformOp::Commit(tx) => {
@@ -145,8 +148,8 @@
     }
 }
 
-/// Runs an operation for a call: at once without an answer if neither the store nor a host that
-/// reaches it answers.
+/// Runs an operation for a call. Returns `Unavailable` without delay if the store is known to be
+/// unavailable both directly and through other hosts.
 pub(crate) async fn ask(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     let is_held_up = {
         let mut health = shared.store.health.borrow_mut();
@@ -159,7 +162,8 @@
     }
 }
 
-/// Runs an operation of the host's own, which also finds out whether the store is back.
+/// Runs an operation of a background task. It always tries the store directly first, and so detects
+/// its recovery.
 pub(crate) async fn probe(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     match ask_straight(shared, op.clone(), &|_| ()).await {
         PlatformReply::Unavailable => relay(shared, op).await,
@@ -167,8 +171,8 @@
     }
 }
 
-/// Runs an operation without another host's help. Calls `on_piece` with each piece of the store's
-/// answer, with its bytes so far.
+/// Runs an operation directly on the store. Calls `on_piece` with the number of bytes received so
+/// far, for each piece of the answer.
 pub(crate) async fn ask_straight(
     shared: &Rc<Shared>,
     op: PlatformOp,
@@ -182,7 +186,7 @@
         let mut health = shared.store.health.borrow_mut();
         match reply {
             PlatformReply::Unavailable => health.failed(began, &part),
-            // A store may lose answers to writes and answer all else.
+            // A store may lose the answers to writes while it answers all other operations.
             PlatformReply::Unknown if now.since(began) < LONG_SILENCE => None,
             PlatformReply::Unknown => health.failed(began, &part),
             _ => health.answered(now, &part),
@@ -203,8 +207,8 @@
     reply
 }
 
-/// Starts to write what was granted without the store: at once when a part is back, and now and then,
-/// since other hosts may know of grants that their owners could not write.
+/// Starts the task that writes provisional grants back to the store: as soon as a part recovers,
+/// and periodically, since this host may hold grants that their owners could not write.
 pub(crate) fn start_write_back(shared: &Rc<Shared>) {
     let shared = Rc::clone(shared);
 
@@ -219,10 +223,10 @@
     });
 }
 
-/// Has another host run an operation.
+/// Runs an operation through another host.
 async fn relay(shared: &Shared, op: PlatformOp) -> PlatformReply {
-    // A question that waits for changes would hold the other host's reply for longer than a
-    // reply is waited for.
+    // An operation that waits for changes would keep the other host's reply beyond the relay
+    // timeout.
     if matches!(op, PlatformOp::Changes { wait, .. } if !wait.is_zero()) {
         return PlatformReply::Unavailable;
     }
@@ -234,13 +238,13 @@
     match asks::ask(shared, host, &Ask::Store(op), RELAY_DEADLINE).await {
         Some(Reply::Store(reply)) => reply,
         Some(_) => PlatformReply::Unavailable,
-        // Without a reply the operation may have been run.
+        // The other host may have run the operation although no reply came.
         None => PlatformReply::Unknown,
     }
 }
 
-/// Runs an operation for another host. It is not passed on again: two hosts that each think that
-/// the other reaches the store would pass it to and fro.
+/// Runs an operation for another host. The operation is never relayed again: two hosts that each
+/// assume the other one reaches the store would pass it back and forth.
 pub(crate) async fn run_for_peer(shared: &Rc<Shared>, op: PlatformOp) -> Reply {
     match shared.store.answers() {
         true => Reply::Store(ask_straight(shared, op, &|_| ()).await),
--- a/crates/entry/src/stories.rs
+++ b/crates/entry/src/stories.rs
@@ -1,4 +1,4 @@
-//! Which calls' lines are logged when there are too many to log all.
+//! Samples the log lines of calls when there are too many to log all.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 
 use crate::clock;
 
-/// The most lines a second about calls that went well. A line costs about as much as a small
-/// message; with these, logs stay under a hundredth of what a host does at its usual load.
+/// The maximum number of lines a second about successful calls. A line costs about as much as
+/// sending a small message. At this rate logging stays below a hundredth of a host's work at its
+/// usual load.
 const MOST_LINES: u32 = 150;
 
-/// The time over which lines are counted.
+/// The interval over which lines are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// The highest level: one call in so many is logged, as a power of two.
+/// The highest sampling level: one call in two to the power of the level is logged.
 const MOST_LEVEL: u32 = 10;
 
-/// Chooses whole calls: all lines about a call are logged, or none but failures, which are
-/// always. All hosts choose the same calls at the same level.
+/// Samples whole calls: either all lines of a call are logged or none. Failures are always logged.
+/// All hosts select the same calls at the same level.
 pub(crate) struct Stories {
     /// One call in two to the power of this is logged.
     level: Cell<u32>,
@@ -29,7 +30,7 @@
 }
 
 impl Stories {
-    /// Begins with all calls.
+    /// Creates a sampler that selects all calls.
     pub(crate) fn new() -> Self {
         Self {
             level: Cell::new(0),
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer is a stream of events.
+//! Forwards calls whose answer is a stream of events.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,40 +21,40 @@
 use crate::turns::Continuation;
 use crate::{clock, keeping, places};
 
-/// The most targets that a turn is offered to while each says that it has not run it.
+/// To how many targets a turn is sent, as long as each of them has certainly not run it.
 const MOST_OFFERS: u32 = 4;
 
-/// How often a stream that broke goes on before it ends broken.
+/// How often a broken stream is resumed before the answer is broken off.
 const MOST_RESUMES: u32 = 3;
 
-/// When a turn that all targets refused is told to come back: after the time in which a place
-/// at one of them is free.
+/// Retry-After of a turn that all targets refused: about the time until one of them has a free
+/// place.
 const FULL_RETRY: Duration = Duration::from_millis(250);
 
-/// How a stream stands.
+/// The state of a stream.
 struct Progress {
-    /// The id of the last event that was passed on.
+    /// The id of the last event that was forwarded.
     last_event: Option<u64>,
-    /// How many events targets made for it.
+    /// The number of events received from targets.
     events: u64,
-    /// The data of the events passed on, each with a line feed.
+    /// The data of the forwarded events, each followed by a line feed.
     said: Vec<u8>,
-    /// To how many targets it was offered before the first event.
+    /// To how many targets the turn was sent until one started the stream.
     offers: u32,
     resumes: u32,
 }
 
-/// What comes next of a stream.
+/// What a stream produces next.
 enum Next {
-    /// Whole events, to be passed on.
+    /// Complete events, to be forwarded.
     Events(Bytes),
-    /// Its end.
+    /// The end of the stream.
     End,
-    /// It broke.
+    /// A failure.
     Broken(&'static str),
 }
 
-/// Forwards a turn until a target answers it, and then passes its events on as they come.
+/// Sends a turn to targets until one of them answers, and then forwards its events as they arrive.
 pub(crate) async fn forward(
     call: Rc<Call>,
     hold: Option<Hold>,
@@ -109,15 +109,16 @@
     Ok(answer)
 }
 
-/// Returns whether a stream of which nothing came may start at another target: only if it may
-/// be resumed, and the target that may have run it is gone.
+/// Returns whether a stream may start again at another target although one may have run it. Nothing
+/// was received so far. The stream must be resumable, and the target that may have run it must have
+/// crashed.
 fn may_start_again(call: &Call, crashed: bool) -> bool {
     call.route().repeat == Repeat::Stream { resumable: true }
         && crashed
         && !call.shared.crashes.borrow().is_barred(call.fingerprint())
 }
 
-/// Passes on a failure that a target answered instead of a stream.
+/// Forwards a failure that a target answered instead of a stream.
 async fn whole_failure(started: Started) -> Result<Answer, Refusal> {
     let (parts, body) = started.response.into_parts();
 
@@ -136,8 +137,8 @@
     }
 }
 
-/// Passes the events of a stream on, resumes it where that may be done, and keeps the turn
-/// before its end is passed on.
+/// Forwards the events of a stream. Resumes the stream if that is allowed, and persists the turn
+/// before forwarding the end.
 fn pieces(
     call: Rc<Call>,
     mut hold: Option<Hold>,
@@ -202,7 +203,7 @@
     }
 }
 
-/// Waits for whole events.
+/// Waits for complete events.
 async fn next(started: &mut Started, cutter: &mut Cutter, progress: &mut Progress) -> Next {
     loop {
         let data = match started.response.body_mut().frame().await {
@@ -224,7 +225,7 @@
         let mut bytes = BytesMut::new();
         let before = progress.events;
         while let Some(event) = cutter.next() {
-            // A target that resumes a stream may repeat what is there already.
+            // A target that resumes a stream may repeat events that were already forwarded.
             if event.id.is_some() && event.id <= progress.last_event {
                 continue;
             }
@@ -241,8 +242,8 @@
     }
 }
 
-/// Has a broken stream go on: at its own target, which counts as the same one, or if that is
-/// gone at another.
+/// Resumes a broken stream: at the same target if its process still runs, and otherwise at another
+/// one. The first counts as the same run of the call.
 async fn resume(
     call: &Rc<Call>,
     body: &Bytes,
@@ -292,7 +293,7 @@
     None
 }
 
-/// Counts a stream that ended whole, and keeps its connection.
+/// Logs a stream that ended without a failure, and returns its connection to the pool.
 fn keep_connection(call: &Call, started: Started, progress: &Progress) {
     let Started { head, connection, place, response } = started;
     let key = place.key;
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -1,4 +1,4 @@
-//! Turns that can be continued, as they are found: each is a row of the store.
+//! Looks up the earlier turns that a call continues. Each turn is a row of the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,28 +22,28 @@
 /// The table of turns.
 const TABLE: &str = "turns";
 
-/// When a caller is told to come back while it cannot be told whether a turn exists.
+/// Retry-After of a call while it cannot be determined whether its previous turn exists.
 const UNSURE_RETRY: Duration = Duration::from_millis(300);
 
-/// How long another host may take to find a turn: far more than the way, since a host that is
-/// late for an instant may be the only one that has it at hand.
+/// How long another host may take to look up a turn. This is far more than a round trip, because a
+/// host that is briefly slow may be the only one with the turn in memory.
 const FIND_DEADLINE: Duration = Duration::from_millis(150);
 
-/// How long another host may take to send a line: some times the usual time, and about that which
-/// the store takes for the turns of a line.
+/// How long another host may take to send a chain of turns: several times the usual time, and about
+/// as long as the store takes to return the turns.
 const LINE_DEADLINE: Duration = Duration::from_millis(20);
 
-/// What a turn continues from.
+/// The earlier turns that a turn continues.
 #[derive(Clone, Default)]
 pub(crate) struct Continuation {
-    /// The earlier turns, the oldest first.
+    /// The earlier turns, oldest first.
     earlier: Vec<Rc<Turn>>,
-    /// Their names.
+    /// The keys of the earlier turns, oldest first.
     pub(crate) line: Vec<TurnKey>,
 }
 
 impl Continuation {
-    /// Returns the whole prompt: what was said before and the new input.
+    /// Returns the whole prompt: the text of the earlier turns followed by the new input.
     pub(crate) fn body(&self, input: &Bytes) -> Bytes {
         if self.earlier.is_empty() {
             return input.clone();
@@ -56,11 +56,13 @@
     }
 }
 
-/// Refuses a turn that is to be kept and most likely cannot be within its caller's time.
+/// Refuses a turn that must be persisted if that is unlikely to succeed before the caller's
+/// deadline.
 ///
-/// Its answer promises that it can be continued, for which the store must have it. Other zones can keep
-/// what a host that is cut off cannot, and the balancer moves callers there. While the store is away for
-/// all, a target would run the turn for a caller that leaves before its end.
+/// Answering the turn promises that it can be continued, which requires it to be in the store. A
+/// host that is cut off refuses at once, because other zones can still reach the store and the load
+/// balancer moves callers there. During an outage of the store for all hosts, a target would run
+/// the turn for a caller that gives up before its end.
 pub(crate) fn may_be_kept(call: &Call) -> Result<(), Refusal> {
     let shared = &call.shared;
     if call.route().keeps.is_none() {
@@ -85,7 +87,7 @@
     }
 }
 
-/// Finds the turns that a call continues from.
+/// Loads the chain of earlier turns that a call continues.
 pub(crate) async fn continuation(call: &Call) -> Result<Continuation, Refusal> {
     let Some(previous) = call.head.previous.as_deref().filter(|_| call.route().keeps.is_some())
     else {
@@ -96,7 +98,7 @@
     let retention = call.route().keeps.map_or(Duration::ZERO, |keeps| keeps.retention);
     fetch_line(call, key).await;
     let last = read(shared, key).await?.ok_or_else(|| {
-        // A caller that is denied a turn gives up; only a host without any doubt does so.
+        // A caller gives up on a turn that does not exist, so this answer requires certainty.
         let certain = shared.knows_all_turns(retention);
         info!(request = %call.head.request_id, previous, certain, "turn: no such turn");
         match certain {
@@ -106,7 +108,7 @@
     })?;
 
     let earlier = last.line.iter().map(|key| async move {
-        // A turn's row is written after those of the turns before it.
+        // The row must exist, because a turn is written after the turns that it continues.
         read(shared, *key).await?.ok_or_else(|| unsure(shared))
     });
     let mut earlier = try_join_all(earlier).await?;
@@ -116,10 +118,10 @@
     Ok(Continuation { earlier, line })
 }
 
-/// Gets a line of turns from the host that had its last turn, if this one does not have it at hand.
+/// Fetches a chain of turns from the host that ran the last turn, if that turn is not cached here.
 ///
-/// The store has each turn too, but would be asked for each one of the line, and takes some
-/// milliseconds. Where no such host is known or it does not answer, the store is asked.
+/// The store has the turns too, but reading them takes one request for each and some milliseconds.
+/// If no such host is known or it does not answer, the turns are read from the store.
 async fn fetch_line(call: &Call, last: TurnKey) {
     let shared = &call.shared;
     if shared.turns.borrow().get(last).is_some() {
@@ -134,7 +136,7 @@
     turns.into_iter().for_each(|(key, turn)| at_hand.put(key, Rc::new(turn)));
 }
 
-/// Returns a turn and those before it in its line, as far as they are at hand.
+/// Returns a turn and the earlier turns of its chain, as far as they are cached.
 pub(crate) fn line_at_hand(shared: &Shared, last: TurnKey) -> Vec<(TurnKey, Turn)> {
     let turns = shared.turns.borrow();
     let Some(turn) = turns.get(last) else { return Vec::new() };
@@ -143,7 +145,7 @@
     keys.filter_map(|key| Some((key, Turn::clone(&*turns.get(key)?)))).collect()
 }
 
-/// Reads a turn; `None` if neither the store nor any known host has it.
+/// Reads a turn. Returns `None` if neither the store nor any known host has it.
 async fn read(shared: &Rc<Shared>, key: TurnKey) -> Result<Option<Rc<Turn>>, Refusal> {
     if let Some(turn) = shared.turns.borrow().get(key) {
         return Ok(Some(turn));
@@ -160,7 +162,7 @@
                 unsure(shared)
             })?
         }
-        // While the store does not answer, hosts that ran or read the turn have it.
+        // Without an answer from the store, hosts that ran or read the turn may still have it.
         _ => match find(shared, key).await {
             Search::Found(turn) => turn,
             Search::Nowhere if is_absent => return Ok(None),
@@ -173,20 +175,21 @@
     Ok(Some(turn))
 }
 
-/// What came of asking the other hosts for a turn.
+/// The result of asking the other hosts for a turn.
 enum Search {
-    /// One has it.
+    /// A host has the turn.
     Found(Turn),
-    /// All that are known have answered, and none has it.
+    /// All known hosts have answered, and none has the turn.
     Nowhere,
-    /// Some did not answer.
+    /// Some hosts did not answer.
     Unsure,
 }
 
-/// Asks all other hosts for a turn that the store did not give.
+/// Asks all known hosts for a turn that the store did not return.
 ///
-/// Whether hosts are heard does not tell whether one of them holds the turn: for most of a second
-/// after a cut all still count as heard. Only their answers do.
+/// Liveness alone does not tell whether a host may hold the turn, because for most of a second
+/// after a partition begins all hosts still count as live. So a missing answer leaves the result
+/// open.
 async fn find(shared: &Shared, key: TurnKey) -> Search {
     let hosts = shared.fleet.known_hosts();
     let mut replies: FuturesUnordered<_> = hosts
@@ -206,12 +209,12 @@
     search
 }
 
-/// Returns a turn if it is at hand.
+/// Returns a turn if it is cached.
 pub(crate) fn at_hand(shared: &Shared, key: TurnKey) -> Option<Turn> {
     shared.turns.borrow().get(key).map(|turn| Turn::clone(&turn))
 }
 
-/// Returns the row of a turn.
+/// Returns the key of a turn's row.
 pub(crate) fn row_key(key: TurnKey) -> RowKey {
     RowKey::new(TABLE, key.row())
 }
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -1,4 +1,4 @@
-//! Following the manifest in the store.
+//! Follows the manifest in the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,37 +13,38 @@
 use crate::host::Shared;
 use crate::{clock, store};
 
-/// How long the store may hold a question for changes of the manifest. A connection that fell
-/// silent shows after this time; the manifest must be in force after two seconds.
+/// How long the store may hold a request for changes of the manifest. A broken connection is
+/// noticed after this time. A new manifest must be in force within two seconds.
 const MANIFEST_WAIT: Duration = Duration::from_millis(1_200);
 
-/// The pause after a manifest came, before it is asked whether there is a newer one. Operators
-/// publish many in a second at times; each is read and understood whole by each host, and the last
-/// one is what counts. It is shorter than the silence of the store after which others are asked.
+/// The pause after a manifest was received, before the next one is requested. Operators may publish
+/// many manifests in a second. Each of them must be parsed completely by each host, but only the
+/// last one matters. The pause is shorter than the time after which a stalled store makes the host
+/// ask its peers.
 const MANIFEST_PAUSE: Duration = Duration::from_millis(150);
 
-/// The pause after a failed question.
+/// The pause after a failed request.
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
 
-/// The most rows of one question.
+/// The page size of a read of the table.
 const MOST_ROWS: u32 = 500;
 
-/// Starts to follow it.
+/// Starts the task that follows the manifest.
 pub(crate) fn start(shared: &Rc<Shared>) {
     tokio::task::spawn_local(follow_manifest(Rc::clone(shared)));
 }
 
-/// What came of asking the store for the manifest.
+/// The outcome of asking the store for the manifest.
 enum Followed {
-    /// What stood at this version is known.
+    /// The changes up to this version are known.
     UpTo(RowVersion),
-    /// The changes since then cannot be told any more.
+    /// The store no longer has the changes since that version.
     HistoryGone,
     /// The store did not answer.
     Failed,
 }
 
-/// Follows the manifest: reads its row, and again whenever the table changes.
+/// Follows the manifest: reads its row once, and again whenever the table changes.
 async fn follow_manifest(shared: Rc<Shared>) {
     let mut after = None;
 
@@ -76,9 +77,8 @@
     }
 }
 
-/// Asks the store, and no other host: one that has a newer manifest tells of it, and sends it
-/// once. If other hosts read it for a host that the store turns away, it would come again with
-/// each try.
+/// Asks the store directly. A relay through other hosts would transfer the manifest again with each
+/// retry, while a peer with a newer manifest announces it and sends it once.
 async fn ask_for_manifest(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     store::ask_straight(shared, op, &|_| shared.manifests.note_progress()).await
 }
@@ -97,7 +97,8 @@
         PlatformReply::Changes(changes) => {
             if !changes.changes.is_empty() {
                 adopt_newest(shared, &changes);
-                // Reading a long manifest takes time, and so does the pause.
+                // Parsing a long manifest takes time, and so does the pause. Neither means that the
+                // store stalls.
                 shared.manifests.note_progress();
                 sleep(MANIFEST_PAUSE).await;
                 shared.manifests.note_progress();
