--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -15,10 +15,10 @@
 /// chunk, so that the caller cannot mistake the answer for a complete one.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer broke off: {0}")]
-pub struct Broken(pub &'static str);
+pub struct BrokenBody(pub &'static str);
 
 /// The body of an answer that is forwarded as it arrives, in pieces.
-pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, Broken>>>>;
+pub type Pieces = Pin<Box<dyn Stream<Item = Result<Bytes, BrokenBody>>>>;
 
 /// The body of an answer.
 pub enum AnswerBody {
@@ -30,12 +30,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BrokenBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenBody>>> {
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Self::Pieces(pieces) => {
@@ -75,19 +75,19 @@
 
 impl Refusal {
     /// Creates a refusal of a call for which a retry would not help.
-    pub fn wrong(status: StatusCode, reason: &'static str) -> Self {
+    pub fn permanent(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after: None }
     }
 
     /// Creates a refusal of a call that has not run and may be retried after `after`.
-    pub fn later(reason: &'static str, after: Duration) -> Self {
+    pub fn retry_later(reason: &'static str, after: Duration) -> Self {
         Self { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry_after: Some(after) }
     }
 
-    /// Creates a refusal like [`Refusal::later`] for a situation that affects many callers. The
-    /// retry time is randomised, so that they do not all return at once.
-    pub fn later_spread(reason: &'static str, after: Duration) -> Self {
-        Self::later(reason, after.mul_f64(rand::rng().random_range(0.7..1.3)))
+    /// Creates a refusal like [`Refusal::retry_later`] for a situation that affects many callers  .
+    /// The retry time is randomised, so that they do not all return at once.
+    pub fn retry_later_jittered(reason: &'static str, after: Duration) -> Self {
+        Self::retry_later(reason, after.mul_f64(rand::rng().random_range(0.7..1.3)))
     }
 
     /// Creates a refusal of a call over its tenant's rate.
@@ -100,13 +100,13 @@
     }
 
     /// Creates the answer to a call that may have run and whose answer was lost.
-    pub fn lost(reason: &'static str) -> Self {
+    pub fn answer_lost(reason: &'static str) -> Self {
         Self { status: StatusCode::BAD_GATEWAY, reason, retry_after: None }
     }
 
     /// Creates the answer to a call whose deadline has passed. Only a call that was never sent to a
     /// target can be reported as not run.
-    pub fn late(may_have_run: bool) -> Self {
+    pub fn timed_out(may_have_run: bool) -> Self {
         match may_have_run {
             true => Self {
                 status: StatusCode::GATEWAY_TIMEOUT,
@@ -122,7 +122,7 @@
     }
 
     /// Builds the HTTP answer.
-    pub fn answer(&self, request_id: &str) -> Answer {
+    pub fn to_answer(&self, request_id: &str) -> Answer {
         let body = format!("{{\"error\":\"{}\"}}\n", self.reason);
         let mut answer = Response::new(AnswerBody::Whole(Some(body.into())));
         *answer.status_mut() = self.status;
--- a/crates/entry/src/asks.rs
+++ b/crates/entry/src/asks.rs
@@ -1,4 +1,4 @@
-//! Requests between hosts and their replies.
+//! Queries between hosts and their replies.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,16 +21,16 @@
 use crate::host::Shared;
 use crate::{budget, clock, grants, manifests, store, turns};
 
-/// A request to another host.
+/// A query to another host.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Ask {
+pub(crate) enum Query {
     /// Runs an operation on the store.
     Store(PlatformOp),
     /// Grants the tokens of a turn while the store is unavailable.
-    Grant(GrantAsk),
+    Grant(GrantQuery),
     /// Reports the row that the store holds for a program.
     Stored(ProgramKey, BudgetRow, RowVersion),
-    /// Records provisional grants, and writes them to the store later if their owner does not.
+    /// Records unstored grants, and writes them to the store later if their owner does not.
     Loose(ProgramKey, KnownRow),
     /// Returns a program's row as the receiver knows it.
     KnownRow(ProgramKey),
@@ -43,7 +43,7 @@
     Give(ProgramKey, KnownRow, RunId, u64),
     /// Returns a turn.
     Find(TurnKey),
-    /// Returns a turn and the earlier turns of its chain, as far as the receiver has them in
+    /// Returns a turn and the earlier turns of its conversation, as far as the receiver has them in
     /// memory.
     Line(TurnKey),
     /// Returns the receiver's copy of the target table. The rows are left out if none has changed
@@ -53,20 +53,20 @@
     Manifest,
 }
 
-/// A request for the tokens of a turn.
+/// A query for the tokens of a turn.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct GrantAsk {
+pub(crate) struct GrantQuery {
     pub(crate) program: ProgramKey,
     pub(crate) claim: Claim,
-    /// The row as the requesting host knows it.
+    /// The row as the querying host knows it.
     pub(crate) known: KnownRow,
     /// Whether the turn may be the first of its program.
     pub(crate) begins: bool,
 }
 
-/// The reply to a request.
+/// The reply to a query.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Reply {
+pub(crate) enum QueryReply {
     /// The reply of the store.
     Store(PlatformReply),
     /// A program's row as the replying host knows it, including the requested grant if there was
@@ -78,14 +78,14 @@
     StoredRow(Option<(BudgetRow, RowVersion)>),
     /// A program's row including the requested grant, as written to the store.
     Written(BudgetRow),
-    /// The total that the replying host has transferred to the requesting run, and all runs to
-    /// which it has transferred tokens.
+    /// The total that the replying host has transferred to the querying run, and all runs to which
+    /// it has transferred tokens.
     Given(u64, Vec<RunId>),
     /// The rest of the budget may have been granted without the store.
     Withheld(Doubt),
     /// The budget does not have enough tokens left.
     Spent,
-    /// The request was carried out.
+    /// The query was carried out.
     Done,
     /// The turn, if the replying host has it in memory.
     Turn(Option<Turn>),
@@ -93,50 +93,54 @@
     Line(Vec<(TurnKey, Turn)>),
     /// The copy of the target table; `None` if the replying host has none yet.
     Targets(Option<target_table::TableCopy>),
-    /// The host cannot carry out the request now.
+    /// The host cannot carry out the query now.
     Refused,
 }
 
-/// The requests of this host that wait for a reply.
+/// The queries of this host that wait for a reply.
 #[derive(Default)]
-pub(crate) struct Asks {
-    waiting: RefCell<Map<u64, oneshot::Sender<Reply>>>,
-    next: Cell<u64>,
+pub(crate) struct PendingQueries {
+    reply_senders: RefCell<Map<u64, oneshot::Sender<QueryReply>>>,
+    next_id: Cell<u64>,
 }
 
-/// A request that waits for its reply. Dropping it discards a late reply.
-struct Waiting<'a> {
-    asks: &'a Asks,
+/// A query that waits for its reply. Dropping it discards a late reply.
+struct PendingQuery<'a> {
+    queries: &'a PendingQueries,
     id: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingQuery<'_> {
     fn drop(&mut self) {
-        self.asks.waiting.borrow_mut().remove(&self.id);
+        self.queries.reply_senders.borrow_mut().remove(&self.id);
     }
 }
 
-/// Sends a request to another host. Returns `None` if no reply came within `limit`; the other host
-/// may or may not have carried the request out.
-pub(crate) async fn ask(
+/// Sends a query to another host. Returns `None` if no reply came within `limit`; the other host
+/// may or may not have carried it out.
+pub(crate) async fn query(
     shared: &Shared,
     host: HostId,
-    question: &Ask,
+    query: &Query,
     limit: Duration,
-) -> Option<Reply> {
-    timeout(limit, ask_on(shared, host, question)).await.ok()?
+) -> Option<QueryReply> {
+    timeout(limit, query_until_dropped(shared, host, query)).await.ok()?
 }
 
-/// Sends a request to another host, and waits for the reply until dropped. Returns `None` if the
-/// request cannot be sent.
-pub(crate) async fn ask_on(shared: &Shared, host: HostId, question: &Ask) -> Option<Reply> {
-    let question = encode(question)?;
-    let asks = &shared.asks;
-    let id = asks.next.get();
-    asks.next.set(id + 1);
+/// Sends a query to another host, and waits for the reply until dropped. Returns `None` if the
+/// query cannot be sent.
+pub(crate) async fn query_until_dropped(
+    shared: &Shared,
+    host: HostId,
+    query: &Query,
+) -> Option<QueryReply> {
+    let question = encode(query)?;
+    let queries = &shared.pending_queries;
+    let id = queries.next_id.get();
+    queries.next_id.set(id + 1);
     let (tx, rx) = oneshot::channel();
-    asks.waiting.borrow_mut().insert(id, tx);
-    let _waiting = Waiting { asks, id };
+    queries.reply_senders.borrow_mut().insert(id, tx);
+    let _pending = PendingQuery { queries, id };
 
     if !shared.fleet.send(host, Body::Ask(wire::Ask { id, question })) {
         return None;
@@ -144,64 +148,70 @@
     rx.await.ok()
 }
 
-/// Sends a request to another host without waiting for the reply.
-pub(crate) fn tell(shared: &Shared, host: HostId, question: &Ask) {
-    /// An id that no pending request has, so that the reply is ignored.
-    const NOBODY: u64 = u64::MAX;
+/// Sends a query to another host without waiting for the reply.
+pub(crate) fn notify(shared: &Shared, host: HostId, query: &Query) {
+    /// An id that no pending query has, so that the reply is ignored.
+    const UNUSED_ID: u64 = u64::MAX;
 
-    if let Some(question) = encode(question) {
+    if let Some(question) = encode(query) {
         // Whatever is sent this way also reaches the other host in another way if this message is
         // lost.
-        shared.fleet.send(host, Body::Ask(wire::Ask { id: NOBODY, question }));
+        shared.fleet.send(host, Body::Ask(wire::Ask { id: UNUSED_ID, question }));
     }
 }
 
-/// Handles a request of another host and sends the reply.
+/// Handles a query of another host and sends the reply.
 pub(crate) async fn serve(shared: Rc<Shared>, from: HostId, message: wire::Ask) {
     let reply = match serde_json::from_slice(&message.question) {
-        Ok(question) => answer(&shared, from, question).await,
+        Ok(query) => handle(&shared, from, query).await,
         Err(e) => {
-            warn!(error = %e, host = from.0, "ask: question of another host not understood");
-            Reply::Refused
+            warn!(error = %e, host = from.0, "ask: query of another host cannot be parsed");
+            QueryReply::Refused
         }
     };
 
     if let Some(reply) = encode(&reply) {
-        // If the reply is lost, the requesting host runs into its timeout.
+        // If the reply is lost, the querying host runs into its timeout.
         shared.fleet.send(from, Body::Reply(wire::Reply { id: message.id, reply }));
     }
 }
 
-async fn answer(shared: &Rc<Shared>, from: HostId, question: Ask) -> Reply {
-    match question {
-        Ask::Store(op) => store::run_for_peer(shared, op).await,
-        Ask::Grant(ask) => grants::grant_for_peer(shared, &ask).await,
-        Ask::Stored(program, row, version) => grants::take_stored(shared, program, row, version),
-        Ask::Loose(program, known) => grants::take_loose(shared, program, &known),
-        Ask::KnownRow(program) => budget::known_row(shared, program),
-        Ask::StoredRow(program) => Reply::StoredRow(shared.budgets.borrow().stored(program)),
-        Ask::Yield(program) => budget::yield_rest(shared, program),
-        Ask::Give(program, known, to, total) => budget::give(shared, program, &known, to, total),
-        Ask::Manifest => manifests::tell(shared, from),
-        Ask::Targets(has) => {
-            Reply::Targets(shared.target_table.borrow().copy_for(clock::now(), has))
+async fn handle(shared: &Rc<Shared>, from: HostId, query: Query) -> QueryReply {
+    match query {
+        Query::Store(op) => store::run_for_peer(shared, op).await,
+        Query::Grant(query) => grants::grant_for_peer(shared, &query).await,
+        Query::Stored(program, row, version) => grants::apply_stored(shared, program, row, version),
+        Query::Loose(program, known) => grants::record_unstored(shared, program, &known),
+        Query::KnownRow(program) => budget::known_row(shared, program),
+        Query::StoredRow(program) => QueryReply::StoredRow(shared.budgets.borrow().stored(program)),
+        Query::Yield(program) => budget::return_unused(shared, program),
+        Query::Give(program, known, to, total) => {
+            budget::transfer(shared, program, &known, to, total)
         }
-        Ask::Line(key) => Reply::Line(turns::line_at_hand(shared, key)),
-        Ask::Find(key) => Reply::Turn(turns::at_hand(shared, key)),
+        Query::Manifest => manifests::handle_request(shared, from),
+        Query::Targets(has) => {
+            QueryReply::Targets(shared.target_table.borrow().copy_for(clock::now(), has))
+        }
+        Query::Line(key) => QueryReply::Line(turns::cached_conversation(shared, key)),
+        Query::Find(key) => QueryReply::Turn(turns::cached_turn(shared, key)),
     }
 }
 
 /// Passes a reply on to the task that waits for it.
-pub(crate) fn take_in(shared: &Shared, message: &wire::Reply) {
-    let Some(tx) = shared.asks.waiting.borrow_mut().remove(&message.id) else { return };
+pub(crate) fn handle_reply(shared: &Shared, message: &wire::Reply) {
+    let Some(tx) = shared.pending_queries.reply_senders.borrow_mut().remove(&message.id) else {
+        return;
+    };
 
     match serde_json::from_slice(&message.reply) {
         // The waiting task may have ended in the meantime.
         Ok(reply) => drop(tx.send(reply)),
-        Err(e) => warn!(error = %e, "ask: reply of another host not understood"),
+        Err(e) => warn!(error = %e, "ask: reply of another host cannot be parsed"),
     }
 }
 
 fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
-    serde_json::to_vec(value).inspect_err(|e| warn!(error = %e, "ask: message not written")).ok()
+    serde_json::to_vec(value)
+        .inspect_err(|e| warn!(error = %e, "ask: message cannot be serialized"))
+        .ok()
 }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -23,7 +23,7 @@
 use tracing::info;
 
 use crate::answer::{Answer, Refusal, close_after};
-use crate::budget::{self, Hold};
+use crate::budget::{self, TokenReservation};
 use crate::host::{OpenRequest, Shared};
 use crate::turns::{self, Continuation};
 use crate::{callers, clock, places, plain, stream};
@@ -35,15 +35,15 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Retry-After of a call that arrives before the first manifest is known.
-const NO_MANIFEST_RETRY: Duration = Duration::from_millis(400);
+const NO_MANIFEST_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// Retry-After of a call that arrives at a host which is about to shut down. Another host accepts
 /// the new connection, if any is left.
-const LEAVING_RETRY: Duration = Duration::from_millis(200);
+const SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// How a target answered a call, for the logs.
 #[derive(Clone, Copy)]
-pub(crate) struct Answered<'a> {
+pub(crate) struct TargetAnswer<'a> {
     /// The target's id.
     pub(crate) target: &'a str,
     /// The calls that all hosts had in flight at the target, this one included, as far as this host
@@ -71,7 +71,7 @@
     pub(crate) tenant: Option<Box<str>>,
     pub(crate) service: Box<str>,
     /// When the request head was read.
-    pub(crate) began: Instant,
+    pub(crate) received_at: Instant,
     /// When the caller or the route gives up.
     pub(crate) deadline: Instant,
     /// Whether an attempt may have run at a target.
@@ -97,7 +97,7 @@
     }
 
     /// Returns the key of calls that should preferably go to the same target.
-    fn line(head: &CallHead) -> &str {
+    fn routing_key(head: &CallHead) -> &str {
         let named = head.session.as_deref().or(head.affinity.as_deref());
 
         named.unwrap_or(&head.request_id)
@@ -117,7 +117,7 @@
 
     /// Returns the call's urgency in the queue for a place.
     pub(crate) fn urgency(&self) -> Urgency {
-        let should_end = self.head.program_deadline.map(|left| self.began + left);
+        let should_end = self.head.program_deadline.map(|left| self.received_at + left);
         let is_late = should_end.is_some_and(|at| at <= clock::now());
         let deadline = match should_end {
             Some(at) if !is_late => self.deadline.min(at),
@@ -128,14 +128,14 @@
     }
 
     /// Returns whether the call may be the first turn of its program, judging by its head alone: it
-    /// continues no earlier turn, and its prompt has no part of a parent's chain between the shared
-    /// part and its own.
-    pub(crate) fn may_be_first(&self) -> bool {
+    /// continues no earlier turn, and its prompt has no part of a parent's conversation between the
+    /// shared part and its own.
+    pub(crate) fn may_begin_program(&self) -> bool {
         self.head.begins_line() && self.has_no_parent()
     }
 
     fn has_no_parent(&self) -> bool {
-        /// The part that all calls of a kind share, and the part of the chain itself.
+        /// The part that all calls of a kind share, and the part of the conversation itself.
         const FIRST_TURN_PARTS: usize = 2;
 
         self.head.prefix.len() <= FIRST_TURN_PARTS
@@ -144,24 +144,24 @@
     /// Returns whether the call begins a program, as far as this host can tell.
     fn begins_program(&self) -> bool {
         self.route().repeat.is_stream()
-            && self.may_be_first()
-            && !self.shared.places.is_under_way(self.head.program.as_deref())
+            && self.may_begin_program()
+            && !self.shared.places.has_run_recently(self.head.program.as_deref())
     }
 
     /// Logs that a target answered the call, and the load that the target had when the call was
     /// sent.
-    pub(crate) fn log_answer(&self, answered: &Answered<'_>) {
-        if !self.shared.stories.keeps(&self.head.request_id) {
+    pub(crate) fn log_answer(&self, answered: &TargetAnswer<'_>) {
+        if !self.shared.log_sampler.selects(&self.head.request_id) {
             return;
         }
 
-        let Answered { target, load, status, offers, events } = *answered;
+        let TargetAnswer { target, load, status, offers, events } = *answered;
         info!(
             request = %self.head.request_id, program = self.head.program.as_deref(),
             route = %self.route().name, manifest = self.routing.version,
             tenant = self.tenant.as_deref(), is_new = self.is_new.get(), target_id = target, load,
             offers, events, status = status.as_u16(),
-            took_ms = clock::now().since(self.began).as_millis() as u64, "call: answered"
+            took_ms = clock::now().since(self.received_at).as_millis() as u64, "call: answered"
         );
     }
 
@@ -171,23 +171,23 @@
     }
 
     /// Records that the call is being sent to a target.
-    pub(crate) fn sent(&self) {
+    pub(crate) fn record_sent(&self) {
         let mut attempts = self.attempts.get();
         attempts.sent();
         self.attempts.set(attempts);
     }
 
     /// Records that the last target to which the call was sent has certainly not run it.
-    pub(crate) fn not_run(&self) {
+    pub(crate) fn record_not_run(&self) {
         let mut attempts = self.attempts.get();
         attempts.not_run();
         self.attempts.set(attempts);
     }
 
     /// Replaces a refusal that promises that the call has not run, if a target may have run it.
-    pub(crate) fn refuse(&self, refusal: Refusal) -> Refusal {
+    pub(crate) fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run() {
-            true => Refusal::lost(refusal.reason),
+            true => Refusal::answer_lost(refusal.reason),
             false => refusal,
         }
     }
@@ -199,12 +199,12 @@
 }
 
 /// What is known of a request so far, for the log line and metrics of a refusal.
-struct Known {
+struct RequestLabels {
     route: Box<str>,
     tenant: Box<str>,
 }
 
-impl Default for Known {
+impl Default for RequestLabels {
     fn default() -> Self {
         Self { route: "none".into(), tenant: Box::default() }
     }
@@ -212,14 +212,14 @@
 
 /// Serves a request.
 pub(crate) async fn serve(shared: Rc<Shared>, req: Request<Incoming>) -> Answer {
-    let began = clock::now();
-    let open = shared.open();
+    let received_at = clock::now();
+    let open = shared.track_request();
     let was_chunked = req.headers().contains_key(header::TRANSFER_ENCODING);
     let Ids { request: request_id, program } = head::read_ids(req.headers());
-    let mut known = Known::default();
+    let mut labels = RequestLabels::default();
 
-    let result = attempt(&shared, req, began, open, &mut known).await;
-    let Known { route, tenant } = known;
+    let result = handle(&shared, req, received_at, open, &mut labels).await;
+    let RequestLabels { route, tenant } = labels;
     let mut answer = match result {
         Ok(answer) => answer,
         Err(refusal) => {
@@ -227,16 +227,16 @@
             info!(
                 request = %request_id, program = %program, route = %route, tenant = %tenant,
                 status = refusal.status.as_u16(), reason = refusal.reason, retry_after_ms = after,
-                took_ms = clock::now().since(began).as_millis() as u64, "call: refused"
+                took_ms = clock::now().since(received_at).as_millis() as u64, "call: refused"
             );
             shared.metrics.refusals.with_label_values(&[refusal.reason]).inc();
-            refusal.answer(&request_id)
+            refusal.to_answer(&request_id)
         }
     };
 
     let status = answer.status();
     shared.metrics.answers.with_label_values(&[&route, status.as_str()]).inc();
-    let took = clock::now().since(began).as_secs_f64();
+    let took = clock::now().since(received_at).as_secs_f64();
     shared.metrics.latency.with_label_values(&[&route]).observe(took);
     if !tenant.is_empty() {
         shared.metrics.tenant_latency.with_label_values(&[&tenant]).observe(took);
@@ -249,33 +249,33 @@
         status,
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT
     );
-    if was_chunked || rejected || shared.sends_callers_away() {
+    if was_chunked || rejected || shared.closes_connections() {
         close_after(&mut answer);
     }
 
     answer
 }
 
-async fn attempt(
+async fn handle(
     shared: &Rc<Shared>,
     req: Request<Incoming>,
-    began: Instant,
+    received_at: Instant,
     open: OpenRequest,
-    known: &mut Known,
+    labels: &mut RequestLabels,
 ) -> Result<Answer, Refusal> {
-    if shared.takes_no_more() {
-        return Err(Refusal::later_spread("the host is leaving", LEAVING_RETRY));
+    if shared.refuses_new_calls() {
+        return Err(Refusal::retry_later_jittered("the host is leaving", SHUTDOWN_RETRY_AFTER));
     }
-    let call = read(shared, req, began, open).await?;
-    known.route = call.route().name.clone();
-    known.tenant = call.tenant.clone().unwrap_or_default();
+    let call = read_request(shared, req, received_at, open).await?;
+    labels.route = call.route().name.clone();
+    labels.tenant = call.tenant.clone().unwrap_or_default();
     admit(&call).await?;
 
     let call = Rc::new(call);
     let left = clock::until(call.deadline);
     let result = match timeout(left, forward(Rc::clone(&call))).await {
         Ok(result) => result,
-        Err(_) => Err(Refusal::late(call.may_have_run())),
+        Err(_) => Err(Refusal::timed_out(call.may_have_run())),
     };
 
     // Only calls that run count towards a tenant's rate.
@@ -286,10 +286,10 @@
 }
 
 /// Reads a request, and determines its route and tenant.
-async fn read(
+async fn read_request(
     shared: &Rc<Shared>,
     req: Request<Incoming>,
-    began: Instant,
+    received_at: Instant,
     open: OpenRequest,
 ) -> Result<Call, Refusal> {
     let (parts, body) = req.into_parts();
@@ -297,20 +297,20 @@
     if parts.headers.contains_key(header::TRANSFER_ENCODING)
         && parts.headers.contains_key(header::CONTENT_LENGTH)
     {
-        return Err(Refusal::wrong(StatusCode::BAD_REQUEST, "two lengths of one body"));
+        return Err(Refusal::permanent(StatusCode::BAD_REQUEST, "two lengths of one body"));
     }
 
     let head = head::read_call(&parts.headers)
-        .map_err(|_| Refusal::wrong(StatusCode::BAD_REQUEST, "a header makes no sense"))?;
+        .map_err(|_| Refusal::permanent(StatusCode::BAD_REQUEST, "a header makes no sense"))?;
     let path = parts.uri.path_and_query().map_or("/", |p| p.as_str());
     let hostname = hostname(&parts.headers, &parts.uri);
     let (routing, route) = find_route(shared, hostname, parts.uri.path())?;
     let tenant = find_tenant(&routing, &routing.routes[route], &head)?;
-    let service = routes::service(&routing.routes[route], Call::line(&head))
-        .ok_or_else(|| Refusal::later("the route has no service", NO_MANIFEST_RETRY))?
+    let service = routes::service(&routing.routes[route], Call::routing_key(&head))
+        .ok_or_else(|| Refusal::retry_later("the route has no service", NO_MANIFEST_RETRY_AFTER))?
         .into();
     let timeout = routing.routes[route].timeout.unwrap_or(DEFAULT_TIMEOUT);
-    let deadline = began + head.deadline.unwrap_or(timeout).min(timeout);
+    let deadline = received_at + head.deadline.unwrap_or(timeout).min(timeout);
     let limits = callers::limits(shared);
     let body = read_body(body, limits.body_bytes, clock::until(deadline)).await?;
     let fingerprint = Fingerprint(stable_hash(&[
@@ -331,7 +331,7 @@
         route,
         tenant,
         service,
-        began,
+        received_at,
         deadline,
         attempts: Cell::default(),
         fingerprint,
@@ -357,10 +357,10 @@
     let table = shared.routes.borrow();
     let table = table
         .as_ref()
-        .ok_or_else(|| Refusal::later("no manifest is known yet", NO_MANIFEST_RETRY))?;
+        .ok_or_else(|| Refusal::retry_later("no manifest is known yet", NO_MANIFEST_RETRY_AFTER))?;
     let route = table
         .find(hostname, path)
-        .ok_or_else(|| Refusal::wrong(StatusCode::NOT_FOUND, "no route for this path"))?;
+        .ok_or_else(|| Refusal::permanent(StatusCode::NOT_FOUND, "no route for this path"))?;
 
     Ok((Arc::clone(table.routing()), route))
 }
@@ -375,28 +375,28 @@
     }
 
     let index = head.key.as_ref().and_then(|key| routing.keys.get(key));
-    let unknown = || Refusal::wrong(StatusCode::UNAUTHORIZED, "the key is not known");
+    let unknown = || Refusal::permanent(StatusCode::UNAUTHORIZED, "the key is not known");
 
     index.map(|i| Some(routing.tenants[*i].name.clone())).ok_or_else(unknown)
 }
 
-async fn read_body(body: Incoming, most: usize, left: Duration) -> Result<Bytes, Refusal> {
-    let collected = timeout(left.min(BODY_TIMEOUT), Limited::new(body, most).collect()).await;
+async fn read_body(body: Incoming, max_bytes: usize, left: Duration) -> Result<Bytes, Refusal> {
+    let collected = timeout(left.min(BODY_TIMEOUT), Limited::new(body, max_bytes).collect()).await;
 
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
-            Err(Refusal::wrong(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
+            Err(Refusal::permanent(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
         }
-        Ok(Err(_)) => Err(Refusal::wrong(StatusCode::BAD_REQUEST, "the body cannot be read")),
-        Err(_) => Err(Refusal::wrong(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
+        Ok(Err(_)) => Err(Refusal::permanent(StatusCode::BAD_REQUEST, "the body cannot be read")),
+        Err(_) => Err(Refusal::permanent(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
     }
 }
 
 /// Refuses calls that have repeatedly crashed targets, and calls over the tenant's rate.
 async fn admit(call: &Call) -> Result<(), Refusal> {
     if call.shared.crashes.borrow().is_barred(call.fingerprint) {
-        return Err(Refusal::wrong(
+        return Err(Refusal::permanent(
             StatusCode::SERVICE_UNAVAILABLE,
             "targets went down under this call",
         ));
@@ -442,23 +442,24 @@
         return plain::forward(&call).await;
     }
 
-    turns::may_be_kept(&call)?;
+    turns::check_can_store(&call)?;
 
     // A new program that is refused after its budget was granted would retry as a running program,
     // and take places from programs that really are running.
     if call.is_new.get() {
-        places::may_begin(&call.shared, &call.service, &call.shape())?;
+        places::check_room(&call.shared, &call.service, &call.shape())?;
     }
 
     // The budget and the earlier turns are requested from the store concurrently.
-    let (hold, continuation) = tokio::join!(budget::hold(&call), turns::continuation(&call));
-    let hold: Option<Hold> = hold?;
+    let (reservation, continuation) =
+        tokio::join!(budget::reserve(&call), turns::load_continuation(&call));
+    let reservation: Option<TokenReservation> = reservation?;
     let continuation: Continuation = continuation?;
-    if hold.as_ref().is_some_and(|hold| !hold.is_first) {
+    if reservation.as_ref().is_some_and(|reservation| !reservation.is_first) {
         call.is_new.set(false);
     }
-    let answer = stream::forward(Rc::clone(&call), hold, continuation).await?;
-    call.shared.places.began(call.head.program.as_deref());
+    let answer = stream::forward(Rc::clone(&call), reservation, continuation).await?;
+    call.shared.places.record_running(call.head.program.as_deref());
 
     Ok(answer)
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -19,10 +19,10 @@
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The smallest buffer that the HTTP library accepts.
-const LEAST_BUFFER: usize = 8_192;
+const MIN_BUFFER: usize = 8_192;
 
 /// The limits on requests until the first manifest is known.
-const FIRST_LIMITS: CallLimits = CallLimits {
+const DEFAULT_LIMITS: CallLimits = CallLimits {
     head_bytes: 16_384,
     body_bytes: 4 << 20,
     head_timeout: Duration::from_secs(3),
@@ -55,11 +55,11 @@
 
 /// Returns the limits on callers' requests.
 pub(crate) fn limits(shared: &Shared) -> CallLimits {
-    shared.routes.borrow().as_ref().map_or(FIRST_LIMITS, |table| table.routing().limits)
+    shared.routes.borrow().as_ref().map_or(DEFAULT_LIMITS, |table| table.routing().limits)
 }
 
 async fn serve(shared: Rc<Shared>, stream: TcpStream) {
-    connections::guard(&stream);
+    connections::set_socket_options(&stream);
     let limits = limits(&shared);
     let service = {
         let shared = Rc::clone(&shared);
@@ -73,7 +73,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout.max(limits.idle_timeout))
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
 
     // A caller may disconnect at any time. Dropping the service's future then ends the work for its
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -22,21 +22,21 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long sent bytes may stay unacknowledged before the connection counts as broken.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long an idle connection is kept if the target sets no keep-alive time.
-const DEFAULT_KEEP: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// An idle connection is dropped this long before the target would close it, so that no call is
 /// sent while the target is closing it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 
 /// How long a used connection may take to become ready again before it is dropped.
-const READY_LIMIT: Duration = Duration::from_millis(100);
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The maximum number of idle connections to one target. A host rarely has more calls in flight at
 /// one target, because all hosts share the target's slots.
-const MOST_UNUSED: usize = 6;
+const MAX_IDLE: usize = 6;
 
 /// A connection in use. Dropping it closes it, which makes the target stop its work.
 pub struct Connection {
@@ -44,15 +44,15 @@
     pub sender: SendRequest<Full<Bytes>>,
 }
 
-struct Unused {
+struct Idle {
     sender: SendRequest<Full<Bytes>>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// The idle connections to all targets.
 #[derive(Default)]
 pub struct Connections {
-    unused: RefCell<Map<TargetKey, VecDeque<Unused>>>,
+    idle: RefCell<Map<TargetKey, VecDeque<Idle>>>,
 }
 
 impl Connections {
@@ -62,12 +62,12 @@
     /// unexpected second answer late, that then arrives while the connection is idle, and closes
     /// it.
     pub fn take(&self, key: TargetKey) -> Option<Connection> {
-        let mut unused = self.unused.borrow_mut();
-        let queue = unused.get_mut(&key)?;
+        let mut idle = self.idle.borrow_mut();
+        let queue = idle.get_mut(&key)?;
         let now = clock::now();
 
-        while let Some(Unused { sender, until }) = queue.pop_front() {
-            if now < until && sender.is_ready() {
+        while let Some(Idle { sender, expires_at }) = queue.pop_front() {
+            if now < expires_at && sender.is_ready() {
                 return Some(Connection { sender });
             }
         }
@@ -80,26 +80,29 @@
         &self,
         key: TargetKey,
         mut connection: Connection,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
-        let keep = keep.unwrap_or(DEFAULT_KEEP).saturating_sub(CLOSE_MARGIN);
+        let keep_alive = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(CLOSE_MARGIN);
 
-        if keep.is_zero()
-            || !matches!(timeout(READY_LIMIT, connection.sender.ready()).await, Ok(Ok(())))
+        if keep_alive.is_zero()
+            || !matches!(timeout(READY_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())))
         {
             return;
         }
 
-        let mut unused = self.unused.borrow_mut();
-        let queue = unused.entry(key).or_default();
-        if queue.len() < MOST_UNUSED {
-            queue.push_back(Unused { sender: connection.sender, until: clock::now() + keep });
+        let mut idle = self.idle.borrow_mut();
+        let queue = idle.entry(key).or_default();
+        if queue.len() < MAX_IDLE {
+            queue.push_back(Idle {
+                sender: connection.sender,
+                expires_at: clock::now() + keep_alive,
+            });
         }
     }
 
     /// Closes the idle connections to a target that no longer exists.
     pub fn close(&self, key: TargetKey) {
-        self.unused.borrow_mut().remove(&key);
+        self.idle.borrow_mut().remove(&key);
     }
 }
 
@@ -124,7 +127,7 @@
         Ok(Err(_)) => return Err(ConnectError::Broken),
         Err(_) => return Err(ConnectError::Silent),
     };
-    guard(&stream);
+    set_socket_options(&stream);
 
     let (sender, connection) = http1::Builder::new()
         .handshake(TokioIo::new(stream))
@@ -142,11 +145,13 @@
 }
 
 /// Sets the socket options that make an unresponsive peer noticeable.
-pub fn guard(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
 
     // The connection also works without these options, but an unresponsive peer is noticed later.
-    if let Err(e) = stream.set_nodelay(true).and(socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))) {
+    if let Err(e) =
+        stream.set_nodelay(true).and(socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)))
+    {
         tracing::debug!(error = %e, "connection: options not set");
     }
 }
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -22,11 +22,11 @@
 /// Only complete events are forwarded. If a target fails within an event, the stream can then
 /// resume at another target after the last complete one.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventParser {
     buf: BytesMut,
 }
 
-impl Cutter {
+impl EventParser {
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -33,19 +33,19 @@
 const FLEET_TABLE: &str = "fleet";
 
 /// How often a host writes its own row and reads the rows of the others.
-const BEAT_PERIOD: Duration = Duration::from_secs(5);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(5);
 
 /// How many heartbeats after the start follow each other with a short pause.
-const FIRST_BEATS: u64 = 4;
+const FAST_HEARTBEATS: u64 = 4;
 
 /// After how long without a status update the in-flight calls of a host no longer count.
-const SILENT: Duration = Duration::from_secs(2);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a status update is valid. A host is live while its latest one is valid.
-const FRESH: Duration = Duration::from_millis(700);
+const STATUS_VALID_FOR: Duration = Duration::from_millis(700);
 
 /// The pause after an operation on the store that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// How many received messages may wait to be processed.
 const INBOUND_BUFFER: usize = 1_024;
@@ -63,7 +63,7 @@
 }
 
 /// Another host, according to its row in the store.
-struct Known {
+struct KnownHost {
     address: SocketAddr,
     zone: Box<str>,
 }
@@ -72,32 +72,32 @@
 pub(crate) struct Fleet {
     name: Box<str>,
     zone: Box<str>,
-    own: HostId,
+    own_id: HostId,
     rows: RefCell<HostRows>,
-    known: RefCell<Map<HostId, Known>>,
-    heard: RefCell<Map<HostId, Heard>>,
+    known: RefCell<Map<HostId, KnownHost>>,
+    statuses: RefCell<Map<HostId, HostStatus>>,
     peers: RefCell<Option<Peers>>,
 }
 
 /// The latest status update of another host.
 #[derive(Clone, Copy)]
-pub(crate) struct Heard {
-    pub(crate) at: Instant,
+pub(crate) struct HostStatus {
+    pub(crate) received_at: Instant,
     /// Whether the store answers the sender.
     pub(crate) store_answers: bool,
     /// The id of the run of the sender's process.
     pub(crate) run: u64,
     /// The version of the manifest in force at the sender; 0 for none.
     pub(crate) manifest_version: u64,
-    /// Whether the sender knows of all provisional grants that any host made.
-    pub(crate) remembers: bool,
-    /// Whether the sender knows of provisional grants to programs that may still be running.
-    pub(crate) knows_of_loose: bool,
+    /// Whether the sender knows of all grants that any host made without the store.
+    pub(crate) has_complete_history: bool,
+    /// Whether the sender knows of grants without the store to programs that may still be running.
+    pub(crate) knows_of_unstored_grants: bool,
 }
 
-impl Heard {
-    fn is_fresh(&self, now: Instant) -> bool {
-        now.since(self.at) < FRESH
+impl HostStatus {
+    fn is_valid(&self, now: Instant) -> bool {
+        now.since(self.received_at) < STATUS_VALID_FOR
     }
 }
 
@@ -107,10 +107,10 @@
         Self {
             name: name.into(),
             zone: zone.into(),
-            own: HostId::from_name(name),
+            own_id: HostId::from_name(name),
             rows: RefCell::default(),
             known: RefCell::default(),
-            heard: RefCell::default(),
+            statuses: RefCell::default(),
             peers: RefCell::default(),
         }
     }
@@ -121,43 +121,43 @@
     }
 
     /// Returns whether a host is live.
-    fn is_heard(&self, host: HostId) -> bool {
-        self.heard.borrow().get(&host).is_some_and(|heard| heard.is_fresh(clock::now()))
+    fn has_recent_status(&self, host: HostId) -> bool {
+        self.statuses.borrow().get(&host).is_some_and(|status| status.is_valid(clock::now()))
     }
 
     /// Returns the live hosts with their latest status.
-    fn fresh(&self) -> Vec<(HostId, Heard)> {
+    fn live_hosts(&self) -> Vec<(HostId, HostStatus)> {
         let now = clock::now();
-        let heard = self.heard.borrow();
+        let statuses = self.statuses.borrow();
 
-        heard.iter().filter(|(_, h)| h.is_fresh(now)).map(|(host, h)| (*host, *h)).collect()
+        statuses.iter().filter(|(_, s)| s.is_valid(now)).map(|(host, s)| (*host, *s)).collect()
     }
 
     /// Returns a random live host that the store answers, according to its latest status.
-    pub(crate) fn store_peer(&self) -> Option<HostId> {
-        let reaching = self.fresh().into_iter().filter(|(_, heard)| heard.store_answers);
+    pub(crate) fn live_peer_with_store(&self) -> Option<HostId> {
+        let reaching = self.live_hosts().into_iter().filter(|(_, status)| status.store_answers);
 
         reaching.map(|(host, _)| host).choose(&mut rand::rng())
     }
 
     /// Returns the live host that has this run of a process.
-    pub(crate) fn host_of_run(&self, run: u64) -> Option<HostId> {
-        self.fresh().into_iter().find(|(_, heard)| heard.run == run).map(|(host, _)| host)
+    pub(crate) fn live_host_of_run(&self, run: u64) -> Option<HostId> {
+        self.live_hosts().into_iter().find(|(_, status)| status.run == run).map(|(host, _)| host)
     }
 
     /// Returns a random live host that has a newer manifest than `version` and that `may_ask`
     /// accepts. Hosts of the own availability zone are preferred, since a manifest may be far
     /// longer than all other messages.
-    pub(crate) fn manifest_peer(
+    pub(crate) fn live_peer_with_manifest(
         &self,
         version: u64,
         may_ask: impl Fn(&HostId) -> bool,
     ) -> Option<HostId> {
         let known = self.known.borrow();
         let is_near = |host: &HostId| known.get(host).is_some_and(|k| k.zone == self.zone);
-        let fresh = self.fresh().into_iter().filter(|(_, h)| h.manifest_version > version);
+        let live = self.live_hosts().into_iter().filter(|(_, s)| s.manifest_version > version);
         let (near, far): (Vec<_>, Vec<_>) =
-            fresh.map(|(host, _)| host).filter(may_ask).partition(|host| is_near(host));
+            live.map(|(host, _)| host).filter(may_ask).partition(|host| is_near(host));
 
         near.into_iter()
             .choose(&mut rand::rng())
@@ -165,85 +165,88 @@
     }
 
     /// Returns a random live host.
-    pub(crate) fn any_peer(&self) -> Option<HostId> {
-        self.fresh().into_iter().map(|(host, _)| host).choose(&mut rand::rng())
+    pub(crate) fn any_live_peer(&self) -> Option<HostId> {
+        self.live_hosts().into_iter().map(|(host, _)| host).choose(&mut rand::rng())
     }
 
     /// Returns whether more than half of all known hosts are live, including this one. Of two
     /// groups of hosts that are partitioned from each other, this holds in one at most.
-    pub(crate) fn is_majority(&self) -> bool {
+    pub(crate) fn reaches_majority(&self) -> bool {
         let known = self.known.borrow();
-        let there = self.fresh().into_iter().filter(|(host, _)| known.contains_key(host));
+        let live = self.live_hosts().into_iter().filter(|(host, _)| known.contains_key(host));
 
-        (there.count() + 1) * 2 > known.len() + 1
+        (live.count() + 1) * 2 > known.len() + 1
     }
 
     /// Returns the latest status of each known live host.
-    pub(crate) fn fresh_news(&self) -> Vec<Heard> {
+    pub(crate) fn live_statuses(&self) -> Vec<HostStatus> {
         let known = self.known.borrow();
-        let fresh = self.fresh().into_iter().filter(|(host, _)| known.contains_key(host));
+        let live = self.live_hosts().into_iter().filter(|(host, _)| known.contains_key(host));
 
-        fresh.map(|(_, heard)| heard).collect()
+        live.map(|(_, status)| status).collect()
     }
 
     /// Returns the live hosts, including this one, in an order that is fixed for each item
     /// (rendezvous hashing).
-    pub(crate) fn order(&self, item: u64) -> Vec<HostId> {
-        let fresh = self.fresh().into_iter().map(|(host, _)| host.0);
+    pub(crate) fn live_hosts_in_order(&self, item: u64) -> Vec<HostId> {
+        let live = self.live_hosts().into_iter().map(|(host, _)| host.0);
 
-        rendezvous_order(item, fresh.chain([self.own.0])).into_iter().map(HostId).collect()
+        rendezvous_order(item, live.chain([self.own_id.0])).into_iter().map(HostId).collect()
     }
 
     /// Returns the live hosts of other zones, in the fixed order of an item. In a fleet with a
     /// single zone it returns the other live hosts.
     ///
     /// An acknowledgement by one of them shows that the data is known outside of this host's zone,
-    /// so that the zone was not cut off yet. The liveness of hosts would show the partition only
-    /// after most of a second.
-    pub(crate) fn witnesses(&self, item: u64) -> Vec<HostId> {
-        let witnesses = self.known_witnesses();
+    /// so that the zone was not partitioned off yet. The liveness of hosts would show the partition
+    /// only after most of a second.
+    pub(crate) fn live_replicas(&self, item: u64) -> Vec<HostId> {
+        let candidates = self.replica_candidates();
 
-        self.order(item).into_iter().filter(|host| witnesses.contains(host)).collect()
+        self.live_hosts_in_order(item)
+            .into_iter()
+            .filter(|host| candidates.contains(host))
+            .collect()
     }
 
     /// Returns the known hosts that may hold copies for this one, live or not.
-    fn known_witnesses(&self) -> Set<HostId> {
+    fn replica_candidates(&self) -> Set<HostId> {
         let known = self.known.borrow();
         let has_other_zones = known.values().any(|known| known.zone != self.zone);
-        let witnesses =
+        let candidates =
             known.iter().filter(|(_, known)| !has_other_zones || known.zone != self.zone);
 
-        witnesses.map(|(host, _)| *host).collect()
+        candidates.map(|(host, _)| *host).collect()
     }
 
     /// Returns when the latest status update of a host arrived.
-    pub(crate) fn heard_at(&self, host: HostId) -> Option<Instant> {
-        self.heard.borrow().get(&host).map(|heard| heard.at)
+    pub(crate) fn last_status_at(&self, host: HostId) -> Option<Instant> {
+        self.statuses.borrow().get(&host).map(|status| status.received_at)
     }
 
     /// Returns whether a host is live.
-    pub(crate) fn hears(&self, host: HostId) -> bool {
-        self.heard.borrow().get(&host).is_some_and(|heard| heard.is_fresh(clock::now()))
+    pub(crate) fn is_live(&self, host: HostId) -> bool {
+        self.statuses.borrow().get(&host).is_some_and(|status| status.is_valid(clock::now()))
     }
 
     /// Returns whether the host that has this run of a process is live.
-    pub(crate) fn hears_run(&self, run: u64) -> bool {
-        self.host_of_run(run).is_some()
+    pub(crate) fn is_run_live(&self, run: u64) -> bool {
+        self.live_host_of_run(run).is_some()
     }
 
     /// Returns whether another host has a complete grant history, according to its latest status.
-    pub(crate) fn remembers(&self, host: HostId) -> bool {
-        self.heard.borrow().get(&host).is_some_and(|heard| heard.remembers)
+    pub(crate) fn has_complete_history(&self, host: HostId) -> bool {
+        self.statuses.borrow().get(&host).is_some_and(|status| status.has_complete_history)
     }
 
     /// Returns whether the store answers another host, according to its latest status.
     pub(crate) fn store_answers(&self, host: HostId) -> bool {
-        self.heard.borrow().get(&host).is_some_and(|heard| heard.store_answers)
+        self.statuses.borrow().get(&host).is_some_and(|status| status.store_answers)
     }
 
     /// Returns the id of this host.
-    pub(crate) fn own(&self) -> HostId {
-        self.own
+    pub(crate) fn own_id(&self) -> HostId {
+        self.own_id
     }
 
     /// Returns all other known hosts, live or not.
@@ -252,7 +255,7 @@
     }
 
     /// Returns whether any other host of a zone is live.
-    pub(crate) fn hears_zone(&self, zone: &str) -> bool {
+    pub(crate) fn is_zone_live(&self, zone: &str) -> bool {
         self.contact(|known| *known.zone == *zone) == Contact::Heard
     }
 
@@ -267,11 +270,11 @@
     }
 
     /// Returns whether hosts that `which` selects are known, and whether any of them is live.
-    fn contact(&self, which: impl Fn(&Known) -> bool) -> Contact {
+    fn contact(&self, which: impl Fn(&KnownHost) -> bool) -> Contact {
         let known = self.known.borrow();
         let is_picked = |host: &HostId| known.get(host).is_some_and(&which);
 
-        if self.fresh().iter().any(|(host, _)| is_picked(host)) {
+        if self.live_hosts().iter().any(|(host, _)| is_picked(host)) {
             return Contact::Heard;
         }
         match known.values().any(&which) {
@@ -289,7 +292,7 @@
     }
 
     /// Returns the other hosts of this host's availability zone, and the hosts of all other zones.
-    pub(crate) fn by_distance(&self) -> (Vec<HostId>, Vec<HostId>) {
+    pub(crate) fn split_by_zone(&self) -> (Vec<HostId>, Vec<HostId>) {
         let known = self.known.borrow();
 
         known.keys().partition(|host| known[*host].zone == self.zone)
@@ -297,10 +300,10 @@
 
     /// Stores the status update of another host. Returns whether the host was silent before or its
     /// process has restarted.
-    pub(crate) fn heard(&self, host: HostId, heard: Heard) -> bool {
-        let before = self.heard.borrow_mut().insert(host, heard);
+    pub(crate) fn record_status(&self, host: HostId, status: HostStatus) -> bool {
+        let before = self.statuses.borrow_mut().insert(host, status);
 
-        before.is_none_or(|before| before.run != heard.run)
+        before.is_none_or(|before| before.run != status.run)
     }
 }
 
@@ -310,12 +313,12 @@
 }
 
 async fn run(shared: Rc<Shared>) {
-    let secret = secret(&shared).await;
+    let secret = load_secret(&shared).await;
     let (tx, rx) = mpsc::channel(INBOUND_BUFFER);
     let settings = &shared.settings;
     let options = PeerOptions {
         keepalive: Duration::from_millis(500),
-        silence_limit: SILENT,
+        silence_limit: SILENCE_TIMEOUT,
         connect_timeout: Duration::from_millis(500),
         max_backoff: Duration::from_millis(400),
         ..PeerOptions::new(settings.peers, &settings.name, &settings.zone, shared.run.0, secret)
@@ -323,49 +326,50 @@
     let peers = match Peers::start(options, tx).await {
         Ok(peers) => peers,
         Err(e) => {
-            warn!(error = %e, "fleet: cannot listen for other hosts, goes on alone");
+            warn!(error = %e, "fleet: cannot listen for other hosts, runs without them");
             return;
         }
     };
 
     *shared.fleet.peers.borrow_mut() = Some(peers.clone());
-    tokio::task::spawn_local(beat(Rc::clone(&shared), peers.clone()));
-    tokio::task::spawn_local(hear(Rc::clone(&shared), rx));
-    news::tell(shared, peers).await;
+    tokio::task::spawn_local(heartbeat(Rc::clone(&shared), peers.clone()));
+    tokio::task::spawn_local(receive(Rc::clone(&shared), rx));
+    news::broadcast(shared, peers).await;
 }
 
 /// Loads the secret with which the hosts of a fleet authenticate each other. The first host creates
 /// it.
-async fn secret(shared: &Rc<Shared>) -> Secret {
+async fn load_secret(shared: &Rc<Shared>) -> Secret {
     let key = RowKey::new(FLEET_TABLE, "secret");
 
     loop {
         let mut bytes = [0; 32];
         rand::rng().fill_bytes(&mut bytes);
         let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-        let reply = match store::probe(shared, PlatformOp::Read(vec![key.clone()])).await {
-            PlatformReply::Rows(rows) if rows.is_empty() => {
-                let tx = Transaction {
-                    checks: vec![Check { key: key.clone(), version: RowVersion::ABSENT }],
-                    writes: vec![Write { key: key.clone(), value: Some(text.into()) }],
-                };
-                store::probe(shared, PlatformOp::Commit(tx)).await;
-                continue;
-            }
-            reply => reply,
-        };
+        let reply =
+            match store::run_direct_or_relayed(shared, PlatformOp::Read(vec![key.clone()])).await {
+                PlatformReply::Rows(rows) if rows.is_empty() => {
+                    let tx = Transaction {
+                        checks: vec![Check { key: key.clone(), version: RowVersion::ABSENT }],
+                        writes: vec![Write { key: key.clone(), value: Some(text.into()) }],
+                    };
+                    store::run_direct_or_relayed(shared, PlatformOp::Commit(tx)).await;
+                    continue;
+                }
+                reply => reply,
+            };
 
         if let PlatformReply::Rows(rows) = reply
             && let Some(secret) = rows.first().and_then(|row| Secret::from_hex(&row.value).ok())
         {
             return secret;
         }
-        sleep(FAILED_PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
 /// Periodically writes this host's row and reads the rows of the others.
-async fn beat(shared: Rc<Shared>, peers: Peers) {
+async fn heartbeat(shared: Rc<Shared>, peers: Peers) {
     let mut beat = 0;
 
     loop {
@@ -379,7 +383,7 @@
         let key = RowKey::new(HOSTS_TABLE, shared.settings.name.clone());
         let value = serde_json::to_string(&row).ok().map(Into::into);
         let write = Transaction { checks: Vec::new(), writes: vec![Write { key, value }] };
-        store::probe(&shared, PlatformOp::Commit(write)).await;
+        store::run_direct_or_relayed(&shared, PlatformOp::Commit(write)).await;
 
         let op = PlatformOp::Scan {
             table: HOSTS_TABLE.into(),
@@ -387,9 +391,9 @@
             after: "".into(),
             limit: 500,
         };
-        let answered = match store::probe(&shared, op).await {
+        let answered = match store::run_direct_or_relayed(&shared, op).await {
             PlatformReply::Rows(rows) => {
-                know(&shared, &peers, &rows, beat > FIRST_BEATS);
+                apply_host_rows(&shared, &peers, &rows, beat > FAST_HEARTBEATS);
                 true
             }
             _ => false,
@@ -398,8 +402,8 @@
         // The first rounds are short, because hosts of a fleet start at the same time and each must
         // know the others to determine its share of the rates.
         let pause = match answered {
-            true if beat >= FIRST_BEATS => BEAT_PERIOD,
-            _ => FAILED_PAUSE,
+            true if beat >= FAST_HEARTBEATS => HEARTBEAT_PERIOD,
+            _ => RETRY_PAUSE,
         };
         sleep(pause).await;
     }
@@ -407,7 +411,7 @@
 
 /// Applies the rows of all hosts. `is_period_over` tells whether each host has had time to write
 /// its row again since the last read.
-fn know(shared: &Rc<Shared>, peers: &Peers, rows: &[Row], is_period_over: bool) {
+fn apply_host_rows(shared: &Rc<Shared>, peers: &Peers, rows: &[Row], is_period_over: bool) {
     let fleet = &shared.fleet;
     let mut known = fleet.known.borrow_mut();
 
@@ -416,11 +420,11 @@
         let content: HostRow = match serde_json::from_str(&row.value) {
             Ok(content) => content,
             Err(e) => {
-                warn!(host = %row.key.key, error = %e, "fleet: row passed over");
+                warn!(host = %row.key.key, error = %e, "fleet: unreadable host row skipped");
                 continue;
             }
         };
-        let is_due = is_period_over && !fleet.is_heard(host);
+        let is_due = is_period_over && !fleet.has_recent_status(host);
         let presence = fleet.rows.borrow_mut().read(host, row.version, is_due);
 
         match presence {
@@ -428,7 +432,7 @@
                 if known.get(&host).is_none_or(|known| known.address != content.peers) {
                     info!(host = %row.key.key, address = %content.peers, "fleet: host known");
                 }
-                known.insert(host, Known { address: content.peers, zone: content.zone });
+                known.insert(host, KnownHost { address: content.peers, zone: content.zone });
                 peers.set_address(host, content.peers);
             }
             Presence::Silent => {}
@@ -446,11 +450,14 @@
 
 /// Drops the status of hosts that have been silent for [`SILENCE_TIMEOUT`], so that their in-flight
 /// calls no longer count.
-pub(crate) fn forget_silent(shared: &Rc<Shared>) {
+pub(crate) fn drop_silent_hosts(shared: &Rc<Shared>) {
     let now = clock::now();
     let silent: Vec<_> = {
-        let mut heard = shared.fleet.heard.borrow_mut();
-        heard.extract_if(|_, heard| now.since(heard.at) > SILENT).map(|(host, _)| host).collect()
+        let mut statuses = shared.fleet.statuses.borrow_mut();
+        statuses
+            .extract_if(|_, status| now.since(status.received_at) > SILENCE_TIMEOUT)
+            .map(|(host, _)| host)
+            .collect()
     };
 
     for host in silent {
@@ -460,17 +467,17 @@
 }
 
 /// Processes the messages of other hosts.
-async fn hear(shared: Rc<Shared>, mut rx: mpsc::Receiver<Inbound>) {
+async fn receive(shared: Rc<Shared>, mut rx: mpsc::Receiver<Inbound>) {
     while let Some(inbound) = rx.recv().await {
         let Inbound::Message { from, message } = inbound else { continue };
 
         match message.body {
-            Some(Body::EntryNews(news)) => news::take_in(&shared, from, news),
+            Some(Body::EntryNews(news)) => news::apply_update(&shared, from, news),
             Some(Body::Manifest(manifest)) => watch::adopt(&shared, &manifest.text, "peer"),
             Some(Body::Ask(ask)) => {
                 tokio::task::spawn_local(asks::serve(Rc::clone(&shared), from, ask));
             }
-            Some(Body::Reply(reply)) => asks::take_in(&shared, &reply),
+            Some(Body::Reply(reply)) => asks::handle_reply(&shared, &reply),
             _ => {}
         }
     }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -29,7 +29,7 @@
 }
 
 /// The outcome of sending a call.
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     /// The target has begun to answer.
     Started(Box<Started>),
     /// The target has not run the call and never will.
@@ -44,7 +44,7 @@
 }
 
 /// What to send.
-pub(crate) struct Sending<'a> {
+pub(crate) struct CallAttempt<'a> {
     /// The call.
     pub(crate) call: &'a Call,
     /// The body for the target.
@@ -52,29 +52,29 @@
     /// The id of the last event that was received, if a stream is to be resumed.
     pub(crate) last_event: Option<u64>,
     /// How long to wait for the answer's head.
-    pub(crate) patience: Duration,
+    pub(crate) head_timeout: Duration,
 }
 
 /// Sends a call to the target of `place` and waits for the head of its answer.
-pub(crate) async fn send(sending: &Sending<'_>, place: Place) -> Sent {
-    let shared = &sending.call.shared;
+pub(crate) async fn send(attempt: &CallAttempt<'_>, place: Place) -> SendOutcome {
+    let shared = &attempt.call.shared;
     let key = place.key;
     let Some((id, address)) = ({
         let targets = shared.targets.borrow();
         targets.get(key).map(|t| (t.entry.id.clone(), t.entry.address))
     }) else {
-        return Sent::NotRun("the target is gone");
+        return SendOutcome::NotRun("the target is gone");
     };
 
     // The target may be closing an idle connection. The request then comes back unsent and is sent
     // on another connection.
     while let Some(connection) = shared.connections.take(key) {
-        match exchange(sending, connection, &id).await {
+        match exchange(attempt, connection, &id).await {
             Exchange::Unsent => continue,
             Exchange::Answered(response, connection) => {
-                return judge(sending, place, response, connection);
+                return classify(attempt, place, response, connection);
             }
-            Exchange::Lost(reason) => return lost(sending, place, reason).await,
+            Exchange::Lost(reason) => return classify_lost(attempt, place, reason).await,
         }
     }
 
@@ -83,7 +83,7 @@
         Ok(connection) => connection,
         Err(e) => {
             place.end(Outcome::Failed);
-            return Sent::NotRun(match e {
+            return SendOutcome::NotRun(match e {
                 ConnectError::Refused => "the target refuses connections",
                 ConnectError::Silent => "the target does not answer a connect",
                 ConnectError::Broken => "the connection broke at once",
@@ -91,13 +91,13 @@
         }
     };
 
-    match exchange(sending, connection, &id).await {
+    match exchange(attempt, connection, &id).await {
         Exchange::Unsent => {
             place.end(Outcome::Failed);
-            Sent::NotRun("the connection broke before the request was sent")
+            SendOutcome::NotRun("the connection broke before the request was sent")
         }
-        Exchange::Answered(response, connection) => judge(sending, place, response, connection),
-        Exchange::Lost(reason) => lost(sending, place, reason).await,
+        Exchange::Answered(response, connection) => classify(attempt, place, response, connection),
+        Exchange::Lost(reason) => classify_lost(attempt, place, reason).await,
     }
 }
 
@@ -110,15 +110,15 @@
     Lost(&'static str),
 }
 
-async fn exchange(sending: &Sending<'_>, mut connection: Connection, target: &str) -> Exchange {
-    let call = sending.call;
+async fn exchange(attempt: &CallAttempt<'_>, mut connection: Connection, target: &str) -> Exchange {
+    let call = attempt.call;
     let outgoing = Outgoing {
         target,
         tenant: call.tenant.as_deref(),
         remaining: clock::until(call.deadline),
-        last_event: sending.last_event,
+        last_event: attempt.last_event,
     };
-    let mut req = Request::new(Full::new(sending.body.clone()));
+    let mut req = Request::new(Full::new(attempt.body.clone()));
     *req.method_mut() = call.method.clone();
     *req.headers_mut() = head::write_call(&call.headers, outgoing);
     match call.path.parse() {
@@ -126,12 +126,12 @@
         Err(_) => return Exchange::Unsent,
     }
 
-    call.sent();
-    match timeout(sending.patience, connection.sender.try_send_request(req)).await {
+    call.record_sent();
+    match timeout(attempt.head_timeout, connection.sender.try_send_request(req)).await {
         Ok(Ok(response)) => Exchange::Answered(response, connection),
         Ok(Err(mut e)) => match e.take_message() {
             Some(_) => {
-                call.not_run();
+                call.record_not_run();
                 Exchange::Unsent
             }
             None if e.error().is_parse() => Exchange::Lost("the target's answer makes no sense"),
@@ -142,32 +142,32 @@
 }
 
 /// Classifies an answer by its head.
-fn judge(
-    sending: &Sending<'_>,
+fn classify(
+    attempt: &CallAttempt<'_>,
     place: Place,
     response: Response<Incoming>,
     connection: Connection,
-) -> Sent {
-    let request_id = &sending.call.head.request_id;
+) -> SendOutcome {
+    let request_id = &attempt.call.head.request_id;
     let head = head::read_answer(request_id, response.status(), response.headers());
 
     if head.not_run && head.matches {
-        sending.call.not_run();
+        attempt.call.record_not_run();
         if head.other_instance {
             place.end(Outcome::Failed);
-            return Sent::NotRun("another target has the address");
+            return SendOutcome::NotRun("another target has the address");
         }
         let key = place.key;
         place.end(Outcome::Shed);
-        drain(sending, key, response, connection, head.keeps_for.filter(|_| !head.closes));
-        return Sent::NotRun("the target is full");
+        drain(attempt, key, response, connection, head.keeps_for.filter(|_| !head.closes));
+        return SendOutcome::NotRun("the target is full");
     }
     if !head.matches {
         place.end(Outcome::Failed);
-        return Sent::Unknown { reason: "the answer is to another call", crashed: false };
+        return SendOutcome::Unknown { reason: "the answer is to another call", crashed: false };
     }
 
-    Sent::Started(Box::new(Started { response, head, connection, place }))
+    SendOutcome::Started(Box::new(Started { response, head, connection, place }))
 }
 
 /// Returns a connection to the pool after a complete answer, unless the target closes it.
@@ -189,7 +189,7 @@
 
 /// Reads the body of a refusal, so that the connection can be reused.
 fn drain(
-    sending: &Sending<'_>,
+    attempt: &CallAttempt<'_>,
     key: TargetKey,
     response: Response<Incoming>,
     connection: Connection,
@@ -197,7 +197,7 @@
 ) {
     /// A refusal's body is short and arrives together with its head.
     const LIMIT: Duration = Duration::from_millis(100);
-    let shared = Rc::clone(&sending.call.shared);
+    let shared = Rc::clone(&attempt.call.shared);
     let Some(keep) = keep else { return };
 
     tokio::task::spawn_local(async move {
@@ -210,12 +210,16 @@
 
 /// Classifies a call whose answer was lost. If nothing listens at the target's address, its process
 /// has crashed.
-async fn lost(sending: &Sending<'_>, place: Place, reason: &'static str) -> Sent {
-    let shared = &sending.call.shared;
+async fn classify_lost(
+    attempt: &CallAttempt<'_>,
+    place: Place,
+    reason: &'static str,
+) -> SendOutcome {
+    let shared = &attempt.call.shared;
     let key = place.key;
     place.end(Outcome::Failed);
 
-    Sent::Unknown { reason, crashed: is_down(shared, key, sending.call).await }
+    SendOutcome::Unknown { reason, crashed: is_down(shared, key, attempt.call).await }
 }
 
 /// Returns whether nothing listens at the address of a target. If so, a background task checks
@@ -235,8 +239,9 @@
         }
         Err(ConnectError::Refused) => {
             let request = call.head.request_id.clone();
-            let suspect = Suspect { address, zone, request, fingerprint: call.fingerprint() };
-            tokio::task::spawn_local(count_crash(Rc::clone(shared), suspect));
+            let suspected =
+                SuspectedCrash { address, zone, request, fingerprint: call.fingerprint() };
+            tokio::task::spawn_local(count_crash(Rc::clone(shared), suspected));
             true
         }
         Err(ConnectError::Silent | ConnectError::Broken) => false,
@@ -244,27 +249,27 @@
 }
 
 /// A target that may have crashed because of a call.
-struct Suspect {
+struct SuspectedCrash {
     address: SocketAddr,
     zone: Box<str>,
     request: Box<str>,
     fingerprint: Fingerprint,
 }
 
-/// Counts a crash, unless the target's zone is cut off.
+/// Counts a crash, unless the target's zone is partitioned off.
 ///
 /// A partition may refuse connections just like the machine of a crashed process. If it counted as
-/// a crash, the calls that were running in a zone when it was cut off would be blocked as the
-/// cause. After a short while the two can be told apart: hosts behind a partition have become
+/// a crash, the calls that were running in a zone when it was partitioned off would be blocked as
+/// the cause. After a short while the two can be told apart: hosts behind a partition have become
 /// silent, while those beside a crashed target still send status updates.
-async fn count_crash(shared: Rc<Shared>, suspect: Suspect) {
+async fn count_crash(shared: Rc<Shared>, suspected: SuspectedCrash) {
     /// Longer than a status update is valid, so that hosts behind a new partition are no longer
     /// live. Shorter than a target takes to restart.
     const DELAY: Duration = Duration::from_millis(900);
-    let Suspect { address, zone, request, fingerprint } = suspect;
+    let SuspectedCrash { address, zone, request, fingerprint } = suspected;
     tokio::time::sleep(DELAY).await;
 
-    let in_reach = *zone == *shared.settings.zone || shared.fleet.hears_zone(&zone);
+    let in_reach = *zone == *shared.settings.zone || shared.fleet.is_zone_live(&zone);
     if !in_reach || connections::connect(address).await.is_ok() {
         info!(request = %request, target = %address, in_reach, "call: target did not go down");
         return;
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -1,8 +1,9 @@
 //! Granting tokens of a program while the store is slow, unavailable or unsettled, and replicating
 //! those grants to other hosts.
 //!
-//! A grant that the store does not have yet is provisional. It is replicated to hosts of other
-//! zones and written once the store accepts it.
+//! A grant that was made without the store and is not written to it yet is an unstored grant.
+//! Replicas of it are placed at hosts of other zones, and it is written to the store as soon as
+//! possible.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,87 +20,87 @@
 use tracing::info;
 
 use crate::answer::Refusal;
-use crate::asks::{self, Ask, GrantAsk, Reply};
-use crate::budget::{MOST_WRITES, Written, lock, unsure, write};
+use crate::asks::{self, GrantQuery, Query, QueryReply};
+use crate::budget::{MAX_WRITE_ATTEMPTS, WriteOutcome, program_lock, unknown_budget, write_row};
 use crate::call::Call;
 use crate::host::Shared;
 use crate::{clock, store};
 
 /// How many hosts keep a copy of a program's row besides those that run the program. Two survive
 /// the loss of one.
-pub(crate) const WITNESSES: usize = 2;
+pub(crate) const ROW_REPLICAS: usize = 2;
 
-/// To how many hosts of other zones a provisional grant is replicated. Half of a small fleet may be
-/// killed before the store recovers.
-const LOOSE_WITNESSES: usize = 4;
+/// How many hosts of other zones hold replicas of an unstored grant. With this many, the grant
+/// survives if half of a small fleet is killed before the store recovers.
+const MAX_REPLICAS_ELSEWHERE: usize = 4;
 
 /// How many hosts are queried about a program that the next granters do not know: all of a small
 /// fleet.
-const MOST_ASKED: usize = 12;
+const MAX_HOSTS_QUERIED: usize = 12;
 
 /// How long a grant by another host may take: a round trip, and that host's attempts to write to a
 /// store that is slow or has just stopped answering.
-const GRANT_DEADLINE: Duration = Duration::from_millis(450);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// How many writes of one grant are awaited beyond the hedging delay.
-const MOST_OVERDUE: u32 = 2;
+const MAX_OVERDUE_WRITES: u32 = 2;
 
 /// How long another host may take to send or store a row: several round trips, and less than what
 /// remains of [`GRANT_TIMEOUT`].
-const WITNESS_DEADLINE: Duration = Duration::from_millis(80);
+const ROW_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// How many rows are written concurrently after the store has recovered.
-const WRITES_AT_ONCE: usize = 8;
+const CONCURRENT_WRITES: usize = 8;
 
 /// Returns the live hosts in the order in which they grant a program's tokens while the store is
 /// unavailable. Hosts without a complete grant history come last, since they may not grant.
 fn grant_order(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
-    let own = shared.fleet.own();
-    let remembers = |host: &HostId| match *host == own {
-        true => shared.remembers(),
-        false => shared.fleet.remembers(*host),
+    let own = shared.fleet.own_id();
+    let has_history = |host: &HostId| match *host == own {
+        true => shared.has_complete_history(),
+        false => shared.fleet.has_complete_history(*host),
     };
-    let (mut order, late): (Vec<_>, Vec<_>) =
-        shared.fleet.order(program.0).into_iter().partition(remembers);
-    order.extend(late);
+    let (mut order, others): (Vec<_>, Vec<_>) =
+        shared.fleet.live_hosts_in_order(program.0).into_iter().partition(has_history);
+    order.extend(others);
 
     order
 }
 
 /// Sends a row that the store has accepted to the hosts that would grant if the store failed, which
-/// need it at that moment. Also sends it to the replicas of provisional grants, so that they do not
+/// need it at that moment. Also sends it to the replicas of unstored grants, so that they do not
 /// write those grants again.
-pub(crate) fn tell_stored(
+pub(crate) fn notify_stored(
     shared: &Shared,
     program: ProgramKey,
     row: &BudgetRow,
     version: RowVersion,
 ) {
-    let mut hosts: Vec<_> = next_granters(shared, program).take(WITNESSES).collect();
+    let mut hosts: Vec<_> = next_granters(shared, program).take(ROW_REPLICAS).collect();
     if shared.budgets.borrow().is_loose(program) {
-        hosts.extend(loose_witnesses(shared, program));
+        hosts.extend(replicas_elsewhere(shared, program));
         hosts.sort_unstable();
         hosts.dedup();
     }
 
     for host in hosts {
-        asks::tell(shared, host, &Ask::Stored(program, row.clone(), version));
+        asks::notify(shared, host, &Query::Stored(program, row.clone(), version));
     }
 }
 
-/// Returns the hosts of other zones that hold copies of a program's provisional grants.
-fn loose_witnesses(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
-    shared.fleet.witnesses(program.0).into_iter().take(LOOSE_WITNESSES).collect()
+/// Returns the hosts of other zones that hold replicas of a program's unstored grants.
+fn replicas_elsewhere(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
+    shared.fleet.live_replicas(program.0).into_iter().take(MAX_REPLICAS_ELSEWHERE).collect()
 }
 
-/// The outcome of a grant request.
-pub(crate) enum Granted {
+/// The outcome of a grant query.
+pub(crate) enum GrantOutcome {
     /// The row now includes the turn's tokens.
-    Tokens,
+    Granted,
     /// The rest of the budget may have been granted without the store.
     Withheld(Doubt),
     /// The budget does not have enough tokens left, according to the known rows.
-    Nothing,
+    Insufficient,
 }
 
 /// Requests a turn's tokens from the one host that grants a program's tokens while the store is
@@ -107,188 +108,196 @@
 ///
 /// Hosts may disagree about the store: it may be slow, or answer only some of them. If each decided
 /// alone, one could write a grant to the store while another grants the same tokens without it.
-pub(crate) async fn ask_for_grant(
+pub(crate) async fn request_grant(
     call: &Call,
     program: ProgramKey,
     budget: u64,
-    most: u64,
-) -> Result<Granted, Refusal> {
+    max_tokens: u64,
+) -> Result<GrantOutcome, Refusal> {
     let shared = &call.shared;
     let empty = BudgetRow { budget, ..BudgetRow::default() };
     let known = shared.budgets.borrow().known(program);
     let known = known.unwrap_or(KnownRow { row: empty, stored: 0 });
-    let begins = call.may_be_first();
-    let claim = shared.budgets.borrow().claim(program, most);
-    let ask = GrantAsk { program, claim, known, begins };
+    let begins = call.may_begin_program();
+    let claim = shared.budgets.borrow().claim(program, max_tokens);
+    let query = GrantQuery { program, claim, known, begins };
     let order = grant_order(shared, program);
-    let host = order.first().copied().ok_or_else(|| unsure(shared))?;
-    let reply = match host == shared.fleet.own() {
-        true => Some(grant(shared, &ask).await),
-        false => asks::ask(shared, host, &Ask::Grant(ask), GRANT_DEADLINE).await,
+    let host = order.first().copied().ok_or_else(|| unknown_budget(shared))?;
+    let reply = match host == shared.fleet.own_id() {
+        true => Some(grant(shared, &query).await),
+        false => asks::query(shared, host, &Query::Grant(query), GRANT_TIMEOUT).await,
     };
 
     match reply {
-        Some(Reply::Written(row)) => {
+        Some(QueryReply::Written(row)) => {
             shared.budgets.borrow_mut().learn_written(clock::now(), program, &row);
-            Ok(Granted::Tokens)
+            Ok(GrantOutcome::Granted)
         }
-        Some(Reply::Granted(row)) => {
+        Some(QueryReply::Granted(row)) => {
             info!(
                 request = %call.head.request_id, program = %program.0, host = host.0,
                 "budget: granted without the store"
             );
             shared.budgets.borrow_mut().learn_loose(clock::now(), program, &row);
-            Ok(Granted::Tokens)
+            Ok(GrantOutcome::Granted)
         }
-        Some(Reply::Withheld(doubt)) => Ok(Granted::Withheld(doubt)),
-        Some(Reply::Spent) => Ok(Granted::Nothing),
-        _ => Err(unsure(shared)),
+        Some(QueryReply::Withheld(doubt)) => Ok(GrantOutcome::Withheld(doubt)),
+        Some(QueryReply::Spent) => Ok(GrantOutcome::Insufficient),
+        _ => Err(unknown_budget(shared)),
     }
 }
 
-/// Handles a grant request of another host. Requests for the same program run one at a time.
-pub(crate) async fn grant_for_peer(shared: &Rc<Shared>, ask: &GrantAsk) -> Reply {
-    let lock = lock(shared, ask.program);
-    let _turn = lock.lock().await;
+/// Handles a grant query of another host. Queries for the same program run one at a time.
+pub(crate) async fn grant_for_peer(shared: &Rc<Shared>, query: &GrantQuery) -> QueryReply {
+    let lock = program_lock(shared, query.program);
+    let _guard = lock.lock().await;
 
-    grant(shared, ask).await
+    grant(shared, query).await
 }
 
-/// Grants a turn's tokens: by a write to the store if the program's part of it answers, and
-/// provisionally otherwise.
-async fn grant(shared: &Rc<Shared>, ask: &GrantAsk) -> Reply {
-    shared.budgets.borrow_mut().note_known(clock::now(), ask.program, &ask.known);
-
-    for _ in 0..MOST_OVERDUE {
-        let overdue = match grant_by_store(shared, ask).await {
-            ByStore::Decided(reply) => return reply,
-            ByStore::Overdue(overdue) => overdue,
-            ByStore::Away(otherwise) => {
-                return grant_without_store(shared, ask).await.unwrap_or(otherwise);
+/// Grants a turn's tokens: by a write to the store if the program's part of it answers, and without
+/// the store otherwise.
+async fn grant(shared: &Rc<Shared>, query: &GrantQuery) -> QueryReply {
+    shared.budgets.borrow_mut().note_known(clock::now(), query.program, &query.known);
+
+    for _ in 0..MAX_OVERDUE_WRITES {
+        let overdue = match grant_by_store(shared, query).await {
+            StoreGrant::Decided(reply) => return reply,
+            StoreGrant::Overdue(overdue) => overdue,
+            StoreGrant::Unavailable(otherwise) => {
+                return grant_without_store(shared, query).await.unwrap_or(otherwise);
             }
         };
-        match grant_without_store(shared, ask).await {
+        match grant_without_store(shared, query).await {
             Some(reply) => return reply,
             // The write may still succeed, or may have conflicted with another one.
-            None => match timeout(GRANT_DEADLINE, overdue.writing).await {
-                Ok(Ok(Ok(Written::Committed))) => return Reply::Written(overdue.row),
-                Ok(Ok(Ok(Written::Learned))) => {}
-                _ => return Reply::Refused,
+            None => match timeout(GRANT_TIMEOUT, overdue.writing).await {
+                Ok(Ok(Ok(WriteOutcome::Committed))) => return QueryReply::Written(overdue.row),
+                Ok(Ok(Ok(WriteOutcome::Superseded))) => {}
+                _ => return QueryReply::Refused,
             },
         }
     }
 
-    Reply::Refused
+    QueryReply::Refused
 }
 
 /// The outcome of a grant by a write to the store.
-enum ByStore {
-    /// The final reply to the requesting host.
-    Decided(Reply),
+enum StoreGrant {
+    /// The final reply to the querying host.
+    Decided(QueryReply),
     /// The store has not answered in time.
-    Overdue(Overdue),
-    /// The store is unavailable. The reply applies if no provisional grant is made either.
-    Away(Reply),
+    Overdue(OverdueWrite),
+    /// The store is unavailable. The reply applies if nothing is granted without the store either.
+    Unavailable(QueryReply),
 }
 
 /// A row whose write the store has not answered yet.
-struct Overdue {
+struct OverdueWrite {
     row: BudgetRow,
-    writing: Writing,
+    writing: WriteTask,
 }
 
-async fn grant_by_store(shared: &Rc<Shared>, ask: &GrantAsk) -> ByStore {
-    let GrantAsk { program, claim, known, .. } = ask;
+async fn grant_by_store(shared: &Rc<Shared>, query: &GrantQuery) -> StoreGrant {
+    let GrantQuery { program, claim, known, .. } = query;
 
-    for _ in 0..MOST_WRITES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let (now, limit) = (clock::now(), limit(shared));
         let proposal =
             shared.budgets.borrow_mut().propose_within(now, *program, *claim, &known.row, limit);
         let (row, version) = match proposal {
             Proposal::Write(row, version) => (row, version),
-            Proposal::Spent => return ByStore::Decided(Reply::Spent),
-            // While the store answers, a provisional grant would use the share that is reserved for
+            Proposal::Spent => return StoreGrant::Decided(QueryReply::Spent),
+            // While the store answers, a grant without it would use the share that is reserved for
             // an outage.
-            Proposal::Withheld(doubt) if shared.store.answers_whole() => {
+            Proposal::Withheld(doubt) if shared.store.is_fully_available() => {
                 info!(program = %program.0, ?doubt, "budget: the rest is withheld");
-                return ByStore::Decided(Reply::Withheld(doubt));
+                return StoreGrant::Decided(QueryReply::Withheld(doubt));
+            }
+            Proposal::Withheld(doubt) => {
+                return StoreGrant::Unavailable(QueryReply::Withheld(doubt));
             }
-            Proposal::Withheld(doubt) => return ByStore::Away(Reply::Withheld(doubt)),
         };
 
         match write_hedged(shared, *program, row.clone(), version).await {
-            Hedged::Done(Ok(Written::Committed)) => return ByStore::Decided(Reply::Written(row)),
-            Hedged::Done(Ok(Written::Learned)) => {}
-            Hedged::Done(_) => return ByStore::Away(Reply::Refused),
-            Hedged::Overdue(writing) => return ByStore::Overdue(Overdue { row, writing }),
+            HedgedWrite::Done(Ok(WriteOutcome::Committed)) => {
+                return StoreGrant::Decided(QueryReply::Written(row));
+            }
+            HedgedWrite::Done(Ok(WriteOutcome::Superseded)) => {}
+            HedgedWrite::Done(_) => return StoreGrant::Unavailable(QueryReply::Refused),
+            HedgedWrite::Overdue(writing) => {
+                return StoreGrant::Overdue(OverdueWrite { row, writing });
+            }
         }
     }
 
-    ByStore::Away(Reply::Refused)
+    StoreGrant::Unavailable(QueryReply::Refused)
 }
 
-/// Grants a turn's tokens provisionally. Returns `None` if this host may not.
+/// Grants a turn's tokens without the store. Returns `None` if this host may not.
 ///
-/// The host must reach a majority, so that at most one side of a network partition grants. Hosts
-/// that are cut off together with their zone do not grant even as a majority, because their grants
-/// would be lost if all machines lost power. A process that the store has never answered has no
-/// earlier state. A process that restarted together with all others does not know what was granted
-/// before, by the store or provisionally, to programs that are still running.
-async fn grant_without_store(shared: &Rc<Shared>, ask: &GrantAsk) -> Option<Reply> {
-    let GrantAsk { program, claim, known, .. } = ask;
-    let is_entitled = shared.fleet.is_majority() && !shared.is_isolated();
+/// The host must reach a majority, so that at most one side of a network partition grants. Isolated
+/// hosts do not grant even as a majority, because their grants would be lost if all machines lost
+/// power. A process that the store has never answered has no earlier state. A process that
+/// restarted together with all others does not know what was granted before, by the store or
+/// without it, to programs that are still running.
+async fn grant_without_store(shared: &Rc<Shared>, query: &GrantQuery) -> Option<QueryReply> {
+    let GrantQuery { program, claim, known, .. } = query;
+    let is_entitled = shared.fleet.reaches_majority() && !shared.is_isolated();
     if !shared.store.has_answered() || !is_entitled {
         return None;
     }
-    if !shared.remembers() {
+    if !shared.has_complete_history() {
         info!(program = %program.0, "budget: what was granted before all hosts started is not known");
         return None;
     }
 
-    learn_from(shared, *program, WITNESSES).await;
+    fetch_known_rows(shared, *program, ROW_REPLICAS).await;
     if !shared.budgets.borrow().knows(*program) {
         // After a rolling restart the next granters may have no state of the program. The host that
         // ran it does.
-        learn_from(shared, *program, MOST_ASKED).await;
-        if !shared.budgets.borrow().knows(*program) && !ask.begins {
-            info!(program = %program.0, "budget: the row of a program under way is not known");
+        fetch_known_rows(shared, *program, MAX_HOSTS_QUERIED).await;
+        if !shared.budgets.borrow().knows(*program) && !query.begins {
+            info!(program = %program.0, "budget: no row is known for a running program");
             return None;
         }
     }
     let granted =
         shared.budgets.borrow_mut().grant_claim(clock::now(), *program, *claim, &known.row);
     match granted {
-        Some(row) if has_witness(shared, *program, &row).await => {
-            shared.metrics.loose_grants.inc();
-            Some(Reply::Granted(row))
+        Some(row) if replicate_to_other_zone(shared, *program, &row).await => {
+            shared.metrics.grants_without_store.inc();
+            Some(QueryReply::Granted(row))
         }
         Some(_) => {
             info!(program = %program.0, "budget: no host of another zone took note of a grant");
             None
         }
-        None if shared.budgets.borrow().is_spent(*program, claim.missing) => Some(Reply::Spent),
+        None if shared.budgets.borrow().is_spent(*program, claim.missing) => {
+            Some(QueryReply::Spent)
+        }
         None => {
             info!(program = %program.0, "budget: the share without the store is granted");
-            Some(Reply::Withheld(Doubt::Unsettled))
+            Some(QueryReply::Withheld(Doubt::Unsettled))
         }
     }
 }
 
 /// Returns which share of budgets this host may have granted by the store.
 pub(crate) fn limit(shared: &Shared) -> Limit {
-    shares::limit(shared.budget_surroundings())
+    shares::limit(shared.fleet_view())
 }
 
 /// A row write that is in progress.
-type Writing = JoinHandle<std::result::Result<Written, Refusal>>;
+type WriteTask = JoinHandle<std::result::Result<WriteOutcome, Refusal>>;
 
 /// The outcome of a row write that is awaited only for the hedging delay.
-pub(crate) enum Hedged {
+pub(crate) enum HedgedWrite {
     /// The write has ended.
-    Done(std::result::Result<Written, Refusal>),
-    /// The write is still in progress. A provisional grant made meanwhile produces the same row, so
-    /// nothing is granted twice.
-    Overdue(Writing),
+    Done(std::result::Result<WriteOutcome, Refusal>),
+    /// The write is still in progress. A grant that is made without the store meanwhile produces
+    /// the same row, so nothing is granted twice.
+    Overdue(WriteTask),
 }
 
 /// Writes a program's row, and waits for the outcome for at most the hedging delay.
@@ -297,40 +306,41 @@
     program: ProgramKey,
     row: BudgetRow,
     version: RowVersion,
-) -> Hedged {
+) -> HedgedWrite {
     let mut writing = {
         let shared = Rc::clone(shared);
-        tokio::task::spawn_local(async move { write(&shared, program, row, version).await })
+        tokio::task::spawn_local(async move { write_row(&shared, program, row, version).await })
     };
 
     match timeout(store::HEDGE_AFTER, &mut writing).await {
-        Ok(written) => Hedged::Done(written.unwrap_or_else(|_| Err(unsure(shared)))),
+        Ok(written) => HedgedWrite::Done(written.unwrap_or_else(|_| Err(unknown_budget(shared)))),
         Err(_) => {
             shared.store.note_slow(clock::now());
-            Hedged::Overdue(writing)
+            HedgedWrite::Overdue(writing)
         }
     }
 }
 
-/// Replicates a row with provisional grants to the next granters and to hosts of other zones.
-/// Returns whether a host of another zone has acknowledged it.
+/// Replicates a row with unstored grants to the next granters and to hosts of other zones. Returns
+/// whether a host of another zone has acknowledged it.
 ///
-/// For most of a second after a partition begins, a zone that is being cut off still believes it
-/// belongs to the majority. Its grants would be lost if all machines lost power. In that time no
-/// other zone acknowledges the grant, so its tokens are not spent.
-async fn has_witness(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
+/// For most of a second after a partition begins, a zone that is being partitioned off still
+/// believes it belongs to the majority. Its grants would be lost if all machines lost power. In
+/// that time no other zone acknowledges the grant, so its tokens are not spent.
+async fn replicate_to_other_zone(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
     let stored = shared.budgets.borrow().known(program).map_or(0, |known| known.stored);
-    let ask = Ask::Loose(program, KnownRow { row: row.clone(), stored });
-    let elsewhere = loose_witnesses(shared, program);
-    let next = next_granters(shared, program).take(WITNESSES);
-    for host in next.filter(|host| !elsewhere.contains(host)) {
-        asks::tell(shared, host, &ask);
+    let query = Query::Loose(program, KnownRow { row: row.clone(), stored });
+    let replicas = replicas_elsewhere(shared, program);
+    let next = next_granters(shared, program).take(ROW_REPLICAS);
+    for host in next.filter(|host| !replicas.contains(host)) {
+        asks::notify(shared, host, &query);
     }
 
-    let replies = elsewhere.iter().map(|host| asks::ask(shared, *host, &ask, WITNESS_DEADLINE));
+    let replies =
+        replicas.iter().map(|host| asks::query(shared, *host, &query, ROW_EXCHANGE_TIMEOUT));
     let mut replies: FuturesUnordered<_> = replies.collect();
     while let Some(reply) = replies.next().await {
-        if matches!(reply, Some(Reply::Done)) {
+        if matches!(reply, Some(QueryReply::Done)) {
             return true;
         }
     }
@@ -340,7 +350,7 @@
 
 /// Returns the other hosts in the order in which they grant a program's tokens without the store.
 fn next_granters(shared: &Shared, program: ProgramKey) -> impl Iterator<Item = HostId> {
-    let own = shared.fleet.own();
+    let own = shared.fleet.own_id();
 
     grant_order(shared, program).into_iter().filter(move |host| *host != own)
 }
@@ -350,55 +360,63 @@
 /// A host that is new, or was unreachable for a while, may become the first granter although others
 /// have granted in the meantime. The host that granted is next in the order, or has replicated the
 /// row to the hosts that are.
-pub(crate) async fn learn_from(shared: &Shared, program: ProgramKey, count: usize) {
-    let ask = Ask::KnownRow(program);
+pub(crate) async fn fetch_known_rows(shared: &Shared, program: ProgramKey, count: usize) {
+    let query = Query::KnownRow(program);
     let hosts = next_granters(shared, program).take(count);
-    let replies = join_all(hosts.map(|host| asks::ask(shared, host, &ask, WITNESS_DEADLINE))).await;
+    let replies =
+        join_all(hosts.map(|host| asks::query(shared, host, &query, ROW_EXCHANGE_TIMEOUT))).await;
 
     for reply in replies.into_iter().flatten() {
-        if let Reply::Known(known) = reply {
+        if let QueryReply::Known(known) = reply {
             shared.budgets.borrow_mut().note_known(clock::now(), program, &known);
         }
     }
 }
 
 /// Merges a row that the store holds.
-pub(crate) fn take_stored(
+pub(crate) fn apply_stored(
     shared: &Shared,
     program: ProgramKey,
     row: BudgetRow,
     version: RowVersion,
-) -> Reply {
+) -> QueryReply {
     shared.budgets.borrow_mut().learn(clock::now(), program, row, version);
 
-    Reply::Done
+    QueryReply::Done
 }
 
-/// Records provisional grants of another host. This host writes them if the host that spends them
-/// does not, which may be cut off from now on.
-pub(crate) fn take_loose(shared: &Shared, program: ProgramKey, known: &KnownRow) -> Reply {
+/// Records unstored grants of another host. This host writes them if the host that spends them does
+/// not, which may become isolated.
+pub(crate) fn record_unstored(
+    shared: &Shared,
+    program: ProgramKey,
+    known: &KnownRow,
+) -> QueryReply {
     let mut budgets = shared.budgets.borrow_mut();
     budgets.witness(clock::now(), program, &known.row);
     budgets.note_known(clock::now(), program, known);
 
-    Reply::Done
+    QueryReply::Done
 }
 
-/// Writes up to `max_writes` rows with provisional grants: those to this host at once, and those to
+/// Writes up to `max_writes` rows with unstored grants: those to this host at once, and those to
 /// other hosts if they have not been written after a while. A row whose write fails or conflicts is
 /// tried again in the next round.
-pub(crate) async fn write_loose(shared: &Rc<Shared>, most: usize) -> Round {
-    let mut loose = shared.budgets.borrow().loose(clock::now(), |run| shared.hears_run(run));
-    if loose.is_empty() {
+pub(crate) async fn write_unstored(shared: &Rc<Shared>, max_writes: usize) -> Round {
+    let mut rows = shared.budgets.borrow().loose(clock::now(), |run| shared.is_run_live(run));
+    if rows.is_empty() {
         return Round::Nothing;
     }
 
-    let due = loose.len();
-    loose.truncate(most);
+    let due = rows.len();
+    rows.truncate(max_writes);
     let mut refused = false;
-    for round in loose.chunks(WRITES_AT_ONCE) {
+    for round in rows.chunks(CONCURRENT_WRITES) {
         let writes = round.iter().cloned().map(|(program, row, version)| async move {
-            matches!(write(shared, program, row, version).await, Ok(Written::Away))
+            matches!(
+                write_row(shared, program, row, version).await,
+                Ok(WriteOutcome::StoreUnavailable)
+            )
         });
         refused = join_all(writes).await.contains(&true);
         // The store would refuse the rest too, and each refusal counts against its rate limit.
@@ -406,11 +424,11 @@
             break;
         }
     }
-    info!(due, most, refused, "budget: grants made without the store are written");
+    info!(due, most = max_writes, refused, "budget: grants made without the store are written");
 
     match refused {
         true => Round::Refused,
-        false if due > most => Round::Part,
+        false if due > max_writes => Round::Part,
         false => Round::All,
     }
 }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -25,7 +25,7 @@
 use tokio::time::{Instant as TokioInstant, sleep, timeout_at};
 use tracing::info;
 
-use crate::asks::Asks;
+use crate::asks::PendingQueries;
 use crate::connections::Connections;
 use crate::errors::Result;
 use crate::fleet::Fleet;
@@ -33,15 +33,15 @@
 use crate::metrics::Metrics;
 use crate::places::Places;
 use crate::store::Store;
-use crate::stories::Stories;
+use crate::stories::LogSampler;
 use crate::{callers, clock, fleet, news, probes, registry, retention, store, watch};
 
 /// The longest time-out of one attempt of a store operation. The store answers within some
 /// milliseconds, and within a third of a second when it is slow.
-const STORE_DEADLINE: Duration = Duration::from_millis(500);
+const STORE_MAX_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The shortest time-out of one attempt: several times the usual duration of a transaction.
-const STORE_LEAST_DEADLINE: Duration = Duration::from_millis(80);
+const STORE_MIN_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// How long a store operation is retried. A whole program of a caller takes a second or two.
 const STORE_RETRY_WINDOW: Duration = Duration::from_millis(400);
@@ -50,40 +50,40 @@
 /// malfunctioning host leaves the rest to the others.
 const STORE_SHARE: f64 = 0.25;
 
-/// The cache of turns may take up to this fraction of the process's memory: one part of so many.
+/// The cache of turns may use the process's memory divided by this number.
 const TURN_CACHE_PART: u64 = 6;
 
-/// For how many chains of turns a host remembers which host ran the last turn. This covers some
-/// seconds, within which a chain usually continues.
-const LINES_REMEMBERED: usize = 16_384;
+/// For how many conversations a host remembers which host ran the last turn. This covers some
+/// seconds, within which a conversation usually continues.
+const MAX_CONVERSATION_HOSTS: usize = 16_384;
 
-/// How long at least a host keeps serving after its shutdown began. The load balancer checks
-/// readiness every second and acts on the second failed check, so by then it sends new connections
-/// elsewhere.
+/// The minimum time for which a host keeps serving after its shutdown began. The load balancer
+/// checks readiness every second and acts on the second failed check, so by then it sends new
+/// connections elsewhere.
 const BALANCER_DELAY: Duration = Duration::from_millis(2_500);
 
 /// How long the store must have answered all hosts before each host writes grants by itself again.
-/// Within this time the provisional grants are written back.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Within this time the unstored grants are written back.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Within this time each live host has reported whether it has provisional grants. It is longer
-/// than a status update is valid.
-const ALL_TOLD: Duration = Duration::from_secs(1);
+/// Within this time each live host has reported whether it has unstored grants. It is longer than a
+/// status update is valid.
+const REPORT_TIME: Duration = Duration::from_secs(1);
 
 /// Retry-After of a caller that a host without access to the store cannot serve. The load balancer
 /// checks readiness every second and acts on the second failed check, so it moves new connections
-/// at most two seconds after the host notices that it is cut off. Callers retry two or three times
+/// at most two seconds after the host notices that it is isolated. Callers retry two or three times
 /// within that.
-const MOVE_RETRY: Duration = Duration::from_millis(800);
+const MOVE_RETRY_AFTER: Duration = Duration::from_millis(800);
 
 /// How long a host accepts calls after its shutdown began. By then the load balancer sends new
 /// connections elsewhere, unless less than half of the zone's hosts are left. A later call might
 /// still be running when the process ends.
-const LAST_CALLS: Duration = Duration::from_millis(3_500);
+const ACCEPT_TIME: Duration = Duration::from_millis(3_500);
 
 /// The largest fraction of the grace period for which calls are still accepted, so that the
 /// accepted calls can finish.
-const LAST_CALLS_PART: f64 = 0.45;
+const ACCEPT_TIME_PART: f64 = 0.45;
 
 /// How long before the end of the grace period a host shuts down even if calls are still running.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
@@ -92,37 +92,37 @@
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
     pub(crate) run: RunId,
-    began: Instant,
+    started_at: Instant,
     pub(crate) store: Store,
-    pub(crate) asks: Asks,
+    pub(crate) pending_queries: PendingQueries,
     pub(crate) routes: RefCell<Option<RouteTable>>,
     /// The text of the manifest in force, which is sent to hosts that cannot get it from the store.
     pub(crate) manifest_text: RefCell<Box<str>>,
     pub(crate) manifests: Manifests,
     pub(crate) rates: RefCell<Rates>,
-    pub(crate) told_all: news::ToldAll,
+    pub(crate) informed_hosts: news::InformedHosts,
     /// The entries under which targets have registered themselves.
     pub(crate) target_table: RefCell<TargetTable>,
     pub(crate) targets: RefCell<Targets>,
     pub(crate) places: Places,
     pub(crate) connections: Connections,
     pub(crate) budgets: RefCell<Budgets>,
-    memory: RefCell<Memory>,
-    /// When any host was last known to grant tokens provisionally, or to have provisional grants
-    /// that the store lacks.
-    pub(crate) loose_at: Cell<Option<Instant>>,
+    grant_history: RefCell<Memory>,
+    /// When any host was last known to grant tokens without the store, or to have unstored grants.
+    pub(crate) unstored_grants_at: Cell<Option<Instant>>,
     /// Held while tokens of a program's budget are requested.
     pub(crate) budget_locks: RefCell<Map<ProgramKey, Rc<Mutex<()>>>>,
     pub(crate) turns: RefCell<TurnCache>,
-    /// The host that ran the last turn of a chain, by the id of the chain's prompt part.
-    pub(crate) line_hosts: RefCell<Recent<u64, HostId>>,
-    pub(crate) written: RefCell<retention::Written>,
+    /// The host that ran the last turn of a conversation, by the id of the conversation's prompt
+    /// part.
+    pub(crate) conversation_hosts: RefCell<Recent<u64, HostId>>,
+    pub(crate) written_turns: RefCell<retention::WrittenTurns>,
     pub(crate) crashes: RefCell<Crashes>,
     pub(crate) fleet: Fleet,
     pub(crate) metrics: Metrics,
-    pub(crate) stories: Stories,
+    pub(crate) log_sampler: LogSampler,
     /// When the shutdown began.
-    leaving: Cell<Option<Instant>>,
+    shutdown_began: Cell<Option<Instant>>,
     /// When the host became isolated, as far as that was checked.
     isolated_since: Cell<Option<Instant>>,
     /// The number of requests that were received and are not answered yet.
@@ -132,15 +132,16 @@
 impl Shared {
     /// Returns whether the host accepts new callers.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.routes.borrow().is_some() && !self.is_isolated()
+        !self.is_shutting_down() && self.routes.borrow().is_some() && !self.is_isolated()
     }
 
-    /// Returns whether the host is cut off from the store and from all hosts that could make its
-    /// data durable.
+    /// Returns whether the host is isolated: cut off from the store and from all hosts that could
+    /// make its data durable.
     pub(crate) fn is_isolated(&self) -> bool {
         // This runs for each answer, so the live hosts are only looked at if the store does not
         // answer.
-        let isolated = !self.store.answers_whole() && isolation::is_isolated(self.surroundings());
+        let isolated =
+            !self.store.is_fully_available() && isolation::is_isolated(self.surroundings());
 
         if self.isolated_since.get().is_some() != isolated {
             self.isolated_since.set(isolated.then(clock::now));
@@ -157,14 +158,14 @@
         self.isolated_since.get().filter(|_| is_isolated).map(|since| clock::now().since(since))
     }
 
-    /// Returns the host that ran the last turn of a call's chain, or of its parent's chain, if that
-    /// is another host and live.
-    pub(crate) fn host_before(&self, head: &CallHead) -> Option<HostId> {
-        let line_hosts = self.line_hosts.borrow();
-        // A sub-agent continues the chain of its parent, whose prompt part precedes its own.
-        let host = head.prefix.iter().rev().find_map(|part| line_hosts.get(&part.id))?;
+    /// Returns the host that ran the last turn of a call's conversation, or of its parent's, if
+    /// that is another host and live.
+    pub(crate) fn last_host_of(&self, head: &CallHead) -> Option<HostId> {
+        let conversation_hosts = self.conversation_hosts.borrow();
+        // A sub-agent continues the conversation of its parent, whose prompt part precedes its own.
+        let host = head.prefix.iter().rev().find_map(|part| conversation_hosts.get(&part.id))?;
 
-        self.fleet.hears(host).then_some(host)
+        self.fleet.is_live(host).then_some(host)
     }
 
     /// Returns the version of the manifest in force; 0 for none.
@@ -174,12 +175,13 @@
 
     /// Returns whether the store answers this host or a live peer.
     pub(crate) fn reaches_store(&self) -> bool {
-        self.store.answers() || self.fleet.store_peer().is_some()
+        self.store.is_available() || self.fleet.live_peer_with_store().is_some()
     }
 
     fn surroundings(&self) -> Surroundings {
         Surroundings {
-            store_in_reach: self.store.answers_whole() || self.fleet.store_peer().is_some(),
+            store_in_reach: self.store.is_fully_available()
+                || self.fleet.live_peer_with_store().is_some(),
             other_zones: self.fleet.contact_elsewhere(),
             others: self.fleet.contact_anywhere(),
         }
@@ -187,112 +189,115 @@
 
     /// Returns the Retry-After of a call that cannot be decided now: `usual`, or if the host is
     /// isolated the time that the load balancer needs to move the caller to another zone.
-    pub(crate) fn come_back(&self, usual: Duration) -> Duration {
+    pub(crate) fn retry_after_or_move(&self, usual: Duration) -> Duration {
         match self.is_isolated() {
-            true => MOVE_RETRY,
+            true => MOVE_RETRY_AFTER,
             false => usual,
         }
     }
 
     /// Returns whether callers must reconnect, so that the load balancer can assign them to another
     /// host.
-    pub(crate) fn sends_callers_away(&self) -> bool {
-        self.is_leaving() || self.is_isolated()
+    pub(crate) fn closes_connections(&self) -> bool {
+        self.is_shutting_down() || self.is_isolated()
     }
 
     /// Returns whether an empty read of the store proves that there was no such turn within the
     /// last `retention`. It does not if the store was unavailable in that time, or if an earlier
     /// run of this process may have known of the turn.
-    pub(crate) fn knows_all_turns(&self, retention: Duration) -> bool {
-        let is_old = clock::now().since(self.began) > retention;
+    pub(crate) fn can_prove_absence(&self, retention: Duration) -> bool {
+        let is_old = clock::now().since(self.started_at) > retention;
 
-        (is_old || self.settings.is_first_start) && self.store.was_there_for(retention)
+        (is_old || self.settings.is_first_start) && self.store.was_available_for(retention)
     }
 
     /// Returns whether the store has answered all hosts for a while, according to their status
     /// updates. This is false for a process that has just started and received none.
     pub(crate) fn is_settled(&self) -> bool {
-        self.has_heard_of_trouble() && self.store.was_there_for(SETTLED)
+        self.had_time_for_reports() && self.store.was_available_for(SETTLE_TIME)
     }
 
     /// Returns whether the process has run for long enough to have received reports of trouble from
     /// the other hosts.
-    fn has_heard_of_trouble(&self) -> bool {
-        self.settings.is_first_start || clock::now().since(self.began) > SETTLED
+    fn had_time_for_reports(&self) -> bool {
+        self.settings.is_first_start || clock::now().since(self.started_at) > SETTLE_TIME
     }
 
-    /// Returns whether this host may grant tokens provisionally now, or is responsible for
-    /// provisional grants that the store does not have yet.
-    pub(crate) fn grants_loose(&self) -> bool {
-        let is_heard = |run| self.hears_run(run);
+    /// Returns whether this host may grant tokens without the store now, or is responsible for
+    /// unstored grants.
+    pub(crate) fn may_have_unstored_grants(&self) -> bool {
+        let is_live = |run| self.is_run_live(run);
 
-        self.store.missed_any(ALL_TOLD) || self.budgets.borrow().answers_for_loose(is_heard)
+        self.store.any_part_failed_within(REPORT_TIME)
+            || self.budgets.borrow().answers_for_loose(is_live)
     }
 
-    /// Returns whether no host has granted provisionally for a while, according to their status
-    /// updates.
+    /// Returns whether no host has granted tokens without the store for a while, according to their
+    /// status updates.
     fn is_all_stored(&self) -> bool {
         let now = clock::now();
-        if self.grants_loose() {
-            self.loose_at.set(Some(now));
+        if self.may_have_unstored_grants() {
+            self.unstored_grants_at.set(Some(now));
         }
 
-        self.has_heard_of_trouble() && self.loose_at.get().is_none_or(|at| now.since(at) > ALL_TOLD)
+        self.had_time_for_reports()
+            && self.unstored_grants_at.get().is_none_or(|at| now.since(at) > REPORT_TIME)
     }
 
     /// Returns whether a run is that of this process, or of a live host.
-    pub(crate) fn hears_run(&self, run: RunId) -> bool {
-        run == self.run || self.fleet.hears_run(run.0)
+    pub(crate) fn is_run_live(&self, run: RunId) -> bool {
+        run == self.run || self.fleet.is_run_live(run.0)
     }
 
-    /// Returns whether this host knows of provisional grants to programs that may still be running.
-    pub(crate) fn knows_of_loose(&self) -> bool {
-        self.loose_at.get().is_some_and(|at| clock::now().since(at) <= KNOWS_ALL_AFTER)
+    /// Returns whether this host knows of grants without the store to programs that may still be
+    /// running.
+    pub(crate) fn knows_of_unstored_grants(&self) -> bool {
+        self.unstored_grants_at.get().is_some_and(|at| clock::now().since(at) <= KNOWS_ALL_AFTER)
     }
 
-    /// Returns whether this process knows of all provisional grants that any host made.
-    pub(crate) fn remembers(&self) -> bool {
-        let around = self.surroundings_without_itself();
+    /// Returns whether this process knows of all grants that any host made without the store.
+    pub(crate) fn has_complete_history(&self) -> bool {
+        let around = self.fleet_view_of_others();
 
-        self.memory.borrow_mut().is_complete(clock::now(), around)
+        self.grant_history.borrow_mut().is_complete(clock::now(), around)
     }
 
     /// Returns what this host knows of the fleet, which determines the share of budgets that may be
     /// granted.
-    pub(crate) fn budget_surroundings(&self) -> shares::Surroundings {
-        let others = self.surroundings_without_itself();
+    pub(crate) fn fleet_view(&self) -> shares::Surroundings {
+        let others = self.fleet_view_of_others();
 
-        others.with_itself(self.remembers(), self.knows_of_loose())
+        others.with_itself(self.has_complete_history(), self.knows_of_unstored_grants())
     }
 
-    fn surroundings_without_itself(&self) -> shares::Surroundings {
-        let heard = self.fleet.fresh_news();
-        let remembering = heard.iter().filter(|heard| heard.remembers);
-        let free_of_loose = remembering.clone().filter(|heard| !heard.knows_of_loose);
+    fn fleet_view_of_others(&self) -> shares::Surroundings {
+        let live = self.fleet.live_statuses();
+        let remembering = live.iter().filter(|status| status.has_complete_history);
+        let free_of_loose = remembering.clone().filter(|status| !status.knows_of_unstored_grants);
 
         shares::Surroundings {
             is_all_stored: self.is_all_stored(),
             known: self.fleet.size(),
-            heard: heard.len() + 1,
+            heard: live.len() + 1,
             remembering: remembering.count(),
             free_of_loose: free_of_loose.count(),
         }
     }
 
     /// Returns whether the shutdown has begun.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.get().is_some()
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutdown_began.get().is_some()
     }
 
     /// Returns whether a call that arrives now might still be running when the process ends.
-    pub(crate) fn takes_no_more(&self) -> bool {
-        let longest = LAST_CALLS.min(self.settings.grace.mul_f64(LAST_CALLS_PART));
+    pub(crate) fn refuses_new_calls(&self) -> bool {
+        let longest = ACCEPT_TIME.min(self.settings.grace.mul_f64(ACCEPT_TIME_PART));
 
-        self.leaving.get().is_some_and(|at| clock::now().since(at) > longest)
+        self.shutdown_began.get().is_some_and(|at| clock::now().since(at) > longest)
     }
 
     /// Counts a request as open until the guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>) -> OpenRequest {
+    pub(crate) fn track_request(self: &Rc<Self>) -> OpenRequest {
         self.open_requests.set(self.open_requests.get() + 1);
 
         OpenRequest(Rc::clone(self))
@@ -333,31 +338,31 @@
         );
 
         let shared = Rc::new(Shared {
-            began: clock::now(),
+            started_at: clock::now(),
             run,
             store,
-            asks: Asks::default(),
+            pending_queries: PendingQueries::default(),
             routes: RefCell::default(),
             manifest_text: RefCell::default(),
             manifests: Manifests::default(),
             rates: RefCell::default(),
-            told_all: news::ToldAll::default(),
+            informed_hosts: news::InformedHosts::default(),
             target_table: RefCell::new(TargetTable::new(settings.target_heartbeat)),
             targets: RefCell::new(Targets::new(&settings.zone)),
             places: Places::default(),
             connections: Connections::default(),
             budgets: RefCell::new(Budgets::new(run)),
-            loose_at: Cell::new(None),
-            memory: RefCell::new(Memory::new(clock::now(), settings.is_first_start)),
+            unstored_grants_at: Cell::new(None),
+            grant_history: RefCell::new(Memory::new(clock::now(), settings.is_first_start)),
             budget_locks: RefCell::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
-            line_hosts: RefCell::new(Recent::new(LINES_REMEMBERED)),
-            written: RefCell::default(),
+            conversation_hosts: RefCell::new(Recent::new(MAX_CONVERSATION_HOSTS)),
+            written_turns: RefCell::default(),
             crashes: RefCell::default(),
             fleet: Fleet::new(&settings.name, &settings.zone),
             metrics,
-            stories: Stories::new(),
-            leaving: Cell::new(None),
+            log_sampler: LogSampler::new(),
+            shutdown_began: Cell::new(None),
             isolated_since: Cell::new(None),
             open_requests: Cell::new(0),
             settings,
@@ -388,14 +393,14 @@
     /// included, do not change.
     pub fn reloaded(&self, settings: &EntrySettings) {
         let same = *settings == self.shared.settings;
-        info!(same, "host: settings read again");
+        info!(same, "host: settings file read again");
     }
 
     /// Shuts down gracefully: reports not ready, serves calls until callers have moved to other
     /// hosts, and returns when no request is open or the grace period is nearly over.
     pub async fn leave(&self) {
         let shared = &self.shared;
-        shared.leaving.set(Some(clock::now()));
+        shared.shutdown_began.set(Some(clock::now()));
         info!(open = shared.open_requests.get(), "host: leaving");
 
         let begun = TokioInstant::now();
@@ -415,8 +420,8 @@
 fn store_client(settings: &EntrySettings, run: RunId, metrics: &Metrics) -> Result<Client> {
     let limits = settings.store_limits;
     let store = Client::new(ClientOptions {
-        deadline: STORE_DEADLINE,
-        least_deadline: STORE_LEAST_DEADLINE,
+        deadline: STORE_MAX_TIMEOUT,
+        least_deadline: STORE_MIN_TIMEOUT,
         retry: RetryOptions {
             most_tries: 4,
             saved: 50.0,
--- a/crates/entry/src/keeping.rs
+++ b/crates/entry/src/keeping.rs
@@ -1,4 +1,4 @@
-//! Persists turns: a turn is written to the store before the end of its stream is forwarded.
+//! Stores turns: a turn is written to the store before the end of its stream is forwarded.
 
 use std::rc::Rc;
 
@@ -18,29 +18,29 @@
 
 /// Why a turn could not be written to the store.
 #[derive(Clone, Copy, Debug)]
-struct NotStored {
+struct WriteFailure {
     reason: &'static str,
     /// Whether retrying the write cannot succeed.
     is_final: bool,
 }
 
 /// The result of a write.
-type Result<T> = std::result::Result<T, NotStored>;
+type Result<T> = std::result::Result<T, WriteFailure>;
 
-impl NotStored {
+impl WriteFailure {
     fn transient(reason: &'static str) -> Self {
         Self { reason, is_final: false }
     }
 }
 
-/// A turn that has ended and must be persisted.
-struct EndedTurn<'a> {
+/// A turn that has ended and must be stored.
+struct CompletedTurn<'a> {
     call: &'a Call,
     key: TurnKey,
     turn: Rc<Turn>,
     /// The row's value.
     value: Rc<str>,
-    at: Instant,
+    ended_at: Instant,
 }
 
 /// Writes a turn whose stream has ended to the store, if its route stores turns. The end of the
@@ -51,36 +51,38 @@
 /// # Errors
 ///
 /// Returns the reason if the turn could not be written before the caller's deadline.
-pub(crate) async fn keep(
+pub(crate) async fn store_turn(
     call: &Call,
     continuation: &Continuation,
-    said: Vec<u8>,
+    output: Vec<u8>,
 ) -> std::result::Result<(), &'static str> {
     if call.route().keeps.is_none() {
         return Ok(());
     }
 
     let mut text = call.body.to_vec();
-    text.extend_from_slice(&said);
-    let turn = Turn::new(continuation.line.clone(), text);
+    text.extend_from_slice(&output);
+    let turn = Turn::new(continuation.conversation.clone(), text);
     let value = serde_json::to_string(&turn).map_err(|_| "the turn cannot be written")?;
-    let ended = EndedTurn {
+    let completed = CompletedTurn {
         call,
         key: TurnKey::new(call.tenant.as_deref().unwrap_or_default(), &call.head.request_id),
         turn: Rc::new(turn),
         value: value.into(),
-        at: clock::now(),
+        ended_at: clock::now(),
     };
-    timeout(clock::until(call.deadline), ended.store()).await.unwrap_or(Err("the time is over"))?;
+    timeout(clock::until(call.deadline), completed.store())
+        .await
+        .unwrap_or(Err("the time is over"))?;
 
     let shared = &call.shared;
-    shared.metrics.keep_wait.observe(clock::now().since(ended.at).as_secs_f64());
-    shared.turns.borrow_mut().put(ended.key, ended.turn);
+    shared.metrics.turn_write_wait.observe(clock::now().since(completed.ended_at).as_secs_f64());
+    shared.turns.borrow_mut().put(completed.key, completed.turn);
 
     Ok(())
 }
 
-impl EndedTurn<'_> {
+impl CompletedTurn<'_> {
     /// Writes the turn until the store has it or retrying is pointless.
     async fn store(&self) -> std::result::Result<(), &'static str> {
         let mut keeping = Keeping::default();
@@ -88,25 +90,25 @@
         loop {
             // The task continues if the caller disconnects, so that a row that gets written is also
             // tracked for deletion.
-            let writing = tokio::task::spawn_local(write_and_note(
+            let writing = tokio::task::spawn_local(write_and_track(
                 Rc::clone(&self.call.shared),
                 self.key,
                 Rc::clone(&self.value),
             ));
             let written =
-                writing.await.unwrap_or(Err(NotStored::transient("the write ended early")));
+                writing.await.unwrap_or(Err(WriteFailure::transient("the write ended early")));
             let Err(failure) = written else { return Ok(()) };
 
-            match self.next(&mut keeping, failure) {
-                Next::Retry(pause) => self.call.shared.store.wait_for_return(pause).await,
+            match self.decide_next(&mut keeping, failure) {
+                Next::Retry(pause) => self.call.shared.store.wait_for_recovery(pause).await,
                 Next::BreakOff => return Err(failure.reason),
             }
         }
     }
 
     /// Decides what to do after a failed write.
-    fn next(&self, keeping: &mut Keeping, failure: NotStored) -> Next {
-        let NotStored { reason, is_final } = failure;
+    fn decide_next(&self, keeping: &mut Keeping, failure: WriteFailure) -> Next {
+        let WriteFailure { reason, is_final } = failure;
         let shared = &self.call.shared;
         let left = clock::until(self.call.deadline);
         let isolated_for = shared.isolated_for();
@@ -115,10 +117,10 @@
             false => keeping.write_failed(left, isolated_for),
         };
 
-        shared.metrics.keep_failures.with_label_values(&[reason]).inc();
+        shared.metrics.turn_write_failures.with_label_values(&[reason]).inc();
         info!(
             request = %self.call.head.request_id, reason, failed = keeping.failed(),
-            ?isolated_for, waited = ?clock::now().since(self.at), ?left, ?next,
+            ?isolated_for, waited = ?clock::now().since(self.ended_at), ?left, ?next,
             "turn: write failed"
         );
 
@@ -127,9 +129,9 @@
 }
 
 /// Writes the row of a turn and tracks it for deletion after its retention.
-async fn write_and_note(shared: Rc<Shared>, key: TurnKey, value: Rc<str>) -> Result<()> {
+async fn write_and_track(shared: Rc<Shared>, key: TurnKey, value: Rc<str>) -> Result<()> {
     write(&shared, key, &value).await?;
-    retention::written(&shared, key);
+    retention::track(&shared, key);
 
     Ok(())
 }
@@ -148,23 +150,23 @@
     // this turn writes this content. After a lost answer, reading the row tells whether the write
     // was applied. The second attempt may go through another host.
     for _ in 0..2 {
-        match store::ask(shared, PlatformOp::Commit(tx.clone())).await {
+        match store::run(shared, PlatformOp::Commit(tx.clone())).await {
             PlatformReply::Committed(_) => return Ok(()),
             PlatformReply::Conflict(rows) if rows.iter().any(|row| *row.value == *value) => {
                 return Ok(());
             }
             PlatformReply::Conflict(_) => {
-                return Err(NotStored { reason: "another turn has this id", is_final: true });
+                return Err(WriteFailure { reason: "another turn has this id", is_final: true });
             }
             PlatformReply::Unknown => {}
-            _ => return Err(NotStored::transient("the store did not take the turn")),
+            _ => return Err(WriteFailure::transient("the store did not take the turn")),
         }
-        if let PlatformReply::Rows(rows) = store::ask(shared, read.clone()).await
+        if let PlatformReply::Rows(rows) = store::run(shared, read.clone()).await
             && rows.iter().any(|row| *row.value == *value)
         {
             return Ok(());
         }
     }
 
-    Err(NotStored::transient("it cannot be told whether the store took the turn"))
+    Err(WriteFailure::transient("it cannot be told whether the store took the turn"))
 }
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -13,12 +13,12 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::asks::{self, Ask, Reply};
+use crate::asks::{self, Query, QueryReply};
 use crate::clock;
 use crate::host::Shared;
 
-/// How often a pending request is checked.
-const QUESTION_PERIOD: Duration = Duration::from_millis(100);
+/// How often a pending query is checked.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// The state of manifest transfers to and from this host.
 #[derive(Default)]
@@ -40,7 +40,7 @@
     }
 
     /// Records the manifest version that another host has reported.
-    fn told(&self, host: HostId, version: u64) {
+    fn record_reported(&self, host: HostId, version: u64) {
         self.transfers.borrow_mut().told(host, version);
     }
 
@@ -56,21 +56,21 @@
 /// The store may refuse some hosts while it answers others. If all of the others sent their
 /// manifest unasked, a refused host would receive it from each of them with each status update,
 /// until its link is saturated. So the host requests it, from one host at a time.
-pub(crate) fn heard_version(shared: &Rc<Shared>, from: HostId, version: u64) {
-    shared.manifests.told(from, version);
+pub(crate) fn handle_reported_version(shared: &Rc<Shared>, from: HostId, version: u64) {
+    shared.manifests.record_reported(from, version);
     if version <= shared.manifest_version() || shared.manifests.is_fetching.replace(true) {
         return;
     }
 
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
-        seek(&shared, version).await;
+        fetch_newer(&shared, version).await;
         shared.manifests.is_fetching.set(false);
     });
 }
 
 /// Waits for a newer manifest, and requests it from a host if it does not arrive from the store.
-async fn seek(shared: &Shared, version: u64) {
+async fn fetch_newer(shared: &Shared, version: u64) {
     let heard = clock::now();
 
     loop {
@@ -78,48 +78,49 @@
             version,
             own: shared.manifest_version(),
             heard,
-            store_answers: shared.store.answers(),
+            store_answers: shared.store.is_available(),
             last_progress: shared.manifests.last_progress.get(),
         };
         match next(clock::now(), &newer) {
             Next::Nothing => return,
             Next::Wait(pause) => sleep(pause).await,
-            Next::AskPeer => return ask_peer(shared, version).await,
+            Next::AskPeer => return request_from_peer(shared, version).await,
         }
     }
 }
 
 /// Requests the manifest from a host. If it does not arrive, the next status update starts another
-/// request.
-async fn ask_peer(shared: &Shared, version: u64) {
+/// query.
+async fn request_from_peer(shared: &Shared, version: u64) {
     let own = shared.manifest_version();
     let may_ask = |host: &HostId| shared.manifests.may_ask(*host);
-    let Some(host) = shared.fleet.manifest_peer(own, may_ask) else { return };
-    let asked = clock::now();
+    let Some(host) = shared.fleet.live_peer_with_manifest(own, may_ask) else { return };
+    let requested_at = clock::now();
 
     // The manifest itself arrives before the reply.
     let reply = tokio::select! {
-        reply = asks::ask_on(shared, host, &Ask::Manifest) => reply,
-        () = no_answer(shared, host, asked) => None,
+        reply = asks::query_until_dropped(shared, host, &Query::Manifest) => reply,
+        () = until_no_reply_expected(shared, host, requested_at) => None,
     };
     let now = clock::now();
-    let took = now.since(asked);
-    if matches!(reply, Some(Reply::Refused)) {
+    let took = now.since(requested_at);
+    if matches!(reply, Some(QueryReply::Refused)) {
         shared.manifests.backoff.borrow_mut().refused(now, host);
     }
-    info!(host = host.0, own, version, ?reply, ?took, "manifest: asked for at another host");
+    info!(host = host.0, own, version, ?reply, ?took, "manifest: requested from another host");
 }
 
-/// Waits until a request can no longer be expected to get a reply.
-async fn no_answer(shared: &Shared, host: HostId, asked: Instant) {
-    while question(clock::now(), asked, shared.fleet.heard_at(host)) == Question::Wait {
-        sleep(QUESTION_PERIOD).await;
+/// Waits until a query can no longer be expected to get a reply.
+async fn until_no_reply_expected(shared: &Shared, host: HostId, requested_at: Instant) {
+    while question(clock::now(), requested_at, shared.fleet.last_status_at(host)) == Question::Wait
+    {
+        sleep(CHECK_PERIOD).await;
     }
 }
 
 /// Sends the manifest in force to another host that requested it, unless too many transfers are in
 /// progress.
-pub(crate) fn tell(shared: &Shared, to: HostId) -> Reply {
+pub(crate) fn handle_request(shared: &Shared, to: HostId) -> QueryReply {
     let version = shared.manifest_version();
     let decision = shared.manifests.transfers.borrow_mut().asked(clock::now(), to, version);
     let sent = decision == Decision::Send && send(shared, to);
@@ -127,8 +128,8 @@
     let outcome = if sent { "sent" } else { "refused" };
     shared.metrics.manifest_copies.with_label_values(&[outcome]).inc();
     let under_way = shared.manifests.transfers.borrow().len();
-    info!(host = to.0, version, ?decision, sent, under_way, "manifest: another host asked for it");
-    if sent { Reply::Done } else { Reply::Refused }
+    info!(host = to.0, version, ?decision, sent, under_way, "manifest: requested by another host");
+    if sent { QueryReply::Done } else { QueryReply::Refused }
 }
 
 fn send(shared: &Shared, to: HostId) -> bool {
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -29,7 +29,7 @@
     /// Calls that were sent to another target or resumed, by reason.
     pub(crate) resends: IntCounterVec,
     /// Calls that had to wait for a place.
-    pub(crate) waited: IntCounter,
+    pub(crate) queued_calls: IntCounter,
     /// How long calls waited for the place that they got.
     pub(crate) place_wait: Histogram,
     /// How long calls waited for a token of their tenant's rate limit.
@@ -42,16 +42,16 @@
     pub(crate) manifest_version: IntGauge,
     /// Requests of other hosts for the manifest, by outcome.
     pub(crate) manifest_copies: IntCounterVec,
-    /// Whether the host considers itself cut off.
+    /// Whether the host considers itself isolated.
     pub(crate) isolated: IntGauge,
     /// Failed writes of turns, by reason.
-    pub(crate) keep_failures: IntCounterVec,
-    /// The time from the end of a turn until it was persisted.
-    pub(crate) keep_wait: Histogram,
-    /// Provisional grants that this host made without the store.
-    pub(crate) loose_grants: IntCounter,
+    pub(crate) turn_write_failures: IntCounterVec,
+    /// The time from the end of a turn until it was stored.
+    pub(crate) turn_write_wait: Histogram,
+    /// Grants that this host made without the store.
+    pub(crate) grants_without_store: IntCounter,
     /// Operations on the store that were relayed through another host.
-    pub(crate) relayed: IntCounter,
+    pub(crate) relayed_operations: IntCounter,
     /// Turns that were read from the store because they were not in memory.
     pub(crate) turn_reads: IntCounter,
     /// Turns that were received from another host.
@@ -98,7 +98,7 @@
                 &["reason"],
             )?,
             resends: by("camphorwalk_resends_total", "Calls sent again, by reason.", &["reason"])?,
-            waited: counter("camphorwalk_waited_total", "Calls that waited for a place.")?,
+            queued_calls: counter("camphorwalk_waited_total", "Calls that waited for a place.")?,
             place_wait: wait(
                 "camphorwalk_place_wait_seconds",
                 "Seconds that calls waited for a place which they got.",
@@ -122,20 +122,20 @@
                 "camphorwalk_isolated",
                 "1 while the host is cut off from the store and other zones.",
             )?,
-            keep_failures: by(
+            turn_write_failures: by(
                 "camphorwalk_keep_failures_total",
                 "Writes of turns that failed, by reason.",
                 &["reason"],
             )?,
-            keep_wait: wait(
+            turn_write_wait: wait(
                 "camphorwalk_keep_wait_seconds",
                 "Seconds that turns which had ended waited until they were kept.",
             )?,
-            loose_grants: counter(
+            grants_without_store: counter(
                 "camphorwalk_loose_grants_total",
                 "Grants made in the store's place by this host.",
             )?,
-            relayed: counter(
+            relayed_operations: counter(
                 "camphorwalk_store_relayed_total",
                 "Operations on the store that another host ran.",
             )?,
@@ -161,7 +161,7 @@
         let mut text = Vec::new();
 
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            tracing::warn!(error = %e, "metrics: not written");
+            tracing::warn!(error = %e, "metrics: cannot be encoded");
         }
         text
     }
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -22,13 +22,13 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::fleet::{Heard, forget_silent};
+use crate::fleet::{HostStatus, drop_silent_hosts};
 use crate::host::Shared;
 use crate::{clock, manifests, places};
 
 /// The shortest period of status updates. A call takes about a fifth of a second, so no host can
 /// fill a target within this period while the others still think it idle.
-const LEAST_PERIOD: Duration = Duration::from_millis(100);
+const MIN_PERIOD: Duration = Duration::from_millis(100);
 
 /// The period is at least this long for each receiver, so that a host sends no more than a few
 /// hundred messages a second in a fleet of any size.
@@ -43,7 +43,7 @@
 fn period(hosts: usize) -> Duration {
     let hosts = u32::try_from(hosts).unwrap_or(u32::MAX);
 
-    LEAST_PERIOD.max(PERIOD_PER_HOST.saturating_mul(hosts))
+    MIN_PERIOD.max(PERIOD_PER_HOST.saturating_mul(hosts))
 }
 
 /// What has changed since the last status update. The rest of an update is the current state.
@@ -78,47 +78,47 @@
 /// The hosts that have received the demand of all tenants, and have not been silent or restarted
 /// since.
 #[derive(Default)]
-pub(crate) struct ToldAll(RefCell<Set<HostId>>);
+pub(crate) struct InformedHosts(RefCell<Set<HostId>>);
 
-impl ToldAll {
+impl InformedHosts {
     /// Removes a host that may have missed earlier updates.
-    fn forget(&self, host: HostId) {
+    fn remove(&self, host: HostId) {
         self.0.borrow_mut().remove(&host);
     }
 
     /// Splits hosts into those that have received the demand of all tenants, and the others.
-    fn part(&self, hosts: Vec<HostId>) -> (Vec<HostId>, Vec<HostId>) {
-        let told = self.0.borrow();
+    fn split(&self, hosts: Vec<HostId>) -> (Vec<HostId>, Vec<HostId>) {
+        let informed = self.0.borrow();
 
-        hosts.into_iter().partition(|host| told.contains(host))
+        hosts.into_iter().partition(|host| informed.contains(host))
     }
 }
 
 /// Periodically sends status updates to the other hosts.
-pub(crate) async fn tell(shared: Rc<Shared>, peers: Peers) {
-    let mut told_all_demand = Instant(0);
-    let mut told_far = Instant(0);
-    let mut for_far = Changes::default();
+pub(crate) async fn broadcast(shared: Rc<Shared>, peers: Peers) {
+    let mut all_demand_sent_at = Instant(0);
+    let mut far_sent_at = Instant(0);
+    let mut far_changes = Changes::default();
 
     loop {
-        let (near, far) = shared.fleet.by_distance();
+        let (near, far) = shared.fleet.split_by_zone();
         sleep(period(near.len())).await;
         shared.rates.borrow_mut().tick(clock::now());
-        forget_silent(&shared);
+        drop_silent_hosts(&shared);
 
         let now = clock::now();
-        let is_far_due = now.since(told_far) + LEAST_PERIOD / 2 >= period(near.len() + far.len());
-        if is_far_due && now.since(told_all_demand) >= ALL_DEMAND_PERIOD {
-            told_all_demand = now;
-            shared.told_all.0.borrow_mut().clear();
+        let is_far_due = now.since(far_sent_at) + MIN_PERIOD / 2 >= period(near.len() + far.len());
+        if is_far_due && now.since(all_demand_sent_at) >= ALL_DEMAND_PERIOD {
+            all_demand_sent_at = now;
+            shared.informed_hosts.0.borrow_mut().clear();
         }
 
         let changes = Changes::take(&shared);
-        for_far.add(changes.clone());
+        far_changes.add(changes.clone());
         send(&shared, &peers, near, &changes);
         if is_far_due {
-            told_far = now;
-            send(&shared, &peers, far, &std::mem::take(&mut for_far));
+            far_sent_at = now;
+            send(&shared, &peers, far, &std::mem::take(&mut far_changes));
         }
     }
 }
@@ -126,30 +126,30 @@
 /// Sends a status update to some hosts, with the demand of all tenants to those that may not know
 /// it.
 fn send(shared: &Shared, peers: &Peers, hosts: Vec<HostId>, changes: &Changes) {
-    let (told, untold) = shared.told_all.part(hosts);
-    let to_all = |hosts: &[HostId], news: EntryNews| {
+    let (informed, uninformed) = shared.informed_hosts.split(hosts);
+    let send_to = |hosts: &[HostId], update: EntryNews| {
         // The current state is sent again in the next round. The changes in an update that cannot
         // be sent are lost. That is harmless: a target may process a prompt again, and admitted
         // calls are counted as a running total.
         hosts
             .iter()
-            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryNews(news.clone()))))
+            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryNews(update.clone()))))
             .copied()
             .collect::<Vec<_>>()
     };
 
-    if !told.is_empty() {
-        to_all(&told, news(shared, changes.clone(), false));
+    if !informed.is_empty() {
+        send_to(&informed, status_update(shared, changes.clone(), false));
     }
-    if !untold.is_empty() {
+    if !uninformed.is_empty() {
         let mut all = changes.clone();
         all.demand = shared.rates.borrow_mut().take_news(true).into_iter().collect();
-        let told = to_all(&untold, news(shared, all, true));
-        shared.told_all.0.borrow_mut().extend(told);
+        let informed = send_to(&uninformed, status_update(shared, all, true));
+        shared.informed_hosts.0.borrow_mut().extend(informed);
     }
 }
 
-fn news(shared: &Shared, changes: Changes, all_demand: bool) -> EntryNews {
+fn status_update(shared: &Shared, changes: Changes, all_demand: bool) -> EntryNews {
     let targets = shared.targets.borrow();
     let waiting = shared.places.waiting().into_iter();
     let in_flight = targets.in_flight();
@@ -163,11 +163,11 @@
             .collect(),
         manifest_version: shared.manifest_version(),
         crashes: changes.crashes,
-        store_answers: shared.store.answers(),
-        store_away: shared.store.is_in_trouble(),
-        remembers: shared.remembers(),
-        grants_loose: shared.grants_loose(),
-        knows_of_loose: shared.knows_of_loose(),
+        store_answers: shared.store.is_available(),
+        store_away: shared.store.reports_trouble(),
+        remembers: shared.has_complete_history(),
+        grants_loose: shared.may_have_unstored_grants(),
+        knows_of_loose: shared.knows_of_unstored_grants(),
         waiting: waiting
             .map(|(service, calls)| WaitingCalls { service: service.into(), calls })
             .collect(),
@@ -175,8 +175,8 @@
     }
 }
 
-fn demand((tenant, news): (Box<str>, TenantNews)) -> Demand {
-    let TenantNews { admitted, demand, level, withheld, hears_all } = news;
+fn demand((tenant, update): (Box<str>, TenantNews)) -> Demand {
+    let TenantNews { admitted, demand, level, withheld, hears_all } = update;
 
     Demand {
         tenant: tenant.into(),
@@ -196,59 +196,59 @@
 }
 
 /// Applies a status update of another host.
-pub(crate) fn take_in(shared: &Rc<Shared>, from: HostId, news: EntryNews) {
+pub(crate) fn apply_update(shared: &Rc<Shared>, from: HostId, update: EntryNews) {
     let now = clock::now();
-    let heard = Heard {
-        at: now,
-        store_answers: news.store_answers,
-        run: news.run,
-        manifest_version: news.manifest_version,
-        remembers: news.remembers,
-        knows_of_loose: news.knows_of_loose,
+    let status = HostStatus {
+        received_at: now,
+        store_answers: update.store_answers,
+        run: update.run,
+        manifest_version: update.manifest_version,
+        has_complete_history: update.remembers,
+        knows_of_unstored_grants: update.knows_of_loose,
     };
-    let has_returned = news.store_answers && !shared.fleet.store_answers(from);
-    if shared.fleet.heard(from, heard) {
-        shared.told_all.forget(from);
+    let has_recovered = update.store_answers && !shared.fleet.store_answers(from);
+    if shared.fleet.record_status(from, status) {
+        shared.informed_hosts.remove(from);
         info!(host = from.0, "fleet: host heard");
     }
 
-    if news.store_away {
-        shared.store.away_somewhere(now);
+    if update.store_away {
+        shared.store.note_trouble(now);
     }
-    if has_returned {
-        shared.store.returned_elsewhere();
+    if has_recovered {
+        shared.store.note_recovered_elsewhere();
     }
 
-    if news.grants_loose {
-        shared.loose_at.set(Some(now));
+    if update.grants_loose {
+        shared.unstored_grants_at.set(Some(now));
     }
 
-    let tenants = news.demand.into_iter().map(|d| {
+    let tenants = update.demand.into_iter().map(|d| {
         let withheld =
             Withheld { share: d.withheld, left: Duration::from_millis(u64::from(d.withheld_ms)) };
         let (admitted, demand, level) = (d.admitted, d.per_second, d.level);
         let hears_all = d.hears_all;
         (d.tenant.into(), TenantNews { admitted, demand, level, withheld, hears_all })
     });
-    shared.rates.borrow_mut().hear(now, from, news.run, news.all_demand, tenants);
-    let in_flight = news.in_flight.into_iter().map(|f| (f.target.into(), f.calls)).collect();
-    let waiting = news.waiting.into_iter().map(|w| (w.service.into(), w.calls)).collect();
+    shared.rates.borrow_mut().hear(now, from, update.run, update.all_demand, tenants);
+    let in_flight = update.in_flight.into_iter().map(|f| (f.target.into(), f.calls)).collect();
+    let waiting = update.waiting.into_iter().map(|w| (w.service.into(), w.calls)).collect();
     shared.targets.borrow_mut().hear(from, in_flight, waiting);
-    take_in_prompts(shared, from, news.prompts);
-    for crash in news.crashes {
+    apply_prompts(shared, from, update.prompts);
+    for crash in update.crashes {
         shared.crashes.borrow_mut().hear(now, crash);
     }
 
-    manifests::heard_version(shared, from, news.manifest_version);
-    places::wake_all(shared);
+    manifests::handle_reported_version(shared, from, update.manifest_version);
+    places::assign_all(shared);
 }
 
-fn take_in_prompts(shared: &Shared, from: HostId, prompts: Vec<Prompts>) {
+fn apply_prompts(shared: &Shared, from: HostId, prompts: Vec<Prompts>) {
     let mut targets = shared.targets.borrow_mut();
-    let mut line_hosts = shared.line_hosts.borrow_mut();
+    let mut conversation_hosts = shared.conversation_hosts.borrow_mut();
 
     for Prompts { target, parts, tokens } in prompts {
-        parts.iter().for_each(|line| line_hosts.put(*line, from));
+        parts.iter().for_each(|part| conversation_hosts.put(*part, from));
         let parts: Vec<Part> = parts.into_iter().zip(tokens).collect();
         targets.learn(&target, &parts);
     }
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -19,21 +19,21 @@
 use crate::host::Shared;
 
 /// Retry-After of a call for which no target is usable, if no ejected target is due to return.
-const NOWHERE_RETRY: Duration = Duration::from_millis(300);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Retry-After of a new program while its service is full: about as long as a call holds its place.
-const FULL_RETRY: Duration = Duration::from_millis(250);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// The longest Retry-After of a call that would wait beyond its deadline.
-const LONGEST_RETRY: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How long a new program may wait for a place: a quarter of the latency objective of its first
 /// event. Beyond that a quick refusal serves the caller better than more waiting.
-const NEW_WAIT: Duration = Duration::from_millis(50);
+const MAX_NEW_WAIT: Duration = Duration::from_millis(50);
 
 /// A new program is refused at once while this many calls wait: they would take all places that
 /// become free within [`MAX_NEW_WAIT`].
-const MOST_NEW_WAITING: usize = 4;
+const MAX_NEW_WAITING: usize = 4;
 
 struct Waiter {
     shape: Shape,
@@ -46,11 +46,11 @@
     waiters: RefCell<Map<WaiterId, Waiter>>,
     next: Cell<u64>,
     /// Programs that have run a turn at this host.
-    under_way: RefCell<Recent<u64, ()>>,
+    recent_programs: RefCell<Recent<u64, ()>>,
 }
 
 /// How many running programs are remembered.
-const PROGRAMS_REMEMBERED: usize = 8_192;
+const MAX_RECENT_PROGRAMS: usize = 8_192;
 
 impl Default for Places {
     fn default() -> Self {
@@ -58,17 +58,17 @@
             waiting: RefCell::default(),
             waiters: RefCell::default(),
             next: Cell::default(),
-            under_way: RefCell::new(Recent::new(PROGRAMS_REMEMBERED)),
+            recent_programs: RefCell::new(Recent::new(MAX_RECENT_PROGRAMS)),
         }
     }
 }
 
 impl Places {
     /// Records that a program runs a turn at this host.
-    pub(crate) fn began(&self, program: Option<&str>) {
+    pub(crate) fn record_running(&self, program: Option<&str>) {
         let Some(program) = program else { return };
 
-        self.under_way.borrow_mut().put(stable_hash(&[program.as_bytes()]), ());
+        self.recent_programs.borrow_mut().put(stable_hash(&[program.as_bytes()]), ());
     }
 
     /// Returns how many calls wait for each service.
@@ -85,11 +85,11 @@
     }
 
     /// Returns whether a program has run a turn at this host.
-    pub(crate) fn is_under_way(&self, program: Option<&str>) -> bool {
+    pub(crate) fn has_run_recently(&self, program: Option<&str>) -> bool {
         let Some(program) = program else { return false };
         let program = stable_hash(&[program.as_bytes()]);
 
-        self.under_way.borrow().get(&program).is_some()
+        self.recent_programs.borrow().get(&program).is_some()
     }
 }
 
@@ -99,43 +99,43 @@
     /// The target.
     pub(crate) key: TargetKey,
     service: Box<str>,
-    taken: Instant,
+    taken_at: Instant,
     /// The estimated prompt tokens that the target must process for the call.
-    missing: u32,
+    uncached_tokens: u32,
     /// The number of events that the target has generated, and when the first and the last of them
     /// came.
     events: u32,
-    came: Option<(Instant, Instant)>,
-    ended: bool,
+    event_times: Option<(Instant, Instant)>,
+    is_ended: bool,
 }
 
 impl Place {
     /// Takes a place for a call that is about to be sent.
     fn new(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Self {
-        let missing = shared.targets.borrow_mut().sent(key, shape);
+        let uncached_tokens = shared.targets.borrow_mut().sent(key, shape);
 
         Self {
             shared: Rc::clone(shared),
             key,
             service: service.into(),
-            taken: clock::now(),
-            missing,
+            taken_at: clock::now(),
+            uncached_tokens,
             events: 0,
-            came: None,
-            ended: false,
+            event_times: None,
+            is_ended: false,
         }
     }
 
     /// Records that the target has generated events of a stream.
-    pub(crate) fn made(&mut self, events: u32) {
+    pub(crate) fn record_events(&mut self, events: u32) {
         let now = clock::now();
 
-        if self.came.is_none() {
-            let waited = now.since(self.taken);
-            self.shared.targets.borrow_mut().began(self.key, self.missing, waited);
+        if self.event_times.is_none() {
+            let waited = now.since(self.taken_at);
+            self.shared.targets.borrow_mut().began(self.key, self.uncached_tokens, waited);
         }
-        let first = self.came.map_or(now, |(first, _)| first);
-        self.came = Some((first, now));
+        let first = self.event_times.map_or(now, |(first, _)| first);
+        self.event_times = Some((first, now));
         self.events += events;
     }
 
@@ -153,10 +153,10 @@
     }
 
     /// Frees the place after a complete answer.
-    pub(crate) fn answered(self) {
+    pub(crate) fn complete(self) {
         let now = clock::now();
-        let held = now.since(self.taken);
-        if let Some((first, last)) = self.came {
+        let held = now.since(self.taken_at);
+        if let Some((first, last)) = self.event_times {
             let further = self.events.saturating_sub(1);
             self.shared.targets.borrow_mut().made(self.key, further, last.since(first));
         }
@@ -164,7 +164,7 @@
     }
 
     fn finish(&mut self, outcome: Outcome) {
-        self.ended = true;
+        self.is_ended = true;
         let ejected = self.shared.targets.borrow_mut().ended(clock::now(), self.key, outcome);
 
         if ejected {
@@ -174,27 +174,27 @@
             self.shared.metrics.ejections.inc();
         }
 
-        wake(&self.shared, &self.service);
+        assign(&self.shared, &self.service);
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_ended {
             self.finish(Outcome::Left);
         }
     }
 }
 
 /// A waiting call. Dropping it removes the call from the queue.
-struct Queued<'a> {
+struct QueuedCall<'a> {
     shared: &'a Rc<Shared>,
     service: &'a str,
     urgency: Urgency,
     id: WaiterId,
 }
 
-impl Drop for Queued<'_> {
+impl Drop for QueuedCall<'_> {
     fn drop(&mut self) {
         let places = &self.shared.places;
         places.waiting.borrow_mut().remove(self.service, self.urgency, self.id);
@@ -217,12 +217,12 @@
         Choice::Target(key) if nobody_waits => {
             return Ok(Place::new(shared, service, key, shape));
         }
-        Choice::Nowhere => return Err(nowhere(shared, service)),
+        Choice::Nowhere => return Err(no_target(shared, service)),
         Choice::Target(_) | Choice::Full => {}
     }
 
-    if urgency.is_new && shared.places.waiting.borrow().len(service) >= MOST_NEW_WAITING {
-        return Err(full());
+    if urgency.is_new && shared.places.waiting.borrow().len(service) >= MAX_NEW_WAITING {
+        return Err(refuse_full());
     }
     let expected = expected_wait(shared, service, urgency);
     if !urgency.is_new && expected > clock::until(urgency.deadline) {
@@ -232,15 +232,18 @@
             is_late = urgency.is_late,
             "place: none can be had in time"
         );
-        return Err(Refusal::later("no place can be had in time", expected.min(LONGEST_RETRY)));
+        return Err(Refusal::retry_later(
+            "no place can be had in time",
+            expected.min(MAX_RETRY_AFTER),
+        ));
     }
     wait(shared, service, shape, urgency).await
 }
 
 /// Refuses a new program if no target has room for it.
-pub(crate) fn may_begin(shared: &Shared, service: &str, shape: &Shape) -> Result<(), Refusal> {
+pub(crate) fn check_room(shared: &Shared, service: &str, shape: &Shape) -> Result<(), Refusal> {
     match shared.targets.borrow().choose(clock::now(), service, shape) {
-        Choice::Full => Err(full()),
+        Choice::Full => Err(refuse_full()),
         Choice::Target(_) | Choice::Nowhere => Ok(()),
     }
 }
@@ -257,13 +260,13 @@
 }
 
 /// Returns the refusal of a new program while all targets are full.
-fn full() -> Refusal {
-    Refusal::later_spread("all targets are full", FULL_RETRY)
+fn refuse_full() -> Refusal {
+    Refusal::retry_later_jittered("all targets are full", FULL_RETRY_AFTER)
 }
 
 /// Takes a place at the target that already runs the call, ahead of all waiting calls, because the
 /// call has held its slot until now.
-pub(crate) fn same(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Place {
+pub(crate) fn retake(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Place {
     Place::new(shared, service, key, shape)
 }
 
@@ -280,12 +283,12 @@
 
     places.waiters.borrow_mut().insert(id, Waiter { shape: shape.clone(), tx });
     places.waiting.borrow_mut().push(service, urgency, id);
-    let queued = Queued { shared, service, urgency, id };
-    shared.metrics.waited.inc();
-    wake(shared, service);
+    let queued = QueuedCall { shared, service, urgency, id };
+    shared.metrics.queued_calls.inc();
+    assign(shared, service);
 
     let left = clock::until(urgency.deadline);
-    let limit = if urgency.is_new { left.min(NEW_WAIT) } else { left };
+    let limit = if urgency.is_new { left.min(MAX_NEW_WAIT) } else { left };
     let began = clock::now();
     let granted = timeout(limit, rx).await;
     drop(queued);
@@ -296,14 +299,14 @@
             shared.metrics.place_wait.observe(waited.as_secs_f64());
             Ok(place)
         }
-        Ok(Err(_)) => Err(nowhere(shared, service)),
-        Err(_) if urgency.is_new => Err(full()),
-        Err(_) => Err(Refusal::late(false)),
+        Ok(Err(_)) => Err(no_target(shared, service)),
+        Err(_) if urgency.is_new => Err(refuse_full()),
+        Err(_) => Err(Refusal::timed_out(false)),
     }
 }
 
 /// Assigns free places of a service to the waiting calls, in the order of the queue.
-pub(crate) fn wake(shared: &Rc<Shared>, service: &str) {
+pub(crate) fn assign(shared: &Rc<Shared>, service: &str) {
     loop {
         let places = &shared.places;
         let Some(id) = places.waiting.borrow().first(service) else { return };
@@ -328,17 +331,17 @@
 }
 
 /// Assigns free places of all services.
-pub(crate) fn wake_all(shared: &Rc<Shared>) {
+pub(crate) fn assign_all(shared: &Rc<Shared>) {
     let services = shared.places.waiting.borrow().services();
 
-    services.iter().for_each(|service| wake(shared, service));
+    services.iter().for_each(|service| assign(shared, service));
 }
 
-fn nowhere(shared: &Shared, service: &str) -> Refusal {
+fn no_target(shared: &Shared, service: &str) -> Refusal {
     let back = shared.targets.borrow().next_return(clock::now(), service);
 
-    Refusal::later(
+    Refusal::retry_later(
         "no target can be reached",
-        back.unwrap_or(NOWHERE_RETRY).max(Duration::from_millis(50)),
+        back.unwrap_or(NO_TARGET_RETRY_AFTER).max(Duration::from_millis(50)),
     )
 }
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -10,26 +10,26 @@
 use tracing::info;
 
 use crate::answer::{Answer, AnswerBody, Refusal};
-use crate::call::{Answered, Call};
-use crate::forward::{self, Sending, Sent, Started};
+use crate::call::{Call, TargetAnswer};
+use crate::forward::{self, CallAttempt, SendOutcome, Started};
 use crate::{clock, places};
 
 /// To how many targets a call is sent, as long as each of them has certainly not run it.
-const MOST_OFFERS: u32 = 4;
+const MAX_OFFERS: u32 = 4;
 
 /// An idempotent call is sent to another target if the answer's head takes longer than this many
 /// times the latency objective of the route. This is far beyond the longest regular work of such a
 /// call, and a fraction of the time that callers wait.
-const SILENT_OBJECTIVES: u32 = 3;
+const HEAD_TIMEOUT_OBJECTIVES: u32 = 3;
 
 /// The least time to wait for an answer's head before the call is sent to another target.
-const LEAST_PATIENCE: Duration = Duration::from_millis(150);
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// The maximum size of an answer's body.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Retry-After of a call that all targets refused: about the duration of one call.
-const FULL_RETRY: Duration = Duration::from_millis(120);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(120);
 
 /// Sends a call to targets until one of them answers.
 pub(crate) async fn forward(call: &Call) -> Result<Answer, Refusal> {
@@ -40,23 +40,23 @@
 
     loop {
         let place = places::take(&call.shared, &call.service, &shape, call.urgency()).await;
-        let place = place.map_err(|refusal| call.refuse(refusal))?;
+        let place = place.map_err(|refusal| call.adjust_refusal(refusal))?;
         let key = place.key;
-        let can_go_on = may_repeat && runs + 1 < call.route().max_targets;
-        let sending = Sending {
+        let may_try_another = may_repeat && runs + 1 < call.route().max_targets;
+        let attempt = CallAttempt {
             call,
             body: call.body.clone(),
             last_event: None,
-            patience: patience(call, can_go_on),
+            head_timeout: head_timeout(call, may_try_another),
         };
 
-        let (reason, may_have_run) = match forward::send(&sending, place).await {
-            Sent::Started(started) => match finish(call, *started, offers + 1).await {
+        let (reason, may_have_run) = match forward::send(&attempt, place).await {
+            SendOutcome::Started(started) => match receive(call, *started, offers + 1).await {
                 Ok(answer) => return Ok(answer),
                 Err(reason) => (reason, true),
             },
-            Sent::NotRun(reason) => (reason, false),
-            Sent::Unknown { reason, .. } => (reason, true),
+            SendOutcome::NotRun(reason) => (reason, false),
+            SendOutcome::Unknown { reason, .. } => (reason, true),
         };
         offers += 1;
         runs += u32::from(may_have_run);
@@ -66,28 +66,31 @@
             "call: no answer from target"
         );
 
-        if may_have_run && !can_go_on {
-            return Err(Refusal::lost(reason));
+        if may_have_run && !may_try_another {
+            return Err(Refusal::answer_lost(reason));
         }
-        if offers >= MOST_OFFERS {
-            return Err(call.refuse(Refusal::later("all targets refused", FULL_RETRY)));
+        if offers >= MAX_OFFERS {
+            return Err(
+                call.adjust_refusal(Refusal::retry_later("all targets refused", FULL_RETRY_AFTER))
+            );
         }
         call.shared.metrics.resends.with_label_values(&[reason]).inc();
     }
 }
 
 /// Returns how long to wait for an answer's head.
-fn patience(call: &Call, can_go_on: bool) -> Duration {
+fn head_timeout(call: &Call, may_try_another: bool) -> Duration {
     let left = clock::until(call.deadline);
 
-    match can_go_on {
-        true => left.min((call.route().latency_objective * SILENT_OBJECTIVES).max(LEAST_PATIENCE)),
+    match may_try_another {
+        true => left
+            .min((call.route().latency_objective * HEAD_TIMEOUT_OBJECTIVES).max(MIN_HEAD_TIMEOUT)),
         false => left,
     }
 }
 
 /// Receives the whole answer, and returns it if it is valid.
-async fn finish(call: &Call, started: Started, offers: u32) -> Result<Answer, &'static str> {
+async fn receive(call: &Call, started: Started, offers: u32) -> Result<Answer, &'static str> {
     let Started { response, head, connection, place } = started;
     let (parts, body) = response.into_parts();
     let key = place.key;
@@ -99,15 +102,15 @@
             return Err("the answer broke off");
         }
     };
-    if let Some(fault) = fault(parts.status, &head) {
+    if let Some(reason) = rejection_reason(parts.status, &head) {
         place.end(Outcome::Failed);
-        return Err(fault);
+        return Err(reason);
     }
 
     let (target, load) = place.target();
     let status = parts.status;
-    call.log_answer(&Answered { target: &target, load, status, offers, events: None });
-    place.answered();
+    call.log_answer(&TargetAnswer { target: &target, load, status, offers, events: None });
+    place.complete();
     forward::put_back(&call.shared, key, connection, &head);
 
     let mut answer = Response::new(AnswerBody::Whole(Some(body)));
@@ -120,7 +123,10 @@
 ///
 /// A successful answer must be signed. Some statuses promise that the call has not run. They are
 /// only passed on if the target made that promise explicitly in the head, which was handled before.
-pub(crate) fn fault(status: StatusCode, head: &head::AnswerHead) -> Option<&'static str> {
+pub(crate) fn rejection_reason(
+    status: StatusCode,
+    head: &head::AnswerHead,
+) -> Option<&'static str> {
     let promises = matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use crate::asks::{self, Ask, Reply};
+use crate::asks::{self, Query, QueryReply};
 use crate::host::Shared;
 use crate::{clock, places, store};
 
@@ -26,7 +26,7 @@
 
 /// The shortest pause between two checks for lapsed entries that expire. No entry expires while the
 /// store does not answer, so an overdue expiry must not cause a busy loop.
-const LEAST_EXPIRE_PAUSE: Duration = Duration::from_millis(20);
+const MIN_EXPIRE_PAUSE: Duration = Duration::from_millis(20);
 
 /// Starts the tasks that follow the table.
 pub(crate) fn start(shared: &Rc<Shared>) {
@@ -39,89 +39,89 @@
 async fn expire(shared: Rc<Shared>) {
     loop {
         let ended = shared.target_table.borrow_mut().expire(clock::now());
-        carry_out(&shared, Source::Grace, ended);
+        apply_effects(&shared, Source::Grace, ended);
 
         let next = shared.target_table.borrow().next_end();
         let until_next = next.map_or(POLL_PERIOD, |end| end.since(clock::now()));
-        sleep(until_next.clamp(LEAST_EXPIRE_PAUSE, POLL_PERIOD)).await;
+        sleep(until_next.clamp(MIN_EXPIRE_PAUSE, POLL_PERIOD)).await;
     }
 }
 
 async fn follow(shared: Rc<Shared>) {
-    let mut listed_at = None;
+    let mut last_read_at = None;
 
     loop {
         let answered = {
-            let ask_peers = learn_while_waiting(&shared);
+            let poll_peers = poll_peers_while_waiting(&shared);
             tokio::select! {
-                answered = ask_store(&shared, &mut listed_at) => answered,
-                never = ask_peers => match never {},
+                answered = poll_store(&shared, &mut last_read_at) => answered,
+                never = poll_peers => match never {},
             }
         };
-        if !answered || expects_lapses(&shared) {
-            learn_from_peer(&shared).await;
+        if !answered || may_miss_entries(&shared) {
+            copy_from_peer(&shared).await;
         }
         sleep(if answered { POLL_PERIOD } else { FAILED_PAUSE }).await;
     }
 }
 
 /// Returns whether the store may lack entries of running targets, which other hosts still know.
-fn expects_lapses(shared: &Shared) -> bool {
+fn may_miss_entries(shared: &Shared) -> bool {
     shared.target_table.borrow().may_miss_rows(clock::now())
-        && !shared.store.was_there_for(LAPSE_GRACE)
+        && !shared.store.was_available_for(LAPSE_GRACE)
 }
 
 /// Polls the store for changes, or for the whole table if that is due. Returns whether the store
 /// answered.
-async fn ask_store(shared: &Rc<Shared>, listed_at: &mut Option<Instant>) -> bool {
+async fn poll_store(shared: &Rc<Shared>, last_read_at: &mut Option<Instant>) -> bool {
     let after = shared.target_table.borrow().as_of();
-    let is_list_due = listed_at.is_none_or(|at| clock::now().since(at) >= RELIST_PERIOD);
+    let is_full_read_due = last_read_at.is_none_or(|at| clock::now().since(at) >= RELIST_PERIOD);
 
     match after {
-        Some(after) if !is_list_due => match ask_changes(shared, after).await {
-            Answer::Taken => true,
-            Answer::None => false,
-            Answer::HistoryGone => {
-                info!("targets: the store dropped its history, read whole");
-                list(shared, listed_at).await
+        Some(after) if !is_full_read_due => match poll_changes(shared, after).await {
+            PollResult::Applied => true,
+            PollResult::NoAnswer => false,
+            PollResult::HistoryGone => {
+                info!("targets: the store no longer has the changes, reading the whole table");
+                read_all(shared, last_read_at).await
             }
         },
-        _ => list(shared, listed_at).await,
+        _ => read_all(shared, last_read_at).await,
     }
 }
 
 /// The result of polling the store for changes.
-enum Answer {
+enum PollResult {
     /// The changes were applied.
-    Taken,
+    Applied,
     /// The store no longer has all changes since that version.
     HistoryGone,
     /// The store did not answer.
-    None,
+    NoAnswer,
 }
 
-async fn ask_changes(shared: &Rc<Shared>, after: RowVersion) -> Answer {
+async fn poll_changes(shared: &Rc<Shared>, after: RowVersion) -> PollResult {
     let asked_at = clock::now();
     let op =
         PlatformOp::Changes { table: paths::TARGETS_TABLE.into(), after, wait: Duration::ZERO };
 
-    match store::ask_straight(shared, op, &|_| ()).await {
+    match store::run_direct(shared, op, &|_| ()).await {
         PlatformReply::Changes(TableChanges { changes, version, .. }) => {
             let changes = changes.into_iter().map(change).collect();
             let now = clock::now();
             let mut table = shared.target_table.borrow_mut();
             let effects = table.take_changes(now, asked_at, after, changes, version);
             drop(table);
-            carry_out(shared, Source::Changes, effects);
-            Answer::Taken
+            apply_effects(shared, Source::Changes, effects);
+            PollResult::Applied
         }
-        PlatformReply::HistoryGone => Answer::HistoryGone,
-        _ => Answer::None,
+        PlatformReply::HistoryGone => PollResult::HistoryGone,
+        _ => PollResult::NoAnswer,
     }
 }
 
 /// Reads the whole table. Returns whether the store answered.
-async fn list(shared: &Rc<Shared>, listed_at: &mut Option<Instant>) -> bool {
+async fn read_all(shared: &Rc<Shared>, last_read_at: &mut Option<Instant>) -> bool {
     let asked_at = clock::now();
     let mut rows = Vec::new();
     let mut version = None;
@@ -130,7 +130,7 @@
     loop {
         let table = paths::TARGETS_TABLE.into();
         let op = PlatformOp::Snapshot { table, after, limit: PAGE_ROWS };
-        let PlatformReply::Changes(page) = store::ask_straight(shared, op, &|_| ()).await else {
+        let PlatformReply::Changes(page) = store::run_direct(shared, op, &|_| ()).await else {
             return false;
         };
         let page_rows: Vec<_> = page.written().map(entry_row).collect();
@@ -147,10 +147,10 @@
     }
 
     let now = clock::now();
-    *listed_at = Some(now);
+    *last_read_at = Some(now);
     let version = version.unwrap_or_default();
     let effects = shared.target_table.borrow_mut().take_whole(now, asked_at, rows, version);
-    carry_out(shared, Source::WholeRead, effects);
+    apply_effects(shared, Source::WholeRead, effects);
 
     true
 }
@@ -163,40 +163,49 @@
 }
 
 fn entry_row(row: &Row) -> EntryRow {
-    let entry =
-        targets::read(row).inspect_err(|e| warn!(error = %e, "targets: entry passed over")).ok();
+    let entry = targets::read(row)
+        .inspect_err(|e| warn!(error = %e, "targets: unreadable entry skipped"))
+        .ok();
 
     EntryRow { id: row.key.key.clone(), version: row.version, entry }
 }
 
 /// Asks other hosts for their copy of the table while the store keeps this host waiting.
-async fn learn_while_waiting(shared: &Rc<Shared>) -> Infallible {
+async fn poll_peers_while_waiting(shared: &Rc<Shared>) -> Infallible {
     sleep(HEDGE_DELAY).await;
 
     loop {
-        learn_from_peer(shared).await;
+        copy_from_peer(shared).await;
         sleep(POLL_PERIOD).await;
     }
 }
 
 /// Fetches and applies the copy of another host, preferably of one that the store answers.
-async fn learn_from_peer(shared: &Rc<Shared>) {
-    let Some(host) = shared.fleet.store_peer().or_else(|| shared.fleet.any_peer()) else { return };
+async fn copy_from_peer(shared: &Rc<Shared>) {
+    let Some(host) = shared.fleet.live_peer_with_store().or_else(|| shared.fleet.any_live_peer())
+    else {
+        return;
+    };
     let asked_at = clock::now();
     let has = shared.target_table.borrow().as_of().unwrap_or_default();
-    let reply = asks::ask(shared, host, &Ask::Targets(has), PEER_TIMEOUT).await;
-    let Some(Reply::Targets(Some(copy))) = reply else { return };
+    let reply = asks::query(shared, host, &Query::Targets(has), PEER_TIMEOUT).await;
+    let Some(QueryReply::Targets(Some(copy))) = reply else { return };
 
     let (as_of, age) = (copy.as_of, copy.age);
     let effects = shared.target_table.borrow_mut().take_copy(clock::now(), asked_at, copy);
     if !effects.is_empty() {
-        info!(host = host.0, as_of = as_of.0, age_ms = age.as_millis(), "targets: copy taken in");
+        info!(
+            host = host.0,
+            as_of = as_of.0,
+            age_ms = age.as_millis(),
+            "targets: copy of another host applied"
+        );
     }
-    carry_out(shared, Source::Peer, effects);
+    apply_effects(shared, Source::Peer, effects);
 }
 
 /// Applies the effects of a change of the table to the targets in use.
-fn carry_out(shared: &Rc<Shared>, source: Source, effects: Vec<Effect>) {
+fn apply_effects(shared: &Rc<Shared>, source: Source, effects: Vec<Effect>) {
     if effects.is_empty() {
         return;
     }
@@ -204,14 +213,14 @@
 
     for effect in effects {
         match effect {
-            Effect::Use(entry) => go_by(shared, entry, as_of, source),
-            Effect::Drop(id, why) => forget(shared, &id, why, as_of, source),
+            Effect::Use(entry) => use_entry(shared, entry, as_of, source),
+            Effect::Drop(id, why) => drop_entry(shared, &id, why, as_of, source),
         }
     }
-    places::wake_all(shared);
+    places::assign_all(shared);
 }
 
-fn go_by(shared: &Rc<Shared>, entry: TargetEntry, as_of: RowVersion, source: Source) {
+fn use_entry(shared: &Rc<Shared>, entry: TargetEntry, as_of: RowVersion, source: Source) {
     let (id, state, born) = (entry.id.clone(), entry.state, entry.born);
     let before = {
         let targets = shared.targets.borrow();
@@ -222,11 +231,14 @@
         shared.connections.close(former);
     }
     if before != Some((state, born)) {
-        info!(target_id = %id, ?state, born, as_of = as_of.0, ?source, "targets: entry");
+        info!(
+            target_id = %id, ?state, born, as_of = as_of.0, ?source,
+            "targets: entry new or changed"
+        );
     }
 }
 
-fn forget(shared: &Rc<Shared>, id: &str, why: Dropped, as_of: RowVersion, source: Source) {
+fn drop_entry(shared: &Rc<Shared>, id: &str, why: Dropped, as_of: RowVersion, source: Source) {
     let gone = shared.targets.borrow_mut().gone(id);
 
     if let Some(key) = gone {
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -28,13 +28,13 @@
 
 /// The rows that this host has written, oldest first.
 #[derive(Default)]
-pub(crate) struct Written {
+pub(crate) struct WrittenTurns {
     rows: VecDeque<(Instant, TurnKey)>,
 }
 
 /// Records that the row of a turn was written.
-pub(crate) fn written(shared: &Shared, key: TurnKey) {
-    shared.written.borrow_mut().rows.push_back((clock::now(), key));
+pub(crate) fn track(shared: &Shared, key: TurnKey) {
+    shared.written_turns.borrow_mut().rows.push_back((clock::now(), key));
 }
 
 /// Starts the task that deletes the rows of turns that can no longer be continued.
@@ -54,14 +54,14 @@
 
     // A budget is needed as long as its program may continue, which is as long as its turns are
     // kept.
-    let asked = clock::now();
-    let old = shared.budgets.borrow_mut().forget(asked, retention + SWEEP_MARGIN);
-    for (program, version) in old {
-        budget::delete(shared, program, version, asked).await;
+    let requested_at = clock::now();
+    let expired = shared.budgets.borrow_mut().forget(requested_at, retention + SWEEP_MARGIN);
+    for (program, version) in expired {
+        budget::delete_row(shared, program, version, requested_at).await;
     }
 
     loop {
-        let batch = past_retention(shared, retention + SWEEP_MARGIN);
+        let batch = take_expired(shared, retention + SWEEP_MARGIN);
         if batch.is_empty() {
             return;
         }
@@ -70,24 +70,24 @@
 }
 
 /// Removes and returns the oldest expired rows that are in the same part of the store.
-fn past_retention(shared: &Shared, age: Duration) -> Vec<RowKey> {
+fn take_expired(shared: &Shared, age: Duration) -> Vec<RowKey> {
     let now = clock::now();
-    let mut written = shared.written.borrow_mut();
-    let old = written.rows.iter().take_while(|(at, _)| now.since(*at) > age).count();
-    let Some((_, first)) = written.rows.front().copied().filter(|_| old > 0) else {
+    let mut written = shared.written_turns.borrow_mut();
+    let expired = written.rows.iter().take_while(|(at, _)| now.since(*at) > age).count();
+    let Some((_, first)) = written.rows.front().copied().filter(|_| expired > 0) else {
         return Vec::new();
     };
     let mut batch = Vec::new();
-    let mut left = VecDeque::new();
+    let mut remaining = VecDeque::new();
 
-    for (at, key) in written.rows.drain(..old) {
+    for (at, key) in written.rows.drain(..expired) {
         match key.part() == first.part() && batch.len() < SWEEP_BATCH {
             true => batch.push(row_key(key)),
-            false => left.push_back((at, key)),
+            false => remaining.push_back((at, key)),
         }
     }
-    left.extend(written.rows.drain(..));
-    written.rows = left;
+    remaining.extend(written.rows.drain(..));
+    written.rows = remaining;
 
     batch
 }
@@ -98,10 +98,10 @@
     let rows = keys.len();
     let writes = keys.into_iter().map(|key| Write { key, value: None }).collect();
     let reply =
-        store::ask(shared, PlatformOp::Commit(Transaction { checks: Vec::new(), writes })).await;
+        store::run(shared, PlatformOp::Commit(Transaction { checks: Vec::new(), writes })).await;
 
     if !matches!(reply, PlatformReply::Committed(_)) {
-        info!(rows, "turn: old rows not deleted");
+        info!(rows, "turn: expired rows not deleted");
     }
 }
 
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -14,20 +14,20 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use crate::asks::{self, Ask, Reply};
+use crate::asks::{self, Query, QueryReply};
 use crate::host::Shared;
 use crate::{clock, grants};
 
 /// How long a relayed operation may take: the other host's own attempts and a round trip.
-const RELAY_DEADLINE: Duration = Duration::from_millis(600);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How often provisional grants are written back while the store answers. Only one round runs at a
+/// How often unstored grants are written back while the store answers. Only one round runs at a
 /// time: overlapping rounds would use up the writes of a slow store for the same rows.
 const WRITE_BACK_PERIOD: Duration = Duration::from_millis(500);
 
 /// An operation that stays unanswered for this long was tried several times, so the store counts as
 /// unavailable.
-const LONG_SILENCE: Duration = Duration::from_millis(300);
+const NO_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a call waits for a write before it continues in another way, while the write stays in
 /// progress. The store usually answers a transaction in about 10 ms. A slow store takes a quarter
@@ -35,18 +35,18 @@
 pub(crate) const HEDGE_AFTER: Duration = Duration::from_millis(60);
 
 /// How long status updates report that the store was slow: several broadcast periods.
-const SLOW_TOLD: Duration = Duration::from_millis(500);
+const SLOW_REPORT_TIME: Duration = Duration::from_millis(500);
 
 /// A client of the store that tracks which parts of it are available.
 pub(crate) struct Store {
     client: Client,
     health: RefCell<StoreHealth>,
     /// When the store was last slow or unavailable, for this host or another one.
-    away_at: Cell<Option<Instant>>,
+    trouble_at: Cell<Option<Instant>>,
     /// When the store was last slow for this host.
     slow_at: Cell<Option<Instant>>,
     /// Notified when a part recovers, for this host or for a peer.
-    returned: Notify,
+    recovered: Notify,
 }
 
 impl Store {
@@ -55,19 +55,19 @@
         Self {
             client,
             health: RefCell::default(),
-            away_at: Cell::new(None),
+            trouble_at: Cell::new(None),
             slow_at: Cell::new(None),
-            returned: Notify::new(),
+            recovered: Notify::new(),
         }
     }
 
     /// Returns whether the store as a whole answers this host.
-    pub(crate) fn answers(&self) -> bool {
+    pub(crate) fn is_available(&self) -> bool {
         self.health.borrow().answers()
     }
 
     /// Returns whether all parts of the store that were tried answer this host.
-    pub(crate) fn answers_whole(&self) -> bool {
+    pub(crate) fn is_fully_available(&self) -> bool {
         let health = self.health.borrow();
 
         health.answers() && !health.misses_any()
@@ -75,42 +75,42 @@
 
     /// Returns whether status updates report trouble to the other hosts: the store or a part of it
     /// does not answer this host, or was slow within the last broadcast periods.
-    pub(crate) fn is_in_trouble(&self) -> bool {
+    pub(crate) fn reports_trouble(&self) -> bool {
         let now = clock::now();
-        let is_slow = self.slow_at.get().is_some_and(|at| now.since(at) < SLOW_TOLD);
+        let is_slow = self.slow_at.get().is_some_and(|at| now.since(at) < SLOW_REPORT_TIME);
 
         is_slow || self.health.borrow().misses_any()
     }
 
     /// Returns whether a part of the store that was tried within `lately` does not answer this
     /// host.
-    pub(crate) fn missed_any(&self, lately: Duration) -> bool {
+    pub(crate) fn any_part_failed_within(&self, lately: Duration) -> bool {
         self.health.borrow().missed_any(clock::now(), lately)
     }
 
     /// Records that an answer of the store is overdue.
     pub(crate) fn note_slow(&self, now: Instant) {
         self.slow_at.set(Some(now));
-        self.away_at.set(Some(now));
+        self.trouble_at.set(Some(now));
     }
 
     /// Waits until a part of the store recovers, for this host or a live peer, for at most
     /// `longest`.
-    pub(crate) async fn wait_for_return(&self, longest: Duration) {
+    pub(crate) async fn wait_for_recovery(&self, longest: Duration) {
         // After a timeout the caller checks again as well.
-        let _ = timeout(longest, self.returned.notified()).await;
+        let _ = timeout(longest, self.recovered.notified()).await;
     }
 
     /// Records that the store answers another host again.
-    pub(crate) fn returned_elsewhere(&self) {
-        if !self.answers() {
-            self.returned.notify_waiters();
+    pub(crate) fn note_recovered_elsewhere(&self) {
+        if !self.is_available() {
+            self.recovered.notify_waiters();
         }
     }
 
     /// Returns for how long the store has not answered this host. Returns `None` if it does answer,
     /// and also if it never has.
-    pub(crate) fn silent_for(&self) -> Option<Duration> {
+    pub(crate) fn unavailable_for(&self) -> Option<Duration> {
         self.health.borrow().silent_for(clock::now())
     }
 
@@ -120,13 +120,13 @@
     }
 
     /// Records that the store does not answer some host.
-    pub(crate) fn away_somewhere(&self, now: Instant) {
-        self.away_at.set(Some(now));
+    pub(crate) fn note_trouble(&self, now: Instant) {
+        self.trouble_at.set(Some(now));
     }
 
     /// Returns whether all hosts, as far as is known, could use the store for this long.
-    pub(crate) fn was_there_for(&self, time: Duration) -> bool {
-        self.away_at.get().is_none_or(|at| clock::now().since(at) > time)
+    pub(crate) fn was_available_for(&self, time: Duration) -> bool {
+        self.trouble_at.get().is_none_or(|at| clock::now().since(at) > time)
     }
 }
 
@@ -150,22 +150,22 @@
 
 /// Runs an operation for a call. Returns `Unavailable` without delay if the store is known to be
 /// unavailable both directly and through other hosts.
-pub(crate) async fn ask(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
-    let is_held_up = {
+pub(crate) async fn run(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
+    let is_unavailable = {
         let mut health = shared.store.health.borrow_mut();
         health.is_away(part(&op)) && !health.try_again(clock::now(), part(&op))
     };
 
-    match is_held_up {
+    match is_unavailable {
         true => relay(shared, op).await,
-        false => probe(shared, op).await,
+        false => run_direct_or_relayed(shared, op).await,
     }
 }
 
 /// Runs an operation of a background task. It always tries the store directly first, and so detects
 /// its recovery.
-pub(crate) async fn probe(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
-    match ask_straight(shared, op.clone(), &|_| ()).await {
+pub(crate) async fn run_direct_or_relayed(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
+    match run_direct(shared, op.clone(), &|_| ()).await {
         PlatformReply::Unavailable => relay(shared, op).await,
         reply => reply,
     }
@@ -173,7 +173,7 @@
 
 /// Runs an operation directly on the store. Calls `on_piece` with the number of bytes received so
 /// far, for each piece of the answer.
-pub(crate) async fn ask_straight(
+pub(crate) async fn run_direct(
     shared: &Rc<Shared>,
     op: PlatformOp,
     on_piece: &impl Fn(usize),
@@ -187,37 +187,37 @@
         match reply {
             PlatformReply::Unavailable => health.failed(began, &part),
             // A store may lose the answers to writes while it answers all other operations.
-            PlatformReply::Unknown if now.since(began) < LONG_SILENCE => None,
+            PlatformReply::Unknown if now.since(began) < NO_ANSWER_TIMEOUT => None,
             PlatformReply::Unknown => health.failed(began, &part),
             _ => health.answered(now, &part),
         }
     };
 
     if shared.store.health.borrow().misses_any() {
-        shared.store.away_somewhere(clock::now());
+        shared.store.note_trouble(clock::now());
     }
     match change {
         Some(Change::Lost) => warn!(part = %part, "store: does not answer"),
         Some(Change::Regained) => {
             info!(part = %part, "store: answers again");
-            shared.store.returned.notify_waiters();
+            shared.store.recovered.notify_waiters();
         }
         None => {}
     }
     reply
 }
 
-/// Starts the task that writes provisional grants back to the store: as soon as a part recovers,
-/// and periodically, since this host may hold grants that their owners could not write.
+/// Starts the task that writes unstored grants back to the store: as soon as a part recovers, and
+/// periodically, since this host may hold grants that their owners could not write.
 pub(crate) fn start_write_back(shared: &Rc<Shared>) {
     let shared = Rc::clone(shared);
 
     tokio::task::spawn_local(async move {
         let mut pace = WriteBack::default();
         loop {
-            let round = grants::write_loose(&shared, pace.allowed()).await;
+            let round = grants::write_unstored(&shared, pace.allowed()).await;
             if pace.ended(round) == Next::Later {
-                shared.store.wait_for_return(WRITE_BACK_PERIOD).await;
+                shared.store.wait_for_recovery(WRITE_BACK_PERIOD).await;
             }
         }
     });
@@ -230,13 +230,13 @@
     if matches!(op, PlatformOp::Changes { wait, .. } if !wait.is_zero()) {
         return PlatformReply::Unavailable;
     }
-    let Some(host) = shared.fleet.store_peer() else {
+    let Some(host) = shared.fleet.live_peer_with_store() else {
         return PlatformReply::Unavailable;
     };
 
-    shared.metrics.relayed.inc();
-    match asks::ask(shared, host, &Ask::Store(op), RELAY_DEADLINE).await {
-        Some(Reply::Store(reply)) => reply,
+    shared.metrics.relayed_operations.inc();
+    match asks::query(shared, host, &Query::Store(op), RELAY_TIMEOUT).await {
+        Some(QueryReply::Store(reply)) => reply,
         Some(_) => PlatformReply::Unavailable,
         // The other host may have run the operation although no reply came.
         None => PlatformReply::Unknown,
@@ -245,9 +245,9 @@
 
 /// Runs an operation for another host. The operation is never relayed again: two hosts that each
 /// assume the other one reaches the store would pass it back and forth.
-pub(crate) async fn run_for_peer(shared: &Rc<Shared>, op: PlatformOp) -> Reply {
-    match shared.store.answers() {
-        true => Reply::Store(ask_straight(shared, op, &|_| ()).await),
-        false => Reply::Refused,
+pub(crate) async fn run_for_peer(shared: &Rc<Shared>, op: PlatformOp) -> QueryReply {
+    match shared.store.is_available() {
+        true => QueryReply::Store(run_direct(shared, op, &|_| ()).await),
+        false => QueryReply::Refused,
     }
 }
--- a/crates/entry/src/stories.rs
+++ b/crates/entry/src/stories.rs
@@ -11,67 +11,67 @@
 /// The maximum number of lines a second about successful calls. A line costs about as much as
 /// sending a small message. At this rate logging stays below a hundredth of a host's work at its
 /// usual load.
-const MOST_LINES: u32 = 150;
+const MAX_LINES: u32 = 150;
 
 /// The interval over which lines are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// The highest sampling level: one call in two to the power of the level is logged.
-const MOST_LEVEL: u32 = 10;
+const MAX_LEVEL: u32 = 10;
 
 /// Samples whole calls: either all lines of a call are logged or none. Failures are always logged.
 /// All hosts select the same calls at the same level.
-pub(crate) struct Stories {
+pub(crate) struct LogSampler {
     /// One call in two to the power of this is logged.
     level: Cell<u32>,
-    since: Cell<Instant>,
+    period_began: Cell<Instant>,
     lines: Cell<u32>,
-    passed_over: Cell<u64>,
+    skipped: Cell<u64>,
 }
 
-impl Stories {
+impl LogSampler {
     /// Creates a sampler that selects all calls.
     pub(crate) fn new() -> Self {
         Self {
             level: Cell::new(0),
-            since: Cell::new(clock::now()),
+            period_began: Cell::new(clock::now()),
             lines: Cell::new(0),
-            passed_over: Cell::new(0),
+            skipped: Cell::new(0),
         }
     }
 
     /// Returns whether the lines of a call are logged.
-    pub(crate) fn keeps(&self, request_id: &str) -> bool {
-        self.turn_period();
+    pub(crate) fn selects(&self, request_id: &str) -> bool {
+        self.end_period();
         let mask = (1u64 << self.level.get()) - 1;
-        let keeps = stable_hash(&[request_id.as_bytes()]) & mask == 0;
+        let is_selected = stable_hash(&[request_id.as_bytes()]) & mask == 0;
 
-        match keeps {
+        match is_selected {
             true => self.lines.set(self.lines.get() + 1),
-            false => self.passed_over.set(self.passed_over.get() + 1),
+            false => self.skipped.set(self.skipped.get() + 1),
         }
-        keeps
+        is_selected
     }
 
-    fn turn_period(&self) {
+    fn end_period(&self) {
         let now = clock::now();
-        if now.since(self.since.get()) < PERIOD {
+        if now.since(self.period_began.get()) < PERIOD {
             return;
         }
 
         let lines = self.lines.replace(0);
         let level = self.level.get();
         let next = match lines {
-            lines if lines > MOST_LINES => (level + 1).min(MOST_LEVEL),
-            lines if lines < MOST_LINES / 4 => level.saturating_sub(1),
+            lines if lines > MAX_LINES => (level + 1).min(MAX_LEVEL),
+            lines if lines < MAX_LINES / 4 => level.saturating_sub(1),
             _ => level,
         };
-        self.since.set(now);
+        self.period_began.set(now);
         self.level.set(next);
 
         if next != level {
             let one_in = 1u64 << next;
-            tracing::info!(one_in, passed_over = self.passed_over.get(), "log: calls sampled");
+            tracing::info!(one_in, passed_over = self.skipped.get(), "log: calls sampled");
         }
     }
 }
