--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -12,24 +12,24 @@
 use tokio::time::timeout;
 use tracing::info;
 
-use crate::answer::{Answer, AnswerBody, Broken, Refusal};
-use crate::budget::Hold;
-use crate::call::{Answered, Call};
-use crate::events::Cutter;
-use crate::forward::{self, Sending, Sent, Started};
-use crate::plain::fault;
+use crate::answer::{Answer, AnswerBody, BrokenBody, Refusal};
+use crate::budget::TokenReservation;
+use crate::call::{Call, TargetAnswer};
+use crate::events::EventParser;
+use crate::forward::{self, CallAttempt, SendOutcome, Started};
+use crate::plain::rejection_reason;
 use crate::turns::Continuation;
 use crate::{clock, keeping, places};
 
 /// To how many targets a turn is sent, as long as each of them has certainly not run it.
-const MOST_OFFERS: u32 = 4;
+const MAX_OFFERS: u32 = 4;
 
 /// How often a broken stream is resumed before the answer is broken off.
-const MOST_RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 
 /// Retry-After of a turn that all targets refused: about the time until one of them has a free
 /// place.
-const FULL_RETRY: Duration = Duration::from_millis(250);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// The state of a stream.
 struct Progress {
@@ -38,14 +38,14 @@
     /// The number of events received from targets.
     events: u64,
     /// The data of the forwarded events, each followed by a line feed.
-    said: Vec<u8>,
+    output: Vec<u8>,
     /// To how many targets the turn was sent until one started the stream.
     offers: u32,
     resumes: u32,
 }
 
 /// What a stream produces next.
-enum Next {
+enum StreamItem {
     /// Complete events, to be forwarded.
     Events(Bytes),
     /// The end of the stream.
@@ -57,7 +57,7 @@
 /// Sends a turn to targets until one of them answers, and then forwards its events as they arrive.
 pub(crate) async fn forward(
     call: Rc<Call>,
-    hold: Option<Hold>,
+    reservation: Option<TokenReservation>,
     continuation: Continuation,
 ) -> Result<Answer, Refusal> {
     let body = continuation.body(&call.body);
@@ -66,21 +66,25 @@
 
     let started = loop {
         let place = places::take(&call.shared, &call.service, &shape, call.urgency()).await;
-        let place = place.map_err(|refusal| call.refuse(refusal))?;
+        let place = place.map_err(|refusal| call.adjust_refusal(refusal))?;
         let key = place.key;
-        let patience = clock::until(call.deadline);
-        let sending =
-            Sending { call: &call, body: body.clone(), last_event: call.head.last_event, patience };
+        let head_timeout = clock::until(call.deadline);
+        let attempt = CallAttempt {
+            call: &call,
+            body: body.clone(),
+            last_event: call.head.last_event,
+            head_timeout,
+        };
 
-        match forward::send(&sending, place).await {
-            Sent::Started(started) => break *started,
-            Sent::NotRun(reason) => {
+        match forward::send(&attempt, place).await {
+            SendOutcome::Started(started) => break *started,
+            SendOutcome::NotRun(reason) => {
                 call.shared.metrics.resends.with_label_values(&[reason]).inc();
                 info!(request = %call.head.request_id, offers, reason, "call: target did not run it");
             }
-            Sent::Unknown { reason, crashed } => {
-                if !may_start_again(&call, crashed) {
-                    return Err(Refusal::lost(reason));
+            SendOutcome::Unknown { reason, crashed } => {
+                if !may_restart(&call, crashed) {
+                    return Err(Refusal::answer_lost(reason));
                 }
                 call.shared.metrics.resends.with_label_values(&[reason]).inc();
                 info!(request = %call.head.request_id, offers, reason, "call: stream starts again");
@@ -89,42 +93,50 @@
 
         offers += 1;
         shape.avoid.push(key);
-        if offers >= MOST_OFFERS {
-            return Err(call.refuse(Refusal::later("all targets refused", FULL_RETRY)));
+        if offers >= MAX_OFFERS {
+            return Err(
+                call.adjust_refusal(Refusal::retry_later("all targets refused", FULL_RETRY_AFTER))
+            );
         }
     };
 
-    if let Some(reason) = fault(started.response.status(), &started.head) {
+    if let Some(reason) = rejection_reason(started.response.status(), &started.head) {
         started.place.end(Outcome::Failed);
-        return Err(Refusal::lost(reason));
+        return Err(Refusal::answer_lost(reason));
     }
     if started.response.status() != StatusCode::OK {
-        return whole_failure(started).await;
+        return forward_failure(started).await;
     }
 
     let mut answer = Response::new(AnswerBody::Whole(None));
     *answer.headers_mut() = head::write_answer(started.response.headers());
-    *answer.body_mut() =
-        AnswerBody::Pieces(Box::pin(pieces(call, hold, continuation, body, started, offers + 1)));
+    *answer.body_mut() = AnswerBody::Pieces(Box::pin(event_stream(
+        call,
+        reservation,
+        continuation,
+        body,
+        started,
+        offers + 1,
+    )));
     Ok(answer)
 }
 
 /// Returns whether a stream may start again at another target although one may have run it. Nothing
 /// was received so far. The stream must be resumable, and the target that may have run it must have
 /// crashed.
-fn may_start_again(call: &Call, crashed: bool) -> bool {
+fn may_restart(call: &Call, crashed: bool) -> bool {
     call.route().repeat == Repeat::Stream { resumable: true }
         && crashed
         && !call.shared.crashes.borrow().is_barred(call.fingerprint())
 }
 
 /// Forwards a failure that a target answered instead of a stream.
-async fn whole_failure(started: Started) -> Result<Answer, Refusal> {
+async fn forward_failure(started: Started) -> Result<Answer, Refusal> {
     let (parts, body) = started.response.into_parts();
 
     match body.collect().await {
         Ok(body) => {
-            started.place.answered();
+            started.place.complete();
             let mut answer = Response::new(AnswerBody::Whole(Some(body.to_bytes())));
             *answer.status_mut() = parts.status;
             *answer.headers_mut() = head::write_answer(&parts.headers);
@@ -132,47 +144,47 @@
         }
         Err(_) => {
             started.place.end(Outcome::Failed);
-            Err(Refusal::lost("the answer broke off"))
+            Err(Refusal::answer_lost("the answer broke off"))
         }
     }
 }
 
-/// Forwards the events of a stream. Resumes the stream if that is allowed, and persists the turn
+/// Forwards the events of a stream. Resumes the stream if that is allowed, and stores the turn
 /// before forwarding the end.
-fn pieces(
+fn event_stream(
     call: Rc<Call>,
-    mut hold: Option<Hold>,
+    mut reservation: Option<TokenReservation>,
     continuation: Continuation,
     body: Bytes,
     started: Started,
     offers: u32,
-) -> impl futures::Stream<Item = Result<Bytes, Broken>> {
+) -> impl futures::Stream<Item = Result<Bytes, BrokenBody>> {
     let mut progress = Progress {
         last_event: call.head.last_event,
         events: 0,
-        said: Vec::new(),
+        output: Vec::new(),
         offers,
         resumes: 0,
     };
     let mut current = Some(started);
-    let mut cutter = Cutter::default();
+    let mut parser = EventParser::default();
 
     async_stream::stream! {
         loop {
             let Some(started) = current.as_mut() else { return };
-            let next = match timeout(clock::until(call.deadline), next(started, &mut cutter, &mut progress)).await {
+            let next = match timeout(clock::until(call.deadline), next_item(started, &mut parser, &mut progress)).await {
                 Ok(next) => next,
-                Err(_) => Next::Broken("the time is over"),
+                Err(_) => StreamItem::Broken("the time is over"),
             };
-            if let Some(hold) = hold.as_mut() {
-                hold.used(progress.events * call.tokens_per_event());
+            if let Some(reservation) = reservation.as_mut() {
+                reservation.record_used(progress.events * call.tokens_per_event());
             }
 
             match next {
-                Next::Events(bytes) => yield Ok(bytes),
-                Next::End => break,
-                Next::Broken(reason) => {
-                    cutter.reset();
+                StreamItem::Events(bytes) => yield Ok(bytes),
+                StreamItem::End => break,
+                StreamItem::Broken(reason) => {
+                    parser.reset();
                     let key = started.place.key;
                     if let Some(broken) = current.take() {
                         broken.place.end(Outcome::Failed);
@@ -182,10 +194,10 @@
                     if current.is_none() {
                         info!(
                             request = %call.head.request_id, events = progress.events, reason,
-                            took_ms = clock::now().since(call.began).as_millis() as u64,
+                            took_ms = clock::now().since(call.received_at).as_millis() as u64,
                             "call: stream broke off"
                         );
-                        yield Err(Broken(reason));
+                        yield Err(BrokenBody(reason));
                         return;
                     }
                 }
@@ -193,51 +205,57 @@
         }
 
         if let Some(started) = current.take() {
-            keep_connection(&call, started, &progress);
+            finish(&call, started, &progress);
         }
-        drop(hold.take());
-        if let Err(reason) = keeping::keep(&call, &continuation, std::mem::take(&mut progress.said)).await {
+        drop(reservation.take());
+        if let Err(reason) = keeping::store_turn(&call, &continuation, std::mem::take(&mut progress.output)).await {
             info!(request = %call.head.request_id, reason, "call: turn not kept, stream broken off");
-            yield Err(Broken(reason));
+            yield Err(BrokenBody(reason));
         }
     }
 }
 
 /// Waits for complete events.
-async fn next(started: &mut Started, cutter: &mut Cutter, progress: &mut Progress) -> Next {
+async fn next_item(
+    started: &mut Started,
+    parser: &mut EventParser,
+    progress: &mut Progress,
+) -> StreamItem {
     loop {
         let data = match started.response.body_mut().frame().await {
-            None if cutter.is_within_event() => {
-                return Next::Broken("the stream ended within an event");
+            None if parser.is_within_event() => {
+                return StreamItem::Broken("the stream ended within an event");
             }
-            None => return Next::End,
-            Some(Err(_)) => return Next::Broken("the target broke the stream off"),
+            None => return StreamItem::End,
+            Some(Err(_)) => return StreamItem::Broken("the target broke the stream off"),
             Some(Ok(frame)) => match frame.into_data() {
                 Ok(data) => data,
                 Err(_) => continue,
             },
         };
-        cutter.push(&data);
-        if cutter.is_overlong() {
-            return Next::Broken("an event without an end");
+        parser.push(&data);
+        if parser.is_overlong() {
+            return StreamItem::Broken("an event without an end");
         }
 
         let mut bytes = BytesMut::new();
         let before = progress.events;
-        while let Some(event) = cutter.next() {
+        while let Some(event) = parser.next() {
             // A target that resumes a stream may repeat events that were already forwarded.
             if event.id.is_some() && event.id <= progress.last_event {
                 continue;
             }
             progress.last_event = event.id.or(progress.last_event);
             progress.events += 1;
-            progress.said.extend_from_slice(&event.data);
-            progress.said.push(b'\n');
+            progress.output.extend_from_slice(&event.data);
+            progress.output.push(b'\n');
             bytes.extend_from_slice(&event.bytes);
         }
         if !bytes.is_empty() {
-            started.place.made(u32::try_from(progress.events - before).unwrap_or(u32::MAX));
-            return Next::Events(bytes.freeze());
+            started
+                .place
+                .record_events(u32::try_from(progress.events - before).unwrap_or(u32::MAX));
+            return StreamItem::Events(bytes.freeze());
         }
     }
 }
@@ -255,7 +273,7 @@
         return None;
     }
 
-    while progress.resumes < MOST_RESUMES && !clock::until(call.deadline).is_zero() {
+    while progress.resumes < MAX_RESUMES && !clock::until(call.deadline).is_zero() {
         progress.resumes += 1;
         let down = forward::is_down(&call.shared, key, call).await;
         if call.shared.crashes.borrow().is_barred(call.fingerprint()) {
@@ -263,7 +281,7 @@
         }
 
         let place = match down {
-            false => places::same(&call.shared, &call.service, key, &call.shape()),
+            false => places::retake(&call.shared, &call.service, key, &call.shape()),
             true => {
                 let mut shape = call.shape();
                 shape.avoid.push(key);
@@ -276,13 +294,13 @@
             "call: stream goes on"
         );
         call.shared.metrics.resends.with_label_values(&[reason]).inc();
-        let patience = clock::until(call.deadline);
-        let sending =
-            Sending { call, body: body.clone(), last_event: progress.last_event, patience };
+        let head_timeout = clock::until(call.deadline);
+        let attempt =
+            CallAttempt { call, body: body.clone(), last_event: progress.last_event, head_timeout };
 
-        if let Sent::Started(started) = forward::send(&sending, place).await {
+        if let SendOutcome::Started(started) = forward::send(&attempt, place).await {
             if started.response.status() == StatusCode::OK
-                && fault(started.response.status(), &started.head).is_none()
+                && rejection_reason(started.response.status(), &started.head).is_none()
             {
                 return Some(*started);
             }
@@ -294,18 +312,18 @@
 }
 
 /// Logs a stream that ended without a failure, and returns its connection to the pool.
-fn keep_connection(call: &Call, started: Started, progress: &Progress) {
+fn finish(call: &Call, started: Started, progress: &Progress) {
     let Started { head, connection, place, response } = started;
     let key = place.key;
     let (target, load) = place.target();
-    call.log_answer(&Answered {
+    call.log_answer(&TargetAnswer {
         target: &target,
         load,
         status: response.status(),
         offers: progress.offers + progress.resumes,
         events: Some(progress.events),
     });
-    place.answered();
+    place.complete();
 
     forward::put_back(&call.shared, key, connection, &head);
 }
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -27,7 +27,7 @@
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
 
 /// The page size of a read of the table.
-const MOST_ROWS: u32 = 500;
+const PAGE_ROWS: u32 = 500;
 
 /// Starts the task that follows the manifest.
 pub(crate) fn start(shared: &Rc<Shared>) {
@@ -35,7 +35,7 @@
 }
 
 /// The outcome of asking the store for the manifest.
-enum Followed {
+enum PollOutcome {
     /// The changes up to this version are known.
     UpTo(RowVersion),
     /// The store no longer has the changes since that version.
@@ -54,33 +54,33 @@
             Some(after) => wait_for_manifest(&shared, after).await,
         };
         match followed {
-            Followed::UpTo(version) => after = Some(version),
-            Followed::HistoryGone => {
+            PollOutcome::UpTo(version) => after = Some(version),
+            PollOutcome::HistoryGone => {
                 after = None;
                 sleep(FAILED_PAUSE).await;
             }
-            Followed::Failed => sleep(FAILED_PAUSE).await,
+            PollOutcome::Failed => sleep(FAILED_PAUSE).await,
         }
     }
 }
 
-async fn read_manifest(shared: &Rc<Shared>) -> Followed {
+async fn read_manifest(shared: &Rc<Shared>) -> PollOutcome {
     let table = paths::OPERATORS_TABLE.into();
-    let op = PlatformOp::Snapshot { table, after: "".into(), limit: MOST_ROWS };
+    let op = PlatformOp::Snapshot { table, after: "".into(), limit: PAGE_ROWS };
 
-    match ask_for_manifest(shared, op).await {
+    match request_manifest(shared, op).await {
         PlatformReply::Changes(changes) => {
             adopt_newest(shared, &changes);
-            Followed::UpTo(changes.version)
+            PollOutcome::UpTo(changes.version)
         }
-        _ => Followed::Failed,
+        _ => PollOutcome::Failed,
     }
 }
 
 /// Asks the store directly. A relay through other hosts would transfer the manifest again with each
 /// retry, while a peer with a newer manifest announces it and sends it once.
-async fn ask_for_manifest(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
-    store::ask_straight(shared, op, &|_| shared.manifests.note_progress()).await
+async fn request_manifest(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
+    store::run_direct(shared, op, &|_| shared.manifests.note_progress()).await
 }
 
 fn adopt_newest(shared: &Rc<Shared>, changes: &TableChanges) {
@@ -89,11 +89,11 @@
     }
 }
 
-async fn wait_for_manifest(shared: &Rc<Shared>, after: RowVersion) -> Followed {
+async fn wait_for_manifest(shared: &Rc<Shared>, after: RowVersion) -> PollOutcome {
     let table = paths::OPERATORS_TABLE.into();
     let op = PlatformOp::Changes { table, after, wait: MANIFEST_WAIT };
 
-    match ask_for_manifest(shared, op).await {
+    match request_manifest(shared, op).await {
         PlatformReply::Changes(changes) => {
             if !changes.changes.is_empty() {
                 adopt_newest(shared, &changes);
@@ -103,13 +103,13 @@
                 sleep(MANIFEST_PAUSE).await;
                 shared.manifests.note_progress();
             }
-            Followed::UpTo(changes.version)
+            PollOutcome::UpTo(changes.version)
         }
         PlatformReply::HistoryGone => {
-            info!("manifest: the store dropped its history, read whole");
-            Followed::HistoryGone
+            info!("manifest: the store no longer has the changes, reading the manifest again");
+            PollOutcome::HistoryGone
         }
-        _ => Followed::Failed,
+        _ => PollOutcome::Failed,
     }
 }
 
@@ -118,7 +118,7 @@
     let routing = match manifest::read(text) {
         Ok(routing) => routing,
         Err(e) => {
-            warn!(error = %e, source, "manifest: not understood, the one in force stays");
+            warn!(error = %e, source, "manifest: cannot be parsed, keeping the one in force");
             return;
         }
     };
