--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -84,7 +84,7 @@
         Self { status: StatusCode::SERVICE_UNAVAILABLE, reason, retry_after: Some(after) }
     }
 
-    /// Creates a refusal like [`Refusal::retry_later`] for a situation that affects many callers  .
+    /// Creates a refusal like [`Refusal::retry_later`] for a situation that affects many callers.
     /// The retry time is randomised, so that they do not all return at once.
     pub fn retry_later_jittered(reason: &'static str, after: Duration) -> Self {
         Self::retry_later(reason, after.mul_f64(rand::rng().random_range(0.7..1.3)))
--- a/crates/entry/src/asks.rs
+++ b/crates/entry/src/asks.rs
@@ -188,7 +188,7 @@
         Query::Give(program, known, to, total) => {
             budget::transfer(shared, program, &known, to, total)
         }
-        Query::Manifest => manifests::handle_request(shared, from),
+        Query::Manifest => manifests::handle_query(shared, from),
         Query::Targets(has) => {
             QueryReply::Targets(shared.target_table.borrow().copy_for(clock::now(), has))
         }
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -139,7 +139,7 @@
                     // The store now counts as unsettled, so the next iteration requests the grant
                     // from the elected host.
                     HedgedWrite::Done(_) | HedgedWrite::Overdue(_) => {
-                        shared.store.note_slow(clock::now())
+                        shared.store.record_slow(clock::now())
                     }
                 }
             }
@@ -176,7 +176,7 @@
     if shared.budgets.borrow().knows(program) {
         return;
     }
-    let Some(host) = shared.last_host_of(&call.head) else { return };
+    let Some(host) = shared.last_host_of_conversation(&call.head) else { return };
     let reply = asks::query(shared, host, &Query::StoredRow(program), ROW_FETCH_TIMEOUT).await;
 
     if let Some(QueryReply::StoredRow(Some((row, version)))) = reply {
@@ -395,9 +395,12 @@
     let reason = "the program's budget cannot be told";
 
     match shared.reaches_store() {
-        true => Refusal::retry_later(reason, shared.retry_after_or_move(UNKNOWN_RETRY_AFTER)),
-        false => {
-            Refusal::retry_later_jittered(reason, shared.retry_after_or_move(keeping::AWAY_RETRY))
+        true => {
+            Refusal::retry_later(reason, shared.retry_after_unless_isolated(UNKNOWN_RETRY_AFTER))
         }
+        false => Refusal::retry_later_jittered(
+            reason,
+            shared.retry_after_unless_isolated(keeping::AWAY_RETRY),
+        ),
     }
 }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -447,7 +447,7 @@
     // A new program that is refused after its budget was granted would retry as a running program,
     // and take places from programs that really are running.
     if call.is_new.get() {
-        places::check_room(&call.shared, &call.service, &call.shape())?;
+        places::check_room_for_new(&call.shared, &call.service, &call.shape())?;
     }
 
     // The budget and the earlier turns are requested from the store concurrently.
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -315,7 +315,7 @@
     match timeout(store::HEDGE_AFTER, &mut writing).await {
         Ok(written) => HedgedWrite::Done(written.unwrap_or_else(|_| Err(unknown_budget(shared)))),
         Err(_) => {
-            shared.store.note_slow(clock::now());
+            shared.store.record_slow(clock::now());
             HedgedWrite::Overdue(writing)
         }
     }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -100,7 +100,7 @@
     pub(crate) manifest_text: RefCell<Box<str>>,
     pub(crate) manifests: Manifests,
     pub(crate) rates: RefCell<Rates>,
-    pub(crate) informed_hosts: news::InformedHosts,
+    pub(crate) full_demand_receivers: news::FullDemandReceivers,
     /// The entries under which targets have registered themselves.
     pub(crate) target_table: RefCell<TargetTable>,
     pub(crate) targets: RefCell<Targets>,
@@ -135,8 +135,8 @@
         !self.is_shutting_down() && self.routes.borrow().is_some() && !self.is_isolated()
     }
 
-    /// Returns whether the host is isolated: cut off from the store and from all hosts that could
-    /// make its data durable.
+    /// Returns whether the host is isolated: it reaches neither the store nor any host of another
+    /// zone, or in a fleet with a single zone any host at all.
     pub(crate) fn is_isolated(&self) -> bool {
         // This runs for each answer, so the live hosts are only looked at if the store does not
         // answer.
@@ -160,7 +160,7 @@
 
     /// Returns the host that ran the last turn of a call's conversation, or of its parent's, if
     /// that is another host and live.
-    pub(crate) fn last_host_of(&self, head: &CallHead) -> Option<HostId> {
+    pub(crate) fn last_host_of_conversation(&self, head: &CallHead) -> Option<HostId> {
         let conversation_hosts = self.conversation_hosts.borrow();
         // A sub-agent continues the conversation of its parent, whose prompt part precedes its own.
         let host = head.prefix.iter().rev().find_map(|part| conversation_hosts.get(&part.id))?;
@@ -189,7 +189,7 @@
 
     /// Returns the Retry-After of a call that cannot be decided now: `usual`, or if the host is
     /// isolated the time that the load balancer needs to move the caller to another zone.
-    pub(crate) fn retry_after_or_move(&self, usual: Duration) -> Duration {
+    pub(crate) fn retry_after_unless_isolated(&self, usual: Duration) -> Duration {
         match self.is_isolated() {
             true => MOVE_RETRY_AFTER,
             false => usual,
@@ -205,7 +205,7 @@
     /// Returns whether an empty read of the store proves that there was no such turn within the
     /// last `retention`. It does not if the store was unavailable in that time, or if an earlier
     /// run of this process may have known of the turn.
-    pub(crate) fn can_prove_absence(&self, retention: Duration) -> bool {
+    pub(crate) fn can_prove_turn_absent(&self, retention: Duration) -> bool {
         let is_old = clock::now().since(self.started_at) > retention;
 
         (is_old || self.settings.is_first_start) && self.store.was_available_for(retention)
@@ -346,7 +346,7 @@
             manifest_text: RefCell::default(),
             manifests: Manifests::default(),
             rates: RefCell::default(),
-            informed_hosts: news::InformedHosts::default(),
+            full_demand_receivers: news::FullDemandReceivers::default(),
             target_table: RefCell::new(TargetTable::new(settings.target_heartbeat)),
             targets: RefCell::new(Targets::new(&settings.zone)),
             places: Places::default(),
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -35,7 +35,7 @@
 
 impl Manifests {
     /// Records that a transfer from the store makes progress.
-    pub(crate) fn note_progress(&self) {
+    pub(crate) fn record_progress(&self) {
         self.last_progress.set(Some(clock::now()));
     }
 
@@ -120,7 +120,7 @@
 
 /// Sends the manifest in force to another host that requested it, unless too many transfers are in
 /// progress.
-pub(crate) fn handle_request(shared: &Shared, to: HostId) -> QueryReply {
+pub(crate) fn handle_query(shared: &Shared, to: HostId) -> QueryReply {
     let version = shared.manifest_version();
     let decision = shared.manifests.transfers.borrow_mut().asked(clock::now(), to, version);
     let sent = decision == Decision::Send && send(shared, to);
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -78,9 +78,9 @@
 /// The hosts that have received the demand of all tenants, and have not been silent or restarted
 /// since.
 #[derive(Default)]
-pub(crate) struct InformedHosts(RefCell<Set<HostId>>);
+pub(crate) struct FullDemandReceivers(RefCell<Set<HostId>>);
 
-impl InformedHosts {
+impl FullDemandReceivers {
     /// Removes a host that may have missed earlier updates.
     fn remove(&self, host: HostId) {
         self.0.borrow_mut().remove(&host);
@@ -110,7 +110,7 @@
         let is_far_due = now.since(far_sent_at) + MIN_PERIOD / 2 >= period(near.len() + far.len());
         if is_far_due && now.since(all_demand_sent_at) >= ALL_DEMAND_PERIOD {
             all_demand_sent_at = now;
-            shared.informed_hosts.0.borrow_mut().clear();
+            shared.full_demand_receivers.0.borrow_mut().clear();
         }
 
         let changes = Changes::take(&shared);
@@ -126,7 +126,7 @@
 /// Sends a status update to some hosts, with the demand of all tenants to those that may not know
 /// it.
 fn send(shared: &Shared, peers: &Peers, hosts: Vec<HostId>, changes: &Changes) {
-    let (informed, uninformed) = shared.informed_hosts.split(hosts);
+    let (informed, uninformed) = shared.full_demand_receivers.split(hosts);
     let send_to = |hosts: &[HostId], update: EntryNews| {
         // The current state is sent again in the next round. The changes in an update that cannot
         // be sent are lost. That is harmless: a target may process a prompt again, and admitted
@@ -145,7 +145,7 @@
         let mut all = changes.clone();
         all.demand = shared.rates.borrow_mut().take_news(true).into_iter().collect();
         let informed = send_to(&uninformed, status_update(shared, all, true));
-        shared.informed_hosts.0.borrow_mut().extend(informed);
+        shared.full_demand_receivers.0.borrow_mut().extend(informed);
     }
 }
 
@@ -208,15 +208,15 @@
     };
     let has_recovered = update.store_answers && !shared.fleet.store_answers(from);
     if shared.fleet.record_status(from, status) {
-        shared.informed_hosts.remove(from);
+        shared.full_demand_receivers.remove(from);
         info!(host = from.0, "fleet: host heard");
     }
 
     if update.store_away {
-        shared.store.note_trouble(now);
+        shared.store.record_trouble(now);
     }
     if has_recovered {
-        shared.store.note_recovered_elsewhere();
+        shared.store.record_recovery_elsewhere();
     }
 
     if update.grants_loose {
@@ -240,7 +240,7 @@
     }
 
     manifests::handle_reported_version(shared, from, update.manifest_version);
-    places::assign_all(shared);
+    places::assign_all_places(shared);
 }
 
 fn apply_prompts(shared: &Shared, from: HostId, prompts: Vec<Prompts>) {
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -1,5 +1,5 @@
-//! Places at targets. A call needs one to be sent to a target, and waits in a queue while none is
-//! free.
+//! Places at targets. A place is the right to have one call in flight at a target. A call waits in
+//! a queue while none is free.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -174,7 +174,7 @@
             self.shared.metrics.ejections.inc();
         }
 
-        assign(&self.shared, &self.service);
+        assign_places(&self.shared, &self.service);
     }
 }
 
@@ -241,7 +241,11 @@
 }
 
 /// Refuses a new program if no target has room for it.
-pub(crate) fn check_room(shared: &Shared, service: &str, shape: &Shape) -> Result<(), Refusal> {
+pub(crate) fn check_room_for_new(
+    shared: &Shared,
+    service: &str,
+    shape: &Shape,
+) -> Result<(), Refusal> {
     match shared.targets.borrow().choose(clock::now(), service, shape) {
         Choice::Full => Err(refuse_full()),
         Choice::Target(_) | Choice::Nowhere => Ok(()),
@@ -285,7 +289,7 @@
     places.waiting.borrow_mut().push(service, urgency, id);
     let queued = QueuedCall { shared, service, urgency, id };
     shared.metrics.queued_calls.inc();
-    assign(shared, service);
+    assign_places(shared, service);
 
     let left = clock::until(urgency.deadline);
     let limit = if urgency.is_new { left.min(MAX_NEW_WAIT) } else { left };
@@ -306,7 +310,7 @@
 }
 
 /// Assigns free places of a service to the waiting calls, in the order of the queue.
-pub(crate) fn assign(shared: &Rc<Shared>, service: &str) {
+pub(crate) fn assign_places(shared: &Rc<Shared>, service: &str) {
     loop {
         let places = &shared.places;
         let Some(id) = places.waiting.borrow().first(service) else { return };
@@ -331,10 +335,10 @@
 }
 
 /// Assigns free places of all services.
-pub(crate) fn assign_all(shared: &Rc<Shared>) {
+pub(crate) fn assign_all_places(shared: &Rc<Shared>) {
     let services = shared.places.waiting.borrow().services();
 
-    services.iter().for_each(|service| assign(shared, service));
+    services.iter().for_each(|service| assign_places(shared, service));
 }
 
 fn no_target(shared: &Shared, service: &str) -> Refusal {
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -217,7 +217,7 @@
             Effect::Drop(id, why) => drop_entry(shared, &id, why, as_of, source),
         }
     }
-    places::assign_all(shared);
+    places::assign_all_places(shared);
 }
 
 fn use_entry(shared: &Rc<Shared>, entry: TargetEntry, as_of: RowVersion, source: Source) {
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -89,7 +89,7 @@
     }
 
     /// Records that an answer of the store is overdue.
-    pub(crate) fn note_slow(&self, now: Instant) {
+    pub(crate) fn record_slow(&self, now: Instant) {
         self.slow_at.set(Some(now));
         self.trouble_at.set(Some(now));
     }
@@ -102,7 +102,7 @@
     }
 
     /// Records that the store answers another host again.
-    pub(crate) fn note_recovered_elsewhere(&self) {
+    pub(crate) fn record_recovery_elsewhere(&self) {
         if !self.is_available() {
             self.recovered.notify_waiters();
         }
@@ -120,7 +120,7 @@
     }
 
     /// Records that the store does not answer some host.
-    pub(crate) fn note_trouble(&self, now: Instant) {
+    pub(crate) fn record_trouble(&self, now: Instant) {
         self.trouble_at.set(Some(now));
     }
 
@@ -194,7 +194,7 @@
     };
 
     if shared.store.health.borrow().misses_any() {
-        shared.store.note_trouble(clock::now());
+        shared.store.record_trouble(clock::now());
     }
     match change {
         Some(Change::Lost) => warn!(part = %part, "store: does not answer"),
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -71,7 +71,7 @@
         let reason = "turns cannot be kept here while the zone is cut off";
         return Err(Refusal::retry_later_jittered(
             reason,
-            shared.retry_after_or_move(UNKNOWN_RETRY_AFTER),
+            shared.retry_after_unless_isolated(UNKNOWN_RETRY_AFTER),
         ));
     }
     if shared.reaches_store() {
@@ -104,7 +104,7 @@
     fetch_conversation(call, key).await;
     let last = read_turn(shared, key).await?.ok_or_else(|| {
         // A caller gives up on a turn that does not exist, so this answer requires certainty.
-        let certain = shared.can_prove_absence(retention);
+        let certain = shared.can_prove_turn_absent(retention);
         info!(request = %call.head.request_id, previous, certain, "turn: no such turn");
         match certain {
             true => Refusal::permanent(StatusCode::NOT_FOUND, "there is no such turn"),
@@ -132,7 +132,7 @@
     if shared.turns.borrow().get(last).is_some() {
         return;
     }
-    let Some(host) = shared.last_host_of(&call.head) else { return };
+    let Some(host) = shared.last_host_of_conversation(&call.head) else { return };
 
     let reply = asks::query(shared, host, &Query::Line(last), CONVERSATION_FETCH_TIMEOUT).await;
     let Some(QueryReply::Line(turns)) = reply else { return };
@@ -227,6 +227,6 @@
 fn unknown_turn(shared: &Shared) -> Refusal {
     Refusal::retry_later(
         "it cannot be told whether the turn exists",
-        shared.retry_after_or_move(UNKNOWN_RETRY_AFTER),
+        shared.retry_after_unless_isolated(UNKNOWN_RETRY_AFTER),
     )
 }
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -80,7 +80,7 @@
 /// Asks the store directly. A relay through other hosts would transfer the manifest again with each
 /// retry, while a peer with a newer manifest announces it and sends it once.
 async fn request_manifest(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
-    store::run_direct(shared, op, &|_| shared.manifests.note_progress()).await
+    store::run_direct(shared, op, &|_| shared.manifests.record_progress()).await
 }
 
 fn adopt_newest(shared: &Rc<Shared>, changes: &TableChanges) {
@@ -99,9 +99,9 @@
                 adopt_newest(shared, &changes);
                 // Parsing a long manifest takes time, and so does the pause. Neither means that the
                 // store stalls.
-                shared.manifests.note_progress();
+                shared.manifests.record_progress();
                 sleep(MANIFEST_PAUSE).await;
-                shared.manifests.note_progress();
+                shared.manifests.record_progress();
             }
             PollOutcome::UpTo(changes.version)
         }
