--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -96,7 +96,8 @@
         engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
-    /// Returns the key of calls that should preferably go to the same target.
+    /// Returns the key that selects the service of a call among those of its route. It is the same
+    /// for all calls of a session, or with the same affinity key.
     fn routing_key(head: &CallHead) -> &str {
         let named = head.session.as_deref().or(head.affinity.as_deref());
 
