--- a/crates/entry/src/asks.rs
+++ b/crates/entry/src/asks.rs
@@ -142,7 +142,7 @@
     queries.reply_senders.borrow_mut().insert(id, tx);
     let _pending = PendingQuery { queries, id };
 
-    if !shared.fleet.send(host, Body::Ask(wire::Ask { id, question })) {
+    if !shared.fleet.send(host, Body::PeerQuery(wire::PeerQuery { id, question })) {
         return None;
     }
     rx.await.ok()
@@ -156,12 +156,12 @@
     if let Some(question) = encode(query) {
         // Whatever is sent this way also reaches the other host in another way if this message is
         // lost.
-        shared.fleet.send(host, Body::Ask(wire::Ask { id: UNUSED_ID, question }));
+        shared.fleet.send(host, Body::PeerQuery(wire::PeerQuery { id: UNUSED_ID, question }));
     }
 }
 
 /// Handles a query of another host and sends the reply.
-pub(crate) async fn serve(shared: Rc<Shared>, from: HostId, message: wire::Ask) {
+pub(crate) async fn serve(shared: Rc<Shared>, from: HostId, message: wire::PeerQuery) {
     let reply = match serde_json::from_slice(&message.question) {
         Ok(query) => handle(&shared, from, query).await,
         Err(e) => {
@@ -172,7 +172,9 @@
 
     if let Some(reply) = encode(&reply) {
         // If the reply is lost, the querying host runs into its timeout.
-        shared.fleet.send(from, Body::Reply(wire::Reply { id: message.id, reply }));
+        shared
+            .fleet
+            .send(from, Body::PeerQueryReply(wire::PeerQueryReply { id: message.id, reply }));
     }
 }
 
@@ -183,7 +185,9 @@
         Query::Stored(program, row, version) => grants::apply_stored(shared, program, row, version),
         Query::Loose(program, known) => grants::record_unstored(shared, program, &known),
         Query::KnownRow(program) => budget::known_row(shared, program),
-        Query::StoredRow(program) => QueryReply::StoredRow(shared.budgets.borrow().stored(program)),
+        Query::StoredRow(program) => {
+            QueryReply::StoredRow(shared.budgets.borrow().stored_row(program))
+        }
         Query::Yield(program) => budget::return_unused(shared, program),
         Query::Give(program, known, to, total) => {
             budget::transfer(shared, program, &known, to, total)
@@ -198,7 +202,7 @@
 }
 
 /// Passes a reply on to the task that waits for it.
-pub(crate) fn handle_reply(shared: &Shared, message: &wire::Reply) {
+pub(crate) fn handle_reply(shared: &Shared, message: &wire::PeerQueryReply) {
     let Some(tx) = shared.pending_queries.reply_senders.borrow_mut().remove(&message.id) else {
         return;
     };
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -8,8 +8,8 @@
 };
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::budgets::{BudgetRow, KnownRow, ProgramKey, Reservation, RunId};
-use camphorwalk_policy::entry::keeping;
 use camphorwalk_policy::entry::shares::{Doubt, Limit};
+use camphorwalk_policy::entry::turn_writes;
 use camphorwalk_policy::entry::turns::PARTS;
 use futures::future::join_all;
 use http::StatusCode;
@@ -82,7 +82,7 @@
     let tenant = call.tenant.as_deref().unwrap_or_default();
     let program = ProgramKey(stable_hash(&[b"program", tenant.as_bytes(), program.as_bytes()]));
     let max_tokens =
-        call.head.tokens.map_or(DEFAULT_TURN_TOKENS, |tokens| u64::from(tokens.most_output));
+        call.head.tokens.map_or(DEFAULT_TURN_TOKENS, |tokens| u64::from(tokens.max_output));
 
     // Turns of sub-agents arrive at the same time. Handled one by one, the later ones find spare
     // tokens from the first one's write, and their writes do not conflict with each other.
@@ -91,7 +91,7 @@
 
     fetch_row_from_last_host(call, program).await;
     let mut has_collected = false;
-    let mut is_first = !shared.budgets.borrow().knows(program);
+    let mut is_first = !shared.budgets.borrow().has_grants(program);
     for _ in 0..MAX_WRITE_ATTEMPTS {
         let is_settled = shared.is_settled();
         // While the store is unsettled, one elected host grants. It knows more than this host, so
@@ -144,7 +144,7 @@
                 }
             }
             Reservation::Write(..) => {
-                if !shared.budgets.borrow().knows(program) {
+                if !shared.budgets.borrow().has_grants(program) {
                     grants::fetch_known_rows(shared, program, 1).await;
                 }
                 match grants::request_grant(call, program, budget, max_tokens).await? {
@@ -173,14 +173,14 @@
 /// again while the caller waits for both transactions. A stale row only causes the same conflict.
 async fn fetch_row_from_last_host(call: &Call, program: ProgramKey) {
     let shared = &call.shared;
-    if shared.budgets.borrow().knows(program) {
+    if shared.budgets.borrow().has_grants(program) {
         return;
     }
     let Some(host) = shared.last_host_of_conversation(&call.head) else { return };
     let reply = asks::query(shared, host, &Query::StoredRow(program), ROW_FETCH_TIMEOUT).await;
 
     if let Some(QueryReply::StoredRow(Some((row, version)))) = reply {
-        shared.budgets.borrow_mut().learn(clock::now(), program, row, version);
+        shared.budgets.borrow_mut().merge_stored_row(clock::now(), program, row, version);
     }
 }
 
@@ -224,7 +224,7 @@
 /// which those have transferred tokens.
 async fn request_transfers(shared: &Shared, program: ProgramKey, max_tokens: u64) {
     let mut runs = shared.budgets.borrow().holders(program);
-    runs.extend(shared.budgets.borrow().given_to(program));
+    runs.extend(shared.budgets.borrow().transfer_recipients(program));
     let mut asked = Set::from_iter([shared.run]);
 
     while let Some(run) = runs.pop() {
@@ -235,13 +235,13 @@
         let Some(host) = shared.fleet.live_host_of_run(run.0).filter(|_| asked.insert(run)) else {
             continue;
         };
-        let total = shared.budgets.borrow().received(program, run) + missing;
-        let Some(known) = shared.budgets.borrow().known(program) else { return };
+        let total = shared.budgets.borrow().transferred_from(program, run) + missing;
+        let Some(known) = shared.budgets.borrow().known_row(program) else { return };
         let query = Query::Give(program, known, shared.run, total);
         if let Some(QueryReply::Given(total, to)) =
             asks::query(shared, host, &query, TRANSFER_TIMEOUT).await
         {
-            shared.budgets.borrow_mut().receive(program, run, total);
+            shared.budgets.borrow_mut().record_transfer_from(program, run, total);
             runs.extend(to);
         }
     }
@@ -256,9 +256,9 @@
     total: u64,
 ) -> QueryReply {
     let mut budgets = shared.budgets.borrow_mut();
-    budgets.note_known(clock::now(), program, known);
+    budgets.merge_known_row(clock::now(), program, known);
 
-    QueryReply::Given(budgets.give(program, to, total), budgets.given_to(program))
+    QueryReply::Given(budgets.transfer_to(program, to, total), budgets.transfer_recipients(program))
 }
 
 /// Asks the other hosts to return their unused tokens of a program to the row.
@@ -271,14 +271,14 @@
 
     for reply in replies.into_iter().flatten() {
         if let QueryReply::Granted(row) = reply {
-            shared.budgets.borrow_mut().note(clock::now(), program, &row);
+            shared.budgets.borrow_mut().merge_row(clock::now(), program, &row);
         }
     }
 }
 
 /// Returns the unused tokens that this host holds of a program to the row.
 pub(crate) fn return_unused(shared: &Shared, program: ProgramKey) -> QueryReply {
-    let row = shared.budgets.borrow_mut().yield_rest(program);
+    let row = shared.budgets.borrow_mut().return_unused(program);
 
     row.map_or(QueryReply::Refused, QueryReply::Granted)
 }
@@ -316,7 +316,7 @@
     match store::run(shared, PlatformOp::Commit(tx)).await {
         PlatformReply::Committed(version) => {
             grants::notify_stored(shared, program, &row, version);
-            shared.budgets.borrow_mut().wrote(clock::now(), program, row, version);
+            shared.budgets.borrow_mut().record_write(clock::now(), program, row, version);
             Ok(WriteOutcome::Committed)
         }
         PlatformReply::Conflict(rows) => apply_rows(shared, program, &rows),
@@ -351,37 +351,42 @@
         _ => false,
     };
     if is_gone {
-        shared.budgets.borrow_mut().deleted(clock::now(), program, asked);
+        shared.budgets.borrow_mut().record_deletion(clock::now(), program, asked);
     } else {
         info!(program = %program.0, version = version.0, "budget: idle row not deleted");
     }
     if let PlatformReply::Conflict(rows) = reply
         && !is_gone
-        && shared.budgets.borrow().knows(program)
+        && shared.budgets.borrow().has_grants(program)
     {
         // A row that cannot be parsed is logged there and left in the store.
         let _ = apply_rows(shared, program, &rows);
     }
-    if !shared.budgets.borrow().knows(program) {
+    if !shared.budgets.borrow().has_grants(program) {
         shared.budget_locks.borrow_mut().remove(&program);
     }
 }
 
 /// Returns a program's row as this host knows it.
 pub(crate) fn known_row(shared: &Shared, program: ProgramKey) -> QueryReply {
-    shared.budgets.borrow().known(program).map_or(QueryReply::Refused, QueryReply::Known)
+    shared.budgets.borrow().known_row(program).map_or(QueryReply::Refused, QueryReply::Known)
 }
 
 fn apply_rows(shared: &Shared, program: ProgramKey, rows: &[Row]) -> Result<WriteOutcome, Refusal> {
     let key = row_key(program);
     let Some(row) = rows.iter().find(|row| row.key == key) else {
-        shared.budgets.borrow_mut().absent(clock::now(), program);
+        shared.budgets.borrow_mut().record_missing_row(clock::now(), program);
         return Ok(WriteOutcome::Superseded);
     };
 
     match serde_json::from_str(&row.value) {
         Ok(content) => {
-            shared.budgets.borrow_mut().learn(clock::now(), program, content, row.version);
+            shared.budgets.borrow_mut().merge_stored_row(
+                clock::now(),
+                program,
+                content,
+                row.version,
+            );
             Ok(WriteOutcome::Superseded)
         }
         Err(e) => {
@@ -400,7 +405,7 @@
         }
         false => Refusal::retry_later_jittered(
             reason,
-            shared.retry_after_unless_isolated(keeping::AWAY_RETRY),
+            shared.retry_after_unless_isolated(turn_writes::OUTAGE_RETRY_AFTER),
         ),
     }
 }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -321,7 +321,13 @@
         silence_limit: SILENCE_TIMEOUT,
         connect_timeout: Duration::from_millis(500),
         max_backoff: Duration::from_millis(400),
-        ..PeerOptions::new(settings.peers, &settings.name, &settings.zone, shared.run.0, secret)
+        ..PeerOptions::new(
+            settings.peers_address,
+            &settings.name,
+            &settings.zone,
+            shared.run.0,
+            secret,
+        )
     };
     let peers = match Peers::start(options, tx).await {
         Ok(peers) => peers,
@@ -425,10 +431,10 @@
             }
         };
         let is_due = is_period_over && !fleet.has_recent_status(host);
-        let presence = fleet.rows.borrow_mut().read(host, row.version, is_due);
+        let presence = fleet.rows.borrow_mut().record_read(host, row.version, is_due);
 
         match presence {
-            Presence::Wrote => {
+            Presence::Updated => {
                 if known.get(&host).is_none_or(|known| known.address != content.peers) {
                     info!(host = %row.key.key, address = %content.peers, "fleet: host known");
                 }
@@ -445,7 +451,7 @@
         }
     }
 
-    shared.rates.borrow_mut().set_others(known.keys().copied().collect());
+    shared.rates.borrow_mut().set_peers(known.keys().copied().collect());
 }
 
 /// Drops the status of hosts that have been silent for [`SILENCE_TIMEOUT`], so that their in-flight
@@ -462,7 +468,7 @@
 
     for host in silent {
         info!(host = host.0, "fleet: host silent");
-        shared.targets.borrow_mut().hear(host, Map::default(), Map::default());
+        shared.targets.borrow_mut().set_remote_load(host, Map::default(), Map::default());
     }
 }
 
@@ -472,12 +478,12 @@
         let Inbound::Message { from, message } = inbound else { continue };
 
         match message.body {
-            Some(Body::EntryNews(news)) => news::apply_update(&shared, from, news),
+            Some(Body::EntryStatus(update)) => news::apply_update(&shared, from, update),
             Some(Body::Manifest(manifest)) => watch::adopt(&shared, &manifest.text, "peer"),
-            Some(Body::Ask(ask)) => {
-                tokio::task::spawn_local(asks::serve(Rc::clone(&shared), from, ask));
+            Some(Body::PeerQuery(query)) => {
+                tokio::task::spawn_local(asks::serve(Rc::clone(&shared), from, query));
             }
-            Some(Body::Reply(reply)) => asks::handle_reply(&shared, &reply),
+            Some(Body::PeerQueryReply(reply)) => asks::handle_reply(&shared, &reply),
             _ => {}
         }
     }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use camphorwalk_adapter::head::{self, AnswerHead, Outgoing};
+use camphorwalk_adapter::head::{self, AnswerHead, OutgoingHeaders};
 use camphorwalk_policy::entry::crashes::Fingerprint;
 use camphorwalk_policy::entry::placement::{Outcome, TargetKey};
 use http::{Request, Response};
@@ -112,7 +112,7 @@
 
 async fn exchange(attempt: &CallAttempt<'_>, mut connection: Connection, target: &str) -> Exchange {
     let call = attempt.call;
-    let outgoing = Outgoing {
+    let outgoing = OutgoingHeaders {
         target,
         tenant: call.tenant.as_deref(),
         remaining: clock::until(call.deadline),
@@ -151,18 +151,18 @@
     let request_id = &attempt.call.head.request_id;
     let head = head::read_answer(request_id, response.status(), response.headers());
 
-    if head.not_run && head.matches {
+    if head.not_run && head.matches_request {
         attempt.call.record_not_run();
-        if head.other_instance {
+        if head.wrong_instance {
             place.end(Outcome::Failed);
             return SendOutcome::NotRun("another target has the address");
         }
         let key = place.key;
         place.end(Outcome::Shed);
-        drain(attempt, key, response, connection, head.keeps_for.filter(|_| !head.closes));
+        drain(attempt, key, response, connection, head.keep_alive.filter(|_| !head.closes));
         return SendOutcome::NotRun("the target is full");
     }
-    if !head.matches {
+    if !head.matches_request {
         place.end(Outcome::Failed);
         return SendOutcome::Unknown { reason: "the answer is to another call", crashed: false };
     }
@@ -181,9 +181,9 @@
         return;
     }
 
-    let (shared, keeps_for) = (Rc::clone(shared), head.keeps_for);
+    let (shared, keep_alive) = (Rc::clone(shared), head.keep_alive);
     tokio::task::spawn_local(async move {
-        shared.connections.put_back(key, connection, keeps_for).await;
+        shared.connections.put_back(key, connection, keep_alive).await;
     });
 }
 
@@ -275,6 +275,6 @@
         return;
     }
 
-    let crashes = shared.crashes.borrow_mut().count(clock::now(), fingerprint);
+    let crashes = shared.crashes.borrow_mut().record(clock::now(), fingerprint);
     info!(request = %request, target = %address, crashes, "call: target went down under it");
 }
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -12,7 +12,7 @@
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_policy::entry::budgets::{BudgetRow, KnownRow, ProgramKey, Proposal};
 use camphorwalk_policy::entry::shares::{self, Doubt, Limit};
-use camphorwalk_policy::entry::write_back::Round;
+use camphorwalk_policy::entry::write_back::RoundOutcome;
 use futures::future::join_all;
 use futures::stream::{FuturesUnordered, StreamExt as _};
 use tokio::task::JoinHandle;
@@ -77,7 +77,7 @@
     version: RowVersion,
 ) {
     let mut hosts: Vec<_> = next_granters(shared, program).take(ROW_REPLICAS).collect();
-    if shared.budgets.borrow().is_loose(program) {
+    if shared.budgets.borrow().has_unstored_grants(program) {
         hosts.extend(replicas_elsewhere(shared, program));
         hosts.sort_unstable();
         hosts.dedup();
@@ -116,7 +116,7 @@
 ) -> Result<GrantOutcome, Refusal> {
     let shared = &call.shared;
     let empty = BudgetRow { budget, ..BudgetRow::default() };
-    let known = shared.budgets.borrow().known(program);
+    let known = shared.budgets.borrow().known_row(program);
     let known = known.unwrap_or(KnownRow { row: empty, stored: 0 });
     let begins = call.may_begin_program();
     let claim = shared.budgets.borrow().claim(program, max_tokens);
@@ -130,7 +130,7 @@
 
     match reply {
         Some(QueryReply::Written(row)) => {
-            shared.budgets.borrow_mut().learn_written(clock::now(), program, &row);
+            shared.budgets.borrow_mut().accept_stored_grant(clock::now(), program, &row);
             Ok(GrantOutcome::Granted)
         }
         Some(QueryReply::Granted(row)) => {
@@ -138,7 +138,7 @@
                 request = %call.head.request_id, program = %program.0, host = host.0,
                 "budget: granted without the store"
             );
-            shared.budgets.borrow_mut().learn_loose(clock::now(), program, &row);
+            shared.budgets.borrow_mut().accept_unstored_grant(clock::now(), program, &row);
             Ok(GrantOutcome::Granted)
         }
         Some(QueryReply::Withheld(doubt)) => Ok(GrantOutcome::Withheld(doubt)),
@@ -158,7 +158,7 @@
 /// Grants a turn's tokens: by a write to the store if the program's part of it answers, and without
 /// the store otherwise.
 async fn grant(shared: &Rc<Shared>, query: &GrantQuery) -> QueryReply {
-    shared.budgets.borrow_mut().note_known(clock::now(), query.program, &query.known);
+    shared.budgets.borrow_mut().merge_known_row(clock::now(), query.program, &query.known);
 
     for _ in 0..MAX_OVERDUE_WRITES {
         let overdue = match grant_by_store(shared, query).await {
@@ -253,17 +253,17 @@
     }
 
     fetch_known_rows(shared, *program, ROW_REPLICAS).await;
-    if !shared.budgets.borrow().knows(*program) {
+    if !shared.budgets.borrow().has_grants(*program) {
         // After a rolling restart the next granters may have no state of the program. The host that
         // ran it does.
         fetch_known_rows(shared, *program, MAX_HOSTS_QUERIED).await;
-        if !shared.budgets.borrow().knows(*program) && !query.begins {
+        if !shared.budgets.borrow().has_grants(*program) && !query.begins {
             info!(program = %program.0, "budget: no row is known for a running program");
             return None;
         }
     }
     let granted =
-        shared.budgets.borrow_mut().grant_claim(clock::now(), *program, *claim, &known.row);
+        shared.budgets.borrow_mut().grant_without_store(clock::now(), *program, *claim, &known.row);
     match granted {
         Some(row) if replicate_to_other_zone(shared, *program, &row).await => {
             shared.metrics.grants_without_store.inc();
@@ -328,7 +328,7 @@
 /// believes it belongs to the majority. Its grants would be lost if all machines lost power. In
 /// that time no other zone acknowledges the grant, so its tokens are not spent.
 async fn replicate_to_other_zone(shared: &Shared, program: ProgramKey, row: &BudgetRow) -> bool {
-    let stored = shared.budgets.borrow().known(program).map_or(0, |known| known.stored);
+    let stored = shared.budgets.borrow().known_row(program).map_or(0, |known| known.stored);
     let query = Query::Loose(program, KnownRow { row: row.clone(), stored });
     let replicas = replicas_elsewhere(shared, program);
     let next = next_granters(shared, program).take(ROW_REPLICAS);
@@ -368,7 +368,7 @@
 
     for reply in replies.into_iter().flatten() {
         if let QueryReply::Known(known) = reply {
-            shared.budgets.borrow_mut().note_known(clock::now(), program, &known);
+            shared.budgets.borrow_mut().merge_known_row(clock::now(), program, &known);
         }
     }
 }
@@ -380,7 +380,7 @@
     row: BudgetRow,
     version: RowVersion,
 ) -> QueryReply {
-    shared.budgets.borrow_mut().learn(clock::now(), program, row, version);
+    shared.budgets.borrow_mut().merge_stored_row(clock::now(), program, row, version);
 
     QueryReply::Done
 }
@@ -393,8 +393,8 @@
     known: &KnownRow,
 ) -> QueryReply {
     let mut budgets = shared.budgets.borrow_mut();
-    budgets.witness(clock::now(), program, &known.row);
-    budgets.note_known(clock::now(), program, known);
+    budgets.merge_unstored_row(clock::now(), program, &known.row);
+    budgets.merge_known_row(clock::now(), program, known);
 
     QueryReply::Done
 }
@@ -402,10 +402,11 @@
 /// Writes up to `max_writes` rows with unstored grants: those to this host at once, and those to
 /// other hosts if they have not been written after a while. A row whose write fails or conflicts is
 /// tried again in the next round.
-pub(crate) async fn write_unstored(shared: &Rc<Shared>, max_writes: usize) -> Round {
-    let mut rows = shared.budgets.borrow().loose(clock::now(), |run| shared.is_run_live(run));
+pub(crate) async fn write_unstored(shared: &Rc<Shared>, max_writes: usize) -> RoundOutcome {
+    let mut rows =
+        shared.budgets.borrow().rows_to_write(clock::now(), |run| shared.is_run_live(run));
     if rows.is_empty() {
-        return Round::Nothing;
+        return RoundOutcome::Nothing;
     }
 
     let due = rows.len();
@@ -427,8 +428,8 @@
     info!(due, most = max_writes, refused, "budget: grants made without the store are written");
 
     match refused {
-        true => Round::Refused,
-        false if due > max_writes => Round::Part,
-        false => Round::All,
+        true => RoundOutcome::Refused,
+        false if due > max_writes => RoundOutcome::Partial,
+        false => RoundOutcome::All,
     }
 }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -14,9 +14,9 @@
 use camphorwalk_policy::entry::isolation::{self, Surroundings};
 use camphorwalk_policy::entry::placement::Targets;
 use camphorwalk_policy::entry::rates::Rates;
-use camphorwalk_policy::entry::recent::Recent;
+use camphorwalk_policy::entry::recent::RecentMap;
 use camphorwalk_policy::entry::routes::RouteTable;
-use camphorwalk_policy::entry::shares::{self, KNOWS_ALL_AFTER, Memory};
+use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER};
 use camphorwalk_policy::entry::target_table::TargetTable;
 use camphorwalk_policy::entry::turns::TurnCache;
 use camphorwalk_store::{Client, ClientOptions, RetryOptions, ShareOptions};
@@ -107,7 +107,7 @@
     pub(crate) places: Places,
     pub(crate) connections: Connections,
     pub(crate) budgets: RefCell<Budgets>,
-    grant_history: RefCell<Memory>,
+    grant_history: RefCell<GrantHistory>,
     /// When any host was last known to grant tokens without the store, or to have unstored grants.
     pub(crate) unstored_grants_at: Cell<Option<Instant>>,
     /// Held while tokens of a program's budget are requested.
@@ -115,7 +115,7 @@
     pub(crate) turns: RefCell<TurnCache>,
     /// The host that ran the last turn of a conversation, by the id of the conversation's prompt
     /// part.
-    pub(crate) conversation_hosts: RefCell<Recent<u64, HostId>>,
+    pub(crate) conversation_hosts: RefCell<RecentMap<u64, HostId>>,
     pub(crate) written_turns: RefCell<retention::WrittenTurns>,
     pub(crate) crashes: RefCell<Crashes>,
     pub(crate) fleet: Fleet,
@@ -229,7 +229,7 @@
         let is_live = |run| self.is_run_live(run);
 
         self.store.any_part_failed_within(REPORT_TIME)
-            || self.budgets.borrow().answers_for_loose(is_live)
+            || self.budgets.borrow().is_responsible_for_unstored(is_live)
     }
 
     /// Returns whether no host has granted tokens without the store for a while, according to their
@@ -252,35 +252,38 @@
     /// Returns whether this host knows of grants without the store to programs that may still be
     /// running.
     pub(crate) fn knows_of_unstored_grants(&self) -> bool {
-        self.unstored_grants_at.get().is_some_and(|at| clock::now().since(at) <= KNOWS_ALL_AFTER)
+        self.unstored_grants_at
+            .get()
+            .is_some_and(|at| clock::now().since(at) <= HISTORY_COMPLETE_AFTER)
     }
 
     /// Returns whether this process knows of all grants that any host made without the store.
     pub(crate) fn has_complete_history(&self) -> bool {
-        let around = self.fleet_view_of_others();
+        let others = self.fleet_view_of_others();
 
-        self.grant_history.borrow_mut().is_complete(clock::now(), around)
+        self.grant_history.borrow_mut().is_complete(clock::now(), others)
     }
 
     /// Returns what this host knows of the fleet, which determines the share of budgets that may be
     /// granted.
-    pub(crate) fn fleet_view(&self) -> shares::Surroundings {
-        let others = self.fleet_view_of_others();
+    pub(crate) fn fleet_view(&self) -> shares::FleetView {
+        let others_view = self.fleet_view_of_others();
 
-        others.with_itself(self.has_complete_history(), self.knows_of_unstored_grants())
+        others_view.including_self(self.has_complete_history(), self.knows_of_unstored_grants())
     }
 
-    fn fleet_view_of_others(&self) -> shares::Surroundings {
+    fn fleet_view_of_others(&self) -> shares::FleetView {
         let live = self.fleet.live_statuses();
-        let remembering = live.iter().filter(|status| status.has_complete_history);
-        let free_of_loose = remembering.clone().filter(|status| !status.knows_of_unstored_grants);
+        let complete_histories = live.iter().filter(|status| status.has_complete_history);
+        let without_unstored_grants =
+            complete_histories.clone().filter(|status| !status.knows_of_unstored_grants);
 
-        shares::Surroundings {
+        shares::FleetView {
             is_all_stored: self.is_all_stored(),
-            known: self.fleet.size(),
-            heard: live.len() + 1,
-            remembering: remembering.count(),
-            free_of_loose: free_of_loose.count(),
+            known_hosts: self.fleet.size(),
+            live_hosts: live.len() + 1,
+            complete_histories: complete_histories.count(),
+            without_unstored_grants: without_unstored_grants.count(),
         }
     }
 
@@ -291,7 +294,7 @@
 
     /// Returns whether a call that arrives now might still be running when the process ends.
     pub(crate) fn refuses_new_calls(&self) -> bool {
-        let longest = ACCEPT_TIME.min(self.settings.grace.mul_f64(ACCEPT_TIME_PART));
+        let longest = ACCEPT_TIME.min(self.settings.shutdown_grace.mul_f64(ACCEPT_TIME_PART));
 
         self.shutdown_began.get().is_some_and(|at| clock::now().since(at) > longest)
     }
@@ -333,7 +336,7 @@
         let store = Store::new(store_client(&settings, run, &metrics)?);
         let turn_bytes = usize::try_from(settings.memory_bytes / TURN_CACHE_PART).unwrap_or(0);
         info!(
-            name = %settings.name, zone = %settings.zone, callers = %settings.callers,
+            name = %settings.name, zone = %settings.zone, callers = %settings.callers_address,
             run = format!("{:016x}", run.0), "host: started"
         );
 
@@ -353,10 +356,10 @@
             connections: Connections::default(),
             budgets: RefCell::new(Budgets::new(run)),
             unstored_grants_at: Cell::new(None),
-            grant_history: RefCell::new(Memory::new(clock::now(), settings.is_first_start)),
+            grant_history: RefCell::new(GrantHistory::new(clock::now(), settings.is_first_start)),
             budget_locks: RefCell::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
-            conversation_hosts: RefCell::new(Recent::new(MAX_CONVERSATION_HOSTS)),
+            conversation_hosts: RefCell::new(RecentMap::new(MAX_CONVERSATION_HOSTS)),
             written_turns: RefCell::default(),
             crashes: RefCell::default(),
             fleet: Fleet::new(&settings.name, &settings.zone),
@@ -385,26 +388,26 @@
     }
 
     /// Returns the address of the readiness endpoint.
-    pub fn ready_address(&self) -> SocketAddr {
+    pub fn readiness_address(&self) -> SocketAddr {
         self.ready
     }
 
     /// Logs that the settings file was read again. The settings of a running process, its addresses
     /// included, do not change.
-    pub fn reloaded(&self, settings: &EntrySettings) {
+    pub fn on_settings_reloaded(&self, settings: &EntrySettings) {
         let same = *settings == self.shared.settings;
         info!(same, "host: settings file read again");
     }
 
     /// Shuts down gracefully: reports not ready, serves calls until callers have moved to other
     /// hosts, and returns when no request is open or the grace period is nearly over.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         let shared = &self.shared;
         shared.shutdown_began.set(Some(clock::now()));
         info!(open = shared.open_requests.get(), "host: leaving");
 
         let begun = TokioInstant::now();
-        let end = begun + shared.settings.grace.saturating_sub(GRACE_MARGIN);
+        let end = begun + shared.settings.shutdown_grace.saturating_sub(GRACE_MARGIN);
         let done = async {
             sleep(BALANCER_DELAY).await;
             while shared.open_requests.get() > 0 {
@@ -436,7 +439,7 @@
         },
         seed: run.0,
         dialect: camphorwalk_adapter::store::dialect(),
-        ..ClientOptions::new(settings.store, &settings.zone)
+        ..ClientOptions::new(settings.store_address, &settings.zone)
     })?;
     store.register(metrics.registry())?;
 
--- a/crates/entry/src/keeping.rs
+++ b/crates/entry/src/keeping.rs
@@ -6,7 +6,7 @@
     Check, PlatformOp, PlatformReply, RowVersion, Transaction, Write,
 };
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::keeping::{Keeping, Next};
+use camphorwalk_policy::entry::turn_writes::{AfterFailedWrite, TurnWrites};
 use camphorwalk_policy::entry::turns::{Turn, TurnKey};
 use tokio::time::timeout;
 use tracing::info;
@@ -56,7 +56,7 @@
     continuation: &Continuation,
     output: Vec<u8>,
 ) -> std::result::Result<(), &'static str> {
-    if call.route().keeps.is_none() {
+    if call.route().turn_retention.is_none() {
         return Ok(());
     }
 
@@ -85,7 +85,7 @@
 impl CompletedTurn<'_> {
     /// Writes the turn until the store has it or retrying is pointless.
     async fn store(&self) -> std::result::Result<(), &'static str> {
-        let mut keeping = Keeping::default();
+        let mut writes = TurnWrites::default();
 
         loop {
             // The task continues if the caller disconnects, so that a row that gets written is also
@@ -99,27 +99,29 @@
                 writing.await.unwrap_or(Err(WriteFailure::transient("the write ended early")));
             let Err(failure) = written else { return Ok(()) };
 
-            match self.decide_next(&mut keeping, failure) {
-                Next::Retry(pause) => self.call.shared.store.wait_for_recovery(pause).await,
-                Next::BreakOff => return Err(failure.reason),
+            match self.decide_next(&mut writes, failure) {
+                AfterFailedWrite::Retry(pause) => {
+                    self.call.shared.store.wait_for_recovery(pause).await
+                }
+                AfterFailedWrite::BreakOff => return Err(failure.reason),
             }
         }
     }
 
     /// Decides what to do after a failed write.
-    fn decide_next(&self, keeping: &mut Keeping, failure: WriteFailure) -> Next {
+    fn decide_next(&self, writes: &mut TurnWrites, failure: WriteFailure) -> AfterFailedWrite {
         let WriteFailure { reason, is_final } = failure;
         let shared = &self.call.shared;
         let left = clock::until(self.call.deadline);
         let isolated_for = shared.isolated_for();
         let next = match is_final {
-            true => Next::BreakOff,
-            false => keeping.write_failed(left, isolated_for),
+            true => AfterFailedWrite::BreakOff,
+            false => writes.write_failed(left, isolated_for),
         };
 
         shared.metrics.turn_write_failures.with_label_values(&[reason]).inc();
         info!(
-            request = %self.call.head.request_id, reason, failed = keeping.failed(),
+            request = %self.call.head.request_id, reason, failed = writes.failed(),
             ?isolated_for, waited = ?clock::now().since(self.ended_at), ?left, ?next,
             "turn: write failed"
         );
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -8,7 +8,9 @@
 use camphorwalk_core::messages::Body;
 use camphorwalk_core::messages::entry::Manifest;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::manifests::{Newer, Next, Question, next, question};
+use camphorwalk_policy::entry::manifests::{
+    FetchStep, NewerManifest, PendingRequest, check_pending, next_fetch_step,
+};
 use camphorwalk_policy::entry::transfers::{Backoff, Decision, Transfers};
 use tokio::time::sleep;
 use tracing::info;
@@ -41,7 +43,7 @@
 
     /// Records the manifest version that another host has reported.
     fn record_reported(&self, host: HostId, version: u64) {
-        self.transfers.borrow_mut().told(host, version);
+        self.transfers.borrow_mut().acknowledge(host, version);
     }
 
     /// Returns whether a host may be asked for its manifest.
@@ -71,20 +73,20 @@
 
 /// Waits for a newer manifest, and requests it from a host if it does not arrive from the store.
 async fn fetch_newer(shared: &Shared, version: u64) {
-    let heard = clock::now();
+    let announced_at = clock::now();
 
     loop {
-        let newer = Newer {
+        let newer = NewerManifest {
             version,
-            own: shared.manifest_version(),
-            heard,
+            in_force: shared.manifest_version(),
+            announced_at,
             store_answers: shared.store.is_available(),
             last_progress: shared.manifests.last_progress.get(),
         };
-        match next(clock::now(), &newer) {
-            Next::Nothing => return,
-            Next::Wait(pause) => sleep(pause).await,
-            Next::AskPeer => return request_from_peer(shared, version).await,
+        match next_fetch_step(clock::now(), &newer) {
+            FetchStep::Nothing => return,
+            FetchStep::Wait(pause) => sleep(pause).await,
+            FetchStep::AskPeer => return request_from_peer(shared, version).await,
         }
     }
 }
@@ -105,14 +107,15 @@
     let now = clock::now();
     let took = now.since(requested_at);
     if matches!(reply, Some(QueryReply::Refused)) {
-        shared.manifests.backoff.borrow_mut().refused(now, host);
+        shared.manifests.backoff.borrow_mut().record_refusal(now, host);
     }
     info!(host = host.0, own, version, ?reply, ?took, "manifest: requested from another host");
 }
 
 /// Waits until a query can no longer be expected to get a reply.
 async fn until_no_reply_expected(shared: &Shared, host: HostId, requested_at: Instant) {
-    while question(clock::now(), requested_at, shared.fleet.last_status_at(host)) == Question::Wait
+    while check_pending(clock::now(), requested_at, shared.fleet.last_status_at(host))
+        == PendingRequest::Wait
     {
         sleep(CHECK_PERIOD).await;
     }
@@ -122,7 +125,7 @@
 /// progress.
 pub(crate) fn handle_query(shared: &Shared, to: HostId) -> QueryReply {
     let version = shared.manifest_version();
-    let decision = shared.manifests.transfers.borrow_mut().asked(clock::now(), to, version);
+    let decision = shared.manifests.transfers.borrow_mut().request(clock::now(), to, version);
     let sent = decision == Decision::Send && send(shared, to);
 
     let outcome = if sent { "sent" } else { "refused" };
@@ -137,7 +140,7 @@
     let sent = shared.fleet.send(to, Body::Manifest(Manifest { text }));
 
     if !sent {
-        shared.manifests.transfers.borrow_mut().not_sent(to);
+        shared.manifests.transfers.borrow_mut().send_failed(to);
     }
     sent
 }
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -12,13 +12,13 @@
 use camphorwalk_core::hash::{Map, Set};
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::messages::entry::{
-    CrashNews, Demand, EntryNews, InFlight, Prompts, WaitingCalls,
+    CrashReport, Demand, EntryStatus, InFlight, Prompts, WaitingCalls,
 };
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 use camphorwalk_peer::Peers;
 use camphorwalk_policy::entry::prompts::Part;
-use camphorwalk_policy::entry::rates::{TenantNews, Withheld};
+use camphorwalk_policy::entry::rates::{ReservedShare, TenantStatus};
 use tokio::time::sleep;
 use tracing::info;
 
@@ -51,17 +51,17 @@
 struct Changes {
     /// The last part of each prompt that was sent to a target, by target.
     prompts: Map<Box<str>, Vec<Part>>,
-    demand: Map<Box<str>, TenantNews>,
-    crashes: Vec<CrashNews>,
+    demand: Map<Box<str>, TenantStatus>,
+    crashes: Vec<CrashReport>,
 }
 
 impl Changes {
     /// Takes the changes at this host since the previous call.
     fn take(shared: &Shared) -> Self {
         Self {
-            prompts: shared.targets.borrow_mut().take_news().into_iter().collect(),
-            demand: shared.rates.borrow_mut().take_news(false).into_iter().collect(),
-            crashes: shared.crashes.borrow_mut().take_news(),
+            prompts: shared.targets.borrow_mut().take_updates().into_iter().collect(),
+            demand: shared.rates.borrow_mut().take_updates(false).into_iter().collect(),
+            crashes: shared.crashes.borrow_mut().take_updates(),
         }
     }
 
@@ -127,13 +127,13 @@
 /// it.
 fn send(shared: &Shared, peers: &Peers, hosts: Vec<HostId>, changes: &Changes) {
     let (informed, uninformed) = shared.full_demand_receivers.split(hosts);
-    let send_to = |hosts: &[HostId], update: EntryNews| {
+    let send_to = |hosts: &[HostId], update: EntryStatus| {
         // The current state is sent again in the next round. The changes in an update that cannot
         // be sent are lost. That is harmless: a target may process a prompt again, and admitted
         // calls are counted as a running total.
         hosts
             .iter()
-            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryNews(update.clone()))))
+            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryStatus(update.clone()))))
             .copied()
             .collect::<Vec<_>>()
     };
@@ -143,18 +143,18 @@
     }
     if !uninformed.is_empty() {
         let mut all = changes.clone();
-        all.demand = shared.rates.borrow_mut().take_news(true).into_iter().collect();
+        all.demand = shared.rates.borrow_mut().take_updates(true).into_iter().collect();
         let informed = send_to(&uninformed, status_update(shared, all, true));
         shared.full_demand_receivers.0.borrow_mut().extend(informed);
     }
 }
 
-fn status_update(shared: &Shared, changes: Changes, all_demand: bool) -> EntryNews {
+fn status_update(shared: &Shared, changes: Changes, all_demand: bool) -> EntryStatus {
     let targets = shared.targets.borrow();
     let waiting = shared.places.waiting().into_iter();
     let in_flight = targets.in_flight();
 
-    EntryNews {
+    EntryStatus {
         run: shared.run.0,
         all_demand,
         demand: changes.demand.into_iter().map(demand).collect(),
@@ -175,17 +175,17 @@
     }
 }
 
-fn demand((tenant, update): (Box<str>, TenantNews)) -> Demand {
-    let TenantNews { admitted, demand, level, withheld, hears_all } = update;
+fn demand((tenant, update): (Box<str>, TenantStatus)) -> Demand {
+    let TenantStatus { admitted, demand, level, reserved, all_hosts_live } = update;
 
     Demand {
         tenant: tenant.into(),
         per_second: demand,
         admitted,
         level,
-        withheld: withheld.share,
-        withheld_ms: u32::try_from(withheld.left.as_millis()).unwrap_or(u32::MAX),
-        hears_all,
+        withheld: reserved.share,
+        withheld_ms: u32::try_from(reserved.expires_in.as_millis()).unwrap_or(u32::MAX),
+        hears_all: all_hosts_live,
     }
 }
 
@@ -196,7 +196,7 @@
 }
 
 /// Applies a status update of another host.
-pub(crate) fn apply_update(shared: &Rc<Shared>, from: HostId, update: EntryNews) {
+pub(crate) fn apply_update(shared: &Rc<Shared>, from: HostId, update: EntryStatus) {
     let now = clock::now();
     let status = HostStatus {
         received_at: now,
@@ -224,19 +224,21 @@
     }
 
     let tenants = update.demand.into_iter().map(|d| {
-        let withheld =
-            Withheld { share: d.withheld, left: Duration::from_millis(u64::from(d.withheld_ms)) };
+        let reserved = ReservedShare {
+            share: d.withheld,
+            expires_in: Duration::from_millis(u64::from(d.withheld_ms)),
+        };
         let (admitted, demand, level) = (d.admitted, d.per_second, d.level);
-        let hears_all = d.hears_all;
-        (d.tenant.into(), TenantNews { admitted, demand, level, withheld, hears_all })
+        let all_hosts_live = d.hears_all;
+        (d.tenant.into(), TenantStatus { admitted, demand, level, reserved, all_hosts_live })
     });
-    shared.rates.borrow_mut().hear(now, from, update.run, update.all_demand, tenants);
+    shared.rates.borrow_mut().apply_update(now, from, update.run, update.all_demand, tenants);
     let in_flight = update.in_flight.into_iter().map(|f| (f.target.into(), f.calls)).collect();
     let waiting = update.waiting.into_iter().map(|w| (w.service.into(), w.calls)).collect();
-    shared.targets.borrow_mut().hear(from, in_flight, waiting);
+    shared.targets.borrow_mut().set_remote_load(from, in_flight, waiting);
     apply_prompts(shared, from, update.prompts);
     for crash in update.crashes {
-        shared.crashes.borrow_mut().hear(now, crash);
+        shared.crashes.borrow_mut().record_remote(now, crash);
     }
 
     manifests::handle_reported_version(shared, from, update.manifest_version);
@@ -250,6 +252,6 @@
     for Prompts { target, parts, tokens } in prompts {
         parts.iter().for_each(|part| conversation_hosts.put(*part, from));
         let parts: Vec<Part> = parts.into_iter().zip(tokens).collect();
-        targets.learn(&target, &parts);
+        targets.record_remote_prompts(&target, &parts);
     }
 }
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -7,9 +7,9 @@
 
 use camphorwalk_core::hash::{Map, stable_hash};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::placement::{Choice, Outcome, Shape, TargetKey};
-use camphorwalk_policy::entry::recent::Recent;
-use camphorwalk_policy::entry::waiting::{Urgency, WaiterId, Waiting};
+use camphorwalk_policy::entry::placement::{Choice, Outcome, PlacementRequest, TargetKey};
+use camphorwalk_policy::entry::recent::RecentMap;
+use camphorwalk_policy::entry::waiting::{Urgency, WaitQueue, WaiterId};
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 use tracing::info;
@@ -36,17 +36,17 @@
 const MAX_NEW_WAITING: usize = 4;
 
 struct Waiter {
-    shape: Shape,
+    placement: PlacementRequest,
     tx: oneshot::Sender<Place>,
 }
 
 /// The calls that wait for a place at this host.
 pub(crate) struct Places {
-    waiting: RefCell<Waiting>,
+    waiting: RefCell<WaitQueue>,
     waiters: RefCell<Map<WaiterId, Waiter>>,
     next: Cell<u64>,
     /// Programs that have run a turn at this host.
-    recent_programs: RefCell<Recent<u64, ()>>,
+    recent_programs: RefCell<RecentMap<u64, ()>>,
 }
 
 /// How many running programs are remembered.
@@ -58,7 +58,7 @@
             waiting: RefCell::default(),
             waiters: RefCell::default(),
             next: Cell::default(),
-            recent_programs: RefCell::new(Recent::new(MAX_RECENT_PROGRAMS)),
+            recent_programs: RefCell::new(RecentMap::new(MAX_RECENT_PROGRAMS)),
         }
     }
 }
@@ -111,8 +111,13 @@
 
 impl Place {
     /// Takes a place for a call that is about to be sent.
-    fn new(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Self {
-        let uncached_tokens = shared.targets.borrow_mut().sent(key, shape);
+    fn new(
+        shared: &Rc<Shared>,
+        service: &str,
+        key: TargetKey,
+        placement: &PlacementRequest,
+    ) -> Self {
+        let uncached_tokens = shared.targets.borrow_mut().record_sent(key, placement);
 
         Self {
             shared: Rc::clone(shared),
@@ -132,7 +137,11 @@
 
         if self.event_times.is_none() {
             let waited = now.since(self.taken_at);
-            self.shared.targets.borrow_mut().began(self.key, self.uncached_tokens, waited);
+            self.shared.targets.borrow_mut().record_first_event(
+                self.key,
+                self.uncached_tokens,
+                waited,
+            );
         }
         let first = self.event_times.map_or(now, |(first, _)| first);
         self.event_times = Some((first, now));
@@ -158,14 +167,15 @@
         let held = now.since(self.taken_at);
         if let Some((first, last)) = self.event_times {
             let further = self.events.saturating_sub(1);
-            self.shared.targets.borrow_mut().made(self.key, further, last.since(first));
+            self.shared.targets.borrow_mut().record_events(self.key, further, last.since(first));
         }
         self.end(Outcome::Answered(held));
     }
 
     fn finish(&mut self, outcome: Outcome) {
         self.is_ended = true;
-        let ejected = self.shared.targets.borrow_mut().ended(clock::now(), self.key, outcome);
+        let ejected =
+            self.shared.targets.borrow_mut().record_outcome(clock::now(), self.key, outcome);
 
         if ejected {
             let targets = self.shared.targets.borrow();
@@ -181,7 +191,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         if !self.is_ended {
-            self.finish(Outcome::Left);
+            self.finish(Outcome::Abandoned);
         }
     }
 }
@@ -206,18 +216,18 @@
 pub(crate) async fn take(
     shared: &Rc<Shared>,
     service: &str,
-    shape: &Shape,
+    placement: &PlacementRequest,
     urgency: Urgency,
 ) -> Result<Place, Refusal> {
     let now = clock::now();
     let nobody_waits = shared.places.waiting.borrow().is_empty(service);
-    let choice = shared.targets.borrow().choose(now, service, shape);
+    let choice = shared.targets.borrow().choose(now, service, placement);
 
     match choice {
         Choice::Target(key) if nobody_waits => {
-            return Ok(Place::new(shared, service, key, shape));
+            return Ok(Place::new(shared, service, key, placement));
         }
-        Choice::Nowhere => return Err(no_target(shared, service)),
+        Choice::NoTarget => return Err(no_target(shared, service)),
         Choice::Target(_) | Choice::Full => {}
     }
 
@@ -237,18 +247,18 @@
             expected.min(MAX_RETRY_AFTER),
         ));
     }
-    wait(shared, service, shape, urgency).await
+    wait(shared, service, placement, urgency).await
 }
 
 /// Refuses a new program if no target has room for it.
 pub(crate) fn check_room_for_new(
     shared: &Shared,
     service: &str,
-    shape: &Shape,
+    placement: &PlacementRequest,
 ) -> Result<(), Refusal> {
-    match shared.targets.borrow().choose(clock::now(), service, shape) {
+    match shared.targets.borrow().choose(clock::now(), service, placement) {
         Choice::Full => Err(refuse_full()),
-        Choice::Target(_) | Choice::Nowhere => Ok(()),
+        Choice::Target(_) | Choice::NoTarget => Ok(()),
     }
 }
 
@@ -270,14 +280,19 @@
 
 /// Takes a place at the target that already runs the call, ahead of all waiting calls, because the
 /// call has held its slot until now.
-pub(crate) fn retake(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &Shape) -> Place {
-    Place::new(shared, service, key, shape)
+pub(crate) fn retake(
+    shared: &Rc<Shared>,
+    service: &str,
+    key: TargetKey,
+    placement: &PlacementRequest,
+) -> Place {
+    Place::new(shared, service, key, placement)
 }
 
 async fn wait(
     shared: &Rc<Shared>,
     service: &str,
-    shape: &Shape,
+    placement: &PlacementRequest,
     urgency: Urgency,
 ) -> Result<Place, Refusal> {
     let places = &shared.places;
@@ -285,7 +300,7 @@
     places.next.set(id.0 + 1);
     let (tx, rx) = oneshot::channel();
 
-    places.waiters.borrow_mut().insert(id, Waiter { shape: shape.clone(), tx });
+    places.waiters.borrow_mut().insert(id, Waiter { placement: placement.clone(), tx });
     places.waiting.borrow_mut().push(service, urgency, id);
     let queued = QueuedCall { shared, service, urgency, id };
     shared.metrics.queued_calls.inc();
@@ -317,7 +332,7 @@
         let choice = {
             let waiters = places.waiters.borrow();
             let Some(waiter) = waiters.get(&id) else { return };
-            shared.targets.borrow().choose(clock::now(), service, &waiter.shape)
+            shared.targets.borrow().choose(clock::now(), service, &waiter.placement)
         };
 
         if choice == Choice::Full {
@@ -330,7 +345,7 @@
         // Without a usable target, dropping the sender wakes the call with an error.
         let Choice::Target(key) = choice else { continue };
         // If the call has ended in the meantime, the place is dropped and becomes free again.
-        drop(waiter.tx.send(Place::new(shared, service, key, &waiter.shape)));
+        drop(waiter.tx.send(Place::new(shared, service, key, &waiter.placement)));
     }
 }
 
@@ -342,7 +357,7 @@
 }
 
 fn no_target(shared: &Shared, service: &str) -> Refusal {
-    let back = shared.targets.borrow().next_return(clock::now(), service);
+    let back = shared.targets.borrow().time_to_readmission(clock::now(), service);
 
     Refusal::retry_later(
         "no target can be reached",
--- a/crates/entry/src/plain.rs
+++ b/crates/entry/src/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use camphorwalk_adapter::head;
-use camphorwalk_core::entry::Repeat;
+use camphorwalk_core::entry::RetryPolicy;
 use camphorwalk_policy::entry::placement::Outcome;
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt as _, Limited};
@@ -33,13 +33,13 @@
 
 /// Sends a call to targets until one of them answers.
 pub(crate) async fn forward(call: &Call) -> Result<Answer, Refusal> {
-    let may_repeat = call.route().repeat == Repeat::Idempotent;
-    let mut shape = call.shape();
+    let may_repeat = call.route().retry_policy == RetryPolicy::Idempotent;
+    let mut placement = call.placement_request();
     let mut offers = 0;
     let mut runs = 0;
 
     loop {
-        let place = places::take(&call.shared, &call.service, &shape, call.urgency()).await;
+        let place = places::take(&call.shared, &call.service, &placement, call.urgency()).await;
         let place = place.map_err(|refusal| call.adjust_refusal(refusal))?;
         let key = place.key;
         let may_try_another = may_repeat && runs + 1 < call.route().max_targets;
@@ -60,7 +60,7 @@
         };
         offers += 1;
         runs += u32::from(may_have_run);
-        shape.avoid.push(key);
+        placement.avoid.push(key);
         info!(
             request = %call.head.request_id, offers, runs, may_have_run, reason,
             "call: no answer from target"
@@ -136,7 +136,7 @@
     );
 
     match () {
-        () if head.encoded => Some("the answer has a content encoding"),
+        () if head.has_content_encoding => Some("the answer has a content encoding"),
         () if status.is_success() && !head.signed => Some("the answer is not signed"),
         () if promises => Some("the target promised what it cannot"),
         () => None,
--- a/crates/entry/src/probes.rs
+++ b/crates/entry/src/probes.rs
@@ -20,8 +20,8 @@
 /// Starts to listen on the readiness and metrics addresses of the settings. Returns the readiness
 /// address.
 pub(crate) async fn start(shared: &Rc<Shared>) -> Result<SocketAddr> {
-    listen(shared, shared.settings.metrics).await?;
-    listen(shared, shared.settings.ready).await
+    listen(shared, shared.settings.metrics_address).await?;
+    listen(shared, shared.settings.ready_address).await
 }
 
 async fn listen(shared: &Rc<Shared>, address: SocketAddr) -> Result<SocketAddr> {
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -11,8 +11,8 @@
 };
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::target_table::{
-    Dropped, Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
-    POLL_PERIOD, RELIST_PERIOD, Source,
+    Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
+    POLL_PERIOD, RELIST_PERIOD, RemovalReason, Source,
 };
 use tokio::time::sleep;
 use tracing::{info, warn};
@@ -41,7 +41,7 @@
         let ended = shared.target_table.borrow_mut().expire(clock::now());
         apply_effects(&shared, Source::Grace, ended);
 
-        let next = shared.target_table.borrow().next_end();
+        let next = shared.target_table.borrow().next_grace_end();
         let until_next = next.map_or(POLL_PERIOD, |end| end.since(clock::now()));
         sleep(until_next.clamp(MIN_EXPIRE_PAUSE, POLL_PERIOD)).await;
     }
@@ -110,7 +110,7 @@
             let changes = changes.into_iter().map(change).collect();
             let now = clock::now();
             let mut table = shared.target_table.borrow_mut();
-            let effects = table.take_changes(now, asked_at, after, changes, version);
+            let effects = table.apply_changes(now, asked_at, after, changes, version);
             drop(table);
             apply_effects(shared, Source::Changes, effects);
             PollResult::Applied
@@ -149,7 +149,7 @@
     let now = clock::now();
     *last_read_at = Some(now);
     let version = version.unwrap_or_default();
-    let effects = shared.target_table.borrow_mut().take_whole(now, asked_at, rows, version);
+    let effects = shared.target_table.borrow_mut().apply_full_read(now, asked_at, rows, version);
     apply_effects(shared, Source::WholeRead, effects);
 
     true
@@ -192,7 +192,7 @@
     let Some(QueryReply::Targets(Some(copy))) = reply else { return };
 
     let (as_of, age) = (copy.as_of, copy.age);
-    let effects = shared.target_table.borrow_mut().take_copy(clock::now(), asked_at, copy);
+    let effects = shared.target_table.borrow_mut().apply_peer_copy(clock::now(), asked_at, copy);
     if !effects.is_empty() {
         info!(
             host = host.0,
@@ -238,8 +238,14 @@
     }
 }
 
-fn drop_entry(shared: &Rc<Shared>, id: &str, why: Dropped, as_of: RowVersion, source: Source) {
-    let gone = shared.targets.borrow_mut().gone(id);
+fn drop_entry(
+    shared: &Rc<Shared>,
+    id: &str,
+    why: RemovalReason,
+    as_of: RowVersion,
+    source: Source,
+) {
+    let gone = shared.targets.borrow_mut().remove_by_id(id);
 
     if let Some(key) = gone {
         shared.connections.close(key);
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -55,7 +55,7 @@
     // A budget is needed as long as its program may continue, which is as long as its turns are
     // kept.
     let requested_at = clock::now();
-    let expired = shared.budgets.borrow_mut().forget(requested_at, retention + SWEEP_MARGIN);
+    let expired = shared.budgets.borrow_mut().take_idle(requested_at, retention + SWEEP_MARGIN);
     for (program, version) in expired {
         budget::delete_row(shared, program, version, requested_at).await;
     }
@@ -109,5 +109,5 @@
     let table = shared.routes.borrow();
     let routes = table.as_ref()?.routing().routes.iter();
 
-    routes.filter_map(|route| route.keeps).map(|keeps| keeps.retention).max()
+    routes.filter_map(|route| route.turn_retention).map(|config| config.retention).max()
 }
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::platform::{PlatformOp, PlatformReply};
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::outage::{Change, StoreHealth};
-use camphorwalk_policy::entry::write_back::{Next, WriteBack};
+use camphorwalk_policy::entry::write_back::{NextRound, WriteBack};
 use camphorwalk_store::Client;
 use tokio::sync::Notify;
 use tokio::time::timeout;
@@ -70,7 +70,7 @@
     pub(crate) fn is_fully_available(&self) -> bool {
         let health = self.health.borrow();
 
-        health.answers() && !health.misses_any()
+        health.answers() && !health.any_part_unavailable()
     }
 
     /// Returns whether status updates report trouble to the other hosts: the store or a part of it
@@ -79,13 +79,13 @@
         let now = clock::now();
         let is_slow = self.slow_at.get().is_some_and(|at| now.since(at) < SLOW_REPORT_TIME);
 
-        is_slow || self.health.borrow().misses_any()
+        is_slow || self.health.borrow().any_part_unavailable()
     }
 
     /// Returns whether a part of the store that was tried within `lately` does not answer this
     /// host.
     pub(crate) fn any_part_failed_within(&self, lately: Duration) -> bool {
-        self.health.borrow().missed_any(clock::now(), lately)
+        self.health.borrow().any_part_failed_within(clock::now(), lately)
     }
 
     /// Records that an answer of the store is overdue.
@@ -153,7 +153,7 @@
 pub(crate) async fn run(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     let is_unavailable = {
         let mut health = shared.store.health.borrow_mut();
-        health.is_away(part(&op)) && !health.try_again(clock::now(), part(&op))
+        health.is_unavailable(part(&op)) && !health.start_retry_if_due(clock::now(), part(&op))
     };
 
     match is_unavailable {
@@ -193,7 +193,7 @@
         }
     };
 
-    if shared.store.health.borrow().misses_any() {
+    if shared.store.health.borrow().any_part_unavailable() {
         shared.store.record_trouble(clock::now());
     }
     match change {
@@ -215,8 +215,8 @@
     tokio::task::spawn_local(async move {
         let mut pace = WriteBack::default();
         loop {
-            let round = grants::write_unstored(&shared, pace.allowed()).await;
-            if pace.ended(round) == Next::Later {
+            let round = grants::write_unstored(&shared, pace.max_writes()).await;
+            if pace.round_ended(round) == NextRound::Later {
                 shared.store.wait_for_recovery(WRITE_BACK_PERIOD).await;
             }
         }
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use camphorwalk_adapter::head;
-use camphorwalk_core::entry::Repeat;
+use camphorwalk_core::entry::RetryPolicy;
 use camphorwalk_policy::entry::placement::{Outcome, TargetKey};
 use http::{Response, StatusCode};
 use http_body_util::BodyExt as _;
@@ -61,11 +61,11 @@
     continuation: Continuation,
 ) -> Result<Answer, Refusal> {
     let body = continuation.body(&call.body);
-    let mut shape = call.shape();
+    let mut placement = call.placement_request();
     let mut offers = 0;
 
     let started = loop {
-        let place = places::take(&call.shared, &call.service, &shape, call.urgency()).await;
+        let place = places::take(&call.shared, &call.service, &placement, call.urgency()).await;
         let place = place.map_err(|refusal| call.adjust_refusal(refusal))?;
         let key = place.key;
         let head_timeout = clock::until(call.deadline);
@@ -92,7 +92,7 @@
         }
 
         offers += 1;
-        shape.avoid.push(key);
+        placement.avoid.push(key);
         if offers >= MAX_OFFERS {
             return Err(
                 call.adjust_refusal(Refusal::retry_later("all targets refused", FULL_RETRY_AFTER))
@@ -125,9 +125,9 @@
 /// was received so far. The stream must be resumable, and the target that may have run it must have
 /// crashed.
 fn may_restart(call: &Call, crashed: bool) -> bool {
-    call.route().repeat == Repeat::Stream { resumable: true }
+    call.route().retry_policy == RetryPolicy::Stream { resumable: true }
         && crashed
-        && !call.shared.crashes.borrow().is_barred(call.fingerprint())
+        && !call.shared.crashes.borrow().is_blocked(call.fingerprint())
 }
 
 /// Forwards a failure that a target answered instead of a stream.
@@ -269,23 +269,23 @@
     mut key: TargetKey,
     reason: &'static str,
 ) -> Option<Started> {
-    if call.route().repeat != (Repeat::Stream { resumable: true }) {
+    if call.route().retry_policy != (RetryPolicy::Stream { resumable: true }) {
         return None;
     }
 
     while progress.resumes < MAX_RESUMES && !clock::until(call.deadline).is_zero() {
         progress.resumes += 1;
         let down = forward::is_down(&call.shared, key, call).await;
-        if call.shared.crashes.borrow().is_barred(call.fingerprint()) {
+        if call.shared.crashes.borrow().is_blocked(call.fingerprint()) {
             return None;
         }
 
         let place = match down {
-            false => places::retake(&call.shared, &call.service, key, &call.shape()),
+            false => places::retake(&call.shared, &call.service, key, &call.placement_request()),
             true => {
-                let mut shape = call.shape();
-                shape.avoid.push(key);
-                places::take(&call.shared, &call.service, &shape, call.urgency()).await.ok()?
+                let mut placement = call.placement_request();
+                placement.avoid.push(key);
+                places::take(&call.shared, &call.service, &placement, call.urgency()).await.ok()?
             }
         };
         key = place.key;
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowKey};
-use camphorwalk_policy::entry::keeping::{self, Begin, Outage};
+use camphorwalk_policy::entry::turn_writes::{self, Outage, StartDecision};
 use camphorwalk_policy::entry::turns::{Turn, TurnKey};
 use futures::StreamExt as _;
 use futures::future::try_join_all;
@@ -50,7 +50,7 @@
         }
 
         let mut body = BytesMut::new();
-        self.earlier.iter().for_each(|turn| body.extend_from_slice(turn.said()));
+        self.earlier.iter().for_each(|turn| body.extend_from_slice(turn.transcript()));
         body.extend_from_slice(input);
         body.freeze()
     }
@@ -64,7 +64,7 @@
 /// the turn for a caller that gives up before its end.
 pub(crate) fn check_can_store(call: &Call) -> Result<(), Refusal> {
     let shared = &call.shared;
-    if call.route().keeps.is_none() {
+    if call.route().turn_retention.is_none() {
         return Ok(());
     }
     if shared.is_isolated() {
@@ -80,9 +80,9 @@
 
     let outage =
         Outage { silent_for: shared.store.unavailable_for(), left: clock::until(call.deadline) };
-    match keeping::begin(outage) {
-        Begin::Now => Ok(()),
-        Begin::Later(after) => {
+    match turn_writes::start_during_outage(outage) {
+        StartDecision::Now => Ok(()),
+        StartDecision::Later(after) => {
             info!(request = %call.head.request_id, ?outage, ?after, "turn: not begun");
             Err(Refusal::retry_later_jittered(
                 "turns cannot be kept while the store is away",
@@ -94,13 +94,14 @@
 
 /// Loads the earlier turns that a call continues.
 pub(crate) async fn load_continuation(call: &Call) -> Result<Continuation, Refusal> {
-    let Some(previous) = call.head.previous.as_deref().filter(|_| call.route().keeps.is_some())
+    let Some(previous) =
+        call.head.previous_turn.as_deref().filter(|_| call.route().turn_retention.is_some())
     else {
         return Ok(Continuation::default());
     };
     let shared = &call.shared;
     let key = TurnKey::new(call.tenant.as_deref().unwrap_or_default(), previous);
-    let retention = call.route().keeps.map_or(Duration::ZERO, |keeps| keeps.retention);
+    let retention = call.route().turn_retention.map_or(Duration::ZERO, |config| config.retention);
     fetch_conversation(call, key).await;
     let last = read_turn(shared, key).await?.ok_or_else(|| {
         // A caller gives up on a turn that does not exist, so this answer requires certainty.
@@ -117,7 +118,7 @@
         read_turn(shared, *key).await?.ok_or_else(|| unknown_turn(shared))
     });
     let mut earlier = try_join_all(earlier).await?;
-    let conversation = last.line_with(key);
+    let conversation = last.conversation_with(key);
     earlier.push(last);
 
     Ok(Continuation { earlier, conversation })
@@ -221,7 +222,7 @@
 
 /// Returns the key of a turn's row.
 pub(crate) fn row_key(key: TurnKey) -> RowKey {
-    RowKey::new(TABLE, key.row())
+    RowKey::new(TABLE, key.row_key())
 }
 
 fn unknown_turn(shared: &Shared) -> Refusal {
