--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -18,10 +18,10 @@
 use tracing::{info, warn};
 
 use crate::answer::Refusal;
-use crate::asks::{self, Query, QueryReply};
 use crate::call::Call;
 use crate::grants::{self, GrantOutcome, HedgedWrite, ROW_REPLICAS};
 use crate::host::Shared;
+use crate::queries::{self, Query, QueryReply};
 use crate::{clock, store};
 
 /// The table of budgets.
@@ -177,7 +177,7 @@
         return;
     }
     let Some(host) = shared.last_host_of_conversation(&call.head) else { return };
-    let reply = asks::query(shared, host, &Query::StoredRow(program), ROW_FETCH_TIMEOUT).await;
+    let reply = queries::send(shared, host, &Query::StoredRow(program), ROW_FETCH_TIMEOUT).await;
 
     if let Some(QueryReply::StoredRow(Some((row, version)))) = reply {
         shared.budgets.borrow_mut().merge_stored_row(clock::now(), program, row, version);
@@ -239,7 +239,7 @@
         let Some(known) = shared.budgets.borrow().known_row(program) else { return };
         let query = Query::Give(program, known, shared.run, total);
         if let Some(QueryReply::Given(total, to)) =
-            asks::query(shared, host, &query, TRANSFER_TIMEOUT).await
+            queries::send(shared, host, &query, TRANSFER_TIMEOUT).await
         {
             shared.budgets.borrow_mut().record_transfer_from(program, run, total);
             runs.extend(to);
@@ -267,7 +267,7 @@
     let hosts = holders.into_iter().filter_map(|run| shared.fleet.live_host_of_run(run.0));
     let query = Query::Yield(program);
     let replies =
-        join_all(hosts.map(|host| asks::query(shared, host, &query, TRANSFER_TIMEOUT))).await;
+        join_all(hosts.map(|host| queries::send(shared, host, &query, TRANSFER_TIMEOUT))).await;
 
     for reply in replies.into_iter().flatten() {
         if let QueryReply::Granted(row) = reply {
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -26,7 +26,7 @@
 use crate::budget::{self, TokenReservation};
 use crate::host::{OpenRequest, Shared};
 use crate::turns::{self, Continuation};
-use crate::{callers, clock, places, plain, stream};
+use crate::{callers, clock, places, stream, unary};
 
 /// The time-out of a call for which neither the caller nor the route sets one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -440,7 +440,7 @@
 
 async fn forward(call: Rc<Call>) -> Result<Answer, Refusal> {
     if !call.route().retry_policy.is_stream() {
-        return plain::forward(&call).await;
+        return unary::forward(&call).await;
     }
 
     turns::check_can_store(&call)?;
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -24,7 +24,7 @@
 use tracing::{info, warn};
 
 use crate::host::Shared;
-use crate::{asks, clock, news, store, watch};
+use crate::{clock, queries, status_updates, store, watch};
 
 /// The table of hosts. Each host's row is stored under its name.
 const HOSTS_TABLE: &str = "hosts";
@@ -340,7 +340,7 @@
     *shared.fleet.peers.borrow_mut() = Some(peers.clone());
     tokio::task::spawn_local(heartbeat(Rc::clone(&shared), peers.clone()));
     tokio::task::spawn_local(receive(Rc::clone(&shared), rx));
-    news::broadcast(shared, peers).await;
+    status_updates::broadcast(shared, peers).await;
 }
 
 /// Loads the secret with which the hosts of a fleet authenticate each other. The first host creates
@@ -478,12 +478,12 @@
         let Inbound::Message { from, message } = inbound else { continue };
 
         match message.body {
-            Some(Body::EntryStatus(update)) => news::apply_update(&shared, from, update),
+            Some(Body::EntryStatus(update)) => status_updates::apply_update(&shared, from, update),
             Some(Body::Manifest(manifest)) => watch::adopt(&shared, &manifest.text, "peer"),
             Some(Body::PeerQuery(query)) => {
-                tokio::task::spawn_local(asks::serve(Rc::clone(&shared), from, query));
+                tokio::task::spawn_local(queries::serve(Rc::clone(&shared), from, query));
             }
-            Some(Body::PeerQueryReply(reply)) => asks::handle_reply(&shared, &reply),
+            Some(Body::PeerQueryReply(reply)) => queries::handle_reply(&shared, &reply),
             _ => {}
         }
     }
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -20,10 +20,10 @@
 use tracing::info;
 
 use crate::answer::Refusal;
-use crate::asks::{self, GrantQuery, Query, QueryReply};
 use crate::budget::{MAX_WRITE_ATTEMPTS, WriteOutcome, program_lock, unknown_budget, write_row};
 use crate::call::Call;
 use crate::host::Shared;
+use crate::queries::{self, GrantQuery, Query, QueryReply};
 use crate::{clock, store};
 
 /// How many hosts keep a copy of a program's row besides those that run the program. Two survive
@@ -84,7 +84,7 @@
     }
 
     for host in hosts {
-        asks::notify(shared, host, &Query::Stored(program, row.clone(), version));
+        queries::notify(shared, host, &Query::Stored(program, row.clone(), version));
     }
 }
 
@@ -125,7 +125,7 @@
     let host = order.first().copied().ok_or_else(|| unknown_budget(shared))?;
     let reply = match host == shared.fleet.own_id() {
         true => Some(grant(shared, &query).await),
-        false => asks::query(shared, host, &Query::Grant(query), GRANT_TIMEOUT).await,
+        false => queries::send(shared, host, &Query::Grant(query), GRANT_TIMEOUT).await,
     };
 
     match reply {
@@ -333,11 +333,11 @@
     let replicas = replicas_elsewhere(shared, program);
     let next = next_granters(shared, program).take(ROW_REPLICAS);
     for host in next.filter(|host| !replicas.contains(host)) {
-        asks::notify(shared, host, &query);
+        queries::notify(shared, host, &query);
     }
 
     let replies =
-        replicas.iter().map(|host| asks::query(shared, *host, &query, ROW_EXCHANGE_TIMEOUT));
+        replicas.iter().map(|host| queries::send(shared, *host, &query, ROW_EXCHANGE_TIMEOUT));
     let mut replies: FuturesUnordered<_> = replies.collect();
     while let Some(reply) = replies.next().await {
         if matches!(reply, Some(QueryReply::Done)) {
@@ -364,7 +364,7 @@
     let query = Query::KnownRow(program);
     let hosts = next_granters(shared, program).take(count);
     let replies =
-        join_all(hosts.map(|host| asks::query(shared, host, &query, ROW_EXCHANGE_TIMEOUT))).await;
+        join_all(hosts.map(|host| queries::send(shared, host, &query, ROW_EXCHANGE_TIMEOUT))).await;
 
     for reply in replies.into_iter().flatten() {
         if let QueryReply::Known(known) = reply {
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -25,16 +25,16 @@
 use tokio::time::{Instant as TokioInstant, sleep, timeout_at};
 use tracing::info;
 
-use crate::asks::PendingQueries;
 use crate::connections::Connections;
 use crate::errors::Result;
 use crate::fleet::Fleet;
+use crate::log_sampler::LogSampler;
 use crate::manifests::Manifests;
 use crate::metrics::Metrics;
 use crate::places::Places;
+use crate::queries::PendingQueries;
 use crate::store::Store;
-use crate::stories::LogSampler;
-use crate::{callers, clock, fleet, news, probes, registry, retention, store, watch};
+use crate::{callers, clock, fleet, probes, registry, retention, status_updates, store, watch};
 
 /// The longest time-out of one attempt of a store operation. The store answers within some
 /// milliseconds, and within a third of a second when it is slow.
@@ -100,7 +100,7 @@
     pub(crate) manifest_text: RefCell<Box<str>>,
     pub(crate) manifests: Manifests,
     pub(crate) rates: RefCell<Rates>,
-    pub(crate) full_demand_receivers: news::FullDemandReceivers,
+    pub(crate) full_demand_receivers: status_updates::FullDemandReceivers,
     /// The entries under which targets have registered themselves.
     pub(crate) target_table: RefCell<TargetTable>,
     pub(crate) targets: RefCell<Targets>,
@@ -349,7 +349,7 @@
             manifest_text: RefCell::default(),
             manifests: Manifests::default(),
             rates: RefCell::default(),
-            full_demand_receivers: news::FullDemandReceivers::default(),
+            full_demand_receivers: status_updates::FullDemandReceivers::default(),
             target_table: RefCell::new(TargetTable::new(settings.target_heartbeat)),
             targets: RefCell::new(Targets::new(&settings.zone)),
             places: Places::default(),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -9,7 +9,6 @@
 #![forbid(unsafe_code)]
 
 mod answer;
-mod asks;
 mod budget;
 mod call;
 mod callers;
@@ -21,19 +20,20 @@
 mod forward;
 mod grants;
 mod host;
-mod keeping;
+mod log_sampler;
 mod manifests;
 mod metrics;
-mod news;
 mod places;
-mod plain;
 mod probes;
+mod queries;
 mod registry;
 mod retention;
+mod status_updates;
 mod store;
-mod stories;
 mod stream;
+mod turn_storage;
 mod turns;
+mod unary;
 mod watch;
 
 pub use errors::{Error, Result};
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -15,9 +15,9 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::asks::{self, Query, QueryReply};
 use crate::clock;
 use crate::host::Shared;
+use crate::queries::{self, Query, QueryReply};
 
 /// How often a pending query is checked.
 const CHECK_PERIOD: Duration = Duration::from_millis(100);
@@ -101,7 +101,7 @@
 
     // The manifest itself arrives before the reply.
     let reply = tokio::select! {
-        reply = asks::query_until_dropped(shared, host, &Query::Manifest) => reply,
+        reply = queries::send_until_dropped(shared, host, &Query::Manifest) => reply,
         () = until_no_reply_expected(shared, host, requested_at) => None,
     };
     let now = clock::now();
--- a/crates/entry/src/asks.rs
+++ b/crates/entry/src/queries.rs
@@ -118,18 +118,18 @@
 
 /// Sends a query to another host. Returns `None` if no reply came within `limit`; the other host
 /// may or may not have carried it out.
-pub(crate) async fn query(
+pub(crate) async fn send(
     shared: &Shared,
     host: HostId,
     query: &Query,
     limit: Duration,
 ) -> Option<QueryReply> {
-    timeout(limit, query_until_dropped(shared, host, query)).await.ok()?
+    timeout(limit, send_until_dropped(shared, host, query)).await.ok()?
 }
 
 /// Sends a query to another host, and waits for the reply until dropped. Returns `None` if the
 /// query cannot be sent.
-pub(crate) async fn query_until_dropped(
+pub(crate) async fn send_until_dropped(
     shared: &Shared,
     host: HostId,
     query: &Query,
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -17,8 +17,8 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use crate::asks::{self, Query, QueryReply};
 use crate::host::Shared;
+use crate::queries::{self, Query, QueryReply};
 use crate::{clock, places, store};
 
 /// The page size of a full read of the table.
@@ -188,7 +188,7 @@
     };
     let asked_at = clock::now();
     let has = shared.target_table.borrow().as_of().unwrap_or_default();
-    let reply = asks::query(shared, host, &Query::Targets(has), PEER_TIMEOUT).await;
+    let reply = queries::send(shared, host, &Query::Targets(has), PEER_TIMEOUT).await;
     let Some(QueryReply::Targets(Some(copy))) = reply else { return };
 
     let (as_of, age) = (copy.as_of, copy.age);
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -14,8 +14,8 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use crate::asks::{self, Query, QueryReply};
 use crate::host::Shared;
+use crate::queries::{self, Query, QueryReply};
 use crate::{clock, grants};
 
 /// How long a relayed operation may take: the other host's own attempts and a round trip.
@@ -235,7 +235,7 @@
     };
 
     shared.metrics.relayed_operations.inc();
-    match asks::query(shared, host, &Query::Store(op), RELAY_TIMEOUT).await {
+    match queries::send(shared, host, &Query::Store(op), RELAY_TIMEOUT).await {
         Some(QueryReply::Store(reply)) => reply,
         Some(_) => PlatformReply::Unavailable,
         // The other host may have run the operation although no reply came.
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -17,9 +17,9 @@
 use crate::call::{Call, TargetAnswer};
 use crate::events::EventParser;
 use crate::forward::{self, CallAttempt, SendOutcome, Started};
-use crate::plain::rejection_reason;
 use crate::turns::Continuation;
-use crate::{clock, keeping, places};
+use crate::unary::rejection_reason;
+use crate::{clock, places, turn_storage};
 
 /// To how many targets a turn is sent, as long as each of them has certainly not run it.
 const MAX_OFFERS: u32 = 4;
@@ -208,7 +208,7 @@
             finish(&call, started, &progress);
         }
         drop(reservation.take());
-        if let Err(reason) = keeping::store_turn(&call, &continuation, std::mem::take(&mut progress.output)).await {
+        if let Err(reason) = turn_storage::store_turn(&call, &continuation, std::mem::take(&mut progress.output)).await {
             info!(request = %call.head.request_id, reason, "call: turn not kept, stream broken off");
             yield Err(BrokenBody(reason));
         }
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -14,9 +14,9 @@
 use tracing::{info, warn};
 
 use crate::answer::Refusal;
-use crate::asks::{self, Query, QueryReply};
 use crate::call::Call;
 use crate::host::Shared;
+use crate::queries::{self, Query, QueryReply};
 use crate::{clock, store};
 
 /// The table of turns.
@@ -135,7 +135,7 @@
     }
     let Some(host) = shared.last_host_of_conversation(&call.head) else { return };
 
-    let reply = asks::query(shared, host, &Query::Line(last), CONVERSATION_FETCH_TIMEOUT).await;
+    let reply = queries::send(shared, host, &Query::Line(last), CONVERSATION_FETCH_TIMEOUT).await;
     let Some(QueryReply::Line(turns)) = reply else { return };
     shared.metrics.turns_fetched.inc_by(turns.len() as u64);
     let mut cache = shared.turns.borrow_mut();
@@ -198,10 +198,13 @@
 /// open.
 async fn find_at_peers(shared: &Shared, key: TurnKey) -> SearchResult {
     let hosts = shared.fleet.known_hosts();
-    let mut replies: FuturesUnordered<_> = hosts
-        .into_iter()
-        .map(|host| async move { asks::query(shared, host, &Query::Find(key), FIND_TIMEOUT).await })
-        .collect();
+    let mut replies: FuturesUnordered<_> =
+        hosts
+            .into_iter()
+            .map(|host| async move {
+                queries::send(shared, host, &Query::Find(key), FIND_TIMEOUT).await
+            })
+            .collect();
     let mut search = SearchResult::Absent;
 
     while let Some(reply) = replies.next().await {
