--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -225,14 +225,15 @@
 async fn request_transfers(shared: &Shared, program: ProgramKey, max_tokens: u64) {
     let mut runs = shared.budgets.borrow().holders(program);
     runs.extend(shared.budgets.borrow().transfer_recipients(program));
-    let mut asked = Set::from_iter([shared.run]);
+    let mut queried = Set::from_iter([shared.run]);
 
     while let Some(run) = runs.pop() {
         let missing = shared.budgets.borrow().claim(program, max_tokens).missing;
         if missing == 0 {
             return;
         }
-        let Some(host) = shared.fleet.live_host_of_run(run.0).filter(|_| asked.insert(run)) else {
+        let Some(host) = shared.fleet.live_host_of_run(run.0).filter(|_| queried.insert(run))
+        else {
             continue;
         };
         let total = shared.budgets.borrow().transferred_from(program, run) + missing;
@@ -331,12 +332,13 @@
     }
 }
 
-/// Deletes the row of a program that was idle at `asked`, unless the row's version has changed.
+/// Deletes the row of a program that was idle at `checked_at`, unless the row's version has
+/// changed.
 pub(crate) async fn delete_row(
     shared: &Rc<Shared>,
     program: ProgramKey,
     version: RowVersion,
-    asked: Instant,
+    checked_at: Instant,
 ) {
     let key = row_key(program);
     let tx = Transaction {
@@ -351,7 +353,7 @@
         _ => false,
     };
     if is_gone {
-        shared.budgets.borrow_mut().record_deletion(clock::now(), program, asked);
+        shared.budgets.borrow_mut().record_deletion(clock::now(), program, checked_at);
     } else {
         info!(program = %program.0, version = version.0, "budget: idle row not deleted");
     }
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -35,7 +35,7 @@
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The maximum number of idle connections to one target. A host rarely has more calls in flight at
-/// one target, because all hosts share the target's slots.
+/// one target, and all hosts share the connections that the target accepts.
 const MAX_IDLE: usize = 6;
 
 /// A connection in use. Dropping it closes it, which makes the target stop its work.
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -120,7 +120,7 @@
         self.known.borrow().len() + 1
     }
 
-    /// Returns whether a host is live.
+    /// Returns whether a host is live, like [`Fleet::is_live`].
     fn has_recent_status(&self, host: HostId) -> bool {
         self.statuses.borrow().get(&host).is_some_and(|status| status.is_valid(clock::now()))
     }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -135,8 +135,9 @@
         !self.is_shutting_down() && self.routes.borrow().is_some() && !self.is_isolated()
     }
 
-    /// Returns whether the host is isolated: it reaches neither the store nor any host of another
-    /// zone, or in a fleet with a single zone any host at all.
+    /// Returns whether the host is isolated: it reaches neither the store, directly or through
+    /// another host, nor any host of another zone, or in a fleet with a single zone any host at
+    /// all.
     pub(crate) fn is_isolated(&self) -> bool {
         // This runs for each answer, so the live hosts are only looked at if the store does not
         // answer.
@@ -212,13 +213,14 @@
     }
 
     /// Returns whether the store has answered all hosts for a while, according to their status
-    /// updates. This is false for a process that has just started and received none.
+    /// updates. This is false for a process that has just started and received none, except at the
+    /// first start of a deployment.
     pub(crate) fn is_settled(&self) -> bool {
         self.had_time_for_reports() && self.store.was_available_for(SETTLE_TIME)
     }
 
     /// Returns whether the process has run for long enough to have received reports of trouble from
-    /// the other hosts.
+    /// the other hosts. At the first start of a deployment there is no earlier trouble to report.
     fn had_time_for_reports(&self) -> bool {
         self.settings.is_first_start || clock::now().since(self.started_at) > SETTLE_TIME
     }
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -54,10 +54,10 @@
 
     // A budget is needed as long as its program may continue, which is as long as its turns are
     // kept.
-    let requested_at = clock::now();
-    let expired = shared.budgets.borrow_mut().take_idle(requested_at, retention + SWEEP_MARGIN);
+    let checked_at = clock::now();
+    let expired = shared.budgets.borrow_mut().take_idle(checked_at, retention + SWEEP_MARGIN);
     for (program, version) in expired {
-        budget::delete_row(shared, program, version, requested_at).await;
+        budget::delete_row(shared, program, version, checked_at).await;
     }
 
     loop {
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -261,7 +261,7 @@
 }
 
 /// Resumes a broken stream: at the same target if its process still runs, and otherwise at another
-/// one. The first counts as the same run of the call.
+/// one. Returning to the same target does not count as sending the call to another one.
 async fn resume(
     call: &Rc<Call>,
     body: &Bytes,
