--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -1,4 +1,4 @@
-//! A running entry host.
+//! A running entry host: its shared state, startup and shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -25,116 +25,124 @@
 use tokio::time::{Instant as TokioInstant, sleep, timeout_at};
 use tracing::info;
 
-use crate::asks::Asks;
 use crate::connections::Connections;
 use crate::errors::Result;
 use crate::fleet::Fleet;
+use crate::log_sampler::LogSampler;
 use crate::manifests::Manifests;
 use crate::metrics::Metrics;
 use crate::places::Places;
+use crate::queries::PendingQueries;
 use crate::store::Store;
-use crate::stories::Stories;
-use crate::{callers, clock, fleet, news, probes, registry, retention, store, watch};
+use crate::{callers, clock, fleet, probes, registry, retention, status_updates, store, watch};
 
-/// The longest that one try of a call to the store may take. Its answers come within some
+/// The longest time-out of one attempt of a store operation. The store answers within some
 /// milliseconds, and within a third of a second when it is slow.
-const STORE_DEADLINE: Duration = Duration::from_millis(500);
+const STORE_MAX_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The least time of one try: some times the usual time of a transaction.
-const STORE_LEAST_DEADLINE: Duration = Duration::from_millis(80);
+/// The shortest time-out of one attempt: several times the usual duration of a transaction.
+const STORE_MIN_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// For how long an operation is tried again. A caller's whole program takes a second or two.
+/// How long a store operation is retried. A whole program of a caller takes a second or two.
 const STORE_RETRY_WINDOW: Duration = Duration::from_millis(400);
 
-/// The part of the store's rates that one host may use: no host needs more, and a host in
-/// disorder leaves the others the rest.
+/// The fraction of the store's rate limits that one host may use. No host needs more, and a
+/// malfunctioning host leaves the rest to the others.
 const STORE_SHARE: f64 = 0.25;
 
-/// The part of the process's memory that turns at hand may take.
+/// The cache of turns may use the process's memory divided by this number.
 const TURN_CACHE_PART: u64 = 6;
 
-/// Of how many lines of turns a host remembers where the last turn was: those of some seconds, in
-/// which lines go on.
-const LINES_REMEMBERED: usize = 16_384;
+/// For how many conversations a host remembers which host ran the last turn. This covers some
+/// seconds, within which a conversation usually continues.
+const MAX_CONVERSATION_HOSTS: usize = 16_384;
 
-/// How long a leaving host stays after the last call, so that the balancer, which asks each
-/// second and believes the second answer, has sent its new connections elsewhere.
+/// The minimum time for which a host keeps serving after its shutdown began. The load balancer
+/// checks readiness every second and acts on the second failed check, so by then it sends new
+/// connections elsewhere.
 const BALANCER_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long the store must have answered all hosts before each writes grants by itself again. In
-/// this time the grants that were made without it are written.
-const SETTLED: Duration = Duration::from_secs(3);
+/// How long the store must have answered all hosts before each host writes grants by itself again.
+/// Within this time the unstored grants are written back.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Within how long each host that is heard has told whether it grants tokens without the store: longer
-/// than its news count as heard.
-const ALL_TOLD: Duration = Duration::from_secs(1);
+/// Within this time each live host has reported whether it has unstored grants. It is longer than a
+/// status update is valid.
+const REPORT_TIME: Duration = Duration::from_secs(1);
 
-/// When a caller that cannot be served behind a cut is told to come back. The balancer asks each
-/// second and believes the second answer, so it sends new connections elsewhere two seconds
-/// after a cut is noticed at the latest; callers come back two or three times within that.
-const MOVE_RETRY: Duration = Duration::from_millis(800);
+/// Retry-After of a caller that a host without access to the store cannot serve. The load balancer
+/// checks readiness every second and acts on the second failed check, so it moves new connections
+/// at most two seconds after the host notices that it is isolated. Callers retry two or three times
+/// within that.
+const MOVE_RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// How long a leaving host takes calls. The balancer has sent its new connections elsewhere by then,
-/// unless less than half of the zone's hosts are left; a call that came later might still be
-/// under way when the host ends.
-const LAST_CALLS: Duration = Duration::from_millis(3_500);
+/// How long a host accepts calls after its shutdown began. By then the load balancer sends new
+/// connections elsewhere, unless less than half of the zone's hosts are left. A later call might
+/// still be running when the process ends.
+const ACCEPT_TIME: Duration = Duration::from_millis(3_500);
 
-/// The part of the grace period that this time is at most, so that what was taken can end.
-const LAST_CALLS_PART: f64 = 0.45;
+/// The largest fraction of the grace period for which calls are still accepted, so that the
+/// accepted calls can finish.
+const ACCEPT_TIME_PART: f64 = 0.45;
 
-/// How long before the end of the grace period a leaving host ends, whatever still runs.
+/// How long before the end of the grace period a host shuts down even if calls are still running.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What the parts of a host share.
+/// The state that all parts of a host share.
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
     pub(crate) run: RunId,
-    began: Instant,
+    started_at: Instant,
     pub(crate) store: Store,
-    pub(crate) asks: Asks,
+    pub(crate) pending_queries: PendingQueries,
     pub(crate) routes: RefCell<Option<RouteTable>>,
-    /// The text of the manifest in force, for hosts that cannot reach the store.
+    /// The text of the manifest in force, which is sent to hosts that cannot get it from the store.
     pub(crate) manifest_text: RefCell<Box<str>>,
     pub(crate) manifests: Manifests,
     pub(crate) rates: RefCell<Rates>,
-    pub(crate) told_all: news::ToldAll,
-    /// What is known of the entries under which targets register themselves.
+    pub(crate) full_demand_receivers: status_updates::FullDemandReceivers,
+    /// The entries under which targets have registered themselves.
     pub(crate) target_table: RefCell<TargetTable>,
     pub(crate) targets: RefCell<Targets>,
     pub(crate) places: Places,
     pub(crate) connections: Connections,
     pub(crate) budgets: RefCell<Budgets>,
-    memory: RefCell<GrantHistory>,
-    /// When a host last granted tokens without the store, or held such grants.
-    pub(crate) loose_at: Cell<Option<Instant>>,
-    /// Taken while a program's budget is asked for.
+    grant_history: RefCell<GrantHistory>,
+    /// When any host was last known to grant tokens without the store, or to have unstored grants.
+    pub(crate) unstored_grants_at: Cell<Option<Instant>>,
+    /// Held while tokens of a program's budget are requested.
     pub(crate) budget_locks: RefCell<Map<ProgramKey, Rc<Mutex<()>>>>,
     pub(crate) turns: RefCell<TurnCache>,
-    /// The hosts that had the last turn of a line, by the id of the line's prompt part.
-    pub(crate) line_hosts: RefCell<RecentMap<u64, HostId>>,
-    pub(crate) written: RefCell<retention::Written>,
+    /// The host that ran the last turn of a conversation, by the id of the conversation's prompt
+    /// part.
+    pub(crate) conversation_hosts: RefCell<RecentMap<u64, HostId>>,
+    pub(crate) written_turns: RefCell<retention::WrittenTurns>,
     pub(crate) crashes: RefCell<Crashes>,
     pub(crate) fleet: Fleet,
     pub(crate) metrics: Metrics,
-    pub(crate) stories: Stories,
-    /// Since when the host leaves.
-    leaving: Cell<Option<Instant>>,
-    /// Since when the host is cut off, as far as that was asked.
+    pub(crate) log_sampler: LogSampler,
+    /// When the shutdown began.
+    shutdown_began: Cell<Option<Instant>>,
+    /// When the host became isolated, as far as that was checked.
     isolated_since: Cell<Option<Instant>>,
-    /// Requests that were read and are not answered.
+    /// The number of requests that were received and are not answered yet.
     open_requests: Cell<usize>,
 }
 
 impl Shared {
-    /// Returns whether the host takes new callers.
+    /// Returns whether the host accepts new callers.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.routes.borrow().is_some() && !self.is_isolated()
+        !self.is_shutting_down() && self.routes.borrow().is_some() && !self.is_isolated()
     }
 
-    /// Returns whether the host is cut off from all that could keep what it promises.
+    /// Returns whether the host is isolated: it reaches neither the store, directly or through
+    /// another host, nor any host of another zone, or in a fleet with a single zone any host at
+    /// all.
     pub(crate) fn is_isolated(&self) -> bool {
-        // Asked at each answer: whom the host hears matters only if the store does not answer.
-        let isolated = !self.store.answers_whole() && isolation::is_isolated(self.surroundings());
+        // This runs for each answer, so the live hosts are only looked at if the store does not
+        // answer.
+        let isolated =
+            !self.store.is_fully_available() && isolation::is_isolated(self.surroundings());
 
         if self.isolated_since.get().is_some() != isolated {
             self.isolated_since.set(isolated.then(clock::now));
@@ -144,21 +152,21 @@
         isolated
     }
 
-    /// Returns for how long the host has been cut off, if it is.
+    /// Returns for how long the host has been isolated, if it is.
     pub(crate) fn isolated_for(&self) -> Option<Duration> {
         let is_isolated = self.is_isolated();
 
         self.isolated_since.get().filter(|_| is_isolated).map(|since| clock::now().since(since))
     }
 
-    /// Returns the host that had the last turn of a call's line, or of its parent's, if that is another
-    /// one and is heard.
-    pub(crate) fn host_before(&self, head: &CallHead) -> Option<HostId> {
-        let line_hosts = self.line_hosts.borrow();
-        // A sub-agent continues the line of its parent, whose part comes before its own.
-        let host = head.prefix.iter().rev().find_map(|part| line_hosts.get(&part.id))?;
+    /// Returns the host that ran the last turn of a call's conversation, or of its parent's, if
+    /// that is another host and live.
+    pub(crate) fn last_host_of_conversation(&self, head: &CallHead) -> Option<HostId> {
+        let conversation_hosts = self.conversation_hosts.borrow();
+        // A sub-agent continues the conversation of its parent, whose prompt part precedes its own.
+        let host = head.prefix.iter().rev().find_map(|part| conversation_hosts.get(&part.id))?;
 
-        self.fleet.hears(host).then_some(host)
+        self.fleet.is_live(host).then_some(host)
     }
 
     /// Returns the version of the manifest in force; 0 for none.
@@ -166,131 +174,142 @@
         self.routes.borrow().as_ref().map_or(0, |table| table.routing().version)
     }
 
-    /// Returns whether the store answers this host or one that it hears.
+    /// Returns whether the store answers this host or a live peer.
     pub(crate) fn reaches_store(&self) -> bool {
-        self.store.answers() || self.fleet.store_peer().is_some()
+        self.store.is_available() || self.fleet.live_peer_with_store().is_some()
     }
 
     fn surroundings(&self) -> Surroundings {
         Surroundings {
-            store_in_reach: self.store.answers_whole() || self.fleet.store_peer().is_some(),
+            store_in_reach: self.store.is_fully_available()
+                || self.fleet.live_peer_with_store().is_some(),
             other_zones: self.fleet.contact_elsewhere(),
             others: self.fleet.contact_anywhere(),
         }
     }
 
-    /// Returns when a call that cannot be decided now is to come back: after `usual`, or if the
-    /// host is cut off when the balancer has moved its caller to another zone.
-    pub(crate) fn come_back(&self, usual: Duration) -> Duration {
+    /// Returns the Retry-After of a call that cannot be decided now: `usual`, or if the host is
+    /// isolated the time that the load balancer needs to move the caller to another zone.
+    pub(crate) fn retry_after_unless_isolated(&self, usual: Duration) -> Duration {
         match self.is_isolated() {
-            true => MOVE_RETRY,
+            true => MOVE_RETRY_AFTER,
             false => usual,
         }
     }
 
-    /// Returns whether callers are to come back on a new connection, which may lead elsewhere.
-    pub(crate) fn sends_callers_away(&self) -> bool {
-        self.is_leaving() || self.is_isolated()
+    /// Returns whether callers must reconnect, so that the load balancer can assign them to another
+    /// host.
+    pub(crate) fn closes_connections(&self) -> bool {
+        self.is_shutting_down() || self.is_isolated()
     }
 
-    /// Returns whether an empty read of the store proves that there was no such turn within the last
-    /// `retention`: not if the store was away, or if a former run of this process may have known more.
-    pub(crate) fn knows_all_turns(&self, retention: Duration) -> bool {
-        let is_old = clock::now().since(self.began) > retention;
+    /// Returns whether an empty read of the store proves that there was no such turn within the
+    /// last `retention`. It does not if the store was unavailable in that time, or if an earlier
+    /// run of this process may have known of the turn.
+    pub(crate) fn can_prove_turn_absent(&self, retention: Duration) -> bool {
+        let is_old = clock::now().since(self.started_at) > retention;
 
-        (is_old || self.settings.is_first_start) && self.store.was_there_for(retention)
+        (is_old || self.settings.is_first_start) && self.store.was_available_for(retention)
     }
 
-    /// Returns whether the store has answered all hosts for a while, as far as they told this one. A
-    /// process that has just started was told nothing.
+    /// Returns whether the store has answered all hosts for a while, according to their status
+    /// updates. This is false for a process that has just started and received none, except at the
+    /// first start of a deployment.
     pub(crate) fn is_settled(&self) -> bool {
-        self.has_heard_of_trouble() && self.store.was_there_for(SETTLED)
+        self.had_time_for_reports() && self.store.was_available_for(SETTLE_TIME)
     }
 
-    /// Returns whether the process has run for long enough to have heard of trouble from the others.
-    fn has_heard_of_trouble(&self) -> bool {
-        self.settings.is_first_start || clock::now().since(self.began) > SETTLED
+    /// Returns whether the process has run for long enough to have received reports of trouble from
+    /// the other hosts. At the first start of a deployment there is no earlier trouble to report.
+    fn had_time_for_reports(&self) -> bool {
+        self.settings.is_first_start || clock::now().since(self.started_at) > SETTLE_TIME
     }
 
-    /// Returns whether this host grants tokens without the store, or did and the store does not have
-    /// all of them yet.
-    pub(crate) fn grants_loose(&self) -> bool {
-        let is_heard = |run| self.hears_run(run);
+    /// Returns whether this host may grant tokens without the store now, or is responsible for
+    /// unstored grants.
+    pub(crate) fn may_have_unstored_grants(&self) -> bool {
+        let is_live = |run| self.is_run_live(run);
 
-        self.store.missed_any(ALL_TOLD)
-            || self.budgets.borrow().is_responsible_for_unstored(is_heard)
+        self.store.any_part_failed_within(REPORT_TIME)
+            || self.budgets.borrow().is_responsible_for_unstored(is_live)
     }
 
-    /// Returns whether no host has granted tokens without the store for a while, as far as they told
-    /// this one.
+    /// Returns whether no host has granted tokens without the store for a while, according to their
+    /// status updates.
     fn is_all_stored(&self) -> bool {
         let now = clock::now();
-        if self.grants_loose() {
-            self.loose_at.set(Some(now));
+        if self.may_have_unstored_grants() {
+            self.unstored_grants_at.set(Some(now));
         }
 
-        self.has_heard_of_trouble() && self.loose_at.get().is_none_or(|at| now.since(at) > ALL_TOLD)
+        self.had_time_for_reports()
+            && self.unstored_grants_at.get().is_none_or(|at| now.since(at) > REPORT_TIME)
     }
 
-    /// Returns whether a run of a process is this one or is heard.
-    pub(crate) fn hears_run(&self, run: RunId) -> bool {
-        run == self.run || self.fleet.hears_run(run.0)
+    /// Returns whether a run is that of this process, or of a live host.
+    pub(crate) fn is_run_live(&self, run: RunId) -> bool {
+        run == self.run || self.fleet.is_run_live(run.0)
     }
 
-    /// Returns whether this host knows of grants without the store to programs that may return.
-    pub(crate) fn knows_of_loose(&self) -> bool {
-        self.loose_at.get().is_some_and(|at| clock::now().since(at) <= HISTORY_COMPLETE_AFTER)
+    /// Returns whether this host knows of grants without the store to programs that may still be
+    /// running.
+    pub(crate) fn knows_of_unstored_grants(&self) -> bool {
+        self.unstored_grants_at
+            .get()
+            .is_some_and(|at| clock::now().since(at) <= HISTORY_COMPLETE_AFTER)
     }
 
-    /// Returns whether this process knows of all that was granted to programs without the store.
-    pub(crate) fn remembers(&self) -> bool {
-        let around = self.surroundings_without_itself();
+    /// Returns whether this process knows of all grants that any host made without the store.
+    pub(crate) fn has_complete_history(&self) -> bool {
+        let others = self.fleet_view_of_others();
 
-        self.memory.borrow_mut().is_complete(clock::now(), around)
+        self.grant_history.borrow_mut().is_complete(clock::now(), others)
     }
 
-    /// Returns what this host knows of the fleet that decides how much of budgets may be granted.
-    pub(crate) fn budget_surroundings(&self) -> shares::FleetView {
-        let others = self.surroundings_without_itself();
+    /// Returns what this host knows of the fleet, which determines the share of budgets that may be
+    /// granted.
+    pub(crate) fn fleet_view(&self) -> shares::FleetView {
+        let others_view = self.fleet_view_of_others();
 
-        others.including_self(self.remembers(), self.knows_of_loose())
+        others_view.including_self(self.has_complete_history(), self.knows_of_unstored_grants())
     }
 
-    fn surroundings_without_itself(&self) -> shares::FleetView {
-        let heard = self.fleet.fresh_news();
-        let remembering = heard.iter().filter(|heard| heard.remembers);
-        let free_of_loose = remembering.clone().filter(|heard| !heard.knows_of_loose);
+    fn fleet_view_of_others(&self) -> shares::FleetView {
+        let live = self.fleet.live_statuses();
+        let complete_histories = live.iter().filter(|status| status.has_complete_history);
+        let without_unstored_grants =
+            complete_histories.clone().filter(|status| !status.knows_of_unstored_grants);
 
         shares::FleetView {
             is_all_stored: self.is_all_stored(),
             known_hosts: self.fleet.size(),
-            live_hosts: heard.len() + 1,
-            complete_histories: remembering.count(),
-            without_unstored_grants: free_of_loose.count(),
+            live_hosts: live.len() + 1,
+            complete_histories: complete_histories.count(),
+            without_unstored_grants: without_unstored_grants.count(),
         }
     }
 
-    /// Returns whether the host was asked to end.
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.get().is_some()
+    /// Returns whether the shutdown has begun.
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutdown_began.get().is_some()
     }
 
-    /// Returns whether a call that comes now might still be under way when the host ends.
-    pub(crate) fn takes_no_more(&self) -> bool {
-        let longest = LAST_CALLS.min(self.settings.shutdown_grace.mul_f64(LAST_CALLS_PART));
+    /// Returns whether a call that arrives now might still be running when the process ends.
+    pub(crate) fn refuses_new_calls(&self) -> bool {
+        let longest = ACCEPT_TIME.min(self.settings.shutdown_grace.mul_f64(ACCEPT_TIME_PART));
 
-        self.leaving.get().is_some_and(|at| clock::now().since(at) > longest)
+        self.shutdown_began.get().is_some_and(|at| clock::now().since(at) > longest)
     }
 
-    /// Counts a request until the guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>) -> OpenRequest {
+    /// Counts a request as open until the guard is dropped.
+    pub(crate) fn track_request(self: &Rc<Self>) -> OpenRequest {
         self.open_requests.set(self.open_requests.get() + 1);
 
         OpenRequest(Rc::clone(self))
     }
 }
 
-/// A request that was read and is not answered.
+/// A request that was received and is not answered yet.
 pub(crate) struct OpenRequest(Rc<Shared>);
 
 impl Drop for OpenRequest {
@@ -311,7 +330,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if an address cannot be listened on.
+    /// Returns an error if the host cannot listen on an address, or if the client of the store or
+    /// the metrics cannot be set up.
     pub async fn start(settings: EntrySettings) -> Result<Self> {
         let metrics = Metrics::new()?;
         let run = RunId(rand::rng().next_u64());
@@ -323,31 +343,31 @@
         );
 
         let shared = Rc::new(Shared {
-            began: clock::now(),
+            started_at: clock::now(),
             run,
             store,
-            asks: Asks::default(),
+            pending_queries: PendingQueries::default(),
             routes: RefCell::default(),
             manifest_text: RefCell::default(),
             manifests: Manifests::default(),
             rates: RefCell::default(),
-            told_all: news::ToldAll::default(),
+            full_demand_receivers: status_updates::FullDemandReceivers::default(),
             target_table: RefCell::new(TargetTable::new(settings.target_heartbeat)),
             targets: RefCell::new(Targets::new(&settings.zone)),
             places: Places::default(),
             connections: Connections::default(),
             budgets: RefCell::new(Budgets::new(run)),
-            loose_at: Cell::new(None),
-            memory: RefCell::new(GrantHistory::new(clock::now(), settings.is_first_start)),
+            unstored_grants_at: Cell::new(None),
+            grant_history: RefCell::new(GrantHistory::new(clock::now(), settings.is_first_start)),
             budget_locks: RefCell::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
-            line_hosts: RefCell::new(RecentMap::new(LINES_REMEMBERED)),
-            written: RefCell::default(),
+            conversation_hosts: RefCell::new(RecentMap::new(MAX_CONVERSATION_HOSTS)),
+            written_turns: RefCell::default(),
             crashes: RefCell::default(),
             fleet: Fleet::new(&settings.name, &settings.zone),
             metrics,
-            stories: Stories::new(),
-            leaving: Cell::new(None),
+            log_sampler: LogSampler::new(),
+            shutdown_began: Cell::new(None),
             isolated_since: Cell::new(None),
             open_requests: Cell::new(0),
             settings,
@@ -364,28 +384,28 @@
         Ok(Self { shared, callers, ready })
     }
 
-    /// Returns where callers reach it.
+    /// Returns the address that callers connect to.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where it is asked whether it is ready.
+    /// Returns the address of the readiness endpoint.
     pub fn readiness_address(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Takes in that the settings file was read anew. A process keeps its addresses; nothing
-    /// else of the settings changes while it runs.
+    /// Logs that the settings file was read again. The settings of a running process, its addresses
+    /// included, do not change.
     pub fn on_settings_reloaded(&self, settings: &EntrySettings) {
         let same = *settings == self.shared.settings;
-        info!(same, "host: settings read again");
+        info!(same, "host: settings file read again");
     }
 
-    /// Leaves: says that it is not ready, serves what comes until callers have moved on, and
-    /// returns when nothing is open or the grace period is over.
+    /// Shuts down gracefully: reports not ready, serves calls until callers have moved to other
+    /// hosts, and returns when no request is open or the grace period is nearly over.
     pub async fn shut_down(&self) {
         let shared = &self.shared;
-        shared.leaving.set(Some(clock::now()));
+        shared.shutdown_began.set(Some(clock::now()));
         info!(open = shared.open_requests.get(), "host: leaving");
 
         let begun = TokioInstant::now();
@@ -405,8 +425,8 @@
 fn store_client(settings: &EntrySettings, run: RunId, metrics: &Metrics) -> Result<Client> {
     let limits = settings.store_limits;
     let store = Client::new(ClientOptions {
-        deadline: STORE_DEADLINE,
-        least_deadline: STORE_LEAST_DEADLINE,
+        deadline: STORE_MAX_TIMEOUT,
+        least_deadline: STORE_MIN_TIMEOUT,
         retry: RetryOptions {
             most_tries: 4,
             saved: 50.0,
