--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -1,5 +1,5 @@
-//! What an entry host knows of the deployment that it forwards calls for: routes, tenants,
-//! targets and the head of a call.
+//! Types of an entry host's configuration and input: settings, routes, services, tenants,
+//! registered targets, and the headers of a call.
 
 mod call;
 mod routing;
--- a/crates/core/src/entry/call.rs
+++ b/crates/core/src/entry/call.rs
@@ -1,56 +1,57 @@
-//! The head of a call, as its caller sent it.
+//! The headers of a call, parsed.
 
 use std::time::Duration;
 
-/// One part of a prompt; calls that share a part share its cached prefix.
+/// One part of a prompt. Calls with the same part share its cached prefix at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's id.
+    /// Identifies the part. The part that holds a sequence of turns keeps its id as it grows.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// How many tokens a generation reads and may write.
+/// The size of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCount {
-    /// The tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// The most tokens that this one call may generate.
+    /// Upper limit of the tokens that this call may generate.
     pub most_output: u32,
 }
 
-/// What a caller says of a call besides its method, path and body.
+/// What a caller sends about a call besides its method, path and body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallHead {
-    /// The caller's name for this attempt; a retry has another.
+    /// The caller's id for this attempt; each retry has a new one.
     pub request_id: Box<str>,
-    /// The key that stands for a tenant.
+    /// The API key, which identifies the tenant.
     pub key: Option<Box<str>>,
     /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
     /// The program that the call belongs to.
     pub program: Option<Box<str>>,
-    /// The line of turns within the program.
+    /// The sequence of turns within the program that the call belongs to.
     pub session: Option<Box<str>>,
-    /// How long until the whole program should be finished.
+    /// Time until the whole program should be finished.
     pub program_deadline: Option<Duration>,
-    /// The tokens that all turns of the program together may generate.
+    /// Upper limit of the tokens that all turns of the program together may generate.
     pub budget: Option<u64>,
-    /// The turn that this one continues from.
+    /// The id of the turn that this one continues.
     pub previous: Option<Box<str>>,
     /// The size of the generation.
     pub tokens: Option<TokenCount>,
-    /// The parts of the prompt in order.
+    /// The parts of the prompt, in order.
     pub prefix: Vec<PromptPart>,
-    /// The object that the call concerns; a target that handled it lately is faster.
+    /// Key for sticky routing: a target that recently handled a call with this key is faster.
     pub affinity: Option<Box<str>>,
-    /// The last event that the caller has of a stream that broke.
+    /// The last event that the caller received of a stream that it wants to resume.
     pub last_event: Option<u64>,
 }
 
 impl CallHead {
-    /// Returns whether this is a turn that begins a program, as far as its head tells.
+    /// Returns whether the call neither continues a previous turn nor resumes a stream. It may
+    /// still belong to a running program, for example as the first turn of a sub-agent.
     ///
     /// ```
     /// use camphorwalk_core::entry::CallHead;
--- a/crates/core/src/entry/routing.rs
+++ b/crates/core/src/entry/routing.rs
@@ -1,20 +1,20 @@
-//! The operators' manifest: which calls go to which services, for whom and how often.
+//! The operators' manifest: routes, services, tenants and limits.
 
 use std::time::Duration;
 
 use super::super::hash::Map;
 
-/// What may be done with a call whose answer did not come.
+/// Whether a call may be sent again when its answer did not arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run any number of times.
+    /// The call may run any number of times.
     Idempotent,
-    /// It runs at most once for each request of a caller.
+    /// The call runs at most once for each request of a caller.
     AtMostOnce,
-    /// A stream of events. It may go on at another target from its last event if `resumable`,
-    /// and else runs at most once.
+    /// The answer is a stream of events. A broken stream continues at another target after its
+    /// last event if `resumable` is set; otherwise the call runs at most once.
     Stream {
-        /// Whether it may go on elsewhere.
+        /// Whether another target can continue the stream.
         resumable: bool,
     },
 }
@@ -26,112 +26,114 @@
     }
 }
 
-/// A service's part of a route's calls.
+/// A service that a route sends calls to, with its share of the traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceShare {
-    /// The service.
+    /// Name of the service.
     pub service: Box<str>,
-    /// Its weight among the route's services.
+    /// Its share of the route's calls, relative to the weights of the other services.
     pub weight: u32,
 }
 
-/// How a route keeps what its turns said.
+/// How a stateful route stores its turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TurnKeeping {
-    /// How long a turn can be continued after its end.
+    /// How long after its end a turn can still be continued.
     pub retention: Duration,
 }
 
-/// A route.
+/// A route: the calls with one host name and path prefix, and how they are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name for logs and metrics.
     pub name: Box<str>,
-    /// The host name of its calls.
+    /// The host name that calls must be addressed to.
     pub hostname: Box<str>,
-    /// What the path of its calls begins with.
+    /// The path prefix that calls must have.
     pub prefix: Box<str>,
-    /// Where its calls go.
+    /// The services that take its calls, by weight.
     pub services: Box<[ServiceShare]>,
-    /// What may be repeated.
+    /// Whether calls may be sent again after a lost answer.
     pub repeat: Repeat,
-    /// The most targets that one call may be sent to.
+    /// Maximum number of targets that may run one call; those that refuse it do not count.
     pub max_targets: u32,
-    /// The longest time that a call may be kept waiting.
+    /// Maximum duration of a call, unless its caller sets a shorter deadline.
     pub timeout: Option<Duration>,
-    /// The time in which an answer is worth most; of a stream, its first event.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub latency_objective: Duration,
-    /// Its rank: 0 goes first.
+    /// Priority of its calls; rank 0 is served first.
     pub rank: u32,
-    /// Whether callers need no key.
+    /// Whether calls need no API key.
     pub public: bool,
-    /// Whether a target that has handled the same object or prompt is faster.
+    /// Whether calls with the same affinity key should go to the same target, which is then
+    /// faster.
     pub sticky: bool,
-    /// Whether turns carry only their new input, and how long they are kept.
+    /// Set for a stateful route: its turns are stored, and each turn carries only its new input.
     pub keeps: Option<TurnKeeping>,
 }
 
-/// What an engine can hold, for a service that generates tokens.
+/// Capacity of one engine of a service that generates tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// The generations that run together.
+    /// Number of generations that run concurrently.
     pub slots: u32,
-    /// The tokens that its memory holds.
+    /// Number of tokens that fit into its KV cache.
     pub memory_tokens: u64,
-    /// The tokens that each event of a stream stands for.
+    /// Number of generated tokens that one event of a stream counts for.
     pub tokens_per_event: u32,
 }
 
-/// A service.
+/// A service: a set of targets that run the same program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Its name, which routes and target entries refer to.
     pub name: Box<str>,
-    /// The connections that one of its targets takes from all hosts together.
+    /// Upper limit of the connections of one target, over all hosts.
     pub max_connections: Option<u32>,
-    /// Its engines, if it generates tokens.
+    /// Capacity of an engine, if the service generates tokens.
     pub engine: Option<EngineSpec>,
 }
 
-/// A tenant.
+/// A tenant and its rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSpec {
-    /// Its name.
+    /// Its name, which targets receive with each call.
     pub name: Box<str>,
-    /// Calls a second over all hosts; `None` for no limit.
+    /// Rate limit in calls per second over all hosts; `None` for no limit.
     pub rate: Option<f64>,
-    /// Calls at once on top of the rate.
+    /// Size of its token bucket: how many calls may come at once.
     pub burst: f64,
-    /// Its rank, which goes before that of the route.
+    /// Priority of its calls, meant to take precedence over the rank of the route. Entry hosts do
+    /// not apply it yet.
     pub rank: Option<u32>,
 }
 
-/// What a caller may send and how long it may take.
+/// Limits on the size and duration of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's headers, in bytes.
     pub head_bytes: usize,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take.
+    /// Time within which the headers of a request must arrive.
     pub head_timeout: Duration,
-    /// How long a connection may stay unused.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// The manifest in full.
+/// A parsed manifest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Routing {
-    /// Its version; a host adopts only higher ones.
+    /// Version number; a host adopts only a manifest with a higher one than its own.
     pub version: u64,
-    /// The routes.
+    /// The routes, in the order of the manifest.
     pub routes: Vec<Route>,
-    /// The services by name.
+    /// The services, by name.
     pub services: Map<Box<str>, ServiceSpec>,
-    /// The tenants.
+    /// The tenants; `keys` refers to them by index.
     pub tenants: Vec<TenantSpec>,
-    /// The index in `tenants` of the holder of each key.
+    /// For each API key, the index in `tenants` of its owner.
     pub keys: Map<Box<str>, usize>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: CallLimits,
 }
--- a/crates/core/src/entry/settings.rs
+++ b/crates/core/src/entry/settings.rs
@@ -1,42 +1,43 @@
-//! What a process of the deployment is told when it starts.
+//! The settings that an entry host starts with.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the store takes from all hosts together.
+/// Rate limits of the platform's store, over all hosts of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// Writes a second.
+    /// Writes per second.
     pub writes_per_second: f64,
-    /// Reads a second.
+    /// Reads per second.
     pub reads_per_second: f64,
 }
 
 /// The settings of an entry host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntrySettings {
-    /// The host's name; a new process of the same host has the same.
+    /// The host's name, which stays the same when its process restarts.
     pub name: Box<str>,
     /// Its availability zone.
     pub zone: Box<str>,
-    /// Whether the whole deployment starts for the first time: then nothing was before.
+    /// Whether the whole deployment starts for the first time, so that the store holds no state
+    /// of earlier processes.
     pub is_first_start: bool,
-    /// Where callers reach it.
+    /// Address on which the host accepts callers' requests.
     pub callers: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// Where its peers reach it.
+    /// Address on which the host accepts connections from other hosts.
     pub peers: SocketAddr,
-    /// Where its metrics are read.
+    /// Address that serves the metrics.
     pub metrics: SocketAddr,
-    /// Where the store listens.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What the store takes from all hosts together.
+    /// Rate limits of the store, over all hosts.
     pub store_limits: StoreLimits,
-    /// How often targets write their entries.
+    /// Interval at which targets rewrite their entries in the store.
     pub target_heartbeat: Duration,
-    /// How long a process may go on after it was asked to end.
+    /// Time that the process may take to shut down after it was asked to.
     pub grace: Duration,
-    /// The most memory of the process, in bytes.
+    /// Memory limit of the process, in bytes.
     pub memory_bytes: u64,
 }
--- a/crates/core/src/entry/target.rs
+++ b/crates/core/src/entry/target.rs
@@ -1,4 +1,4 @@
-//! A target as it registers itself.
+//! The entry under which a target registers itself.
 
 use std::net::SocketAddr;
 
@@ -7,27 +7,28 @@
 /// Whether a target takes new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
-    /// It takes calls.
+    /// The target takes new calls.
     Ready,
-    /// It finishes what it has and leaves.
+    /// The target finishes its running calls, takes no new ones, and then ends.
     Draining,
 }
 
-/// What a target says of itself.
+/// What a target publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// The name of this run of the target.
+    /// Id of the target.
     pub id: Box<str>,
-    /// The service that it runs.
+    /// Name of the service that the target belongs to.
     pub service: Box<str>,
-    /// Where it listens.
+    /// Address on which it accepts calls.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Box<str>,
-    /// The calls that it runs together.
+    /// Number of calls that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new calls.
+    /// Whether it takes new calls or is shutting down.
     pub state: TargetState,
-    /// When this run began, in Unix milliseconds; a target may start again under its id.
+    /// When its process started, in Unix milliseconds. A target that restarts under the same id is
+    /// recognized by a different value.
     pub born: u64,
 }
--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -1,151 +1,154 @@
-//! What entry hosts tell each other several times a second.
+//! Messages between entry hosts: the state that they exchange several times a second, manifests,
+//! and requests with their replies.
 
-/// What an entry host has under way.
+/// The state of an entry host, sent to the other hosts several times a second.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryNews {
-    /// What tenants ask of the sender: all that had calls there, or those of which something has
-    /// changed.
+    /// The demand of tenants at the sender: of all tenants that had calls there, or only of those
+    /// whose values changed (see `all_demand`).
     #[prost(message, repeated, tag = "1")]
     pub demand: Vec<Demand>,
-    /// The calls that the sender has in flight at each target.
+    /// The number of calls that the sender has in flight at each target.
     #[prost(message, repeated, tag = "2")]
     pub in_flight: Vec<InFlight>,
     /// The version of the manifest in force at the sender; 0 for none.
     #[prost(uint64, tag = "3")]
     pub manifest_version: u64,
-    /// Calls under which targets went down.
+    /// Calls during which targets crashed, as seen by the sender since its last message.
     #[prost(message, repeated, tag = "4")]
     pub crashes: Vec<CrashNews>,
-    /// Whether `demand` tells of all.
+    /// Whether `demand` lists all tenants that had calls at the sender.
     #[prost(bool, tag = "10")]
     pub all_demand: bool,
-    /// The random number of the run of the sender's process.
+    /// Random number that identifies the run of the sender's process.
     #[prost(fixed64, tag = "6")]
     pub run: u64,
-    /// Whether the platform's store answers the sender.
+    /// Whether the sender gets answers from the platform's store.
     #[prost(bool, tag = "7")]
     pub store_answers: bool,
-    /// Whether the store or a part of it does not answer the sender, or is slow. A process that
-    /// has just started says neither.
+    /// Whether the store, or a part of it, does not answer the sender or answers slowly. A process
+    /// that has just started sets neither this flag nor `store_answers`.
     #[prost(bool, tag = "8")]
     pub store_away: bool,
-    /// Whether the sender knows of all that hosts granted to programs without the store.
+    /// Whether the sender knows of all budget grants that hosts made without the store.
     #[prost(bool, tag = "12")]
     pub remembers: bool,
-    /// Whether the sender knows that there were such grants to programs that may still return.
+    /// Whether the sender knows of grants without the store to programs that may still send calls.
     #[prost(bool, tag = "14")]
     pub knows_of_loose: bool,
-    /// Whether the sender grants tokens to programs without the store, or did and the store does
-    /// not have all of them yet.
+    /// Whether the sender grants tokens to programs without the store, or made such grants that
+    /// are not all written to the store yet.
     #[prost(bool, tag = "13")]
     pub grants_loose: bool,
-    /// The calls of programs under way that wait at the sender for a place.
+    /// The number of calls queued at the sender, for each service whose targets are full.
     #[prost(message, repeated, tag = "9")]
     pub waiting: Vec<WaitingCalls>,
-    /// The prompts that the sender sent to targets.
+    /// The prompts that the sender sent to targets since its last message. Receivers learn from
+    /// them which prompt parts each target has cached.
     #[prost(message, repeated, tag = "11")]
     pub prompts: Vec<Prompts>,
 }
 
-/// The calls that wait at one host for a service.
+/// The number of calls queued at one host for a service.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WaitingCalls {
-    /// The service's name.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The calls.
+    /// Number of queued calls.
     #[prost(uint32, tag = "2")]
     pub calls: u32,
 }
 
-/// A tenant's demand at one host.
+/// A tenant's demand at one host, and the state of its rate limit there.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Demand {
-    /// The tenant's name.
+    /// Name of the tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// The calls a second that come to the sender.
+    /// Calls per second that arrive at the sender.
     #[prost(double, tag = "2")]
     pub per_second: f64,
-    /// The calls that it has admitted since its process began.
+    /// Number of calls that the sender has admitted since its process started.
     #[prost(uint64, tag = "3")]
     pub admitted: u64,
-    /// The level of its token bucket.
+    /// Level of the tenant's token bucket at the sender.
     #[prost(double, tag = "4")]
     pub level: f64,
-    /// The part of the rate that it leaves to hosts that it does not hear, from 0 to 1.
+    /// Fraction of the tenant's rate, from 0 to 1, that the sender leaves to hosts from which it
+    /// gets no messages.
     #[prost(double, tag = "5")]
     pub withheld: f64,
-    /// For how many milliseconds more.
+    /// Time for which it still leaves them that fraction, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub withheld_ms: u32,
-    /// Whether it hears all hosts.
+    /// Whether the sender gets messages from all hosts, so that `level` contains no estimate.
     #[prost(bool, tag = "7")]
     pub hears_all: bool,
 }
 
-/// One host's calls in flight at a target.
+/// The number of calls that one host has in flight at a target.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct InFlight {
-    /// The target's id.
+    /// Id of the target.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// The calls.
+    /// Number of calls in flight.
     #[prost(uint32, tag = "2")]
     pub calls: u32,
 }
 
-/// The prompts that a host sent to a target since its last news.
+/// The prompts that a host sent to a target since its last message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Prompts {
-    /// The target's id.
+    /// Id of the target.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// The id of the last part of each prompt.
+    /// Id of the last part of each prompt.
     #[prost(fixed64, repeated, tag = "2")]
     pub parts: Vec<u64>,
-    /// The tokens of each of these parts.
+    /// Length in tokens of each of these parts, in the same order.
     #[prost(uint32, repeated, tag = "3")]
     pub tokens: Vec<u32>,
 }
 
-/// A call under which targets went down.
+/// A call during which targets crashed.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct CrashNews {
-    /// The call's fingerprint.
+    /// Hash of the call's method, path, tenant and body, by which a repeated call is recognized.
     #[prost(fixed64, tag = "1")]
     pub call: u64,
-    /// How many targets went down.
+    /// Number of further crashes since the sender last reported the call.
     #[prost(uint32, tag = "2")]
     pub crashes: u32,
 }
 
-/// A manifest as it lies in the store.
+/// A manifest as stored.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Manifest {
-    /// Its text.
+    /// Its JSON text.
     #[prost(string, tag = "1")]
     pub text: String,
 }
 
-/// A question to another entry host.
+/// A request to another entry host.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ask {
-    /// The number of the question at the sender.
+    /// Number of the request, unique at the sender.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The question, as JSON.
+    /// The request, as JSON.
     #[prost(bytes = "vec", tag = "2")]
     pub question: Vec<u8>,
 }
 
-/// The reply to a question.
+/// The reply to an [`Ask`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Reply {
-    /// The number of the question.
+    /// Number of the request that it answers.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The reply, as JSON.
+    /// The reply's content, as JSON.
     #[prost(bytes = "vec", tag = "2")]
     pub reply: Vec<u8>,
 }
