--- a/crates/core/src/entry/call.rs
+++ b/crates/core/src/entry/call.rs
@@ -5,7 +5,7 @@
 /// One part of a prompt. Calls with the same part share its cached prefix at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifies the part. The part that holds a sequence of turns keeps its id as it grows.
+    /// Identifies the part. The part that holds a conversation keeps its id as it grows.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
@@ -31,7 +31,7 @@
     pub deadline: Option<Duration>,
     /// The program that the call belongs to.
     pub program: Option<Box<str>>,
-    /// The sequence of turns within the program that the call belongs to.
+    /// The conversation within the program that the call belongs to.
     pub session: Option<Box<str>>,
     /// Time until the whole program should be finished.
     pub program_deadline: Option<Duration>,
@@ -50,8 +50,8 @@
 }
 
 impl CallHead {
-    /// Returns whether the call neither continues a previous turn nor resumes a stream. It may
-    /// still belong to a running program, for example as the first turn of a sub-agent.
+    /// Returns whether the call starts a conversation: it neither continues a previous turn nor
+    /// resumes a stream. Its program may be running already, for example if a sub-agent starts.
     ///
     /// ```
     /// use camphorwalk_core::entry::CallHead;
--- a/crates/core/src/entry/routing.rs
+++ b/crates/core/src/entry/routing.rs
@@ -83,7 +83,7 @@
     pub tokens_per_event: u32,
 }
 
-/// A service: a set of targets that run the same program.
+/// A service: a set of interchangeable targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
     /// Its name, which routes and target entries refer to.
--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -1,7 +1,7 @@
-//! Messages between entry hosts: the state that they exchange several times a second, manifests,
-//! and requests with their replies.
+//! Messages between entry hosts: status updates several times a second, manifests, and queries
+//! with their replies.
 
-/// The state of an entry host, sent to the other hosts several times a second.
+/// A status update, which each entry host sends to the others several times a second.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryNews {
     /// The demand of tenants at the sender: of all tenants that had calls there, or only of those
@@ -14,7 +14,7 @@
     /// The version of the manifest in force at the sender; 0 for none.
     #[prost(uint64, tag = "3")]
     pub manifest_version: u64,
-    /// Calls during which targets crashed, as seen by the sender since its last message.
+    /// Calls during which targets crashed, as seen by the sender since its last update.
     #[prost(message, repeated, tag = "4")]
     pub crashes: Vec<CrashNews>,
     /// Whether `demand` lists all tenants that had calls at the sender.
@@ -30,7 +30,8 @@
     /// that has just started sets neither this flag nor `store_answers`.
     #[prost(bool, tag = "8")]
     pub store_away: bool,
-    /// Whether the sender knows of all budget grants that hosts made without the store.
+    /// Whether the sender's history of the budget grants that hosts made without the store is
+    /// complete.
     #[prost(bool, tag = "12")]
     pub remembers: bool,
     /// Whether the sender knows of grants without the store to programs that may still send calls.
@@ -43,8 +44,8 @@
     /// The number of calls queued at the sender, for each service whose targets are full.
     #[prost(message, repeated, tag = "9")]
     pub waiting: Vec<WaitingCalls>,
-    /// The prompts that the sender sent to targets since its last message. Receivers learn from
-    /// them which prompt parts each target has cached.
+    /// The prompts that the sender sent to targets since its last update. They show which prompt
+    /// parts each target has cached.
     #[prost(message, repeated, tag = "11")]
     pub prompts: Vec<Prompts>,
 }
@@ -75,14 +76,14 @@
     /// Level of the tenant's token bucket at the sender.
     #[prost(double, tag = "4")]
     pub level: f64,
-    /// Fraction of the tenant's rate, from 0 to 1, that the sender leaves to hosts from which it
-    /// gets no messages.
+    /// Reserved share: the fraction of the tenant's rate, from 0 to 1, that the sender leaves to
+    /// silent hosts.
     #[prost(double, tag = "5")]
     pub withheld: f64,
-    /// Time for which it still leaves them that fraction, in milliseconds.
+    /// Time until the reserved share expires, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub withheld_ms: u32,
-    /// Whether the sender gets messages from all hosts, so that `level` contains no estimate.
+    /// Whether all hosts are live for the sender, so that `level` contains no estimate.
     #[prost(bool, tag = "7")]
     pub hears_all: bool,
 }
@@ -98,7 +99,7 @@
     pub calls: u32,
 }
 
-/// The prompts that a host sent to a target since its last message.
+/// The prompts that a host sent to a target since its last status update.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Prompts {
     /// Id of the target.
@@ -131,13 +132,13 @@
     pub text: String,
 }
 
-/// A request to another entry host.
+/// A query to another entry host.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ask {
-    /// Number of the request, unique at the sender.
+    /// Number of the query, unique at the sender.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The request, as JSON.
+    /// The query, as JSON.
     #[prost(bytes = "vec", tag = "2")]
     pub question: Vec<u8>,
 }
@@ -145,7 +146,7 @@
 /// The reply to an [`Ask`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Reply {
-    /// Number of the request that it answers.
+    /// Number of the query that it answers.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// The reply's content, as JSON.
