--- a/crates/core/src/entry/call.rs
+++ b/crates/core/src/entry/call.rs
@@ -55,9 +55,9 @@
     ///
     /// ```
     /// use camphorwalk_core::entry::CallHead;
-    /// assert!(CallHead::default().begins_line());
+    /// assert!(CallHead::default().starts_conversation());
     /// ```
-    pub fn begins_line(&self) -> bool {
-        self.previous.is_none() && self.last_event.is_none()
+    pub fn starts_conversation(&self) -> bool {
+        self.previous_turn.is_none() && self.last_event.is_none()
     }
 }
--- a/crates/core/src/entry/routing.rs
+++ b/crates/core/src/entry/routing.rs
@@ -19,7 +19,7 @@
     },
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
