--- a/crates/core/src/entry/call.rs
+++ b/crates/core/src/entry/call.rs
@@ -17,7 +17,7 @@
     /// Number of tokens in the prompt.
     pub prompt: u32,
     /// Upper limit of the tokens that this call may generate.
-    pub most_output: u32,
+    pub max_output: u32,
 }
 
 /// What a caller sends about a call besides its method, path and body.
@@ -26,7 +26,7 @@
     /// The caller's id for this attempt; each retry has a new one.
     pub request_id: Box<str>,
     /// The API key, which identifies the tenant.
-    pub key: Option<Box<str>>,
+    pub api_key: Option<Box<str>>,
     /// How long the caller waits for the answer.
     pub deadline: Option<Duration>,
     /// The program that the call belongs to.
@@ -38,13 +38,13 @@
     /// Upper limit of the tokens that all turns of the program together may generate.
     pub budget: Option<u64>,
     /// The id of the turn that this one continues.
-    pub previous: Option<Box<str>>,
+    pub previous_turn: Option<Box<str>>,
     /// The size of the generation.
     pub tokens: Option<TokenCount>,
     /// The parts of the prompt, in order.
     pub prefix: Vec<PromptPart>,
     /// Key for sticky routing: a target that recently handled a call with this key is faster.
-    pub affinity: Option<Box<str>>,
+    pub affinity_key: Option<Box<str>>,
     /// The last event that the caller received of a stream that it wants to resume.
     pub last_event: Option<u64>,
 }
--- a/crates/core/src/entry/routing.rs
+++ b/crates/core/src/entry/routing.rs
@@ -6,7 +6,7 @@
 
 /// Whether a call may be sent again when its answer did not arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// The call may run any number of times.
     Idempotent,
     /// The call runs at most once for each request of a caller.
@@ -28,7 +28,7 @@
 
 /// A service that a route sends calls to, with its share of the traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceShare {
+pub struct WeightedService {
     /// Name of the service.
     pub service: Box<str>,
     /// Its share of the route's calls, relative to the weights of the other services.
@@ -37,7 +37,7 @@
 
 /// How a stateful route stores its turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TurnKeeping {
+pub struct TurnRetention {
     /// How long after its end a turn can still be continued.
     pub retention: Duration,
 }
@@ -52,9 +52,9 @@
     /// The path prefix that calls must have.
     pub prefix: Box<str>,
     /// The services that take its calls, by weight.
-    pub services: Box<[ServiceShare]>,
+    pub services: Box<[WeightedService]>,
     /// Whether calls may be sent again after a lost answer.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Maximum number of targets that may run one call; those that refuse it do not count.
     pub max_targets: u32,
     /// Maximum duration of a call, unless its caller sets a shorter deadline.
@@ -69,7 +69,7 @@
     /// faster.
     pub sticky: bool,
     /// Set for a stateful route: its turns are stored, and each turn carries only its new input.
-    pub keeps: Option<TurnKeeping>,
+    pub turn_retention: Option<TurnRetention>,
 }
 
 /// Capacity of one engine of a service that generates tokens.
--- a/crates/core/src/entry/settings.rs
+++ b/crates/core/src/entry/settings.rs
@@ -23,21 +23,21 @@
     /// of earlier processes.
     pub is_first_start: bool,
     /// Address on which the host accepts callers' requests.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// Address of the readiness check.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Address on which the host accepts connections from other hosts.
-    pub peers: SocketAddr,
+    pub peers_address: SocketAddr,
     /// Address that serves the metrics.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     /// Address of the platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Rate limits of the store, over all hosts.
     pub store_limits: StoreLimits,
     /// Interval at which targets rewrite their entries in the store.
     pub target_heartbeat: Duration,
     /// Time that the process may take to shut down after it was asked to.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Memory limit of the process, in bytes.
     pub memory_bytes: u64,
 }
--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -3,7 +3,7 @@
 
 /// A status update, which each entry host sends to the others several times a second.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EntryNews {
+pub struct EntryStatus {
     /// The demand of tenants at the sender: of all tenants that had calls there, or only of those
     /// whose values changed (see `all_demand`).
     #[prost(message, repeated, tag = "1")]
@@ -16,7 +16,7 @@
     pub manifest_version: u64,
     /// Calls during which targets crashed, as seen by the sender since its last update.
     #[prost(message, repeated, tag = "4")]
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashReport>,
     /// Whether `demand` lists all tenants that had calls at the sender.
     #[prost(bool, tag = "10")]
     pub all_demand: bool,
@@ -115,7 +115,7 @@
 
 /// A call during which targets crashed.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct CrashNews {
+pub struct CrashReport {
     /// Hash of the call's method, path, tenant and body, by which a repeated call is recognized.
     #[prost(fixed64, tag = "1")]
     pub call: u64,
@@ -134,7 +134,7 @@
 
 /// A query to another entry host.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ask {
+pub struct PeerQuery {
     /// Number of the query, unique at the sender.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -143,9 +143,9 @@
     pub question: Vec<u8>,
 }
 
-/// The reply to an [`Ask`].
+/// The reply to an [`PeerQuery`].
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Reply {
+pub struct PeerQueryReply {
     /// Number of the query that it answers.
     #[prost(uint64, tag = "1")]
     pub id: u64,
