--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -1,11 +1,13 @@
-//! Tenants' rates over all hosts, by one token bucket that each host keeps for itself.
+//! Fleet-wide rate limits of tenants. Each host keeps one token bucket per tenant.
 //!
-//! Each host tells the others several times a second how many calls of each tenant it has
-//! admitted, and takes the others' calls out of its own bucket. So all hosts know one level but
-//! for the time that news take, and a call waits for nobody, whichever host the balancer sends
-//! it to. What a silent host admits is estimated: it keeps the share of the rate that it had when
-//! it was heard last. Both sides of a cut reckon with the demand of that moment, which both knew,
-//! so that their shares come to the whole rate and no more.
+//! Several times a second each host sends the others an update with the number of calls it has
+//! admitted for each tenant, and subtracts their calls from its own buckets. All hosts therefore
+//! share one level, apart from updates in transit, and admission never waits for another host,
+//! whichever host the load balancer picks.
+//!
+//! The calls that a silent host admits are estimated: it is assumed to keep using the share of the
+//! rate that it had at its last update. Both sides of a network partition compute the shares from
+//! the demand at that moment, which both knew, so the shares add up to the whole rate and no more.
 
 mod unheard;
 
@@ -17,229 +19,235 @@
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
 
-use self::unheard::Others;
+use self::unheard::OtherHosts;
 
-/// How long a silent host is taken to go on admitting its share. Behind a cut it does; if the
-/// others took its share over at once, both sides together would exceed the rate. As long as a
-/// host whose row does not change counts as one of the fleet.
-const SILENT_SHARE_KEPT: Duration = Duration::from_secs(15);
+/// How long a silent host is assumed to keep admitting calls within its share. During a network
+/// partition it does; if the others took over its share at once, both sides together would exceed
+/// the rate. This equals the time after which a host whose row does not change stops counting as
+/// part of the fleet.
+const SILENT_SHARE_LIFETIME: Duration = Duration::from_secs(15);
 
-/// A host that told nothing for this long is silent. News come every 100 ms in a small fleet.
-const SILENT: Duration = Duration::from_millis(700);
+/// A host that has sent no update for this long is silent. In a small fleet updates arrive every
+/// 100 ms.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long it is kept what was known of the demand: until a host that was heard then is silent,
-/// and a tick longer.
-const MARKS_KEPT: Duration = Duration::from_secs(1);
+/// How long samples of the demand are kept: the time until a host is known to be silent, plus one
+/// tick. The share of a silent host is computed from the sample taken at its last update.
+const SAMPLES_KEPT: Duration = Duration::from_secs(1);
 
-/// The time that news take: their period, and the way between two zones.
-const NEWS_LAG: Duration = Duration::from_millis(130);
+/// The delay of an update: its period plus the latency between two zones.
+const UPDATE_DELAY: Duration = Duration::from_millis(130);
 
-/// The part of the burst that a process begins with, until it hears the level of another. A
-/// whole one would let a fleet that restarts admit the burst twice in a window.
-const FIRST_LEVEL: f64 = 0.3;
+/// The fraction of the burst that a new process starts with, until it receives another host's
+/// level. With a full burst, a fleet that restarts could admit the burst twice within one window.
+const INITIAL_LEVEL: f64 = 0.3;
 
-/// How long a new process believes the lower level of another host. If it went on, an estimate
-/// of one host that is too low would spread to all and stay.
-const FRESH: Duration = Duration::from_secs(2);
+/// How long a new process adopts a lower level from any other host. If it did so for longer, one
+/// host's estimate that is too low would spread to all hosts and persist.
+const STARTUP_PERIOD: Duration = Duration::from_secs(2);
 
-/// The part of the burst that is left to programs under way. A program of which one call is
-/// refused fails as a whole, and what it took before is lost; a new one has lost nothing yet.
-const KEPT_FOR_PROGRAMS: f64 = 0.35;
+/// The fraction of the burst that new programs may not use. If one call of a running program is
+/// refused, the whole program fails and its work is lost; a new program has lost nothing yet.
+const RUNNING_PROGRAMS_RESERVE: f64 = 0.35;
 
-/// The time over which demand is averaged. A program's calls come in clumps of a second; an
-/// average that follows them gives silent hosts the share of their last clump for a whole cut.
-const SMOOTHING: Duration = Duration::from_secs(3);
+/// The time constant of the demand average. A program's calls come in bursts of about a second; an
+/// average that followed them would give a silent host the share of its last burst for a whole
+/// partition.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(3);
 
-/// How long a call of a program under way may wait for tokens. Its caller would come back after as
-/// long with one of two or three tries gone, and a program of which one call is given up fails as
-/// a whole.
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
+/// How long a call of a running program may wait for tokens. If it were refused, its caller would
+/// retry after about as long, with one of its two or three attempts used up, and a program fails as
+/// a whole when the caller gives up on one call.
+const MAX_WAIT: Duration = Duration::from_millis(200);
 
-/// How long a new program may wait for tokens: a quarter of that. After it the caller is better told
-/// to come back.
-const LONGEST_WAIT_NEW: Duration = Duration::from_millis(50);
+/// How long the first call of a new program may wait for tokens: a quarter of [`MAX_WAIT`]. After
+/// that it is better to tell the caller to come back later.
+const MAX_WAIT_NEW: Duration = Duration::from_millis(50);
 
-/// By which part of itself a tenant's demand must change to be told again, and by how many calls a
-/// second at least. It decides about the reserve for news that are on their way, which is no more
+/// A tenant's demand is sent again when it has changed by this fraction, and by at least this many
+/// calls per second. The demand only sets the reserve for updates in transit, which is no more
 /// exact.
-const DEMAND_SLACK: f64 = 0.1;
-const LEAST_DEMAND_SLACK: f64 = 0.3;
+const DEMAND_CHANGE: f64 = 0.1;
+const MIN_DEMAND_CHANGE: f64 = 0.3;
 
-/// By which part of the rate what a host leaves to silent ones must change to be told again.
-const WITHHELD_SLACK: f64 = 0.01;
+/// The reserved share is sent again when it has changed by this fraction of the rate.
+const RESERVED_CHANGE: f64 = 0.01;
 
-/// What becomes of a call.
+/// The decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is within its tenant's rate.
+    /// The call is within its tenant's rate.
     Admitted,
-    /// There is a token for it after this time, which is short: it is to ask again then.
+    /// A token will be available after this short time; the call should ask again then.
     Wait(Duration),
-    /// It is over the rate; there are tokens for it after this time.
+    /// The call exceeds the rate; tokens will be available after this time.
     Refused(Duration),
 }
 
-/// What decides about a tenant's calls.
+/// The values that determine whether a tenant's calls are admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateState {
-    /// The tokens left.
+    /// The number of tokens in the bucket.
     pub level: f64,
-    /// The tenant's rate, in calls a second.
+    /// The tenant's rate, in calls per second.
     pub rate: f64,
-    /// The calls a second that come to this host.
+    /// The demand at this host, in calls per second.
     pub demand: f64,
-    /// The calls a second that come to the others, as they told or as estimated.
+    /// The demand at the other hosts, reported or estimated, in calls per second.
     pub others_demand: f64,
-    /// The part of the rate that is left to silent hosts.
+    /// The fraction of the rate that is set aside for unreachable hosts.
     pub withheld: f64,
 }
 
-/// The part of a tenant's rate that a host leaves to others that fell silent.
+/// The fraction of a tenant's rate that a host reserves for hosts that have gone silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Withheld {
-    /// From 0 to 1.
+    /// The fraction, from 0 to 1.
     pub share: f64,
-    /// How long it is still left to them, from when the last of them was heard.
+    /// The remaining validity, counted from the last update of the host that went silent last.
     pub left: Duration,
 }
 
-/// What a host tells of a tenant.
+/// A host's update about one tenant, as sent to the other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantNews {
-    /// The calls that it has admitted since its process began.
+    /// The number of calls that the sender has admitted since its process started.
     pub admitted: u64,
-    /// The calls a second that come to it.
+    /// The demand at the sender, in calls per second.
     pub demand: f64,
-    /// The level of its bucket.
+    /// The level of the sender's bucket.
     pub level: f64,
-    /// What it leaves to hosts that it does not hear. One that has just started never heard them.
+    /// The share that the sender reserves for unreachable hosts. A host that has just started never
+    /// received their updates and takes the share from here.
     pub withheld: Withheld,
-    /// Whether it hears all hosts, so that its level rests on no estimate.
+    /// Whether the sender receives updates from all hosts, so that its level contains no estimates.
     pub hears_all: bool,
 }
 
-/// What was known of a tenant at a moment.
+/// The known state of a tenant at one point in time.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct Sample {
     at: Instant,
-    /// The calls a second that came to all hosts.
+    /// The demand at all hosts, in calls per second.
     demand: f64,
-    /// The calls that were known to be admitted, here or elsewhere.
+    /// The number of calls known to have been admitted, here or elsewhere.
     spent: f64,
 }
 
-/// One tenant at this host.
+/// The token bucket of one tenant at this host.
 #[derive(Clone, Debug)]
 struct Account {
     rate: f64,
     burst: f64,
-    /// The tokens that are left; below zero if other hosts admitted calls before their news came.
+    /// The tokens in the bucket; negative if other hosts admitted calls before their updates
+    /// arrived.
     level: f64,
     at: Instant,
-    /// Until when the level of another host that is lower goes before this one's.
-    fresh_until: Instant,
+    /// Until when a lower level of another host replaces this one.
+    startup_until: Instant,
     admitted: u64,
-    /// Calls that came since the last tick.
+    /// The number of calls since the last tick.
     arrived: u32,
-    /// Calls a second, smoothed.
+    /// The smoothed demand at this host, in calls per second.
     demand: f64,
-    /// Calls a second that come to the other hosts.
+    /// The demand at the other hosts, in calls per second.
     others_demand: f64,
-    /// The calls admitted here, and elsewhere as other hosts told.
+    /// The number of calls admitted here, plus those that other hosts reported.
     spent: f64,
-    /// What was known while a host that is not heard now may still have been.
-    marks: VecDeque<Mark>,
-    /// What is left to silent hosts, as others are told of it.
+    /// Recent samples, reaching back to the last update of a host that is only now found silent.
+    samples: VecDeque<Sample>,
+    /// The share reserved for silent hosts, as sent to the other hosts.
     withheld: Withheld,
-    /// The part of the rate that is taken out for hosts that are not heard.
-    unheard_share: f64,
-    /// Whether a host that is heard takes out such a part, and wants to know the level.
-    level_wanted: bool,
-    /// What the other hosts were told last.
-    told: Option<TenantNews>,
+    /// The fraction of the rate that is charged for unreachable hosts.
+    unreachable_share: f64,
+    /// Whether a reachable host charges such a fraction and needs this host's level to correct its
+    /// estimate.
+    peers_need_level: bool,
+    /// The last update sent to the other hosts.
+    last_sent: Option<TenantNews>,
 }
 
 impl Account {
-    /// Returns whether the other hosts are to be told: what they reckon with has changed.
-    fn has_news(&self) -> bool {
-        let Some(told) = self.told else { return self.admitted > 0 || self.arrived > 0 };
-        let slack = (told.demand * DEMAND_SLACK).max(LEAST_DEMAND_SLACK);
-        let withheld_changed = (self.withheld.share - told.withheld.share).abs();
-
-        (self.level_wanted && self.hears_all())
-            || self.admitted != told.admitted
-            || (self.demand - told.demand).abs() > slack
-            || withheld_changed > WITHHELD_SLACK
+    /// Returns whether to send an update: the values that other hosts use have changed.
+    fn has_update(&self) -> bool {
+        let Some(last) = self.last_sent else { return self.admitted > 0 || self.arrived > 0 };
+        let slack = (last.demand * DEMAND_CHANGE).max(MIN_DEMAND_CHANGE);
+        let reserved_change = (self.withheld.share - last.withheld.share).abs();
+
+        (self.peers_need_level && self.hears_all())
+            || self.admitted != last.admitted
+            || (self.demand - last.demand).abs() > slack
+            || reserved_change > RESERVED_CHANGE
     }
 }
 
-/// What another host told.
+/// The updates received from one other host.
 #[derive(Clone, Debug, Default)]
-struct Told {
-    at: Instant,
-    /// Until when what it admits was told or estimated.
+struct HostReport {
+    received_at: Instant,
+    /// The time up to which its admitted calls have been reported or estimated.
     counted_until: Instant,
-    /// The run of its process that has told of all its tenants. Before it has, it is not known
-    /// which of the calls that it tells of were counted already.
-    base_run: Option<u64>,
-    tenants: Map<Box<str>, ToldTenant>,
+    /// The run of its process from which a full update has arrived. Before that, it is not known
+    /// which of the calls it reports were already counted.
+    baseline_run: Option<u64>,
+    tenants: Map<Box<str>, TenantReport>,
 }
 
-impl Told {
+impl HostReport {
     fn is_silent(&self, now: Instant) -> bool {
-        now.since(self.at) > SILENT
+        now.since(self.received_at) > SILENCE_TIMEOUT
     }
 
-    /// Returns the part of a tenant's rate that it is taken to use while it is silent.
+    /// Returns the fraction of a tenant's rate that the host is assumed to use while it is silent.
     fn share(&self, tenant: &str) -> f64 {
         self.tenants.get(tenant).and_then(|t| t.share).unwrap_or_default()
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ToldTenant {
-    news: TenantNews,
-    /// Until when what it leaves to silent hosts is left to them.
-    withheld_until: Instant,
-    /// What was taken out of the bucket for it since it fell silent.
+struct TenantReport {
+    update: TenantNews,
+    /// Until when the share that it reserves for silent hosts is valid.
+    reserved_until: Instant,
+    /// The tokens charged for this host since it went silent.
     estimated: f64,
-    /// The part of the rate that it is taken to use while it is silent, as of when it was heard
-    /// last.
+    /// The fraction of the rate that the host is assumed to use while it is silent, computed from
+    /// the demand at its last update.
     share: Option<f64>,
 }
 
-/// What is known of another host by what it told.
-enum Contact {
-    /// It never told anything to this process.
+/// The state of another host, judged by the age of its last update.
+enum Liveness {
+    /// It has never sent an update to this process.
     Unknown,
-    Heard,
-    /// It is taken to go on admitting its share.
+    Alive,
+    /// It is assumed to keep admitting calls within its share.
     Silent,
-    /// It is taken to admit nothing any more.
+    /// It is assumed to admit no calls any more.
     Gone,
 }
 
-fn contact(now: Instant, told: Option<&Told>) -> Contact {
-    match told {
-        None => Contact::Unknown,
-        Some(told) if !told.is_silent(now) => Contact::Heard,
-        Some(told) if now.since(told.at) <= SILENT_SHARE_KEPT => Contact::Silent,
-        Some(_) => Contact::Gone,
+fn liveness(now: Instant, report: Option<&HostReport>) -> Liveness {
+    match report {
+        None => Liveness::Unknown,
+        Some(report) if !report.is_silent(now) => Liveness::Alive,
+        Some(report) if now.since(report.received_at) <= SILENT_SHARE_LIFETIME => Liveness::Silent,
+        Some(_) => Liveness::Gone,
     }
 }
 
-/// The rates of all tenants at this host.
+/// The rate limits of all tenants at this host.
 #[derive(Clone, Debug, Default)]
 pub struct Rates {
     accounts: Map<Box<str>, Account>,
-    told: Map<HostId, Told>,
-    /// The other hosts of the fleet, heard or not.
+    reports: Map<HostId, HostReport>,
+    /// The other hosts of the fleet, reachable or not.
     others: Vec<HostId>,
     ticked: Option<Instant>,
 }
 
 impl Rates {
-    /// Takes over the tenants of a manifest; accounts go on where they stand.
+    /// Applies the tenants of a manifest. Existing buckets keep their levels.
     pub fn configure(&mut self, now: Instant, tenants: &[TenantSpec]) {
         let mut accounts = Map::default();
 
@@ -248,24 +256,24 @@
             let mut account = self.accounts.remove(&tenant.name).unwrap_or_else(|| Account {
                 rate,
                 burst: tenant.burst,
-                level: tenant.burst * FIRST_LEVEL,
+                level: tenant.burst * INITIAL_LEVEL,
                 at: now,
-                fresh_until: now + FRESH,
+                startup_until: now + STARTUP_PERIOD,
                 admitted: 0,
                 arrived: 0,
                 demand: 0.0,
                 others_demand: 0.0,
                 spent: 0.0,
-                marks: VecDeque::new(),
+                samples: VecDeque::new(),
                 withheld: Withheld::default(),
-                unheard_share: 0.0,
-                level_wanted: false,
-                told: None,
+                unreachable_share: 0.0,
+                peers_need_level: false,
+                last_sent: None,
             });
             account.refill(now);
             account.rate = rate;
             account.burst = tenant.burst;
-            account.level = account.level.min(account.most());
+            account.level = account.level.min(account.capacity());
             accounts.insert(tenant.name.clone(), account);
         }
 
@@ -274,130 +282,135 @@
 
     /// Sets the other hosts of the fleet.
     pub fn set_others(&mut self, others: Vec<HostId>) {
-        self.told.retain(|host, _| others.contains(host));
+        self.reports.retain(|host, _| others.contains(host));
         self.others = others;
     }
 
-    /// Takes in what the run `run` of a host tells of its tenants: of all of them, or of those of
-    /// which something has changed.
+    /// Applies an update from the process run `run` of a host. It covers all of its tenants if
+    /// `all` is set, and otherwise those with changes.
     pub fn hear(
         &mut self,
         now: Instant,
         host: HostId,
         run: u64,
         all: bool,
-        news: impl IntoIterator<Item = (Box<str>, TenantNews)>,
+        updates: impl IntoIterator<Item = (Box<str>, TenantNews)>,
     ) {
-        let told = self.told.entry(host).or_default();
-        let is_new = told.base_run.is_none();
-        let same_run = told.base_run == Some(run);
-        if told.is_silent(now) {
-            told.tenants.values_mut().for_each(|tenant| tenant.share = None);
+        let report = self.reports.entry(host).or_default();
+        let is_new = report.baseline_run.is_none();
+        let same_run = report.baseline_run == Some(run);
+        if report.is_silent(now) {
+            report.tenants.values_mut().for_each(|tenant| tenant.share = None);
         }
-        told.at = now;
-        told.counted_until = now;
+        report.received_at = now;
+        report.counted_until = now;
 
         if !same_run && !all {
             return;
         }
-        told.base_run = Some(run);
-        // A new run counts from zero, and has no demand where it tells of none.
+        report.baseline_run = Some(run);
+        // A new run counts from zero; tenants missing from its full update have no demand there.
         let mut corrections = Vec::new();
-        let mut run_before = match same_run {
+        let mut previous_run = match same_run {
             true => Map::default(),
-            false => std::mem::take(&mut told.tenants),
+            false => std::mem::take(&mut report.tenants),
         };
 
-        for (tenant, news) in news {
-            let withheld_until = now + news.withheld.left;
-            let new = ToldTenant { news, withheld_until, estimated: 0.0, share: None };
-            let before = told.tenants.insert(tenant.clone(), new).unwrap_or_default();
+        for (tenant, update) in updates {
+            let reserved_until = now + update.withheld.left;
+            let new = TenantReport { update, reserved_until, estimated: 0.0, share: None };
+            let before = report.tenants.insert(tenant.clone(), new).unwrap_or_default();
             let Some(account) = self.accounts.get_mut(&tenant) else { continue };
             account.refill(now);
-            let admitted = news.admitted as f64 - before.news.admitted as f64;
+            let admitted = update.admitted as f64 - before.update.admitted as f64;
             let taken = match (is_new, same_run) {
-                // What a host admitted before this one first heard of it is in its level.
+                // The level already includes what the host admitted before its first update
+                // arrived.
                 (true, _) => 0.0,
                 (false, true) => admitted - before.estimated,
-                // What the run before admitted in silence nobody can tell any more.
+                // What the previous run admitted while it was silent will never be reported; its
+                // estimate is kept.
                 (false, false) => {
-                    let estimated = run_before.remove(&tenant).map_or(0.0, |b| b.estimated);
+                    let estimated = previous_run.remove(&tenant).map_or(0.0, |b| b.estimated);
                     (admitted - estimated).max(0.0)
                 }
             };
             account.level -= taken;
             account.spent += if is_new { 0.0 } else { admitted };
 
-            let lower = (account.level - news.level).max(0.0);
-            // A new process believes what the others know.
-            if now < account.fresh_until {
-                account.level -= lower;
-            } else if news.hears_all && !account.hears_all() {
-                // So does one that reckons with estimates, of one that does not.
-                account.level -= lower;
-                corrections.push((tenant, lower));
+            let excess = (account.level - update.level).max(0.0);
+            // A new process adopts the lower level of any host.
+            if now < account.startup_until {
+                account.level -= excess;
+            } else if update.hears_all && !account.hears_all() {
+                // A host whose level contains estimates adopts the lower level of one whose level
+                // contains none.
+                account.level -= excess;
+                corrections.push((tenant, excess));
             }
         }
-        for (tenant, lower) in corrections {
-            self.note_unheard(now, &tenant, lower);
+        for (tenant, excess) in corrections {
+            self.add_to_estimates(now, &tenant, excess);
         }
     }
 
-    /// Notes calls that silent hosts admitted beyond what they were taken to, by their shares.
-    fn note_unheard(&mut self, now: Instant, tenant: &str, calls: f64) {
-        let silent = |told: &Told| matches!(contact(now, Some(told)), Contact::Silent);
-        let all: f64 = self.told.values().filter(|t| silent(t)).map(|t| t.share(tenant)).sum();
+    /// Adds calls to the estimates of the silent hosts in proportion to their shares. These hosts
+    /// admitted more than estimated, which the lower level of a host in contact with them has
+    /// shown.
+    fn add_to_estimates(&mut self, now: Instant, tenant: &str, calls: f64) {
+        let silent = |report: &HostReport| matches!(liveness(now, Some(report)), Liveness::Silent);
+        let all: f64 = self.reports.values().filter(|r| silent(r)).map(|r| r.share(tenant)).sum();
 
-        for told in self.told.values_mut().filter(|told| silent(told)) {
-            let part = told.share(tenant) / all.max(f64::MIN_POSITIVE);
-            if let Some(tenant) = told.tenants.get_mut(tenant) {
+        for report in self.reports.values_mut().filter(|report| silent(report)) {
+            let part = report.share(tenant) / all.max(f64::MIN_POSITIVE);
+            if let Some(tenant) = report.tenants.get_mut(tenant) {
                 tenant.estimated += calls * part;
             }
         }
     }
 
-    /// Returns what the other hosts are to be told, and takes note that they were. `all` tells of
-    /// all tenants that had calls here, for hosts that missed something; else only of those of
-    /// which something has changed.
+    /// Returns the updates for the other hosts and records them as sent. With `all`, covers every
+    /// tenant that had calls here, for hosts that missed updates; otherwise only tenants with
+    /// changes.
     pub fn take_news(&mut self, all: bool) -> Vec<(Box<str>, TenantNews)> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
 
         for (name, account) in &mut self.accounts {
-            if !(account.has_news() || (all && account.told.is_some())) {
+            if !(account.has_update() || (all && account.last_sent.is_some())) {
                 continue;
             }
             let Account { admitted, demand, level, withheld, .. } = *account;
             let hears_all = account.hears_all();
-            let tells = TenantNews { admitted, demand, level, withheld, hears_all };
-            account.told = Some(tells);
-            news.push((name.clone(), tells));
+            let update = TenantNews { admitted, demand, level, withheld, hears_all };
+            account.last_sent = Some(update);
+            updates.push((name.clone(), update));
         }
-        news
+        updates
     }
 
-    /// Counts what came since the last tick, and takes out what silent hosts admit. Called
-    /// several times a second.
+    /// Updates the demand with the calls since the last tick, and charges the estimated calls of
+    /// unreachable hosts. Called several times a second.
     pub fn tick(&mut self, now: Instant) {
-        let passed = self.ticked.map_or(Duration::ZERO, |t| now.since(t));
+        let elapsed = self.ticked.map_or(Duration::ZERO, |t| now.since(t));
         self.ticked = Some(now);
 
-        if passed.is_zero() {
+        if elapsed.is_zero() {
             return;
         }
 
-        let others = Others::new(now, passed, &self.others, &self.told);
+        let others = OtherHosts::new(now, elapsed, &self.others, &self.reports);
         for (name, account) in &mut self.accounts {
             account.refill(now);
-            account.smooth(passed);
-            others.take_out_unheard(name, account, &mut self.told);
+            account.smooth(elapsed);
+            others.charge_unreachable(name, account, &mut self.reports);
         }
-        for told in self.told.values_mut().filter(|told| told.is_silent(now)) {
-            told.counted_until = now;
+        for report in self.reports.values_mut().filter(|report| report.is_silent(now)) {
+            report.counted_until = now;
         }
     }
 
-    /// Takes a token for a call of a tenant; tenants without a rate have no limit. `is_new`
-    /// tells that the call begins a program, `waited` how long it has waited so far.
+    /// Takes a token for a call of a tenant. Tenants without a rate are not limited. `is_new` tells
+    /// whether the call starts a program, `waited` how long it has waited so far.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -409,10 +422,10 @@
         account.arrived += u32::from(waited.is_zero());
         account.refill(now);
 
-        let needed = 1.0 + account.reserve(is_new);
+        let needed = 1.0 + account.headroom(is_new);
         if account.level < needed {
-            let after = account.time_to(needed);
-            let longest = if is_new { LONGEST_WAIT_NEW } else { LONGEST_WAIT };
+            let after = account.time_until_level(needed);
+            let longest = if is_new { MAX_WAIT_NEW } else { MAX_WAIT };
 
             return match waited + after <= longest {
                 true => Admission::Wait(after),
@@ -426,7 +439,7 @@
         Admission::Admitted
     }
 
-    /// Returns what decides about a tenant's calls, for the logs.
+    /// Returns the values that determine whether a tenant's calls are admitted, for logging.
     pub fn explain(&self, tenant: &str) -> Option<RateState> {
         let account = self.accounts.get(tenant)?;
 
@@ -435,14 +448,14 @@
             rate: account.rate,
             demand: account.demand,
             others_demand: account.others_demand,
-            withheld: account.unheard_share,
+            withheld: account.unreachable_share,
         })
     }
 
-    /// Gives back the token of a call that has not run and never will.
+    /// Returns the token of a call that has not run and never will.
     pub fn give_back(&mut self, tenant: &str) {
         if let Some(account) = self.accounts.get_mut(tenant) {
-            account.level = (account.level + 1.0).min(account.most());
+            account.level = (account.level + 1.0).min(account.capacity());
             account.admitted = account.admitted.saturating_sub(1);
             account.spent -= 1.0;
         }
@@ -450,61 +463,63 @@
 }
 
 impl Account {
-    /// Marks what is known now, for hosts that turn out to be silent later.
-    fn mark(&mut self, now: Instant) {
+    /// Records a sample of the current state, for hosts that turn out to have gone silent at this
+    /// time.
+    fn record_sample(&mut self, now: Instant) {
         let demand = self.demand + self.others_demand;
-        self.marks.push_back(Mark { at: now, demand, spent: self.spent });
+        self.samples.push_back(Sample { at: now, demand, spent: self.spent });
 
-        while self.marks.get(1).is_some_and(|second| now.since(second.at) > MARKS_KEPT) {
-            self.marks.pop_front();
+        while self.samples.get(1).is_some_and(|second| now.since(second.at) > SAMPLES_KEPT) {
+            self.samples.pop_front();
         }
     }
 
-    /// Returns what was known at a moment, or at the first after it that is marked.
-    fn known_at(&self, at: Instant) -> Mark {
-        let now = Mark { at: self.at, demand: self.demand + self.others_demand, spent: self.spent };
+    /// Returns the first sample taken at or after a time, or the current state if there is none.
+    fn sample_at(&self, at: Instant) -> Sample {
+        let now =
+            Sample { at: self.at, demand: self.demand + self.others_demand, spent: self.spent };
 
-        self.marks.iter().find(|mark| mark.at >= at).copied().unwrap_or(now)
+        self.samples.iter().find(|sample| sample.at >= at).copied().unwrap_or(now)
     }
 
-    /// Returns whether the level rests on what hosts told alone, and on no estimate.
+    /// Returns whether the level contains only reported calls and no estimates.
     fn hears_all(&self) -> bool {
-        self.unheard_share <= 0.0
+        self.unreachable_share <= 0.0
     }
 
-    /// Returns the most tokens that the bucket holds.
-    fn most(&self) -> f64 {
+    /// Returns the capacity of the bucket.
+    fn capacity(&self) -> f64 {
         self.burst.max(1.0)
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.since(self.at).as_secs_f64();
+        let elapsed = now.since(self.at).as_secs_f64();
 
-        self.level = (self.level + passed * self.rate).min(self.most());
+        self.level = (self.level + elapsed * self.rate).min(self.capacity());
         self.at = self.at.max(now);
     }
 
-    fn smooth(&mut self, passed: Duration) {
-        let seen = f64::from(std::mem::take(&mut self.arrived)) / passed.as_secs_f64();
-        let part = 1.0 - (-passed.as_secs_f64() / SMOOTHING.as_secs_f64()).exp();
+    fn smooth(&mut self, elapsed: Duration) {
+        let seen = f64::from(std::mem::take(&mut self.arrived)) / elapsed.as_secs_f64();
+        let part = 1.0 - (-elapsed.as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
 
         self.demand += (seen - self.demand) * part;
     }
 
-    /// Returns what must be left after a call.
+    /// Returns the number of tokens that must remain after a call is admitted.
     ///
-    /// The other hosts may have admitted calls whose news are still on their way. Without this
-    /// reserve a tenant that sends many times its rate gets, at each time when the bucket runs
-    /// dry, as many calls too many as come within that time. The demand counts no more than
-    /// twice the rate: what is beyond it is refused there too.
-    fn reserve(&self, is_new: bool) -> f64 {
+    /// Other hosts may have admitted calls whose updates are still in transit. Without this
+    /// reserve, a tenant that sends many times its rate would exceed it, each time the bucket runs
+    /// empty, by the calls that arrive within [`UPDATE_DELAY`]. The demand counts for at most twice
+    /// the rate, since the other hosts refuse what exceeds that.
+    fn headroom(&self, is_new: bool) -> f64 {
         let others = self.others_demand.min(2.0 * self.rate);
-        let unheard = (others * NEWS_LAG.as_secs_f64()).min(self.most() / 4.0);
+        let in_transit = (others * UPDATE_DELAY.as_secs_f64()).min(self.capacity() / 4.0);
 
-        if is_new { unheard.max(self.most() * KEPT_FOR_PROGRAMS) } else { unheard }
+        if is_new { in_transit.max(self.capacity() * RUNNING_PROGRAMS_RESERVE) } else { in_transit }
     }
 
-    fn time_to(&self, needed: f64) -> Duration {
+    fn time_until_level(&self, needed: f64) -> Duration {
         let seconds = (needed - self.level) / self.rate.max(1e-3);
 
         Duration::from_secs_f64(seconds.clamp(0.01, 60.0))
--- a/crates/policy/src/entry/rates/unheard.rs
+++ b/crates/policy/src/entry/rates/unheard.rs
@@ -1,4 +1,5 @@
-//! What hosts that are not heard are taken to admit.
+//! Estimates of the calls that unreachable hosts admit. A host is unreachable if it is silent, or
+//! has never sent an update to this process.
 
 use std::time::Duration;
 
@@ -6,176 +7,191 @@
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
 
-use super::{Account, Contact, SILENT_SHARE_KEPT, Told, ToldTenant, Withheld, contact};
+use super::{
+    Account, HostReport, Liveness, SILENT_SHARE_LIFETIME, TenantReport, Withheld, liveness,
+};
 
-/// The part of an even share that a host has by its mere being there, when shares are estimated.
-const FLOOR: f64 = 0.25;
+/// The fraction of an even share that each host gets without any demand when shares are estimated.
+const DEMAND_FLOOR: f64 = 0.25;
 
-/// The other hosts in one tick, by what is known of them.
-pub(super) struct Others {
+/// The other hosts during one tick, grouped by the age of their last update.
+pub(super) struct OtherHosts {
     now: Instant,
     /// The time since the last tick.
-    passed: Duration,
-    /// How many hosts there are, this one included.
-    size: f64,
-    heard: Vec<HostId>,
+    elapsed: Duration,
+    /// The number of hosts, this one included.
+    fleet_size: f64,
+    reachable: Vec<HostId>,
     silent: Vec<HostId>,
-    /// How many never told anything to this process.
+    /// The number of hosts that have never sent an update to this process.
     unknown: f64,
 }
 
-impl Others {
+impl OtherHosts {
     pub(super) fn new(
         now: Instant,
-        passed: Duration,
+        elapsed: Duration,
         hosts: &[HostId],
-        told: &Map<HostId, Told>,
+        reports: &Map<HostId, HostReport>,
     ) -> Self {
-        let size = (hosts.len() + 1) as f64;
-        let (heard, silent) = (Vec::new(), Vec::new());
-        let mut others = Self { now, passed, size, heard, silent, unknown: 0.0 };
+        let fleet_size = (hosts.len() + 1) as f64;
+        let (reachable, silent) = (Vec::new(), Vec::new());
+        let mut others = Self { now, elapsed, fleet_size, reachable, silent, unknown: 0.0 };
 
         for host in hosts {
-            match contact(now, told.get(host)) {
-                Contact::Unknown => others.unknown += 1.0,
-                Contact::Heard => others.heard.push(*host),
-                Contact::Silent => others.silent.push(*host),
-                Contact::Gone => {}
+            match liveness(now, reports.get(host)) {
+                Liveness::Unknown => others.unknown += 1.0,
+                Liveness::Alive => others.reachable.push(*host),
+                Liveness::Silent => others.silent.push(*host),
+                Liveness::Gone => {}
             }
         }
         others
     }
 
-    /// Takes out of a tenant's bucket what hosts that are not heard admit by their shares.
-    pub(super) fn take_out_unheard(
+    /// Subtracts from a tenant's bucket the calls that unreachable hosts admit within their shares.
+    pub(super) fn charge_unreachable(
         &self,
         tenant: &str,
         account: &mut Account,
-        told: &mut Map<HostId, Told>,
+        reports: &mut Map<HostId, HostReport>,
     ) {
-        account.others_demand = self.demand(tenant, account, told);
-        account.mark(self.now);
-        account.level_wanted = self.is_level_wanted(tenant, told);
+        account.others_demand = self.others_demand(tenant, account, reports);
+        account.record_sample(self.now);
+        account.peers_need_level = self.peers_need_level(tenant, reports);
         account.withheld = Withheld::default();
-        account.unheard_share = 0.0;
+        account.unreachable_share = 0.0;
         if self.silent.is_empty() && self.unknown <= 0.0 {
             return;
         }
 
-        let newly_silent = self.fix_shares(tenant, account, told);
-        let silent: f64 = self.silent.iter().map(|host| told[host].share(tenant)).sum();
-        let own = silent + self.unknown * self.even_share(account);
-        account.withheld = self.withheld(tenant, silent, told);
-        account.unheard_share = own.max(account.withheld.share).min(self.most_withheld());
-
-        // What goes to a silent host is noted, to be made good when it tells what it admitted.
-        let scale = (account.unheard_share / own.max(f64::MIN_POSITIVE)).min(1.0);
-        let unnoted = account.unheard_share - silent * scale;
-        let mut taken = account.rate * unnoted * self.passed.as_secs_f64();
+        let newly_silent = self.fix_shares(tenant, account, reports);
+        let silent: f64 = self.silent.iter().map(|host| reports[host].share(tenant)).sum();
+        let unreachable = silent + self.unknown * self.even_share(account);
+        account.withheld = self.reserved_share(tenant, silent, reports);
+        account.unreachable_share =
+            unreachable.max(account.withheld.share).min(self.max_unreachable_share());
+
+        // Each silent host's estimate is recorded, and corrected when it reports its admitted
+        // calls.
+        let scale = (account.unreachable_share / unreachable.max(f64::MIN_POSITIVE)).min(1.0);
+        let unrecorded = account.unreachable_share - silent * scale;
+        let mut taken = account.rate * unrecorded * self.elapsed.as_secs_f64();
         for host in &self.silent {
-            let Some(told) = told.get_mut(host) else { continue };
-            let share = told.share(tenant) * scale;
+            let Some(report) = reports.get_mut(host) else { continue };
+            let share = report.share(tenant) * scale;
             let estimated = match newly_silent.contains(host) {
-                true => self.estimate_since_heard(account, told, share),
-                false => account.rate * share * self.passed.as_secs_f64(),
+                true => self.estimate_since_update(account, report, share),
+                false => account.rate * share * self.elapsed.as_secs_f64(),
             };
-            told.tenants.entry(tenant.into()).or_default().estimated += estimated;
+            report.tenants.entry(tenant.into()).or_default().estimated += estimated;
             taken += estimated;
         }
-        account.level = (account.level - taken).max(-account.most());
+        account.level = (account.level - taken).max(-account.capacity());
     }
 
-    /// Returns the most of a rate that is left to hosts that are not heard. Shares that were fixed
-    /// at different moments may be more than all there is.
-    fn most_withheld(&self) -> f64 {
-        let heard = self.heard.len() as f64 + 1.0;
+    /// Returns the largest fraction of a rate that may be charged for unreachable hosts. Shares
+    /// that were fixed at different times may add up to more than the whole rate.
+    fn max_unreachable_share(&self) -> f64 {
+        let reachable = self.reachable.len() as f64 + 1.0;
 
-        1.0 - FLOOR * heard / self.size
+        1.0 - DEMAND_FLOOR * reachable / self.fleet_size
     }
 
-    /// Returns the calls a second that a host counts with by its mere being there.
-    fn floor(&self, account: &Account) -> f64 {
-        FLOOR * account.rate / self.size
+    /// Returns the demand, in calls per second, that each host counts with at least.
+    fn demand_floor(&self, account: &Account) -> f64 {
+        DEMAND_FLOOR * account.rate / self.fleet_size
     }
 
-    /// Returns the share of a host that was never heard: it counts as one with the demand of this
-    /// one, so that hosts that cannot hear each other share evenly.
+    /// Returns the share of a host that has never sent an update. It is assumed to have the same
+    /// demand as this host, so that hosts that cannot reach each other share evenly.
     fn even_share(&self, account: &Account) -> f64 {
-        let all = account.demand + account.others_demand + FLOOR * account.rate;
+        let all = account.demand + account.others_demand + DEMAND_FLOOR * account.rate;
 
-        (account.demand + self.floor(account)) / all
+        (account.demand + self.demand_floor(account)) / all
     }
 
-    /// Returns the calls a second that come to the others.
-    fn demand(&self, tenant: &str, account: &Account, told: &Map<HostId, Told>) -> f64 {
-        let known = self.heard.iter().chain(&self.silent).filter_map(|host| told.get(host));
-        let tenants = known.filter_map(|told| told.tenants.get(tenant));
+    /// Returns the demand at the other hosts, in calls per second.
+    fn others_demand(
+        &self,
+        tenant: &str,
+        account: &Account,
+        reports: &Map<HostId, HostReport>,
+    ) -> f64 {
+        let known = self.reachable.iter().chain(&self.silent).filter_map(|host| reports.get(host));
+        let tenants = known.filter_map(|report| report.tenants.get(tenant));
 
-        tenants.map(|t| t.news.demand).sum::<f64>() + self.unknown * account.demand
+        tenants.map(|t| t.update.demand).sum::<f64>() + self.unknown * account.demand
     }
 
-    fn heard_of<'a>(
+    fn reports_of<'a>(
         &self,
         tenant: &str,
-        told: &'a Map<HostId, Told>,
-    ) -> impl Iterator<Item = &'a ToldTenant> {
-        let heard = self.heard.iter().filter_map(|host| told.get(host));
+        reports: &'a Map<HostId, HostReport>,
+    ) -> impl Iterator<Item = &'a TenantReport> {
+        let reachable = self.reachable.iter().filter_map(|host| reports.get(host));
 
-        heard.filter_map(move |told| told.tenants.get(tenant))
+        reachable.filter_map(move |report| report.tenants.get(tenant))
     }
 
-    /// Returns whether a host that is heard leaves a part to silent ones.
-    fn is_level_wanted(&self, tenant: &str, told: &Map<HostId, Told>) -> bool {
-        self.heard_of(tenant, told).any(|t| t.withheld_until > self.now)
+    /// Returns whether a reachable host reserves a share for silent ones.
+    fn peers_need_level(&self, tenant: &str, reports: &Map<HostId, HostReport>) -> bool {
+        self.reports_of(tenant, reports).any(|t| t.reserved_until > self.now)
     }
 
-    /// Fixes the shares of hosts that have just fallen silent, and returns these hosts.
+    /// Fixes the shares of hosts that have just gone silent, and returns these hosts.
     fn fix_shares(
         &self,
         tenant: &str,
         account: &Account,
-        told: &mut Map<HostId, Told>,
+        reports: &mut Map<HostId, HostReport>,
     ) -> Vec<HostId> {
         let mut newly_silent = Vec::new();
 
         for host in &self.silent {
-            let Some(told) = told.get_mut(host) else { continue };
-            let all = account.known_at(told.at).demand + FLOOR * account.rate;
-            let tenant = told.tenants.entry(tenant.into()).or_default();
+            let Some(report) = reports.get_mut(host) else { continue };
+            let all = account.sample_at(report.received_at).demand + DEMAND_FLOOR * account.rate;
+            let tenant = report.tenants.entry(tenant.into()).or_default();
             if tenant.share.is_none() {
-                tenant.share = Some((tenant.news.demand + self.floor(account)) / all);
+                tenant.share = Some((tenant.update.demand + self.demand_floor(account)) / all);
                 newly_silent.push(*host);
             }
         }
         newly_silent
     }
 
-    /// Returns what is left to silent hosts, whose shares are `silent`. What is never heard may be
-    /// known to others for how much is to be left to it.
-    fn withheld(&self, tenant: &str, silent: f64, told: &Map<HostId, Told>) -> Withheld {
-        let left = |told: &Told| (told.at + SILENT_SHARE_KEPT).since(self.now);
-        let longest = self.silent.iter().map(|host| left(&told[host])).max();
+    /// Returns the share reserved for silent hosts, where `silent` is the sum of their shares. For
+    /// a host that never sent an update to this process, other hosts may know how much to reserve.
+    fn reserved_share(
+        &self,
+        tenant: &str,
+        silent: f64,
+        reports: &Map<HostId, HostReport>,
+    ) -> Withheld {
+        let left =
+            |report: &HostReport| (report.received_at + SILENT_SHARE_LIFETIME).since(self.now);
+        let longest = self.silent.iter().map(|host| left(&reports[host])).max();
         let own = Withheld { share: silent, left: longest.unwrap_or_default() };
         if self.unknown <= 0.0 {
             return own;
         }
 
-        let valid = self.heard_of(tenant, told).filter(|t| t.withheld_until > self.now);
+        let valid = self.reports_of(tenant, reports).filter(|t| t.reserved_until > self.now);
         let theirs = valid.map(|t| Withheld {
-            share: t.news.withheld.share,
-            left: t.withheld_until.since(self.now),
+            share: t.update.withheld.share,
+            left: t.reserved_until.since(self.now),
         });
         theirs.chain([own]).max_by(|a, b| a.share.total_cmp(&b.share)).unwrap_or(own)
     }
 
-    /// Returns what a host admitted from when it was heard last, if it and all that are not heard
-    /// used their shares as much as the hosts that are heard did. They had no more than the bucket
-    /// held, which all knew.
-    fn estimate_since_heard(&self, account: &Account, told: &Told, share: f64) -> f64 {
-        let refilled = account.rate * self.now.since(told.counted_until).as_secs_f64();
-        let here = account.spent - account.known_at(told.at).spent;
-        let alike = here * share / (1.0 - account.unheard_share);
-        let most = (account.most() + refilled) * share / account.unheard_share;
+    /// Estimates the calls that a host has admitted since its last update, assuming that all
+    /// unreachable hosts used their shares to the same degree as the reachable ones. Together they
+    /// had no more than the tokens in the bucket, whose level all hosts knew.
+    fn estimate_since_update(&self, account: &Account, report: &HostReport, share: f64) -> f64 {
+        let refilled = account.rate * self.now.since(report.counted_until).as_secs_f64();
+        let here = account.spent - account.sample_at(report.received_at).spent;
+        let alike = here * share / (1.0 - account.unreachable_share);
+        let most = (account.capacity() + refilled) * share / account.unreachable_share;
 
         alike.min(most).max(refilled * share)
     }
--- a/crates/policy/tests/entry_rates.rs
+++ b/crates/policy/tests/entry_rates.rs
@@ -1,4 +1,5 @@
-//! Rates of tenants over several hosts that tell each other what they admitted.
+//! Fleet-wide rate limits over several hosts that send each other the number of calls they
+//! admitted.
 
 use std::time::Duration;
 
@@ -13,13 +14,13 @@
     TenantSpec { name: "easel".into(), rate: Some(rate), burst, rank: None }
 }
 
-/// Hosts that know each other, in step.
+/// Hosts that know each other and tick at the same time.
 struct Fleet {
     now: Instant,
     hosts: Vec<Rates>,
-    /// The hosts on the far side of a cut.
-    cut: Vec<usize>,
-    /// How often the hosts told each other.
+    /// The hosts on one side of a network partition.
+    partitioned: Vec<usize>,
+    /// The number of rounds in which the hosts sent each other updates.
     rounds: u32,
 }
 
@@ -36,10 +37,11 @@
             })
             .collect();
 
-        Self { now, hosts, cut: Vec::new(), rounds: 0 }
+        Self { now, hosts, partitioned: Vec::new(), rounds: 0 }
     }
 
-    /// Lets a tick pass in which `calls[i]` calls come to host `i`; returns those admitted.
+    /// Advances one tick in which `calls[i]` calls arrive at host `i`; returns how many were
+    /// admitted.
     fn tick(&mut self, calls: &[u32], is_new: bool) -> u32 {
         let mut admitted = 0;
         for (host, calls) in calls.iter().enumerate() {
@@ -53,20 +55,21 @@
         for host in &mut self.hosts {
             host.tick(self.now);
         }
-        self.tell();
+        self.exchange_updates();
         admitted
     }
 
-    fn tell(&mut self) {
+    fn exchange_updates(&mut self) {
         for from in 0..self.hosts.len() {
-            // One in ten tells of all, as hosts do.
+            // Every tenth update is a full one, as in production.
             let all = self.rounds.is_multiple_of(10);
-            let news: Vec<(Box<str>, TenantNews)> = self.hosts[from].take_news(all);
+            let updates: Vec<(Box<str>, TenantNews)> = self.hosts[from].take_news(all);
 
             for to in 0..self.hosts.len() {
-                let is_cut = self.cut.contains(&from) != self.cut.contains(&to);
-                if from != to && !is_cut {
-                    self.hosts[to].hear(self.now, id(from), 1, all, news.clone());
+                let is_partitioned =
+                    self.partitioned.contains(&from) != self.partitioned.contains(&to);
+                if from != to && !is_partitioned {
+                    self.hosts[to].hear(self.now, id(from), 1, all, updates.clone());
                 }
             }
         }
@@ -79,9 +82,10 @@
 }
 
 #[test]
-fn a_tenant_whose_calls_come_in_clumps_to_one_host_is_not_refused_within_its_rate() {
-    // A tenant's callers are hashed to hosts, and a program is ten calls within a second. Shares
-    // of the rate for each host refused the clump; one bucket that all know takes it.
+fn a_burst_of_calls_at_one_host_is_not_refused_within_the_rate() {
+    // Guards against refusing a burst of calls within the rate. A tenant's callers are hashed to
+    // hosts, and a program sends ten calls within a second. A fixed share of the rate per host
+    // would refuse this burst; a bucket whose level all hosts share admits it.
     let mut fleet = Fleet::new(11, &tenant(100.0, 100.0));
     (0..50).for_each(|_| {
         fleet.tick(&[0; 11], false);
@@ -96,8 +100,9 @@
 
 #[test]
 fn a_tenant_that_sends_many_times_its_rate_gets_its_rate_and_burst_over_all_hosts() {
-    // Each host believes the bucket fuller than it is by what the others admitted since their
-    // last news. Over a window that may come to the tolerance of twenty calls and a tenth.
+    // Guards against exceeding the rate through delayed updates: each host's level does not yet
+    // include the calls that others admitted since their last update. The excess within a window
+    // may reach the tolerance of ten percent plus twenty calls.
     let mut fleet = Fleet::new(11, &tenant(150.0, 150.0));
     (0..100).for_each(|_| {
         fleet.tick(&[0; 11], false);
@@ -115,15 +120,16 @@
 }
 
 #[test]
-fn both_sides_of_a_cut_together_keep_to_the_rate() {
-    // A zone is cut off; its callers still reach it, and one tenant sends more than its rate on
-    // both sides. If each side took the whole rate, targets would see it twice.
+fn both_sides_of_a_partition_together_keep_to_the_rate() {
+    // A zone is partitioned from the others, its callers still reach it, and a tenant exceeds its
+    // rate on both sides. If each side admitted the whole rate, targets would receive twice the
+    // rate.
     let mut fleet = Fleet::new(9, &tenant(150.0, 150.0));
     (0..100).for_each(|_| {
         fleet.tick(&[3; 9], false);
     });
 
-    fleet.cut = vec![0, 1, 2];
+    fleet.partitioned = vec![0, 1, 2];
     let admitted: Vec<u32> = (0..120).map(|_| fleet.tick(&[6; 9], false)).collect();
 
     let most = (150.0 * 5.0 + 150.0) * 1.1 + 20.0;
@@ -134,23 +140,24 @@
 }
 
 #[test]
-fn new_programs_are_refused_before_those_under_way() {
-    // A program of which one call is refused fails as a whole. At the edge of the rate the
-    // calls of programs under way still pass while new programs are told to come back.
+fn new_programs_are_refused_before_running_ones() {
+    // A program fails as a whole if one of its calls is refused. Near the limit, calls of running
+    // programs must still be admitted while new programs are refused.
     let mut fleet = Fleet::new(1, &tenant(10.0, 100.0));
     fleet.now = fleet.now + Duration::from_secs(60);
 
     let new: u32 = fleet.tick(&[100], true);
-    let under_way = fleet.tick(&[100], false);
+    let running = fleet.tick(&[100], false);
 
     assert!((60..=66).contains(&new), "{new} new programs");
-    assert!(under_way >= 34, "{under_way} calls under way");
+    assert!(running >= 34, "{running} calls of running programs");
 }
 
 #[test]
-fn news_tell_of_what_changed_and_lose_nothing() {
-    // Seventy tenants, of which three have calls in a round. Told of in full each time, they were
-    // most of what hosts send each other. A host that is new must not count old calls again.
+fn updates_cover_only_changes_and_lose_nothing() {
+    // Guards against updates that repeat unchanged tenants, which were most of the traffic between
+    // hosts with seventy tenants of which three had calls. Also guards against a host that has just
+    // started counting old calls again.
     let mut here = Rates::default();
     let mut there = Rates::default();
     let specs: Vec<_> = (0..70)
@@ -161,33 +168,34 @@
     for spec in &specs {
         here.admit(at(10), &spec.name, false, Duration::ZERO);
     }
-    let whole = here.take_news(true);
+    let full = here.take_news(true);
     here.admit(at(20), "t5", false, Duration::ZERO);
 
     let changed = here.take_news(false);
     there.hear(at(3_000), HostId(1), 7, false, changed.clone());
-    let before_whole = there.explain("t5").unwrap().level;
-    there.hear(at(3_000), HostId(1), 7, true, whole);
+    let before_full = there.explain("t5").unwrap().level;
+    there.hear(at(3_000), HostId(1), 7, true, full);
     there.hear(at(3_000), HostId(1), 7, false, changed.clone());
     let level = |tenant| there.explain(tenant).unwrap().level;
 
     assert_eq!((changed.len(), &*changed[0].0), (1, "t5"));
     assert!(here.take_news(false).is_empty());
     assert_eq!(level("t4") - level("t5"), 1.0);
-    assert!(level("t4") >= before_whole);
+    assert!(level("t4") >= before_full);
 }
 
 #[test]
-fn a_call_of_a_program_under_way_waits_for_its_token() {
-    // A tenant near its rate sends a clump. The bucket lacks one or two tokens, which come within
-    // some hundredths of a second; a tool call that is refused instead ends its whole program.
+fn a_call_of_a_running_program_waits_for_its_token() {
+    // A tenant near its rate sends a burst. The bucket lacks one or two tokens, which become
+    // available within some hundredths of a second. Refusing the tool call instead would fail its
+    // whole program.
     let mut rates = Rates::default();
     rates.configure(Instant(0), &[tenant(100.0, 10.0)]);
     let mut admit = |now, is_new, waited| rates.admit(now, "easel", is_new, waited);
     while admit(Instant(0), false, Duration::ZERO) == Admission::Admitted {}
 
     let Admission::Wait(after) = admit(Instant(0), false, Duration::ZERO) else {
-        panic!("a token comes in ten milliseconds");
+        panic!("a token becomes available within ten milliseconds");
     };
     let now = Instant(0) + after;
     let new = admit(now, true, Duration::ZERO);
@@ -212,7 +220,7 @@
 }
 
 #[test]
-fn a_call_that_did_not_run_counts_for_nothing() {
+fn a_call_that_did_not_run_returns_its_token() {
     let mut rates = Rates::default();
     rates.configure(Instant(0), &[tenant(1.0, 10.0)]);
     let first: Vec<_> =
@@ -228,9 +236,9 @@
 }
 
 #[test]
-fn hosts_that_all_start_anew_do_not_admit_the_burst_again() {
-    // All hosts are killed and start again within a second, in the middle of a window in which
-    // the tenant used its burst.
+fn hosts_that_all_restart_do_not_admit_the_burst_again() {
+    // All hosts are killed and restart within a second, in the middle of a window in which the
+    // tenant has used its burst.
     let spec = tenant(100.0, 100.0);
     let mut before = Fleet::new(11, &spec);
     (0..20).for_each(|_| {
@@ -246,11 +254,12 @@
 }
 
 #[test]
-fn a_cut_refuses_nobody_who_stays_within_the_rate() {
-    // A zone is cut off while a host that was replaced for good still stands in the list, so
-    // that no host ever heard all others. The tenant sends six tenths of its rate throughout.
+fn a_partition_refuses_no_calls_within_the_rate() {
+    // A zone is partitioned from the others while the host list still contains a host that was
+    // replaced for good, so that no host has ever received updates from all others. The tenant
+    // sends six tenths of its rate throughout and must not be refused.
     let mut fleet = Fleet::new(12, &tenant(120.0, 120.0));
-    fleet.cut = vec![11];
+    fleet.partitioned = vec![11];
     let mut calls = [1; 12];
     calls[11] = 0;
     (0..100).for_each(|_| {
@@ -260,10 +269,10 @@
         host.set_others((0..12).map(id).collect());
     }
 
-    fleet.cut = vec![0, 1, 2, 3];
+    fleet.partitioned = vec![0, 1, 2, 3];
     let admitted: u32 = (0..50)
         .map(|round| {
-            // Seven calls a tick over eleven hosts.
+            // Seven calls per tick over eleven hosts.
             let calls: Vec<u32> = (0..11).map(|host| u32::from((host + round) % 11 < 7)).collect();
             fleet.tick(&calls, false)
         })
--- a/crates/policy/tests/entry_rates_cut.rs
+++ b/crates/policy/tests/entry_rates_cut.rs
@@ -1,4 +1,4 @@
-//! Rates of tenants while hosts do not hear each other, and both sides admit calls.
+//! Rate limits during a network partition, while both sides admit calls.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 
 const TENANT: &str = "easel";
 
-/// Calls a second.
+/// The rate in calls per second.
 const RATE: f64 = 270.0;
 const BURST: f64 = 270.0;
 
-/// What the tenant usually sends, and what it sends at eight times that.
+/// The tenant's usual rate of calls, and eight times as much.
 const USUAL: f64 = RATE / 1.6;
 const HOT: f64 = 8.0 * USUAL;
 
@@ -26,11 +26,11 @@
 
 const WINDOW_SECONDS: usize = 5;
 
-/// How long callers take to reach a host that has started.
+/// How long after a host has started its callers reach it.
 const CALLERS_LAG: Duration = Duration::from_millis(300);
 
-/// Returns the most calls that may be admitted in a window.
-fn most() -> f64 {
+/// Returns the largest number of calls that may be admitted in a window.
+fn max_admitted() -> f64 {
     const OVERAGE: f64 = 1.1;
     const TOLERANCE: f64 = 20.0;
 
@@ -45,16 +45,16 @@
     HostId(host as u64 + 1)
 }
 
-/// Takes what a tenant sends, in calls a second, and lets each host have its part of a tick's.
+/// Distributes a tenant's calls over the hosts, tick by tick.
 struct Callers {
-    /// Calls that are due and have not come yet.
+    /// The number of calls that are due but not sent yet; may be fractional.
     due: f64,
     next: usize,
 }
 
 impl Callers {
-    fn send(&mut self, per_second: f64, there: &[usize]) -> Vec<usize> {
-        if there.is_empty() {
+    fn send(&mut self, per_second: f64, hosts: &[usize]) -> Vec<usize> {
+        if hosts.is_empty() {
             return Vec::new();
         }
         self.due += per_second * TICK.as_secs_f64();
@@ -62,7 +62,7 @@
         self.due -= calls as f64;
         self.next += calls;
 
-        (self.next - calls..self.next).map(|call| there[call % there.len()]).collect()
+        (self.next - calls..self.next).map(|call| hosts[call % hosts.len()]).collect()
     }
 }
 
@@ -71,34 +71,34 @@
     run: u64,
     began: Instant,
     rates: Rates,
-    /// The runs of the other hosts that were told of all tenants.
-    told_all: Vec<u64>,
+    /// The process runs of other hosts that have received a full update.
+    fully_updated: Vec<u64>,
 }
 
-/// Hosts that know each other by the store's rows, in step.
+/// Hosts that know each other from the store's rows and tick at the same time.
 struct Fleet {
     now: Instant,
     hosts: Vec<Option<Process>>,
     runs: u64,
-    /// The hosts on the far side of a cut.
-    cut: Vec<usize>,
-    /// Hosts that both sides still reach.
+    /// The hosts on one side of a network partition.
+    partitioned: Vec<usize>,
+    /// The hosts that both sides still reach.
     between: Vec<usize>,
     near_callers: Callers,
     far_callers: Callers,
-    /// The calls admitted in each tick.
+    /// The number of calls admitted in each tick.
     admitted: Vec<u32>,
 }
 
 impl Fleet {
-    /// Returns a fleet in which the tenant has sent its usual for long.
-    fn in_calm() -> Self {
+    /// Returns a fleet in which the tenant has long been sending at its usual rate.
+    fn in_steady_state() -> Self {
         let callers = || Callers { due: 0.0, next: 0 };
         let mut fleet = Self {
             now: Instant::from_millis(1_000),
             hosts: (0..HOSTS).map(|_| None).collect(),
             runs: 0,
-            cut: Vec::new(),
+            partitioned: Vec::new(),
             between: Vec::new(),
             near_callers: callers(),
             far_callers: callers(),
@@ -116,15 +116,15 @@
         rates.configure(self.now, &[tenant()]);
         self.runs += 1;
         self.hosts[host] =
-            Some(Process { run: self.runs, began: self.now, rates, told_all: Vec::new() });
+            Some(Process { run: self.runs, began: self.now, rates, fully_updated: Vec::new() });
     }
 
     fn stop(&mut self, host: usize) {
         self.hosts[host] = None;
     }
 
-    /// Starts hosts again one after the other, each a second after it ended, while the tenant
-    /// goes on.
+    /// Restarts hosts one after the other while the tenant keeps sending; each is down for a
+    /// second.
     fn restart(&mut self, hosts: &[usize], per_second: f64) {
         for host in hosts {
             self.stop(*host);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Lets the tenant send so many calls a second for a time.
+    /// Advances the time while the tenant sends `per_second` calls per second.
     fn run(&mut self, seconds: f64, per_second: f64) {
         let ticks = (seconds * TICKS_PER_SECOND as f64).round() as usize;
 
@@ -145,7 +145,7 @@
     fn tick(&mut self, per_second: f64) {
         let has_callers = |process: &Process| self.now.since(process.began) >= CALLERS_LAG;
         let is_up = |host: &usize| self.hosts[*host].as_ref().is_some_and(has_callers);
-        // Callers of a zone reach its hosts, cut or not.
+        // Callers in a zone reach its hosts even during a partition.
         let (far, near): (Vec<_>, Vec<_>) =
             (0..HOSTS).filter(is_up).partition(|host| ZONE.contains(host));
         let far_part = ZONE.len() as f64 / HOSTS as f64;
@@ -155,7 +155,7 @@
         let now = self.now;
         let mut admitted = 0;
         for host in calls {
-            let process = self.hosts[host].as_mut().expect("callers reach hosts that are up");
+            let process = self.hosts[host].as_mut().expect("callers only reach hosts that are up");
             let admission = process.rates.admit(now, TENANT, false, Duration::ZERO);
             admitted += u32::from(admission == Admission::Admitted);
         }
@@ -165,65 +165,68 @@
         for process in self.hosts.iter_mut().flatten() {
             process.rates.tick(self.now);
         }
-        (0..HOSTS).for_each(|from| self.tell(from));
+        (0..HOSTS).for_each(|from| self.send_updates(from));
     }
 
-    fn tell(&mut self, from: usize) {
-        let Some(mut teller) = self.hosts[from].take() else { return };
-        let changes = teller.rates.take_news(false);
+    fn send_updates(&mut self, from: usize) {
+        let Some(mut sender) = self.hosts[from].take() else { return };
+        let changes = sender.rates.take_news(false);
 
         for to in 0..HOSTS {
             let is_between = self.between.contains(&from) || self.between.contains(&to);
-            let is_cut = !is_between && self.cut.contains(&from) != self.cut.contains(&to);
-            let Some(hearer) = self.hosts[to].as_mut().filter(|_| !is_cut) else { continue };
-            let all = !teller.told_all.contains(&hearer.run);
-            let news = match all {
-                true => teller.rates.take_news(true),
+            let is_partitioned =
+                !is_between && self.partitioned.contains(&from) != self.partitioned.contains(&to);
+            let Some(receiver) = self.hosts[to].as_mut().filter(|_| !is_partitioned) else {
+                continue;
+            };
+            let all = !sender.fully_updated.contains(&receiver.run);
+            let updates = match all {
+                true => sender.rates.take_news(true),
                 false => changes.clone(),
             };
-            hearer.rates.hear(self.now, id(from), teller.run, all, news);
+            receiver.rates.hear(self.now, id(from), sender.run, all, updates);
             if all {
-                teller.told_all.push(hearer.run);
+                sender.fully_updated.push(receiver.run);
             }
         }
-        self.hosts[from] = Some(teller);
+        self.hosts[from] = Some(sender);
     }
 
-    /// Returns the most calls that were admitted in one window.
+    /// Returns the largest number of calls admitted in a window.
     fn worst_window(&self) -> u32 {
         let windows = self.admitted.windows(WINDOW_SECONDS * TICKS_PER_SECOND);
 
-        windows.map(|window| window.iter().sum()).max().expect("a window has passed")
+        windows.map(|window| window.iter().sum()).max().expect("at least one window has passed")
     }
 }
 
 fn assert_within_rate(fleet: &Fleet) {
     let worst = fleet.worst_window();
 
-    assert!(f64::from(worst) <= most(), "{worst} in a window, {} allowed", most());
+    assert!(f64::from(worst) <= max_admitted(), "{worst} in a window, {} allowed", max_admitted());
 }
 
 #[test]
-fn demand_that_grows_on_both_sides_of_a_cut_raises_no_side_s_share() {
-    // Each side sees its own demand grow and the other's stand still. If each takes its share by
-    // that, both shares together are more than the whole.
-    let mut fleet = Fleet::in_calm();
+fn growing_demand_raises_no_share_during_a_partition() {
+    // Each side sees its own demand grow while its knowledge of the other side's is frozen. If each
+    // recomputed its share from that, the shares would add up to more than the whole rate.
+    let mut fleet = Fleet::in_steady_state();
     fleet.run(1.5, HOT);
 
-    fleet.cut = ZONE.to_vec();
+    fleet.partitioned = ZONE.to_vec();
     fleet.run(12.0, HOT);
 
     assert_within_rate(&fleet);
 }
 
 #[test]
-fn hosts_that_hear_both_sides_of_a_cut_let_neither_take_their_share() {
-    // They see what both sides admit, and refuse. If each side then admits their part of the rate
-    // besides its own, it is admitted twice.
-    let mut fleet = Fleet::in_calm();
+fn neither_side_takes_the_share_of_hosts_that_reach_both() {
+    // The hosts that reach both sides see that the rate is used up, and refuse calls. If each side
+    // also admitted the share of these hosts, that share would be admitted twice.
+    let mut fleet = Fleet::in_steady_state();
     fleet.run(1.5, HOT);
 
-    fleet.cut = ZONE.to_vec();
+    fleet.partitioned = ZONE.to_vec();
     fleet.between = vec![8, 9, 10];
     fleet.run(12.0, HOT);
 
@@ -231,13 +234,13 @@
 }
 
 #[test]
-fn a_side_of_a_cut_believes_the_level_of_hosts_that_hear_both() {
-    // Most hosts hear both sides. Shares alone leave their part to each side, and only their level
-    // shows that it was admitted twice.
-    let mut fleet = Fleet::in_calm();
+fn each_side_adopts_the_level_of_hosts_that_reach_both() {
+    // Most hosts reach both sides. By the shares alone, each side would admit the share of these
+    // hosts; only their lower level shows that it was admitted twice.
+    let mut fleet = Fleet::in_steady_state();
     fleet.run(1.5, HOT);
 
-    fleet.cut = ZONE.to_vec();
+    fleet.partitioned = ZONE.to_vec();
     fleet.between = (5..HOSTS).collect();
     fleet.run(12.0, HOT);
 
@@ -245,12 +248,12 @@
 }
 
 #[test]
-fn a_full_bucket_is_not_spent_once_on_each_side_of_a_cut() {
-    // All hosts know a full bucket. Before either side counts the other as silent, each may
-    // spend it.
-    let mut fleet = Fleet::in_calm();
+fn a_full_bucket_is_not_used_up_by_both_sides_of_a_partition() {
+    // The bucket is full at all hosts. Until each side detects that the other is silent, each could
+    // use up the whole bucket.
+    let mut fleet = Fleet::in_steady_state();
 
-    fleet.cut = ZONE.to_vec();
+    fleet.partitioned = ZONE.to_vec();
     fleet.run(0.5, USUAL);
     fleet.run(12.0, HOT);
 
@@ -258,13 +261,13 @@
 }
 
 #[test]
-fn a_host_that_starts_beside_a_cut_leaves_the_far_side_its_share() {
-    // It never heard the far side. If it takes the whole rate for its side, all calls that its
-    // fellows refuse are admitted by it.
-    let mut fleet = Fleet::in_calm();
+fn a_host_that_starts_during_a_partition_leaves_the_other_side_its_share() {
+    // The host has never received updates from the other side. If it admitted the whole rate on its
+    // own side, it would admit all calls that its neighbours refuse.
+    let mut fleet = Fleet::in_steady_state();
     fleet.run(6.0, HOT);
 
-    fleet.cut = ZONE.to_vec();
+    fleet.partitioned = ZONE.to_vec();
     fleet.run(1.0, HOT);
     fleet.restart(&ZONE, HOT);
     fleet.run(5.0, HOT);
@@ -273,51 +276,52 @@
 }
 
 #[test]
-fn calls_that_a_process_admitted_behind_a_cut_count_after_it_started_again() {
-    // The new process knows nothing of them, so nobody ever tells of them.
-    let mut fleet = Fleet::in_calm();
+fn calls_admitted_during_a_partition_count_after_a_restart() {
+    // The new process does not know of these calls, so no host will ever report them.
+    let mut fleet = Fleet::in_steady_state();
     fleet.run(6.0, HOT);
 
-    fleet.cut = ZONE.to_vec();
+    fleet.partitioned = ZONE.to_vec();
     fleet.run(4.0, HOT);
     ZONE.iter().for_each(|host| fleet.start(*host));
     fleet.run(0.2, HOT);
-    fleet.cut = Vec::new();
+    fleet.partitioned = Vec::new();
     fleet.run(5.0, HOT);
 
     assert_within_rate(&fleet);
 }
 
 #[test]
-fn a_new_run_of_a_process_gives_back_nothing_of_what_the_run_before_admitted() {
-    // A new process counts from zero, and tells of no tenant that had no call there yet. What the
-    // process before it told last was taken for the new one's count, and filled every bucket.
+fn a_new_run_of_a_process_returns_no_tokens_of_the_previous_run() {
+    // A new process counts from zero, and its updates omit tenants without calls there. If the last
+    // count of the previous run were taken as the new run's count, the difference would refill the
+    // buckets of all hosts.
     let mut rates = Rates::default();
     let now = Instant::from_millis(10_000);
     rates.configure(Instant(0), &[tenant()]);
-    let told = |admitted| [(TENANT.into(), TenantNews { admitted, ..TenantNews::default() })];
-    rates.hear(Instant::from_millis(100), HostId(2), 1, true, told(0));
-    rates.hear(now, HostId(2), 1, false, told(200));
-    let level = |rates: &Rates| rates.explain(TENANT).expect("it has a rate").level;
+    let update = |admitted| [(TENANT.into(), TenantNews { admitted, ..TenantNews::default() })];
+    rates.hear(Instant::from_millis(100), HostId(2), 1, true, update(0));
+    rates.hear(now, HostId(2), 1, false, update(200));
+    let level = |rates: &Rates| rates.explain(TENANT).expect("the tenant has a rate").level;
     let before = level(&rates);
 
     rates.hear(now, HostId(2), 2, true, []);
-    rates.hear(now, HostId(2), 2, false, told(5));
+    rates.hear(now, HostId(2), 2, false, update(5));
 
     assert_eq!(before - level(&rates), 5.0);
 }
 
 #[test]
-fn a_tenant_at_eight_times_its_usual_keeps_to_its_rate_over_a_cut_and_restarts() {
-    // All at once, as in a release during a cut: the tenant begins before the cut, hosts on both
-    // sides start again within it.
-    let mut fleet = Fleet::in_calm();
+fn eight_times_the_usual_load_keeps_to_the_rate_over_a_partition_and_restarts() {
+    // Combines the faults, as in a release during a partition: the tenant's load rises before the
+    // partition, and hosts on both sides restart during it.
+    let mut fleet = Fleet::in_steady_state();
     fleet.run(1.6, HOT);
 
-    fleet.cut = ZONE.to_vec();
+    fleet.partitioned = ZONE.to_vec();
     fleet.run(1.1, HOT);
     fleet.restart(&[0, 4, 5], HOT);
-    fleet.cut = Vec::new();
+    fleet.partitioned = Vec::new();
     fleet.restart(&[6, 7], HOT);
     fleet.run(3.0, HOT);
 
