--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -9,7 +9,7 @@
 //! rate that it had at its last update. Both sides of a network partition compute the shares from
 //! the demand at that moment, which both knew, so the shares add up to the whole rate and no more.
 
-mod unheard;
+mod estimates;
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
 
-use self::unheard::OtherHosts;
+use self::estimates::OtherHosts;
 
 /// How long a silent host is assumed to keep admitting calls within its share. During a network
 /// partition it does; if the others took over its share at once, both sides together would exceed
