--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -1,5 +1,5 @@
-//! The decisions about calls that an entry host forwards: which route and target, whose rate,
-//! which budget, who waits, and what is kept of a turn.
+//! Decisions of an entry host about the calls that it forwards: the route and target, the tenant's
+//! rate, the program's budget, the order of waiting calls, and which turns are stored.
 
 pub mod attempts;
 pub mod budgets;
--- a/crates/policy/src/entry/attempts.rs
+++ b/crates/policy/src/entry/attempts.rs
@@ -1,9 +1,9 @@
-//! What is known of a call's attempts: whether any target may have run it.
+//! Tracks whether any target may have run a call.
 
 /// The attempts of one call so far.
 ///
-/// A refusal that promises "not run" speaks of the call as a whole. A target that has not run it
-/// says so of its own attempt only: an earlier target, whose answer was lost, may have run it.
+/// A refusal that promises "not run" refers to the call as a whole. A target that did not run it
+/// can only say so about its own attempt: an earlier target whose answer was lost may have run it.
 ///
 /// ```
 /// use camphorwalk_policy::entry::attempts::Attempts;
@@ -21,14 +21,14 @@
 }
 
 impl Attempts {
-    /// Takes in that the call is sent to a target.
+    /// Records that the call is sent to a target.
     pub fn sent(&mut self) {
         self.earlier |= self.last;
         self.last = true;
     }
 
-    /// Takes in that the last attempt has certainly not run: its target says so, or nothing of it
-    /// was sent.
+    /// Records that the last attempt certainly did not run: its target says so, or nothing of the
+    /// call was sent.
     pub fn not_run(&mut self) {
         self.last = false;
     }
--- a/crates/policy/src/entry/crashes.rs
+++ b/crates/policy/src/entry/crashes.rs
@@ -1,4 +1,4 @@
-//! Calls that bring down each target that runs them.
+//! Detects calls that crash each target that runs them.
 
 use std::time::Duration;
 
@@ -6,35 +6,35 @@
 use camphorwalk_core::messages::entry::CrashNews;
 use camphorwalk_core::time::Instant;
 
-/// What a call is known by when it comes again: its route, path, caller and body.
+/// A hash that identifies a call when it is retried: of its route, path, caller and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// After so many targets have gone down under a call, it is sent to no more.
-const MOST_CRASHES: u32 = 3;
+/// The number of target crashes after which a call is sent to no more targets.
+const MAX_CRASHES: u32 = 3;
 
 /// How long a call is remembered after its last crash.
-const REMEMBERED: Duration = Duration::from_secs(120);
+const RECORD_LIFETIME: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    /// The crashes seen by this host.
+    /// The number of crashes that this host saw.
     own: u32,
-    /// The crashes that other hosts told of.
+    /// The number of crashes that other hosts reported.
     others: u32,
     last: Instant,
 }
 
-/// The calls under which targets went down.
+/// The calls that crashed targets.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
     records: Map<Fingerprint, Record>,
-    /// What the other hosts were not told yet.
-    news: Vec<CrashNews>,
+    /// The crashes not yet reported to the other hosts.
+    unreported: Vec<CrashNews>,
 }
 
 impl Crashes {
-    /// Counts a target that went down under a call; returns how many did so far.
+    /// Records that a target crashed while it ran a call; returns the number of crashes so far.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
@@ -45,30 +45,30 @@
     /// assert!(crashes.is_barred(call));
     /// ```
     pub fn count(&mut self, now: Instant, call: Fingerprint) -> u32 {
-        self.records.retain(|_, record| now.since(record.last) < REMEMBERED);
+        self.records.retain(|_, record| now.since(record.last) < RECORD_LIFETIME);
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
         record.own += 1;
         record.last = now;
-        self.news.push(CrashNews { call: call.0, crashes: 1 });
+        self.unreported.push(CrashNews { call: call.0, crashes: 1 });
 
         record.own + record.others
     }
 
-    /// Takes in that targets went down under a call at another host.
-    pub fn hear(&mut self, now: Instant, news: CrashNews) {
-        let call = Fingerprint(news.call);
+    /// Records crashes that another host reported.
+    pub fn hear(&mut self, now: Instant, report: CrashNews) {
+        let call = Fingerprint(report.call);
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
-        record.others += news.crashes;
+        record.others += report.crashes;
         record.last = now;
     }
 
-    /// Takes what the other hosts are to be told.
+    /// Takes the crashes that have not been reported to the other hosts yet.
     pub fn take_news(&mut self) -> Vec<CrashNews> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.unreported)
     }
 
-    /// Returns whether a call is sent to no more targets.
+    /// Returns whether a call has crashed so many targets that it must not be sent to another one.
     pub fn is_barred(&self, call: Fingerprint) -> bool {
-        self.records.get(&call).is_some_and(|record| record.own + record.others >= MOST_CRASHES)
+        self.records.get(&call).is_some_and(|record| record.own + record.others >= MAX_CRASHES)
     }
 }
--- a/crates/policy/src/entry/manifests.rs
+++ b/crates/policy/src/entry/manifests.rs
@@ -1,56 +1,56 @@
-//! From whom a host gets a newer manifest: the store, or another host that has it.
+//! Decides whether a host gets a newer manifest from the store or from another host.
 //!
-//! The store brings it to each host, and a second copy takes as much of a slow link as the first,
-//! behind which all else waits. So another host is asked only if the store does not bring it, and
-//! one at a time.
+//! The store sends each manifest to all hosts. A second copy uses as much bandwidth of a slow link
+//! as the first and delays all other traffic on it. Another host is therefore asked only if the
+//! store does not deliver the manifest, and only one host at a time.
 
 use std::time::Duration;
 
 use camphorwalk_core::time::Instant;
 
-/// How long the store may let a host wait for the next part of a manifest that others have: it
-/// tells all hosts within some milliseconds.
+/// How long a host waits for the store to deliver the next part of a manifest that other hosts
+/// have. The store normally reaches all hosts within some milliseconds.
 const STORE_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long the store may take for a manifest that others have, however it goes on: a transfer that
-/// begins again and again never ends.
+/// How long the store may take in all to deliver a manifest that other hosts have, whatever
+/// progress it makes: a transfer that keeps restarting never ends.
 const STORE_TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The longest that a question to another host is kept up. That host may send to several, each over
-/// a slow link.
+/// How long a request to another host is kept open. That host may be sending to several hosts, each
+/// over a slow link.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long news may still arrive that another host sent before it took a question.
-const NEWS_UNDER_WAY: Duration = Duration::from_secs(1);
+/// How long updates may still arrive that another host sent before it received a request.
+const UPDATE_DELIVERY_TIME: Duration = Duration::from_secs(1);
 
-/// What a host knows of a manifest that is newer than the one in force.
+/// What a host knows about a manifest that may be newer than the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Newer {
-    /// The version that another host has.
+    /// The version in force at another host.
     pub version: u64,
-    /// The version in force; 0 for none.
+    /// The version in force at this host; 0 for none.
     pub own: u64,
-    /// When the other host told of it.
+    /// When the other host reported the version.
     pub heard: Instant,
-    /// Whether the store answers this host.
+    /// Whether the store currently answers this host.
     pub store_answers: bool,
-    /// When a part of a manifest came from the store last, or was done with, and the next was
-    /// asked for.
+    /// The last time a part of a manifest arrived from the store, or was processed and the next one
+    /// requested.
     pub last_progress: Option<Instant>,
 }
 
-/// What to do for a newer manifest.
+/// The next step to get a newer manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Nothing: it is in force.
+    /// None: this version or a later one is already in force.
     Nothing,
-    /// Look again after this time: the store may bring it.
+    /// Check again after this time; the store may still deliver it.
     Wait(Duration),
-    /// Ask another host that has it.
+    /// Request it from another host that has it.
     AskPeer,
 }
 
-/// Returns what to do for a newer manifest.
+/// Returns the next step to get a newer manifest.
 ///
 /// ```
 /// use std::time::Duration;
@@ -78,20 +78,20 @@
     }
 }
 
-/// What to do about a question to another host that is not answered yet.
+/// What to do about an unanswered request to another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// Its answer may be under way.
+    /// Keep waiting: the answer may be in transit.
     Wait,
-    /// No answer will come.
+    /// Give up: no answer will arrive.
     GiveUp,
 }
 
-/// Returns what to do about a question that was put at `asked` to a host whose last news came at
-/// `heard`, if any did.
+/// Returns what to do about a request that was sent at `asked` to a host whose last update arrived
+/// at `heard`, if any did.
 ///
-/// Messages of a host arrive in order, so no news come while a long answer is under way. News that
-/// were sent after the question was received show that no answer will come.
+/// Messages from a host arrive in order, so no updates arrive while it sends a long answer. Updates
+/// that were sent after the host received the request therefore show that no answer will come.
 ///
 /// ```
 /// use camphorwalk_core::time::Instant;
@@ -101,7 +101,7 @@
 /// assert_eq!(question(at(2_000), at(0), Some(at(1_900))), Question::GiveUp);
 /// ```
 pub fn question(now: Instant, asked: Instant, heard: Option<Instant>) -> Question {
-    let is_overtaken = heard.is_some_and(|at| at.since(asked) >= NEWS_UNDER_WAY);
+    let is_overtaken = heard.is_some_and(|at| at.since(asked) >= UPDATE_DELIVERY_TIME);
 
     match is_overtaken || now.since(asked) >= REQUEST_TIMEOUT {
         true => Question::GiveUp,
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -1,9 +1,9 @@
-//! Which target gets a call.
+//! Chooses the target for each call.
 //!
-//! A host knows what it sent itself, and several times a second hears what the others have in
-//! flight at each target. From that it estimates for each target how long the call would take
-//! there: the prompt parts that are not cached, the generation at the target's own speed, and
-//! the wait behind what is in flight beyond its slots.
+//! A host knows the calls that it sent itself, and several times a second receives the number of
+//! calls that the other hosts have in flight at each target. From these it estimates what the call
+//! would cost at each target: the time to read the prompt parts that are not cached, the time it
+//! and the running calls delay each other, and the wait while the target's slots are full.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,154 +15,157 @@
 use slotmap::SlotMap;
 
 use crate::entry::prompts::{Part, Prompts};
-use crate::entry::work::Work;
+use crate::entry::work::CallStats;
 
 slotmap::new_key_type! {
-    /// A run of a target, as this host knows it.
+    /// Identifies one run of a target within this host.
     pub struct TargetKey;
 }
 
-/// What a target in another availability zone costs more, in milliseconds: the way there and
-/// back, and the price of the bytes.
-const FAR_MS: f64 = 4.0;
+/// The extra cost of a target in another availability zone, in milliseconds: the round trip, and
+/// the price of the traffic.
+const CROSS_ZONE_COST_MS: f64 = 4.0;
 
-/// How likely a target of another availability zone is drawn, against one of the host's own with as
-/// many free slots. A line that begins there sends each prompt across, is known by older news,
-/// and breaks when the zone is cut off; but a zone's callers may need more than its targets have.
-const FAR_WEIGHT: f64 = 0.25;
+/// The weight of a target in another availability zone in the random draw, relative to one in the
+/// host's own zone with as many free slots. A conversation that starts there sends each prompt
+/// across zones, relies on older updates, and breaks if the zones are partitioned. The weight is
+/// not zero, since a zone's callers may need more capacity than its own targets have.
+const CROSS_ZONE_WEIGHT: f64 = 0.25;
 
-/// How likely a target without a free slot is drawn, against one with a single free slot.
-const FULL_WEIGHT: f64 = 0.05;
+/// The weight of a target without free slots in the random draw, relative to one with a single free
+/// slot.
+const FULL_TARGET_WEIGHT: f64 = 0.05;
 
-/// How many calls beyond its slots a target may have before calls wait at the hosts. A few keep
-/// a slot from standing idle between two calls; more would wait in the order of their arrival
-/// instead of that of their rank.
-const QUEUED_AT_TARGET: u32 = 2;
+/// How many calls beyond its slots a target may have before calls wait at the hosts. A few keep a
+/// slot from staying idle between two calls; more would be served in the order of arrival instead
+/// of by rank.
+const MAX_QUEUED_AT_TARGET: u32 = 2;
 
-/// After so many failures in a row a target gets no calls for a while.
+/// The number of consecutive failures after which a target is ejected, that is gets no calls for a
+/// while.
 const FAILURES_TO_EJECT: u32 = 2;
 
-/// How long a target gets no calls after it failed, the first time and at most. A target that
-/// crashed is back after some seconds.
+/// The duration of the first ejection of a target, and the maximum. A target that crashed is back
+/// after some seconds.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 
-/// What of its time a call saves at a target that handled its object of late.
-const WARM_PART: f64 = 0.5;
+/// The fraction of its time that a call saves at a target that recently handled the same object.
+const SAVING_FOR_KNOWN_OBJECT: f64 = 0.5;
 
-/// A target as this host sees it.
+/// A target, as known to this host.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What it says of itself.
+    /// The entry that the target registered.
     pub entry: TargetEntry,
     /// A hash of its id.
-    name: u64,
-    /// Whether its entry is gone or says that it leaves: it gets nothing new.
+    id_hash: u64,
+    /// Whether the entry is gone or draining. Such a target gets no new calls.
     pub leaving: bool,
-    /// Calls of this host in flight.
-    own: u32,
-    /// Calls of the other hosts in flight, as they last told.
-    others: u32,
+    /// The number of calls that this host has in flight there.
+    own_calls: u32,
+    /// The number of calls that the other hosts have in flight there, by their last updates.
+    others_calls: u32,
     failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
     prompts: Prompts,
-    /// The last parts of the prompts that were sent here, which the other hosts are to be told.
-    news: Vec<Part>,
+    /// The last parts of the prompts that this host sent there, not yet reported to the other
+    /// hosts.
+    unreported_parts: Vec<Part>,
 }
 
-/// The part of a target's slots up to which calls of new programs go there, by rank: the first
-/// rank, and all others.
+/// The fraction of a target's slots up to which new programs may start there: for the first rank,
+/// and for all others.
 ///
-/// When many users come at once, programs that are begun take longer and longer, until all are
-/// late and none is refused. With a part of the slots left to programs under way those finish
-/// in time, and a new one is told at once to come back. The first rank may take more, so that it
-/// is served first.
-const NEW_PROGRAMS_PART: [f64; 2] = [0.95, 0.85];
+/// Without this limit, when many users arrive at once, all programs slow down until all are late,
+/// and none is refused. With some slots left to running programs, those finish in time, and a new
+/// one is refused at once. The limit is higher for the first rank, so that it is served first.
+const NEW_PROGRAMS_TARGET_LIMIT: [f64; 2] = [0.95, 0.85];
 
-/// The part of all slots of a service up to which new programs begin, by rank as above. What is left
-/// takes the turns of those under way, which come in clumps.
-const CROWDED_PART: [f64; 2] = [0.9, 0.8];
+/// The fraction of all slots of a service up to which new programs start, by rank as above. The
+/// remainder absorbs bursts of turns of running programs.
+const NEW_PROGRAMS_SERVICE_LIMIT: [f64; 2] = [0.9, 0.8];
 
-/// What is asked of a target.
+/// What a call needs from a target.
 #[derive(Clone, Debug, Default)]
 pub struct Shape {
-    /// The rank of the call if it begins a program.
+    /// The rank of the call if it starts a program.
     pub begins: Option<u32>,
-    /// The prompt parts, in order. While they are read, all calls at the target stand still.
+    /// The prompt parts, in order. While a target reads a prompt, its other calls make no progress.
     pub parts: Vec<Part>,
-    /// The object that the call is about, of a call without a prompt.
+    /// The object that the call refers to, for a call without a prompt.
     pub object: Option<u64>,
-    /// Targets that the call was sent to already.
+    /// The targets that the call was already sent to.
     pub avoid: Vec<TargetKey>,
-    /// What is drawn by for a call without a prompt: different for each.
+    /// The seed of the random draw for a call without a prompt; different for each call.
     pub seed: u64,
 }
 
 impl Shape {
-    /// Returns what targets are drawn by. For a line of turns it is the same at all hosts, so that
-    /// they draw the same target for it if they know the same.
-    fn draw(&self) -> u64 {
+    /// Returns the seed of the random draw. All turns of a conversation use the same seed at all
+    /// hosts, so hosts with the same knowledge draw the same target for it.
+    fn draw_seed(&self) -> u64 {
         self.parts.last().map_or(self.seed, |(id, _)| *id)
     }
 
-    /// Returns the most calls that a target with so many slots may have for this one to go there.
+    /// Returns the number of calls below which a target with `slots` slots accepts this one.
     fn limit(&self, slots: u32) -> u32 {
         match self.begins {
-            None => slots + QUEUED_AT_TARGET,
+            None => slots + MAX_QUEUED_AT_TARGET,
             Some(rank) => {
-                let part = NEW_PROGRAMS_PART[usize::from(rank > 0)];
-                // Truncated, but a target of few slots takes one call at least.
+                let part = NEW_PROGRAMS_TARGET_LIMIT[usize::from(rank > 0)];
+                // Rounded down, but even a target with few slots accepts one call.
                 ((f64::from(slots) * part) as u32).max(1)
             }
         }
     }
 }
 
-/// Where a call goes.
+/// The outcome of choosing a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// To this target.
+    /// Send the call to this target.
     Target(TargetKey),
-    /// All that could take it are full: it waits.
+    /// All usable targets are full; the call has to wait.
     Full,
-    /// No target of the service can be used.
+    /// No target of the service is usable.
     Nowhere,
 }
 
-/// How a call at a target ended.
+/// How a call to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered, after the call held its slot this long.
+    /// The target answered, after the call occupied a slot for this time.
     Answered(Duration),
-    /// It refused the call without running it: it is full.
+    /// The target is full and rejected the call without running it.
     Shed,
-    /// The connection failed, or nothing came in time.
+    /// The connection failed, or no answer arrived in time.
     Failed,
-    /// The call ended for reasons of its own: the caller left.
+    /// The call ended for a reason other than the target: the caller went away.
     Left,
 }
 
-/// All targets.
+/// All known targets, and their load.
 #[derive(Debug, Default)]
 pub struct Targets {
     targets: SlotMap<TargetKey, Target>,
     by_id: Map<Box<str>, TargetKey>,
     by_service: Map<Box<str>, Vec<TargetKey>>,
-    work: Map<Box<str>, Work>,
+    stats: Map<Box<str>, CallStats>,
     zone: Box<str>,
-    told: Map<HostId, Map<Box<str>, u32>>,
-    /// The calls under way that wait at other hosts, by host and service.
-    waiting: Map<HostId, Map<Box<str>, u32>>,
+    calls_by_host: Map<HostId, Map<Box<str>, u32>>,
+    /// The number of calls of running programs that wait at each other host, by service.
+    waiting_by_host: Map<HostId, Map<Box<str>, u32>>,
 }
 
 impl Targets {
-    /// Begins with no targets; `zone` is the host's own.
+    /// Creates an empty set of targets; `zone` is the host's own zone.
     pub fn new(zone: &str) -> Self {
         Self { zone: zone.into(), ..Self::default() }
     }
 
-    /// Returns a target.
+    /// Returns the target with this key, unless its run is over.
     pub fn get(&self, key: TargetKey) -> Option<&Target> {
         self.targets.get(key)
     }
@@ -172,14 +175,15 @@
         self.targets.get(*self.by_id.get(id)?)
     }
 
-    /// Returns the targets of a service that may get calls.
+    /// Returns the targets of a service that are not draining.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = (TargetKey, &Target)> {
         let keys = self.by_service.get(service).into_iter().flatten();
 
         keys.filter_map(|key| Some((*key, self.targets.get(*key)?))).filter(|(_, t)| !t.leaving)
     }
 
-    /// Takes in an entry; returns the key of a former run whose connections are to be closed.
+    /// Adds or updates a target from its entry. Returns the key of the previous run if the target
+    /// was restarted; its connections must be closed.
     pub fn put(&mut self, entry: TargetEntry) -> Option<TargetKey> {
         let leaving = entry.state == TargetState::Draining;
 
@@ -193,7 +197,7 @@
                 known.entry = entry;
                 known.leaving = leaving;
                 if moved {
-                    self.index();
+                    self.rebuild_index();
                 }
                 return None;
             }
@@ -210,25 +214,25 @@
     fn insert(&mut self, entry: TargetEntry, leaving: bool) {
         let id = entry.id.clone();
         let service = entry.service.clone();
-        let others = self.told.values().filter_map(|told| told.get(&id)).sum();
+        let others_calls = self.calls_by_host.values().filter_map(|calls| calls.get(&id)).sum();
         let key = self.targets.insert(Target {
-            name: stable_hash(&[id.as_bytes()]),
+            id_hash: stable_hash(&[id.as_bytes()]),
             entry,
             leaving,
-            own: 0,
-            others,
+            own_calls: 0,
+            others_calls,
             failures: 0,
             ejections: 0,
             ejected_until: None,
             prompts: Prompts::default(),
-            news: Vec::new(),
+            unreported_parts: Vec::new(),
         });
 
         self.by_id.insert(id, key);
         self.by_service.entry(service).or_default().push(key);
     }
 
-    /// Takes in that a target's entry is gone: it gets nothing new, and is forgotten.
+    /// Removes a target whose entry is gone. Returns its key if it was known.
     pub fn gone(&mut self, id: &str) -> Option<TargetKey> {
         let key = self.by_id.get(id).copied()?;
         self.remove(key);
@@ -239,11 +243,11 @@
     fn remove(&mut self, key: TargetKey) {
         if let Some(target) = self.targets.remove(key) {
             self.by_id.remove(&target.entry.id);
-            self.index();
+            self.rebuild_index();
         }
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.by_service.clear();
 
         for (key, target) in &self.targets {
@@ -251,239 +255,247 @@
         }
     }
 
-    /// Returns what this host has in flight at each target, to be told to the others.
+    /// Returns the number of calls that this host has in flight at each target, for the update to
+    /// the other hosts.
     pub fn in_flight(&self) -> impl Iterator<Item = (&str, u32)> {
-        self.targets.values().filter(|t| t.own > 0).map(|t| (&*t.entry.id, t.own))
+        self.targets.values().filter(|t| t.own_calls > 0).map(|t| (&*t.entry.id, t.own_calls))
     }
 
-    /// Takes in what another host has in flight by target, and what waits there by service;
-    /// empty maps if it is silent.
+    /// Sets another host's calls in flight by target, and its waiting calls by service. Both are
+    /// empty for a silent host.
     pub fn hear(
         &mut self,
         host: HostId,
         in_flight: Map<Box<str>, u32>,
         waiting: Map<Box<str>, u32>,
     ) {
-        // Only what this host tells is taken out and put in: each message costs as much as it
-        // names targets, however many hosts and targets there are.
-        for (id, calls) in self.told.remove(&host).unwrap_or_default() {
-            self.change_others(&id, |others| others.saturating_sub(calls));
+        // Applies only the difference for this host, so the cost depends on the number of targets
+        // in the update and not on the number of hosts or targets in the fleet.
+        for (id, calls) in self.calls_by_host.remove(&host).unwrap_or_default() {
+            self.change_others_calls(&id, |others| others.saturating_sub(calls));
         }
         for (id, calls) in &in_flight {
-            self.change_others(id, |others| others + calls);
+            self.change_others_calls(id, |others| others + calls);
         }
-        self.told.insert(host, in_flight);
-        self.waiting.insert(host, waiting);
+        self.calls_by_host.insert(host, in_flight);
+        self.waiting_by_host.insert(host, waiting);
     }
 
-    fn change_others(&mut self, id: &str, change: impl FnOnce(u32) -> u32) {
+    fn change_others_calls(&mut self, id: &str, change: impl FnOnce(u32) -> u32) {
         let target = self.by_id.get(id).and_then(|key| self.targets.get_mut(*key));
 
         if let Some(target) = target {
-            target.others = change(target.others);
+            target.others_calls = change(target.others_calls);
         }
     }
 
-    /// Takes in that another host sent prompts to a target, of which these are the last parts.
+    /// Records the last parts of prompts that another host sent to a target.
     pub fn learn(&mut self, id: &str, parts: &[Part]) {
         let target = self.by_id.get(id).and_then(|key| self.targets.get_mut(*key));
 
         if let Some(target) = target {
-            parts.iter().for_each(|part| target.prompts.remember(*part));
+            parts.iter().for_each(|part| target.prompts.insert(*part));
         }
     }
 
-    /// Returns the last parts of the prompts that this host sent to each target since it was last
-    /// asked, by target id.
+    /// Takes the last parts of the prompts that this host sent to each target since the previous
+    /// call, by target id.
     pub fn take_news(&mut self) -> Vec<(Box<str>, Vec<Part>)> {
-        let targets = self.targets.values_mut().filter(|target| !target.news.is_empty());
+        let targets =
+            self.targets.values_mut().filter(|target| !target.unreported_parts.is_empty());
 
-        targets.map(|t| (t.entry.id.clone(), std::mem::take(&mut t.news))).collect()
+        targets.map(|t| (t.entry.id.clone(), std::mem::take(&mut t.unreported_parts))).collect()
     }
 
-    /// Chooses the target of a service for a call: of those that hold its prompt and two others
-    /// the one at which it costs least time, its own and that of the calls that run there.
+    /// Chooses the target of a service for a call: the one with the lowest cost, to the call itself
+    /// and to the calls that run there, among the targets that hold its prompt and two others.
     ///
-    /// What others have in flight is known by news that are as old as a call is long. If all hosts
-    /// took the target that seems best, they would all take the same one until the next news. So
-    /// the two others are drawn, each target as likely as it has free slots.
+    /// The load that other hosts cause is known only from updates, which are about as old as a call
+    /// is long. If all hosts chose the target that seems best, they would all choose the same one
+    /// until the next update. The two others are therefore drawn at random, weighted by their free
+    /// slots.
     pub fn choose(&self, now: Instant, service: &str, shape: &Shape) -> Choice {
         let usable = |(key, target): &(TargetKey, &Target)| {
             !shape.avoid.contains(key) && !target.is_ejected(now)
         };
-        let is_held_back = shape.begins.is_some_and(|rank| self.is_crowded(now, service, rank))
-            || shape.begins.is_some() && self.is_awaited(service);
-        let work = self.work(service);
-        let draw = shape.draw();
-        let mut any = false;
-        let mut holder: Option<(f64, TargetKey)> = None;
+        let is_postponed =
+            shape.begins.is_some_and(|rank| self.is_too_busy_to_start(now, service, rank))
+                || shape.begins.is_some() && self.has_turns_waiting_elsewhere(service);
+        let stats = self.stats(service);
+        let seed = shape.draw_seed();
+        let mut any_usable = false;
+        let mut best_holder: Option<(f64, TargetKey)> = None;
         let mut drawn: [Option<(f64, TargetKey)>; 2] = [None; 2];
 
         for (key, target) in self.of_service(service).filter(usable) {
-            any = true;
+            any_usable = true;
 
-            if is_held_back || !target.has_room(shape) {
+            if is_postponed || !target.has_room(shape) {
                 continue;
             }
-            if target.holds_line(shape) {
-                keep_least(&mut holder, (self.cost(target, &work, shape), key));
+            if target.holds_prompt_or_object(shape) {
+                keep_cheapest(&mut best_holder, (self.cost(target, &stats, shape), key));
             }
-            let nearness = if self.is_near(target) { 1.0 } else { FAR_WEIGHT };
-            let place = target.draw(draw, shape) / nearness;
-            if drawn[0].is_none_or(|(first, _)| place < first) {
-                drawn = [Some((place, key)), drawn[0]];
+            let zone_weight = if self.is_in_own_zone(target) { 1.0 } else { CROSS_ZONE_WEIGHT };
+            let position = target.draw_position(seed, shape) / zone_weight;
+            if drawn[0].is_none_or(|(first, _)| position < first) {
+                drawn = [Some((position, key)), drawn[0]];
             } else {
-                keep_least(&mut drawn[1], (place, key));
+                keep_cheapest(&mut drawn[1], (position, key));
             }
         }
 
-        let mut best = holder;
+        let mut best = best_holder;
         for (_, key) in drawn.into_iter().flatten() {
-            keep_least(&mut best, (self.cost(&self.targets[key], &work, shape), key));
+            keep_cheapest(&mut best, (self.cost(&self.targets[key], &stats, shape), key));
         }
         match best {
             Some((_, key)) => Choice::Target(key),
-            None if any => Choice::Full,
+            None if any_usable => Choice::Full,
             None => Choice::Nowhere,
         }
     }
 
-    fn cost(&self, target: &Target, work: &Work, shape: &Shape) -> f64 {
-        let way = if self.is_near(target) { 0.0 } else { FAR_MS };
+    fn cost(&self, target: &Target, stats: &CallStats, shape: &Shape) -> f64 {
+        let zone_cost = if self.is_in_own_zone(target) { 0.0 } else { CROSS_ZONE_COST_MS };
 
-        target.cost(work, shape) + way
+        target.cost(stats, shape) + zone_cost
     }
 
-    fn is_near(&self, target: &Target) -> bool {
+    fn is_in_own_zone(&self, target: &Target) -> bool {
         target.entry.zone == self.zone
     }
 
-    fn work(&self, service: &str) -> Work {
-        self.work.get(service).copied().unwrap_or_default()
+    fn stats(&self, service: &str) -> CallStats {
+        self.stats.get(service).copied().unwrap_or_default()
     }
 
-    /// Returns whether a service's targets together have no room for a new program of a rank.
+    /// Returns whether a service is too busy, over all its targets, to start a new program of this
+    /// rank.
     ///
-    /// One of many targets mostly has a free slot, by news that are a tenth of a second old, while
-    /// the others are over their full slots: the mean of all tells how fast programs get on.
-    fn is_crowded(&self, now: Instant, service: &str, rank: u32) -> bool {
+    /// With updates that are a tenth of a second old, one of many targets nearly always seems to
+    /// have a free slot while the others are overloaded. The average over all targets shows how
+    /// fast programs really progress.
+    fn is_too_busy_to_start(&self, now: Instant, service: &str, rank: u32) -> bool {
         let (slots, load) = self.capacity(now, service);
 
-        f64::from(load) >= f64::from(slots) * CROWDED_PART[usize::from(rank > 0)]
+        f64::from(load) >= f64::from(slots) * NEW_PROGRAMS_SERVICE_LIMIT[usize::from(rank > 0)]
     }
 
-    /// Returns whether turns under way wait for a service at other hosts. One or two may wait for
-    /// one target although others are free.
-    fn is_awaited(&self, service: &str) -> bool {
-        const MOST_WAITING: u32 = 2;
-        let waiting = self.waiting.values().filter_map(|waiting| waiting.get(service));
+    /// Returns whether turns of running programs wait for a service at other hosts. One or two are
+    /// ignored, since they may wait for one target although others are free.
+    fn has_turns_waiting_elsewhere(&self, service: &str) -> bool {
+        const MAX_WAITING: u32 = 2;
+        let waiting = self.waiting_by_host.values().filter_map(|waiting| waiting.get(service));
 
-        waiting.sum::<u32>() > MOST_WAITING
+        waiting.sum::<u32>() > MAX_WAITING
     }
 
-    /// Returns the mean time that a call holds a slot of a service's targets.
+    /// Returns the mean time for which a call occupies a slot at a service's targets.
     pub fn mean_hold(&self, service: &str) -> Duration {
-        Duration::from_secs_f64(self.work(service).hold_ms() / 1_000.0)
+        Duration::from_secs_f64(self.stats(service).slot_ms() / 1_000.0)
     }
 
-    /// Counts a call that is sent to a target. Returns the prompt tokens that are to be read.
+    /// Records that a call was sent to a target. Returns the number of prompt tokens to be read
+    /// there.
     pub fn sent(&mut self, key: TargetKey, shape: &Shape) -> u32 {
         let Some(target) = self.targets.get_mut(key) else { return 0 };
-        target.own += 1;
+        target.own_calls += 1;
         if let Some(object) = shape.object {
-            target.prompts.remember((object, 1));
+            target.prompts.insert((object, 1));
         }
         let Some(last) = shape.parts.last() else { return 0 };
 
-        let missing = target.prompts.missing(&shape.parts);
-        shape.parts.iter().for_each(|part| target.prompts.remember(*part));
-        target.news.push(*last);
-        work_of(&mut self.work, &target.entry.service).sent(missing);
+        let missing = target.prompts.missing_tokens(&shape.parts);
+        shape.parts.iter().for_each(|part| target.prompts.insert(*part));
+        target.unreported_parts.push(*last);
+        stats_of(&mut self.stats, &target.entry.service).record_missing_tokens(missing);
 
         missing
     }
 
-    /// Takes in that the first event of a stream came `waited` after it was sent, while `missing`
-    /// prompt tokens were read.
+    /// Records that the first event of a stream arrived `waited` after the call was sent, with
+    /// `missing` prompt tokens to be read.
     pub fn began(&mut self, key: TargetKey, missing: u32, waited: Duration) {
         let Some(target) = self.targets.get(key) else { return };
 
-        // Behind full slots the time is that of others.
+        // If the slots are full, the time includes the wait for other calls.
         if target.load() <= target.entry.slots {
-            work_of(&mut self.work, &target.entry.service).read(missing, waited);
+            stats_of(&mut self.stats, &target.entry.service).record_prompt_read(missing, waited);
         }
     }
 
-    /// Takes in that a target made `events` events after the first one in this time.
+    /// Records that a target generated `events` events after the first one in the time `took`.
     pub fn made(&mut self, key: TargetKey, events: u32, took: Duration) {
         if let Some(target) = self.targets.get(key) {
-            work_of(&mut self.work, &target.entry.service).made(events, took);
+            stats_of(&mut self.stats, &target.entry.service).record_events(events, took);
         }
     }
 
-    /// Counts a call out, and learns from how it ended. Returns whether the target was ejected.
+    /// Records how a call ended. Returns whether the target was ejected.
     pub fn ended(&mut self, now: Instant, key: TargetKey, outcome: Outcome) -> bool {
         let Some(target) = self.targets.get_mut(key) else { return false };
-        target.own = target.own.saturating_sub(1);
+        target.own_calls = target.own_calls.saturating_sub(1);
 
         match outcome {
             Outcome::Answered(held) => {
                 target.failures = 0;
                 target.ejections = 0;
                 target.ejected_until = None;
-                work_of(&mut self.work, &target.entry.service).ended(held);
+                stats_of(&mut self.stats, &target.entry.service).record_slot_time(held);
                 false
             }
             Outcome::Left => false,
             Outcome::Shed => false,
-            Outcome::Failed => target.fail(now),
+            Outcome::Failed => target.record_failure(now),
         }
     }
 
-    /// Returns when the first ejected target of a service gets calls again.
+    /// Returns the time until the first ejected target of a service gets calls again.
     pub fn next_return(&self, now: Instant, service: &str) -> Option<Duration> {
         let until = self.of_service(service).filter_map(|(_, target)| target.ejected_until);
 
         until.min().map(|at| at.since(now))
     }
 
-    /// Returns the slots of a service's usable targets, and what is in flight there.
+    /// Returns the total slots of a service's usable targets, and their total calls in flight.
     pub fn capacity(&self, now: Instant, service: &str) -> (u32, u32) {
         let usable = self.of_service(service).filter(|(_, target)| !target.is_ejected(now));
 
         usable.fold((0, 0), |(slots, load), (_, t)| (slots + t.entry.slots, load + t.load()))
     }
 
-    /// Returns where a target listens.
+    /// Returns the address that a target listens on.
     pub fn address(&self, key: TargetKey) -> Option<SocketAddr> {
         self.targets.get(key).map(|target| target.entry.address)
     }
 }
 
 impl Target {
-    /// Returns the calls in flight, of all hosts.
+    /// Returns the number of calls in flight, over all hosts.
     pub fn load(&self) -> u32 {
-        self.own + self.others
+        self.own_calls + self.others_calls
     }
 
     fn has_room(&self, shape: &Shape) -> bool {
         self.load() < shape.limit(self.entry.slots)
     }
 
-    /// Returns whether the target had the call's object of late, or holds more of its prompt than
-    /// the part that calls of a kind share.
-    fn holds_line(&self, shape: &Shape) -> bool {
+    /// Returns whether the target recently handled the call's object, or caches more of its prompt
+    /// than the first part, which all calls of a kind share.
+    fn holds_prompt_or_object(&self, shape: &Shape) -> bool {
         let own = shape.parts.iter().skip(1).map(|(id, _)| *id);
 
-        own.chain(shape.object).any(|id| self.prompts.holds(id))
+        own.chain(shape.object).any(|id| self.prompts.contains(id))
     }
 
-    /// Returns the target's place in a draw, the least being drawn first: a random number by its
-    /// name that is the smaller, the more slots are free.
-    fn draw(&self, draw: u64, shape: &Shape) -> f64 {
+    /// Returns the target's position in the random draw; the lowest is drawn first. It is a random
+    /// number derived from the target's id, scaled so that more free slots make a low position more
+    /// likely.
+    fn draw_position(&self, seed: u64, shape: &Shape) -> f64 {
         let free = shape.limit(self.entry.slots).min(self.entry.slots).saturating_sub(self.load());
-        let weight = f64::from(free).max(FULL_WEIGHT);
-        let random = (rendezvous_weight(draw, self.name).0 >> 11) as f64 / (1u64 << 53) as f64;
+        let weight = f64::from(free).max(FULL_TARGET_WEIGHT);
+        let random = (rendezvous_weight(seed, self.id_hash).0 >> 11) as f64 / (1u64 << 53) as f64;
 
         -random.max(f64::MIN_POSITIVE).ln() / weight
     }
@@ -492,24 +504,24 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns the milliseconds that a call costs here, beside the time that it takes anywhere: those
-    /// for which it waits, its prompt is read and its neighbours hold it up, and those for which
-    /// they stand still while its prompt is read.
-    fn cost(&self, work: &Work, shape: &Shape) -> f64 {
+    /// Returns the cost of a call at this target in milliseconds, beyond the time that it takes
+    /// anywhere: the wait for a slot, the time to read its prompt, the delay that neighbouring
+    /// calls cause, and the delay that they suffer while its prompt is read.
+    fn cost(&self, stats: &CallStats, shape: &Shape) -> f64 {
         let slots = self.entry.slots.max(1);
         let load = self.load();
         let running = f64::from(load.min(slots));
 
-        let reading = work.reading_ms(self.prompts.missing(&shape.parts));
+        let prompt = stats.prompt_ms(self.prompts.missing_tokens(&shape.parts));
         let waiting = f64::from((load + 1).saturating_sub(slots));
-        let wait = waiting * work.hold_ms() / f64::from(slots);
-        let is_warm = shape.object.is_some_and(|object| self.prompts.holds(object));
-        let saved = if is_warm { work.hold_ms() * WARM_PART } else { 0.0 };
+        let wait = waiting * stats.slot_ms() / f64::from(slots);
+        let knows_object = shape.object.is_some_and(|object| self.prompts.contains(object));
+        let saved = if knows_object { stats.slot_ms() * SAVING_FOR_KNOWN_OBJECT } else { 0.0 };
 
-        reading * (1.0 + running) + work.stall_ms() * running - saved + wait
+        prompt * (1.0 + running) + stats.interference_ms() * running - saved + wait
     }
 
-    fn fail(&mut self, now: Instant) -> bool {
+    fn record_failure(&mut self, now: Instant) -> bool {
         self.failures += 1;
 
         if self.failures < FAILURES_TO_EJECT || self.is_ejected(now) {
@@ -518,23 +530,23 @@
 
         let ejection = FIRST_EJECTION * 2u32.saturating_pow(self.ejections);
         self.ejections += 1;
-        self.ejected_until = Some(now + ejection.min(LONGEST_EJECTION));
+        self.ejected_until = Some(now + ejection.min(MAX_EJECTION));
         true
     }
 }
 
-/// Keeps the candidate that costs least.
-fn keep_least(best: &mut Option<(f64, TargetKey)>, candidate: (f64, TargetKey)) {
-    if best.is_none_or(|(least, _)| candidate.0 < least) {
+/// Keeps the candidate with the lowest cost.
+fn keep_cheapest(best: &mut Option<(f64, TargetKey)>, candidate: (f64, TargetKey)) {
+    if best.is_none_or(|(lowest, _)| candidate.0 < lowest) {
         *best = Some(candidate);
     }
 }
 
-/// Returns what the calls of a service are like.
-fn work_of<'a>(work: &'a mut Map<Box<str>, Work>, service: &str) -> &'a mut Work {
-    if !work.contains_key(service) {
-        work.insert(service.into(), Work::default());
+/// Returns the statistics of a service's calls.
+fn stats_of<'a>(stats: &'a mut Map<Box<str>, CallStats>, service: &str) -> &'a mut CallStats {
+    if !stats.contains_key(service) {
+        stats.insert(service.into(), CallStats::default());
     }
 
-    work.entry(service.into()).or_default()
+    stats.entry(service.into()).or_default()
 }
--- a/crates/policy/src/entry/prompts.rs
+++ b/crates/policy/src/entry/prompts.rs
@@ -1,14 +1,16 @@
-//! Which parts of prompts a target is believed to keep.
+//! The prompt parts that a target is believed to have cached.
 
 use crate::entry::recent::Recent;
 
-/// How many prompt parts are remembered for each target.
+/// How many prompt parts are remembered for each target at least.
 const PARTS_REMEMBERED: usize = 2_048;
 
-/// A part of a prompt: its id and its tokens. The part of a line of turns keeps its id and grows.
+/// A part of a prompt: its id and its number of tokens. The part that holds a conversation keeps
+/// its id and grows with each turn.
 pub type Part = (u64, u32);
 
-/// The prompt parts that a target read, by what this host sent there and what others told.
+/// The prompt parts that a target has read, known from the calls that this host sent and from other
+/// hosts' reports.
 #[derive(Clone, Debug)]
 pub struct Prompts {
     parts: Recent<u64, u32>,
@@ -21,43 +23,43 @@
 }
 
 impl Prompts {
-    /// Returns the tokens of a prompt that the target would have to read.
+    /// Returns the number of prompt tokens that the target would have to read.
     ///
-    /// A part is read together with all parts before it, and those are used with it. So the last
-    /// part that is known tells that those before it are there too.
+    /// A part is read and reused together with all parts before it. If a part is cached, the parts
+    /// before it are therefore cached too, and the last known part is sufficient.
     ///
     /// ```
     /// use camphorwalk_policy::entry::prompts::Prompts;
     /// let mut prompts = Prompts::default();
-    /// prompts.remember((7, 600));
-    /// assert_eq!(prompts.missing(&[(1, 512), (7, 700)]), 100);
-    /// assert_eq!(prompts.missing(&[(1, 512), (8, 700)]), 1_212);
+    /// prompts.insert((7, 600));
+    /// assert_eq!(prompts.missing_tokens(&[(1, 512), (7, 700)]), 100);
+    /// assert_eq!(prompts.missing_tokens(&[(1, 512), (8, 700)]), 1_212);
     /// ```
-    pub fn missing(&self, parts: &[Part]) -> u32 {
+    pub fn missing_tokens(&self, parts: &[Part]) -> u32 {
         let mut missing = 0;
 
         for (id, tokens) in parts.iter().rev() {
-            if let Some(kept) = self.kept(*id) {
-                return missing + tokens.saturating_sub(kept);
+            if let Some(cached) = self.cached_tokens(*id) {
+                return missing + tokens.saturating_sub(cached);
             }
             missing += tokens;
         }
         missing
     }
 
-    /// Returns whether a part is known.
-    pub fn holds(&self, id: u64) -> bool {
-        self.kept(id).is_some()
+    /// Returns whether the target is believed to have cached a part.
+    pub fn contains(&self, id: u64) -> bool {
+        self.cached_tokens(id).is_some()
     }
 
-    fn kept(&self, id: u64) -> Option<u32> {
+    fn cached_tokens(&self, id: u64) -> Option<u32> {
         self.parts.get(&id)
     }
 
-    /// Takes in that the target reads a part.
-    pub fn remember(&mut self, (id, tokens): Part) {
-        let kept = self.kept(id).unwrap_or_default();
+    /// Records that the target reads a part.
+    pub fn insert(&mut self, (id, tokens): Part) {
+        let cached = self.cached_tokens(id).unwrap_or_default();
 
-        self.parts.put(id, tokens.max(kept));
+        self.parts.put(id, tokens.max(cached));
     }
 }
--- a/crates/policy/src/entry/recent.rs
+++ b/crates/policy/src/entry/recent.rs
@@ -1,21 +1,22 @@
-//! A map that remembers what was put into it of late.
+//! A map of bounded size that forgets old entries.
 
 use std::hash::Hash;
 
 use camphorwalk_core::hash::Map;
 
-/// A map in two generations: when the newer one is full it becomes the older one, and what was the
-/// older one is forgotten.
+/// A map of two generations: when the newer one is full, it replaces the older one, whose entries
+/// are forgotten.
 #[derive(Clone, Debug)]
 pub struct Recent<K, V> {
     newer: Map<K, V>,
     older: Map<K, V>,
-    /// The most entries of a generation.
-    most: usize,
+    /// The maximum number of entries in a generation.
+    capacity: usize,
 }
 
 impl<K: Eq + Hash, V: Copy> Recent<K, V> {
-    /// Makes a map that remembers `most` entries at least, and up to twice as many.
+    /// Creates a map that keeps at least the `capacity` capacity recent entries, and up to twice as
+    /// many.
     ///
     /// ```
     /// use camphorwalk_policy::entry::recent::Recent;
@@ -23,20 +24,20 @@
     /// (0..5).for_each(|key| recent.put(key, key * 10));
     /// assert_eq!([recent.get(&0), recent.get(&3), recent.get(&4)], [None, Some(30), Some(40)]);
     /// ```
-    pub fn new(most: usize) -> Self {
-        Self { newer: Map::default(), older: Map::default(), most }
+    pub fn new(capacity: usize) -> Self {
+        Self { newer: Map::default(), older: Map::default(), capacity }
     }
 
-    /// Returns what was put last under a key.
+    /// Returns the latest value of a key, unless it has been forgotten.
     pub fn get(&self, key: &K) -> Option<V> {
         self.newer.get(key).or_else(|| self.older.get(key)).copied()
     }
 
-    /// Puts an entry.
+    /// Inserts or replaces an entry, which may drop the older generation.
     pub fn put(&mut self, key: K, value: V) {
         self.newer.insert(key, value);
 
-        if self.newer.len() >= self.most {
+        if self.newer.len() >= self.capacity {
             self.older = std::mem::take(&mut self.newer);
         }
     }
--- a/crates/policy/src/entry/routes.rs
+++ b/crates/policy/src/entry/routes.rs
@@ -1,24 +1,24 @@
-//! Which route a call takes, and which of its services.
+//! Selects the route of a call and the service within the route.
 
 use std::sync::Arc;
 
 use camphorwalk_core::entry::{Route, Routing};
 use camphorwalk_core::hash::{Map, stable_hash};
 
-/// The manifest in force, indexed.
+/// The manifest in force, indexed by host name.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     routing: Arc<Routing>,
-    /// The routes of each host name, the longest prefix first.
+    /// The indices of each host name's routes, the longest prefix first.
     by_hostname: Map<Box<str>, Vec<usize>>,
 }
 
 /// Whether a manifest replaces the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Adoption {
-    /// It is newer.
+    /// It is newer and replaces the one in force.
     Adopt,
-    /// It is the one in force or an older one: routes and keys never go back.
+    /// It is the one in force or an older one. Routes and keys never revert to an older version.
     Ignore,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl RouteTable {
-    /// Indexes a manifest.
+    /// Builds the index of a manifest.
     pub fn new(routing: Arc<Routing>) -> Self {
         let mut by_hostname: Map<Box<str>, Vec<usize>> = Map::default();
 
@@ -52,13 +52,13 @@
         Self { routing, by_hostname }
     }
 
-    /// Returns the manifest.
+    /// Returns the manifest that was indexed.
     pub fn routing(&self) -> &Arc<Routing> {
         &self.routing
     }
 
-    /// Returns the index of the route of a call: of its host name's routes, the one with the
-    /// longest prefix that begins the path.
+    /// Returns the index of a call's route: among the routes of the host name, the one with the
+    /// longest prefix of the path.
     pub fn find(&self, hostname: &str, path: &str) -> Option<usize> {
         let bare = hostname.rsplit_once(':').map_or(hostname, |(name, _)| name);
         let indices = self.by_hostname.get(bare.to_ascii_lowercase().as_str())?;
@@ -67,18 +67,18 @@
     }
 }
 
-/// Returns the service of a call: by weight, and the same one for all calls with one `line`,
-/// so that a line of turns keeps its cached prompt when a route is split.
+/// Returns the service of a call, chosen by weight. All calls with the same `conversation` get the
+/// same service, so that a conversation keeps its cached prompt when a route is split.
 ///
-/// Returns `None` if the route names no service with a weight.
-pub fn service<'a>(route: &'a Route, line: &str) -> Option<&'a str> {
+/// Returns `None` if no service of the route has a weight.
+pub fn service<'a>(route: &'a Route, conversation: &str) -> Option<&'a str> {
     let total: u64 = route.services.iter().map(|s| u64::from(s.weight)).sum();
 
     if total == 0 {
         return None;
     }
 
-    let mut point = stable_hash(&[line.as_bytes()]) % total;
+    let mut point = stable_hash(&[conversation.as_bytes()]) % total;
 
     for share in &route.services {
         let weight = u64::from(share.weight);
--- a/crates/policy/src/entry/transfers.rs
+++ b/crates/policy/src/entry/transfers.rs
@@ -1,9 +1,9 @@
-//! To how many hosts a host sends its manifest at the same time.
+//! Limits the number of hosts to which a host sends its manifest at the same time.
 //!
-//! When the store turns many hosts away, all of them may ask the few that have a new manifest at
-//! the same moment. Transfers for all of them would fill the link of a host, and its memory, and none
-//! would come before nearly all do. Each host that has got it can send it on, so few at a time
-//! reach all of them sooner.
+//! When the store rejects many hosts, they may all request a new manifest at the same moment from
+//! the few hosts that have it. Sending it to all at once would exhaust the sender's bandwidth and
+//! memory, and no copy would arrive before nearly all do. Each host that has received a copy can
+//! send it on, so sending a few at a time reaches all hosts sooner.
 
 use std::time::Duration;
 
@@ -13,39 +13,40 @@
 
 use crate::entry::manifests::REQUEST_TIMEOUT;
 
-/// The most hosts that are sent the manifest at the same time.
+/// The maximum number of hosts to which the manifest is sent at the same time.
 pub const MAX_TRANSFERS: usize = 2;
 
-/// How long a host that refused is not asked again. In this time a copy may have come to its end, or
-/// another host may have got one.
+/// How long a host that refused is not asked again. In the meantime one of its transfers may
+/// finish, or another host may receive a copy.
 const REFUSED_PAUSE: Duration = Duration::from_millis(300);
 
-/// What to do when another host asks for the manifest.
+/// What to do when another host requests the manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it.
+    /// Send the manifest.
     Send,
-    /// Refuse: enough copies are under way.
+    /// Refuse: the maximum number of transfers is in progress.
     Refuse,
 }
 
-/// A copy that is under way.
+/// A transfer in progress.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct Transfer {
     version: u64,
-    at: Instant,
+    started_at: Instant,
 }
 
-/// The copies of the manifest that are under way to other hosts.
+/// The transfers of the manifest to other hosts that are in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Transfers {
-    under_way: Map<HostId, Sent>,
+    in_progress: Map<HostId, Transfer>,
 }
 
 impl Transfers {
-    /// Takes in that a host asks for the manifest of this version; returns what to do.
+    /// Handles a host's request for this version of the manifest; returns whether to send it.
     ///
-    /// A host asks for one copy at a time, so one that asks again gets no other any more.
+    /// A host requests one copy at a time. A repeated request means that it no longer waits for the
+    /// previous copy, which is therefore not counted any more.
     ///
     /// ```
     /// use camphorwalk_core::ids::HostId;
@@ -60,49 +61,49 @@
     /// assert_eq!(transfers.asked(Instant(0), HostId(99), 7), Decision::Send);
     /// ```
     pub fn asked(&mut self, now: Instant, host: HostId, version: u64) -> Decision {
-        self.under_way.remove(&host);
-        // Whoever asked has given up by then.
-        self.under_way.retain(|_, sent| now.since(sent.at) < REQUEST_TIMEOUT);
+        self.in_progress.remove(&host);
+        // The requesting host has given up after this time.
+        self.in_progress.retain(|_, transfer| now.since(transfer.started_at) < REQUEST_TIMEOUT);
 
-        if self.under_way.len() >= MAX_TRANSFERS {
+        if self.in_progress.len() >= MAX_TRANSFERS {
             return Decision::Refuse;
         }
-        self.under_way.insert(host, Sent { version, at: now });
+        self.in_progress.insert(host, Transfer { version, started_at: now });
         Decision::Send
     }
 
-    /// Takes in that a manifest of this version is in force at a host. The copy that was under way to
-    /// it has arrived, or is of no use any more.
+    /// Records that a host reported this version of the manifest as in force. The copy that was
+    /// being sent to it has arrived or is no longer needed.
     pub fn told(&mut self, host: HostId, version: u64) {
-        if self.under_way.get(&host).is_some_and(|sent| sent.version <= version) {
-            self.under_way.remove(&host);
+        if self.in_progress.get(&host).is_some_and(|transfer| transfer.version <= version) {
+            self.in_progress.remove(&host);
         }
     }
 
-    /// Takes in that a copy could not be sent.
+    /// Records that a transfer could not be sent.
     pub fn not_sent(&mut self, host: HostId) {
-        self.under_way.remove(&host);
+        self.in_progress.remove(&host);
     }
 
-    /// Returns how many copies are under way, as far as is known.
+    /// Returns the number of transfers in progress, as far as is known.
     pub fn len(&self) -> usize {
-        self.under_way.len()
+        self.in_progress.len()
     }
 
-    /// Returns whether no copy is under way.
+    /// Returns whether no transfer is in progress.
     pub fn is_empty(&self) -> bool {
-        self.under_way.is_empty()
+        self.in_progress.is_empty()
     }
 }
 
-/// The hosts that refused to send their manifest of late.
+/// The hosts that recently refused to send their manifest.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
-    at: Map<HostId, Instant>,
+    refused_at: Map<HostId, Instant>,
 }
 
 impl Backoff {
-    /// Takes in that a host refused.
+    /// Records that a host refused.
     ///
     /// ```
     /// use camphorwalk_core::ids::HostId;
@@ -114,12 +115,12 @@
     /// assert!(backoff.may_ask(Instant::from_millis(300), HostId(1)));
     /// ```
     pub fn refused(&mut self, now: Instant, host: HostId) {
-        self.at.retain(|_, at| now.since(*at) < REFUSED_PAUSE);
-        self.at.insert(host, now);
+        self.refused_at.retain(|_, at| now.since(*at) < REFUSED_PAUSE);
+        self.refused_at.insert(host, now);
     }
 
-    /// Returns whether a host may be asked.
+    /// Returns whether a host may be asked again.
     pub fn may_ask(&self, now: Instant, host: HostId) -> bool {
-        self.at.get(&host).is_none_or(|at| now.since(*at) >= REFUSED_PAUSE)
+        self.refused_at.get(&host).is_none_or(|at| now.since(*at) >= REFUSED_PAUSE)
     }
 }
--- a/crates/policy/src/entry/waiting.rs
+++ b/crates/policy/src/entry/waiting.rs
@@ -1,42 +1,42 @@
-//! The calls that wait at a host for a place at a target.
+//! The queue of calls that wait at a host for a slot at a target.
 //!
-//! Engines take calls in the order of their arrival. So calls wait here once the targets are
-//! full, and the next place goes to the call whose program would lose most by waiting on:
-//! programs that can still end in time before those that are late anyway; programs under way
-//! before new ones, since half a program is worth nothing; then by rank; then the earliest
-//! deadline.
+//! Engines serve calls in the order of arrival. Calls therefore wait here once the targets are
+//! full, and the next free slot goes to the call whose program would lose most by waiting longer:
+//! first to programs that can still finish in time, before those that are late anyway; then to
+//! running programs before new ones, since a half-finished program is worth nothing; then by rank;
+//! then by the earliest deadline.
 
 use std::collections::BTreeMap;
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::time::Instant;
 
-/// The number of a waiting call at this host.
+/// The number of a waiting call, unique at this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
-/// What a call waits for, and how urgent it is. Lower goes first, field by field.
+/// The urgency of a waiting call. Lower values are served first, compared field by field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Whether its program is past the time at which it should be finished: it is worth little,
-    /// and while it waits others end in time that would be late behind it.
+    /// Whether its program has missed its deadline. It is worth little now, and would make others
+    /// late that wait behind it.
     pub is_late: bool,
-    /// Whether its program is new: nothing is lost yet if it is told to come back.
+    /// Whether its program is new. Nothing is lost yet if it is refused.
     pub is_new: bool,
-    /// Its rank.
+    /// The rank of the call.
     pub rank: u32,
-    /// When it is too late for it.
+    /// The time after which the call is too late.
     pub deadline: Instant,
 }
 
-/// The calls that wait, by service.
+/// The waiting calls of each service.
 #[derive(Clone, Debug, Default)]
 pub struct Waiting {
     queues: Map<Box<str>, BTreeMap<(Urgency, WaiterId), ()>>,
 }
 
 impl Waiting {
-    /// Adds a call.
+    /// Adds a call to the queue of a service.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
@@ -56,26 +56,26 @@
         }
     }
 
-    /// Removes a call.
+    /// Removes a call from the queue of a service.
     pub fn remove(&mut self, service: &str, urgency: Urgency, id: WaiterId) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.remove(&(urgency, id));
         }
     }
 
-    /// Removes the call of a service that goes first.
+    /// Removes the most urgent call of a service.
     pub fn remove_first(&mut self, service: &str) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.pop_first();
         }
     }
 
-    /// Returns the call of a service that goes first.
+    /// Returns the most urgent call of a service.
     pub fn first(&self, service: &str) -> Option<WaiterId> {
         self.queues.get(service)?.first_key_value().map(|((_, id), ())| *id)
     }
 
-    /// Returns how many calls of a service go before one of this urgency.
+    /// Returns how many waiting calls of a service are more urgent than `urgency`.
     pub fn ahead(&self, service: &str, urgency: Urgency) -> usize {
         let queue = self.queues.get(service);
 
@@ -92,7 +92,7 @@
         self.len(service) == 0
     }
 
-    /// Returns the services that calls wait for.
+    /// Returns the services that have waiting calls.
     pub fn services(&self) -> Vec<Box<str>> {
         let waiting = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
 
--- a/crates/policy/src/entry/work.rs
+++ b/crates/policy/src/entry/work.rs
@@ -1,52 +1,53 @@
-//! What the calls of a service are like, learned from those that this host sends.
+//! Statistics of a service's calls, learned from those that this host sends.
 
 use std::time::Duration;
 
-/// The time of an event of a stream before anything was seen.
-const FIRST_EVENT_MS: f64 = 25.0;
+/// The initial estimate of the time per stream event.
+const INITIAL_EVENT_MS: f64 = 25.0;
 
-/// How long a call holds its slot before anything was seen.
-const FIRST_HOLD_MS: f64 = 150.0;
+/// The initial estimate of the time for which a call occupies a slot.
+const INITIAL_SLOT_MS: f64 = 150.0;
 
-/// The prompt tokens that a target reads in a millisecond before anything was seen.
-const FIRST_TOKENS_PER_MS: f64 = 50.0;
+/// The initial estimate of the prompt tokens that a target reads per millisecond.
+const INITIAL_TOKENS_PER_MS: f64 = 50.0;
 
-/// The prompt tokens that are read for a call before anything was seen.
-const FIRST_MISSING: f64 = 600.0;
+/// The initial estimate of the prompt tokens that are read for a call.
+const INITIAL_MISSING_TOKENS: f64 = 600.0;
 
-/// How much a first value weighs: as much as so many calls.
-const FIRST_WEIGHT: f64 = 3.0;
+/// The weight of an initial estimate, in calls.
+const INITIAL_WEIGHT: f64 = 3.0;
 
-/// Over how many calls the figures are averaged.
+/// The number of calls over which the statistics are averaged.
 const MEMORY_CALLS: f64 = 200.0;
 
-/// The bounds of the part of its own time that a call adds to that of each neighbour. Below the least
-/// one calls would not be spread; the most is that of a target on which one call leaves half
-/// its pace.
-const SHARE_BOUNDS: (f64, f64) = (0.02, 0.2);
+/// The bounds of the delay that a call causes to each neighbour, as a fraction of its own time.
+/// Below the lower bound, calls would not be spread over targets. The upper bound matches a target
+/// on which one call halves the speed of the others.
+const INTERFERENCE_BOUNDS: (f64, f64) = (0.02, 0.2);
 
-/// The same of calls without a prompt, which do not hold each other up, but make it likelier that
-/// the next one finds no slot.
-const SHARE_WITHOUT_PROMPTS: f64 = 0.15;
+/// The same fraction for calls without a prompt. They do not delay each other, but make it more
+/// likely that the next call finds no free slot.
+const INTERFERENCE_WITHOUT_PROMPTS: f64 = 0.15;
 
-/// A mean in which the past fades.
+/// A weighted mean in which old values decay exponentially.
 #[derive(Clone, Copy, Debug)]
-struct Mean {
+struct DecayingMean {
     sum: f64,
     weight: f64,
 }
 
-impl Mean {
-    /// Begins with a value that weighs `weight`.
-    fn new(first: f64, weight: f64) -> Self {
-        Self { sum: first * weight, weight }
+impl DecayingMean {
+    /// Starts with an initial value of this weight.
+    fn new(initial: f64, weight: f64) -> Self {
+        Self { sum: initial * weight, weight }
     }
 
-    /// Adds a sum over `weight`, with a memory of as much weight as `memory`.
+    /// Adds values with the sum `sum` and the total weight `weight`; older values decay with the
+    /// time constant `memory`, also a weight.
     fn add(&mut self, sum: f64, weight: f64, memory: f64) {
-        let kept = (-weight / memory).exp();
-        self.sum = self.sum * kept + sum;
-        self.weight = self.weight * kept + weight;
+        let decay = (-weight / memory).exp();
+        self.sum = self.sum * decay + sum;
+        self.weight = self.weight * decay + weight;
     }
 
     fn value(&self) -> f64 {
@@ -54,66 +55,71 @@
     }
 }
 
-/// What the calls of a service are like.
+/// Statistics of a service's calls.
 ///
-/// There is no pace for each target: an estimate from a few events follows chance, and moves lines
-/// away from their prompts. A target that turns slow keeps its slots taken, and is drawn less for
-/// that.
+/// No statistics are kept per target: an estimate from a few events is mostly noise, and would move
+/// conversations away from their cached prompts. A target that becomes slow keeps its slots
+/// occupied, and is therefore chosen less often.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
-    /// The milliseconds of an event.
-    event_ms: Mean,
-    /// The milliseconds that a call holds its slot.
-    hold_ms: Mean,
-    /// The prompt tokens that are read for a call; `None` for calls without a prompt.
-    missing: Option<Mean>,
-    /// The milliseconds for which a target reads a prompt token.
-    token_ms: Mean,
+pub struct CallStats {
+    /// The time per event, in milliseconds.
+    event_ms: DecayingMean,
+    /// The time for which a call occupies a slot, in milliseconds.
+    slot_ms: DecayingMean,
+    /// The prompt tokens that are read for a call; `None` if the service has had no call with a
+    /// prompt.
+    missing_tokens: Option<DecayingMean>,
+    /// The time to read a prompt token, in milliseconds.
+    token_ms: DecayingMean,
 }
 
-impl Default for Work {
+impl Default for CallStats {
     fn default() -> Self {
         Self {
-            event_ms: Mean::new(FIRST_EVENT_MS, FIRST_WEIGHT),
-            hold_ms: Mean::new(FIRST_HOLD_MS, FIRST_WEIGHT),
-            missing: None,
-            token_ms: Mean::new(1.0 / FIRST_TOKENS_PER_MS, FIRST_WEIGHT * FIRST_MISSING),
+            event_ms: DecayingMean::new(INITIAL_EVENT_MS, INITIAL_WEIGHT),
+            slot_ms: DecayingMean::new(INITIAL_SLOT_MS, INITIAL_WEIGHT),
+            missing_tokens: None,
+            token_ms: DecayingMean::new(
+                1.0 / INITIAL_TOKENS_PER_MS,
+                INITIAL_WEIGHT * INITIAL_MISSING_TOKENS,
+            ),
         }
     }
 }
 
-impl Work {
-    /// Takes in that a call ended after it held its slot for `held`.
+impl CallStats {
+    /// Records the time for which a call occupied a slot.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use camphorwalk_policy::entry::work::Work;
-    /// let mut work = Work::default();
-    /// (0..1_000).for_each(|_| work.ended(Duration::from_millis(40)));
-    /// assert!((work.hold_ms() - 40.0).abs() < 1.0);
+    /// use camphorwalk_policy::entry::work::CallStats;
+    /// let mut stats = CallStats::default();
+    /// (0..1_000).for_each(|_| stats.record_slot_time(Duration::from_millis(40)));
+    /// assert!((stats.slot_ms() - 40.0).abs() < 1.0);
     /// ```
-    pub fn ended(&mut self, held: Duration) {
-        self.hold_ms.add(as_ms(held), 1.0, MEMORY_CALLS);
+    pub fn record_slot_time(&mut self, held: Duration) {
+        self.slot_ms.add(as_ms(held), 1.0, MEMORY_CALLS);
     }
 
-    /// Takes in that a call was sent for which `missing` prompt tokens are to be read.
-    pub fn sent(&mut self, missing: u32) {
-        let first = || Mean::new(FIRST_MISSING, FIRST_WEIGHT);
+    /// Records the number of prompt tokens that a target has to read for a call.
+    pub fn record_missing_tokens(&mut self, missing: u32) {
+        let initial = || DecayingMean::new(INITIAL_MISSING_TOKENS, INITIAL_WEIGHT);
 
-        self.missing.get_or_insert_with(first).add(f64::from(missing), 1.0, MEMORY_CALLS);
+        self.missing_tokens.get_or_insert_with(initial).add(f64::from(missing), 1.0, MEMORY_CALLS);
     }
 
-    /// Takes in that the first event came `waited` after a call was sent, while `missing` prompt
-    /// tokens were read.
-    pub fn read(&mut self, missing: u32, waited: Duration) {
-        let memory = MEMORY_CALLS * self.missing.map_or(FIRST_MISSING, |mean| mean.value());
+    /// Records that the first event arrived `waited` after a call was sent, with `missing` prompt
+    /// tokens to be read.
+    pub fn record_prompt_read(&mut self, missing: u32, waited: Duration) {
+        let memory =
+            MEMORY_CALLS * self.missing_tokens.map_or(INITIAL_MISSING_TOKENS, |mean| mean.value());
         let reading = (as_ms(waited) - self.event_ms.value()).max(0.0);
 
         self.token_ms.add(reading, f64::from(missing), memory);
     }
 
-    /// Takes in that `events` events after the first one took so long.
-    pub fn made(&mut self, events: u32, took: Duration) {
+    /// Records the time that `events` events after the first one took.
+    pub fn record_events(&mut self, events: u32, took: Duration) {
         let events = f64::from(events);
 
         if events > 0.0 {
@@ -121,24 +127,26 @@
         }
     }
 
-    /// Returns the milliseconds that a call holds its slot.
-    pub fn hold_ms(&self) -> f64 {
-        self.hold_ms.value()
+    /// Returns the mean time for which a call occupies a slot, in milliseconds.
+    pub fn slot_ms(&self) -> f64 {
+        self.slot_ms.value()
     }
 
-    /// Returns the milliseconds for which a target reads so many prompt tokens.
-    pub fn reading_ms(&self, tokens: u32) -> f64 {
+    /// Returns the time in which a target reads this many prompt tokens, in milliseconds.
+    pub fn prompt_ms(&self, tokens: u32) -> f64 {
         f64::from(tokens) * self.token_ms.value()
     }
 
-    /// Returns the milliseconds by which a call holds up each of its neighbours, and each of them
-    /// this one: while a prompt is read, all others at its target stand still.
-    pub fn stall_ms(&self) -> f64 {
-        let hold = self.hold_ms.value();
-        let Some(missing) = self.missing else { return hold * SHARE_WITHOUT_PROMPTS };
-        let (least, most) = SHARE_BOUNDS;
+    /// Returns the delay, in milliseconds, that a call causes to each neighbour and each neighbour
+    /// causes to it: while a target reads a prompt, its other calls make no progress.
+    pub fn interference_ms(&self) -> f64 {
+        let slot_ms = self.slot_ms.value();
+        let Some(missing) = self.missing_tokens else {
+            return slot_ms * INTERFERENCE_WITHOUT_PROMPTS;
+        };
+        let (lowest, highest) = INTERFERENCE_BOUNDS;
 
-        (missing.value() * self.token_ms.value()).clamp(hold * least, hold * most)
+        (missing.value() * self.token_ms.value()).clamp(slot_ms * lowest, slot_ms * highest)
     }
 }
 
--- a/crates/policy/tests/entry_attempts.rs
+++ b/crates/policy/tests/entry_attempts.rs
@@ -1,4 +1,4 @@
-//! What a caller may be told of a call that was sent to several targets.
+//! Whether a caller may be told that a call did not run, after it was sent to several targets.
 
 use camphorwalk_policy::entry::attempts::Attempts;
 
@@ -16,9 +16,9 @@
 }
 
 #[test]
-fn a_target_that_has_not_run_a_call_says_nothing_of_the_one_before() {
-    // The first target takes the call and its answer is lost; the second is full and says that
-    // it has not run it. The caller must not be told that the call has not run.
+fn a_target_that_did_not_run_a_call_says_nothing_about_earlier_targets() {
+    // The first target accepts the call but its answer is lost; the second is full and says that it
+    // did not run the call. The caller must not be told that the call did not run.
     let mut attempts = Attempts::default();
 
     attempts.sent();
--- a/crates/policy/tests/entry_manifests.rs
+++ b/crates/policy/tests/entry_manifests.rs
@@ -1,4 +1,4 @@
-//! From whom a host gets a newer manifest, in virtual time.
+//! Whether a host gets a newer manifest from the store or from another host, in virtual time.
 
 use std::time::Duration;
 
@@ -9,13 +9,14 @@
     Instant::from_millis(millis)
 }
 
-/// A version that another host told of at the clock's start.
+/// A version that another host reported at time zero.
 fn newer() -> Newer {
     Newer { version: 2, own: 1, heard: at(0), store_answers: true, last_progress: None }
 }
 
-/// Plays a host that heard of a newer version at the clock's start. `store` tells when a part came
-/// from it last, at a time. Returns when another host is asked, if it is by `end`.
+/// Simulates a host that learns of a newer version at time zero. `store` returns when the last part
+/// had arrived from the store, as of a given time. Returns when another host is asked, if that
+/// happens before `end`.
 fn asks_at(end: u64, newer: Newer, store: impl Fn(u64) -> Option<u64>) -> Option<u64> {
     let mut now = 0;
 
@@ -30,9 +31,9 @@
     None
 }
 
-/// Guards against a second copy on a slow link on which the first is under way.
+/// Guards against requesting a second copy over a slow link while the first is still arriving.
 #[test]
-fn no_host_is_asked_while_the_store_goes_on_sending() {
+fn no_host_is_asked_while_the_store_keeps_sending() {
     let first_part = 200;
     let each = 100;
 
@@ -41,9 +42,9 @@
     assert_eq!(asked, None);
 }
 
-/// Guards against a wait for a store that fell silent in the middle.
+/// Guards against waiting on for a store that stopped sending in the middle of the transfer.
 #[test]
-fn a_host_is_asked_soon_after_the_store_fell_silent() {
+fn a_host_is_asked_soon_after_the_store_stops_sending() {
     let last_part = 600;
 
     let asked = asks_at(3_000, newer(), |now| Some(now.min(last_part)));
@@ -51,22 +52,23 @@
     assert_eq!(asked, Some(last_part + 250));
 }
 
-/// Guards against a host that waits for ever for a transfer which begins again and again.
+/// Guards against waiting forever for a transfer that keeps restarting.
 #[test]
 fn a_host_is_asked_when_the_store_takes_too_long() {
     assert_eq!(asks_at(10_000, newer(), Some), Some(3_000));
 }
 
 #[test]
-fn a_host_that_the_store_turns_away_asks_at_once() {
+fn a_host_that_the_store_rejects_asks_at_once() {
     let newer = Newer { store_answers: false, ..newer() };
 
     assert_eq!(asks_at(3_000, newer, |_| None), Some(0));
 }
 
-/// Guards against a host that is thought to miss the store and gets a manifest from it.
+/// Guards against requesting a copy from another host although parts still arrive from a store that
+/// seems not to answer.
 #[test]
-fn parts_from_the_store_count_whatever_else_it_does() {
+fn parts_from_the_store_count_even_if_it_seems_not_to_answer() {
     let newer = Newer { store_answers: false, ..newer() };
 
     assert_eq!(next(at(100), &newer), Next::AskPeer);
@@ -81,8 +83,8 @@
     }
 }
 
-/// Plays a question that was put at the clock's start to a host whose news come each `period` but
-/// not from `silent_from` on. Returns when it is given up.
+/// Simulates a request that is sent at time zero to a host whose updates arrive every `period`
+/// until `silent_from`. Returns when the request is given up.
 fn given_up_at(period: u64, silent_from: u64) -> u64 {
     let heard = |now: u64| {
         let last = now.min(silent_from);
@@ -92,19 +94,19 @@
     (0..).find(|now| question(at(*now), at(0), Some(heard(*now))) == Question::GiveUp).unwrap()
 }
 
-/// Guards against a copy that is given up while it is under way, and asked for anew.
+/// Guards against giving up on a copy that is still arriving, and requesting it again.
 #[test]
-fn a_question_is_kept_up_while_the_other_host_may_be_sending() {
+fn a_request_stays_open_while_the_other_host_may_be_sending() {
     assert_eq!(given_up_at(100, 300), 3_000);
 }
 
 #[test]
-fn a_question_is_given_up_when_later_news_came_before_its_answer() {
+fn a_request_is_given_up_when_later_updates_arrive_before_its_answer() {
     assert_eq!(given_up_at(100, u64::MAX), 1_000);
 }
 
 #[test]
-fn a_question_to_a_host_that_was_never_heard_ends() {
+fn a_request_to_a_host_that_never_sent_updates_ends() {
     assert_eq!(question(at(2_999), at(0), None), Question::Wait);
     assert_eq!(question(at(3_000), at(0), None), Question::GiveUp);
 }
--- a/crates/policy/tests/entry_placement.rs
+++ b/crates/policy/tests/entry_placement.rs
@@ -1,4 +1,4 @@
-//! Where calls go, and which wait.
+//! The choice of targets for calls, and the order of waiting calls.
 
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_line_of_turns_goes_where_its_prompt_is_cached() {
+fn a_conversation_goes_where_its_prompt_is_cached() {
     let mut targets = targets(&["x", "y"]);
     let shape = Shape { parts: vec![(1, 512), (2, 654)], ..Shape::default() };
     let first = send(&mut targets, &shape).unwrap();
@@ -59,15 +59,16 @@
 }
 
 #[test]
-fn a_line_that_comes_through_another_host_finds_the_target_that_holds_its_prompt() {
-    // Half of all programs reach several hosts, each of which knows only what it sent itself.
-    // With no common choice 909 prompt tokens were read again for each turn.
+fn a_conversation_through_another_host_reaches_the_target_that_caches_its_prompt() {
+    // Guards against reading a prompt again because another host chose another target. Half of all
+    // programs reach several hosts, each of which knows only the calls that it sent itself. Without
+    // a common choice, 909 prompt tokens were read again for each turn.
     let ids = ["u", "v", "w", "x", "y", "z"];
     let mut here = targets(&ids);
     let mut there = targets(&ids);
 
-    for line in 0..50 {
-        let shape = Shape { parts: vec![(1, 512), (line, 654)], ..Shape::default() };
+    for conversation in 0..50 {
+        let shape = Shape { parts: vec![(1, 512), (conversation, 654)], ..Shape::default() };
         let first = send(&mut here, &shape).unwrap();
         here.ended(NOW, first, Outcome::Answered(Duration::from_millis(200)));
         let second = send(&mut there, &shape).unwrap();
@@ -88,8 +89,9 @@
 }
 
 #[test]
-fn a_full_service_has_calls_wait_at_the_host() {
-    // Engines take calls as they come. Beyond a few, more would wait there in the wrong order.
+fn calls_to_a_full_service_wait_at_the_host() {
+    // Engines serve calls in the order of arrival. Beyond a few, further calls must wait at the
+    // host, or they would be served in the wrong order.
     let mut targets = targets(&["x"]);
 
     let sent = (0..10).filter(|_| send(&mut targets, &Shape::default()).is_some()).count();
@@ -99,65 +101,67 @@
 }
 
 #[test]
-fn new_programs_leave_slots_to_those_under_way() {
-    // Many users come at once. Had all slots gone to new programs, the next turns of those that
-    // are begun would wait behind them, and all would end late.
+fn new_programs_leave_slots_to_running_ones() {
+    // Many users arrive at once. If new programs took all slots, the next turns of running programs
+    // would wait behind them, and all would finish late.
     let mut targets = Targets::new("a");
     targets.put(TargetEntry { slots: 12, ..entry("x", "a") });
     let begins = |rank| Shape { begins: Some(rank), ..Shape::default() };
 
     let second_rank = (0..20).filter(|_| send(&mut targets, &begins(1)).is_some()).count();
     let first_rank = (0..20).filter(|_| send(&mut targets, &begins(0)).is_some()).count();
-    let under_way = (0..20).filter(|_| send(&mut targets, &Shape::default()).is_some()).count();
+    let running = (0..20).filter(|_| send(&mut targets, &Shape::default()).is_some()).count();
 
-    assert_eq!((second_rank, first_rank, under_way), (10, 1, 3));
+    assert_eq!((second_rank, first_rank, running), (10, 1, 3));
 }
 
 #[test]
-fn no_program_begins_while_the_targets_together_are_crowded() {
-    // A third of the engines is lost under the usual load. Of those that are left one mostly has
-    // a free slot by news that are a tenth of a second old, while turns at the others take twice
-    // their time. Programs that begin there are late, and make others late.
+fn no_program_starts_while_the_targets_together_are_too_busy() {
+    // A third of the engines is lost under the usual load. With updates that are a tenth of a
+    // second old, one of the remaining engines nearly always seems to have a free slot, while turns
+    // at the others take twice as long. Programs that started there would be late, and make others
+    // late.
     let mut targets = Targets::new("a");
     for id in ["x", "y", "z"] {
         targets.put(TargetEntry { slots: 12, ..entry(id, "a") });
     }
-    let told = |x, y, z| Map::from_iter([("x".into(), x), ("y".into(), y), ("z".into(), z)]);
+    let in_flight = |x, y, z| Map::from_iter([("x".into(), x), ("y".into(), y), ("z".into(), z)]);
     let begins = |rank| Shape { begins: Some(rank), ..Shape::default() };
 
-    targets.hear(HostId(1), told(14, 12, 7), Map::default());
-    let crowded = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
-    let under_way = targets.choose(NOW, "engines", &Shape::default());
-    targets.hear(HostId(1), told(14, 12, 3), Map::default());
-    let less_crowded = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
-    targets.hear(HostId(1), told(14, 11, 3), Map::default());
+    targets.hear(HostId(1), in_flight(14, 12, 7), Map::default());
+    let busy = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
+    let running = targets.choose(NOW, "engines", &Shape::default());
+    targets.hear(HostId(1), in_flight(14, 12, 3), Map::default());
+    let less_busy = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
+    targets.hear(HostId(1), in_flight(14, 11, 3), Map::default());
     let second_rank = targets.choose(NOW, "engines", &begins(1));
 
-    assert_eq!(crowded, [Choice::Full, Choice::Full]);
-    assert!(matches!(under_way, Choice::Target(_)));
-    assert!(matches!(less_crowded, [Choice::Target(_), Choice::Full]));
+    assert_eq!(busy, [Choice::Full, Choice::Full]);
+    assert!(matches!(running, Choice::Target(_)));
+    assert!(matches!(less_busy, [Choice::Target(_), Choice::Full]));
     assert!(matches!(second_rank, Choice::Target(_)));
 }
 
 #[test]
-fn no_program_begins_while_turns_under_way_wait_at_another_host() {
-    // Each host sees free slots that turns waiting elsewhere are about to take.
+fn no_program_starts_while_turns_of_running_ones_wait_at_another_host() {
+    // Each host sees free slots that turns waiting at other hosts are about to take.
     let mut targets = targets(&["x", "y"]);
     let begins = Shape { begins: Some(0), ..Shape::default() };
     let waiting = Map::from_iter([(Box::from("engines"), 3)]);
 
     targets.hear(HostId(1), Map::default(), waiting);
-    let held_back = targets.choose(NOW, "engines", &begins);
+    let postponed = targets.choose(NOW, "engines", &begins);
     targets.hear(HostId(1), Map::default(), Map::default());
     let free = targets.choose(NOW, "engines", &begins);
 
-    assert_eq!(held_back, Choice::Full);
+    assert_eq!(postponed, Choice::Full);
     assert!(matches!(free, Choice::Target(_)));
 }
 
 #[test]
-fn a_target_that_fails_again_and_again_is_left_alone_and_comes_back() {
-    // Its zone is cut off: connections to it fall silent, and each call sent there is lost.
+fn a_target_that_fails_repeatedly_is_ejected_for_a_while() {
+    // The target's zone is partitioned from the host: connections to it get no answers, and each
+    // call sent there is lost.
     let mut targets = targets(&["x"]);
     for _ in 0..2 {
         let key = send(&mut targets, &Shape::default()).unwrap();
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn a_draining_target_gets_nothing_new() {
+fn a_draining_target_gets_no_new_calls() {
     let mut targets = targets(&["x", "y"]);
     targets.put(TargetEntry { state: TargetState::Draining, ..entry("x", "a") });
 
@@ -183,8 +187,8 @@
 }
 
 #[test]
-fn a_target_that_started_again_under_its_id_is_another_run() {
-    // What is told of the run before, such as its cached prompts, does not hold for the new one.
+fn a_restarted_target_with_the_same_id_is_another_run() {
+    // What is known of the previous run, such as its cached prompts, is not valid for the new one.
     let mut targets = targets(&["x"]);
     let former = send(&mut targets, &Shape::default()).unwrap();
 
@@ -195,7 +199,7 @@
 }
 
 #[test]
-fn programs_under_way_go_before_new_ones_and_late_ones_last() {
+fn running_programs_are_served_before_new_ones_and_late_ones_last() {
     let mut waiting = Waiting::default();
     let urgency = |is_new, rank, ms| Urgency {
         is_late: false,
@@ -223,15 +227,16 @@
 }
 
 #[test]
-fn the_length_of_answers_does_not_move_a_line_away_from_its_prompt() {
-    // Answers have between two and thirty events. When a target's speed was learned from how long
-    // calls took, a line left the target that held its prompt after a long answer, and its whole
-    // prompt was read again: two of three tokens read were read again so.
+fn the_length_of_answers_does_not_move_a_conversation_away_from_its_prompt() {
+    // Guards against moving a conversation because of the length of its answers, which have between
+    // two and thirty events. When a target's speed was estimated from the duration of calls, a
+    // conversation left its target after a long answer and its whole prompt was read again: this
+    // affected two of three prompt tokens.
     let mut targets = Targets::new("a");
     ["x", "y", "z"].into_iter().for_each(|id| {
         targets.put(engine(id));
     });
-    let mut homes = Vec::new();
+    let mut chosen = Vec::new();
 
     for turn in 1..8 {
         let shape = Shape { parts: vec![(1, 512), (2, 600 * turn)], ..Shape::default() };
@@ -240,39 +245,41 @@
         targets.began(key, 600, Duration::from_millis(40));
         targets.made(key, events - 1, Duration::from_millis(26) * (events - 1));
         targets.ended(NOW, key, Outcome::Answered(Duration::from_millis(26) * events));
-        homes.push(key);
+        chosen.push(key);
     }
 
-    assert!(homes.iter().all(|key| *key == homes[0]));
+    assert!(chosen.iter().all(|key| *key == chosen[0]));
 }
 
 #[test]
-fn a_line_stays_with_its_prompt_while_others_are_a_little_less_busy() {
-    // Reading a line's whole prompt again stops all that run at the new target meanwhile, which
-    // costs more than some neighbours do. Only a target that is far busier is left.
+fn a_conversation_stays_with_its_prompt_while_others_are_a_little_less_busy() {
+    // Reading a conversation's whole prompt again stalls all calls at the new target meanwhile,
+    // which costs more than some neighbouring calls do. A conversation moves only if its target is
+    // far busier than another.
     let mut targets = Targets::new("a");
     targets.put(engine("x"));
     targets.put(engine("y"));
-    let line = |tokens| Shape { parts: vec![(1, 512), (2, tokens)], ..Shape::default() };
-    let told = |x, y| Map::from_iter([("x".into(), x), ("y".into(), y)]);
-    targets.hear(HostId(1), told(0, 12), Map::default());
-    let home = send(&mut targets, &line(2_000)).unwrap();
-    targets.ended(NOW, home, Outcome::Answered(Duration::from_millis(200)));
-
-    targets.hear(HostId(1), told(8, 5), Map::default());
-    let a_little_busier = targets.choose(NOW, "engines", &line(2_600));
-    targets.hear(HostId(1), told(14, 2), Map::default());
-    let full = targets.choose(NOW, "engines", &line(2_600));
-
-    assert_eq!(name(&targets, home), "x");
-    assert_eq!(a_little_busier, Choice::Target(home));
-    assert!(matches!(full, Choice::Target(key) if key != home));
+    let conversation = |tokens| Shape { parts: vec![(1, 512), (2, tokens)], ..Shape::default() };
+    let in_flight = |x, y| Map::from_iter([("x".into(), x), ("y".into(), y)]);
+    targets.hear(HostId(1), in_flight(0, 12), Map::default());
+    let first = send(&mut targets, &conversation(2_000)).unwrap();
+    targets.ended(NOW, first, Outcome::Answered(Duration::from_millis(200)));
+
+    targets.hear(HostId(1), in_flight(8, 5), Map::default());
+    let a_little_busier = targets.choose(NOW, "engines", &conversation(2_600));
+    targets.hear(HostId(1), in_flight(14, 2), Map::default());
+    let full = targets.choose(NOW, "engines", &conversation(2_600));
+
+    assert_eq!(name(&targets, first), "x");
+    assert_eq!(a_little_busier, Choice::Target(first));
+    assert!(matches!(full, Choice::Target(key) if key != first));
 }
 
 #[test]
-fn a_line_that_comes_through_another_host_finds_its_prompt_by_what_that_host_told() {
-    // The line began where its program's first choice was full. The host that its next turn comes
-    // through never sent it anywhere, and would have it read again at that first choice.
+fn a_conversation_through_another_host_reaches_the_target_that_host_reported() {
+    // The conversation started at another target, since the one drawn first was full. The host that
+    // receives its next turn never sent it anywhere, and by the draw alone would have its prompt
+    // read again at the target drawn first.
     let ids = ["u", "v", "w", "x", "y", "z"];
     let (mut here, mut there) = (Targets::new("a"), Targets::new("a"));
     ids.iter().for_each(|id| {
@@ -280,13 +287,13 @@
         there.put(engine(id));
     });
 
-    for line in 0..50 {
-        let shape = Shape { parts: vec![(1, 512), (100 + line, 654)], ..Shape::default() };
-        let favourite = match here.choose(NOW, "engines", &shape) {
+    for conversation in 0..50 {
+        let shape = Shape { parts: vec![(1, 512), (100 + conversation, 654)], ..Shape::default() };
+        let first_choice = match here.choose(NOW, "engines", &shape) {
             Choice::Target(key) => Box::from(name(&here, key)),
             other => panic!("{other:?}"),
         };
-        let busy = Map::from_iter([(favourite, 14)]);
+        let busy = Map::from_iter([(first_choice, 14)]);
         here.hear(HostId(9), busy, Map::default());
         let first = send(&mut here, &shape).unwrap();
         here.ended(NOW, first, Outcome::Answered(Duration::from_millis(200)));
@@ -304,57 +311,59 @@
 
 #[test]
 fn the_turns_of_sub_agents_go_where_their_parents_prompt_is() {
-    // A turn starts five sub-agents, whose prompts begin with its own.
+    // A turn starts five sub-agents, whose prompts begin with the turn's own prompt.
     let mut targets = Targets::new("a");
     ["x", "y", "z"].into_iter().for_each(|id| {
         targets.put(engine(id));
     });
-    for line in 100..150 {
-        let usual = Shape { parts: vec![(1, 512), (line, 500)], ..Shape::default() };
+    for conversation in 100..150 {
+        let usual = Shape { parts: vec![(1, 512), (conversation, 500)], ..Shape::default() };
         let key = send(&mut targets, &usual).unwrap();
         targets.ended(NOW, key, Outcome::Answered(Duration::from_millis(200)));
     }
     let parent = Shape { parts: vec![(1, 512), (2, 1_500)], ..Shape::default() };
-    let home = send(&mut targets, &parent).unwrap();
-    targets.ended(NOW, home, Outcome::Answered(Duration::from_millis(200)));
+    let first = send(&mut targets, &parent).unwrap();
+    targets.ended(NOW, first, Outcome::Answered(Duration::from_millis(200)));
 
     let sent: Vec<_> = (10..13)
         .map(|own| Shape { parts: vec![(1, 512), (2, 1_500), (own, 300)], ..Shape::default() })
         .map(|shape| send(&mut targets, &shape).unwrap())
         .collect();
 
-    assert_eq!(sent, [home; 3]);
+    assert_eq!(sent, [first; 3]);
 }
 
 #[test]
-fn a_target_that_turns_slow_gets_few_new_lines_while_its_slots_stay_taken() {
-    // An engine runs four times slower from now on, so that its calls stay four times as long. Nobody
-    // measures its pace: its slots are taken, and lines begin where slots are free. When it is well
-    // again its slots are free, and it gets lines at once.
+fn a_slow_target_gets_few_new_conversations_while_its_slots_stay_occupied() {
+    // An engine becomes four times slower, so its calls take four times as long. Its speed is not
+    // measured: its slots stay occupied, and conversations start where slots are free. When it
+    // recovers, its slots are free and it gets conversations at once.
     let mut targets = Targets::new("a");
     ["slow", "usual"].into_iter().for_each(|id| {
         targets.put(engine(id));
     });
-    let told = |slow, usual| Map::from_iter([("slow".into(), slow), ("usual".into(), usual)]);
-    let begun_at_slow = |targets: &Targets| {
-        let lines =
-            (0..100).map(|line| Shape { parts: vec![(line + 10, 654)], ..Shape::default() });
-        let chosen = lines.map(|shape| targets.choose(NOW, "engines", &shape));
+    let in_flight = |slow, usual| Map::from_iter([("slow".into(), slow), ("usual".into(), usual)]);
+    let started_at_slow = |targets: &Targets| {
+        let conversations = (0..100).map(|conversation| Shape {
+            parts: vec![(conversation + 10, 654)],
+            ..Shape::default()
+        });
+        let chosen = conversations.map(|shape| targets.choose(NOW, "engines", &shape));
         chosen.filter(|c| matches!(c, Choice::Target(key) if name(targets, *key) == "slow")).count()
     };
 
-    targets.hear(HostId(1), told(11, 5), Map::default());
-    let while_slow = begun_at_slow(&targets);
-    targets.hear(HostId(1), told(2, 5), Map::default());
-    let well_again = begun_at_slow(&targets);
+    targets.hear(HostId(1), in_flight(11, 5), Map::default());
+    let while_slow = started_at_slow(&targets);
+    targets.hear(HostId(1), in_flight(2, 5), Map::default());
+    let after_recovery = started_at_slow(&targets);
 
     assert!(while_slow < 15, "{while_slow}");
-    assert!(well_again > 50, "{well_again}");
+    assert!(after_recovery > 50, "{after_recovery}");
 }
 
 #[test]
 fn all_targets_slow_at_once_still_get_calls() {
-    // No target is worse than the others, so that none is left out.
+    // No target is worse than the others, so none may be left out.
     let mut targets = targets(&["x", "y"]);
     let keys: Vec<_> = (0..2).filter_map(|_| send(&mut targets, &Shape::default())).collect();
     for key in &keys {
@@ -368,13 +377,13 @@
 }
 
 #[test]
-fn what_hosts_have_in_flight_is_counted_out_when_they_tell_anew_or_fall_silent() {
+fn a_new_update_or_silence_replaces_the_calls_that_a_host_has_in_flight() {
     let mut targets = targets(&["x", "y"]);
-    let told = |x, y| Map::from_iter([("x".into(), x), ("y".into(), y)]);
-    targets.hear(HostId(1), told(2, 1), Map::default());
-    targets.hear(HostId(2), told(1, 0), Map::default());
+    let in_flight = |x, y| Map::from_iter([("x".into(), x), ("y".into(), y)]);
+    targets.hear(HostId(1), in_flight(2, 1), Map::default());
+    targets.hear(HostId(2), in_flight(1, 0), Map::default());
 
-    targets.hear(HostId(1), told(0, 3), Map::default());
+    targets.hear(HostId(1), in_flight(0, 3), Map::default());
     targets.hear(HostId(2), Map::default(), Map::default());
     targets.put(entry("z", "a"));
 
@@ -383,10 +392,11 @@
 }
 
 #[test]
-fn hosts_with_the_same_news_do_not_all_take_the_same_target() {
-    // Until the next news 23 hosts of a zone begin three programs each. All know the same of 16
-    // targets of six slots. When each took the best one, 23 calls came to it within a tenth of
-    // a second, it refused some and was late with the others, while its neighbours stood idle.
+fn hosts_with_the_same_knowledge_do_not_all_choose_the_same_target() {
+    // Until the next update 23 hosts of a zone start three programs each, with the same knowledge
+    // of 16 targets with six slots each. If each host chose the best target, 23 calls would arrive
+    // at it within a tenth of a second; it would reject some and delay the others while its
+    // neighbours are idle.
     let ids: Vec<_> = (0..16).map(|i| format!("engine-{i}")).collect();
     let mut sent: Map<Box<str>, u32> = Map::default();
 
@@ -396,8 +406,8 @@
             targets.put(TargetEntry { slots: 6, ..entry(id, "a") });
         });
         for program in 0..3 {
-            let line = 1_000 + host * 10 + program;
-            let shape = Shape { parts: vec![(1, 512), (line, 654)], ..Shape::default() };
+            let conversation = 1_000 + host * 10 + program;
+            let shape = Shape { parts: vec![(1, 512), (conversation, 654)], ..Shape::default() };
             let key = send(&mut targets, &shape).unwrap();
             *sent.entry(name(&targets, key).into()).or_default() += 1;
         }
@@ -409,8 +419,9 @@
 }
 
 #[test]
-fn calls_without_a_prompt_are_spread_by_what_is_free() {
-    // Plain calls of 20 ms come and go between two news. Most go where most slots are free.
+fn calls_without_a_prompt_are_spread_by_free_slots() {
+    // Plain calls of 20 ms start and end between two updates. Most of them must go where most slots
+    // are free.
     let mut targets = Targets::new("a");
     for id in ["x", "y"] {
         targets.put(TargetEntry { slots: 6, ..entry(id, "a") });
@@ -428,26 +439,29 @@
 }
 
 #[test]
-fn lines_begin_in_their_own_zone_and_elsewhere_when_it_is_full() {
-    // A line that begins in another zone breaks with it, and sends each of its prompts across.
-    // A zone that gets more than its share of callers still needs the targets of the others.
+fn conversations_start_in_their_own_zone_and_elsewhere_when_it_is_full() {
+    // A conversation that starts in another zone breaks when that zone is partitioned off, and
+    // sends each of its prompts across zones. A zone that gets more than its share of callers still
+    // needs the targets of the others.
     let mut targets = Targets::new("a");
     targets.put(engine("near"));
     targets.put(TargetEntry { zone: "b".into(), ..engine("far") });
-    let begun_near = |targets: &Targets| {
-        let lines = (0..100)
-            .map(|line| Shape { parts: vec![(1, 512), (line + 10, 654)], ..Shape::default() });
-        let chosen = lines.map(|shape| targets.choose(NOW, "engines", &shape));
+    let started_near = |targets: &Targets| {
+        let conversations = (0..100).map(|conversation| Shape {
+            parts: vec![(1, 512), (conversation + 10, 654)],
+            ..Shape::default()
+        });
+        let chosen = conversations.map(|shape| targets.choose(NOW, "engines", &shape));
         chosen.filter(|c| matches!(c, Choice::Target(key) if name(targets, *key) == "near")).count()
     };
 
-    let both_free = begun_near(&targets);
+    let both_free = started_near(&targets);
     targets.hear(
         HostId(1),
         Map::from_iter([("near".into(), 14), ("far".into(), 3)]),
         Map::default(),
     );
-    let near_full = begun_near(&targets);
+    let near_full = started_near(&targets);
 
     assert!(both_free > 75, "{both_free}");
     assert_eq!(near_full, 0);
--- a/crates/policy/tests/entry_routes.rs
+++ b/crates/policy/tests/entry_routes.rs
@@ -1,4 +1,4 @@
-//! Which route and service a call takes, and what of it is kept.
+//! The choice of routes and services, stored turns, and calls that crash targets.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -64,15 +64,16 @@
 }
 
 #[test]
-fn an_older_manifest_is_never_taken() {
-    // The store's change comes late by one path after a newer one came by another.
+fn an_older_manifest_is_never_adopted() {
+    // The store's change notice may arrive late over one path, after a newer manifest has arrived
+    // over another.
     assert_eq!(adoption(None, 3), Adoption::Adopt);
     assert_eq!(adoption(Some(3), 3), Adoption::Ignore);
     assert_eq!(adoption(Some(9), 3), Adoption::Ignore);
 }
 
 #[test]
-fn a_split_route_keeps_each_line_at_one_service() {
+fn a_split_route_keeps_each_conversation_at_one_service() {
     let split = route("h", "/", &[("old", 90), ("new", 10)]);
 
     let chosen: Vec<_> =
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn the_cache_of_turns_keeps_to_its_bytes() {
+fn the_cache_of_turns_stays_within_its_size() {
     let mut cache = TurnCache::new(10_000);
 
     for i in 0..100 {
@@ -114,8 +115,8 @@
 }
 
 #[test]
-fn a_call_that_brings_targets_down_is_barred_at_every_host_after_the_third() {
-    // Its caller sends it again through another host each time.
+fn a_call_that_crashes_targets_is_barred_at_every_host_after_the_third_crash() {
+    // The caller retries the call through another host each time.
     let now = Instant(0);
     let call = Fingerprint(5);
     let mut here = Crashes::default();
@@ -123,8 +124,8 @@
     here.count(now, call);
     here.count(now, call);
 
-    for news in here.take_news() {
-        there.hear(now, news);
+    for report in here.take_news() {
+        there.hear(now, report);
     }
     there.count(now, call);
     here.hear(now, CrashNews { call: 5, crashes: 1 });
