--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -3,6 +3,7 @@
 
 pub mod attempts;
 pub mod budgets;
+pub mod call_stats;
 pub mod crashes;
 pub mod host_rows;
 pub mod isolation;
@@ -19,5 +20,4 @@
 pub mod transfers;
 pub mod turns;
 pub mod waiting;
-pub mod work;
 pub mod write_back;
--- a/crates/policy/src/entry/work.rs
+++ b/crates/policy/src/entry/call_stats.rs
@@ -92,7 +92,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use camphorwalk_policy::entry::work::CallStats;
+    /// use camphorwalk_policy::entry::call_stats::CallStats;
     /// let mut stats = CallStats::default();
     /// (0..1_000).for_each(|_| stats.record_slot_time(Duration::from_millis(40)));
     /// assert!((stats.slot_ms() - 40.0).abs() < 1.0);
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -14,8 +14,8 @@
 use camphorwalk_core::time::Instant;
 use slotmap::SlotMap;
 
+use crate::entry::call_stats::CallStats;
 use crate::entry::prompts::{Part, Prompts};
-use crate::entry::work::CallStats;
 
 slotmap::new_key_type! {
     /// Identifies one run of a target within this host.
