--- a/crates/policy/src/entry/manifests.rs
+++ b/crates/policy/src/entry/manifests.rs
@@ -20,7 +20,7 @@
 /// over a slow link.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long updates may still arrive that another host sent before it received a request.
+/// How long status updates may still arrive that another host sent before it received a request.
 const UPDATE_DELIVERY_TIME: Duration = Duration::from_secs(1);
 
 /// What a host knows about a manifest that may be newer than the one in force.
@@ -87,11 +87,12 @@
     GiveUp,
 }
 
-/// Returns what to do about a request that was sent at `asked` to a host whose last update arrived
-/// at `heard`, if any did.
+/// Returns what to do about a request that was sent at `asked` to a host whose last status update
+/// arrived at `heard`, if any did.
 ///
-/// Messages from a host arrive in order, so no updates arrive while it sends a long answer. Updates
-/// that were sent after the host received the request therefore show that no answer will come.
+/// Messages from a host arrive in order, so no status updates arrive while it sends a long answer.
+/// Status updates that were sent after the host received the request therefore show that no answer
+/// will come.
 ///
 /// ```
 /// use camphorwalk_core::time::Instant;
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -28,8 +28,8 @@
 
 /// The weight of a target in another availability zone in the random draw, relative to one in the
 /// host's own zone with as many free slots. A conversation that starts there sends each prompt
-/// across zones, relies on older updates, and breaks if the zones are partitioned. The weight is
-/// not zero, since a zone's callers may need more capacity than its own targets have.
+/// across zones, relies on older status updates, and breaks if the zones are partitioned. The
+/// weight is not zero, since a zone's callers may need more capacity than its own targets have.
 const CROSS_ZONE_WEIGHT: f64 = 0.25;
 
 /// The weight of a target without free slots in the random draw, relative to one with a single free
@@ -64,7 +64,7 @@
     pub leaving: bool,
     /// The number of calls that this host has in flight there.
     own_calls: u32,
-    /// The number of calls that the other hosts have in flight there, by their last updates.
+    /// The number of calls that the other hosts have in flight there, by their last status updates.
     others_calls: u32,
     failures: u32,
     ejections: u32,
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Returns the number of calls that this host has in flight at each target, for the update to
-    /// the other hosts.
+    /// Returns the number of calls that this host has in flight at each target, for the status
+    /// update to the other hosts.
     pub fn in_flight(&self) -> impl Iterator<Item = (&str, u32)> {
         self.targets.values().filter(|t| t.own_calls > 0).map(|t| (&*t.entry.id, t.own_calls))
     }
@@ -270,7 +270,7 @@
         waiting: Map<Box<str>, u32>,
     ) {
         // Applies only the difference for this host, so the cost depends on the number of targets
-        // in the update and not on the number of hosts or targets in the fleet.
+        // in the status update and not on the number of hosts or targets in the fleet.
         for (id, calls) in self.calls_by_host.remove(&host).unwrap_or_default() {
             self.change_others_calls(&id, |others| others.saturating_sub(calls));
         }
@@ -310,10 +310,10 @@
     /// Chooses the target of a service for a call: the one with the lowest cost, to the call itself
     /// and to the calls that run there, among the targets that hold its prompt and two others.
     ///
-    /// The load that other hosts cause is known only from updates, which are about as old as a call
-    /// is long. If all hosts chose the target that seems best, they would all choose the same one
-    /// until the next update. The two others are therefore drawn at random, weighted by their free
-    /// slots.
+    /// The load that other hosts cause is known only from status updates, which are about as old as
+    /// a call is long. If all hosts chose the target that seems best, they would all choose the
+    /// same one until the next status update. The two others are therefore drawn at random,
+    /// weighted by their free slots.
     pub fn choose(&self, now: Instant, service: &str, shape: &Shape) -> Choice {
         let usable = |(key, target): &(TargetKey, &Target)| {
             !shape.avoid.contains(key) && !target.is_ejected(now)
@@ -373,9 +373,9 @@
     /// Returns whether a service is too busy, over all its targets, to start a new program of this
     /// rank.
     ///
-    /// With updates that are a tenth of a second old, one of many targets nearly always seems to
-    /// have a free slot while the others are overloaded. The average over all targets shows how
-    /// fast programs really progress.
+    /// With status updates that are a tenth of a second old, one of many targets nearly always
+    /// seems to have a free slot while the others are overloaded. The average over all targets
+    /// shows how fast programs really progress.
     fn is_too_busy_to_start(&self, now: Instant, service: &str, rank: u32) -> bool {
         let (slots, load) = self.capacity(now, service);
 
--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -1,13 +1,14 @@
 //! Fleet-wide rate limits of tenants. Each host keeps one token bucket per tenant.
 //!
-//! Several times a second each host sends the others an update with the number of calls it has
-//! admitted for each tenant, and subtracts their calls from its own buckets. All hosts therefore
-//! share one level, apart from updates in transit, and admission never waits for another host,
-//! whichever host the load balancer picks.
+//! Several times a second each host sends the others a status update with the number of calls it
+//! has admitted for each tenant, and subtracts their calls from its own buckets. All hosts
+//! therefore share one level, apart from status updates in transit, and admission never waits for
+//! another host, whichever host the load balancer picks.
 //!
 //! The calls that a silent host admits are estimated: it is assumed to keep using the share of the
-//! rate that it had at its last update. Both sides of a network partition compute the shares from
-//! the demand at that moment, which both knew, so the shares add up to the whole rate and no more.
+//! rate that it had at its last status update. Both sides of a network partition compute the shares
+//! from the demand at that moment, which both knew, so the shares add up to the whole rate and no
+//! more.
 
 mod estimates;
 
@@ -27,15 +28,15 @@
 /// part of the fleet.
 const SILENT_SHARE_LIFETIME: Duration = Duration::from_secs(15);
 
-/// A host that has sent no update for this long is silent. In a small fleet updates arrive every
-/// 100 ms.
+/// A host that has sent no status update for this long is silent. In a small fleet status updates
+/// arrive every 100 ms.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How long samples of the demand are kept: the time until a host is known to be silent, plus one
-/// tick. The share of a silent host is computed from the sample taken at its last update.
+/// tick. The share of a silent host is computed from the sample taken at its last status update.
 const SAMPLES_KEPT: Duration = Duration::from_secs(1);
 
-/// The delay of an update: its period plus the latency between two zones.
+/// The delay of a status update: its period plus the latency between two zones.
 const UPDATE_DELAY: Duration = Duration::from_millis(130);
 
 /// The fraction of the burst that a new process starts with, until it receives another host's
@@ -65,8 +66,8 @@
 const MAX_WAIT_NEW: Duration = Duration::from_millis(50);
 
 /// A tenant's demand is sent again when it has changed by this fraction, and by at least this many
-/// calls per second. The demand only sets the reserve for updates in transit, which is no more
-/// exact.
+/// calls per second. The demand only sets the reserve for status updates in transit, which is no
+/// more exact.
 const DEMAND_CHANGE: f64 = 0.1;
 const MIN_DEMAND_CHANGE: f64 = 0.3;
 
@@ -95,7 +96,7 @@
     pub demand: f64,
     /// The demand at the other hosts, reported or estimated, in calls per second.
     pub others_demand: f64,
-    /// The fraction of the rate that is set aside for unreachable hosts.
+    /// The fraction of the rate that is set aside for hosts that are not live.
     pub withheld: f64,
 }
 
@@ -104,11 +105,12 @@
 pub struct Withheld {
     /// The fraction, from 0 to 1.
     pub share: f64,
-    /// The remaining validity, counted from the last update of the host that went silent last.
+    /// The remaining validity, counted from the last status update of the host that went silent
+    /// last.
     pub left: Duration,
 }
 
-/// A host's update about one tenant, as sent to the other hosts.
+/// A host's status update about one tenant, as sent to the other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantNews {
     /// The number of calls that the sender has admitted since its process started.
@@ -117,10 +119,11 @@
     pub demand: f64,
     /// The level of the sender's bucket.
     pub level: f64,
-    /// The share that the sender reserves for unreachable hosts. A host that has just started never
-    /// received their updates and takes the share from here.
+    /// The share that the sender reserves for hosts that are not live. A host that has just started
+    /// never received their status updates and takes the share from here.
     pub withheld: Withheld,
-    /// Whether the sender receives updates from all hosts, so that its level contains no estimates.
+    /// Whether the sender receives status updates from all hosts, so that its level contains no
+    /// estimates.
     pub hears_all: bool,
 }
 
@@ -139,7 +142,7 @@
 struct Account {
     rate: f64,
     burst: f64,
-    /// The tokens in the bucket; negative if other hosts admitted calls before their updates
+    /// The tokens in the bucket; negative if other hosts admitted calls before their status updates
     /// arrived.
     level: f64,
     at: Instant,
@@ -154,21 +157,22 @@
     others_demand: f64,
     /// The number of calls admitted here, plus those that other hosts reported.
     spent: f64,
-    /// Recent samples, reaching back to the last update of a host that is only now found silent.
+    /// Recent samples, reaching back to the last status update of a host that is only now found
+    /// silent.
     samples: VecDeque<Sample>,
     /// The share reserved for silent hosts, as sent to the other hosts.
     withheld: Withheld,
-    /// The fraction of the rate that is charged for unreachable hosts.
-    unreachable_share: f64,
-    /// Whether a reachable host charges such a fraction and needs this host's level to correct its
+    /// The fraction of the rate that is charged for hosts that are not live.
+    non_live_share: f64,
+    /// Whether a live host charges such a fraction and needs this host's level to correct its
     /// estimate.
     peers_need_level: bool,
-    /// The last update sent to the other hosts.
+    /// The last status update sent to the other hosts.
     last_sent: Option<TenantNews>,
 }
 
 impl Account {
-    /// Returns whether to send an update: the values that other hosts use have changed.
+    /// Returns whether to send a status update: the values that other hosts use have changed.
     fn has_update(&self) -> bool {
         let Some(last) = self.last_sent else { return self.admitted > 0 || self.arrived > 0 };
         let slack = (last.demand * DEMAND_CHANGE).max(MIN_DEMAND_CHANGE);
@@ -181,14 +185,14 @@
     }
 }
 
-/// The updates received from one other host.
+/// The status updates received from one other host.
 #[derive(Clone, Debug, Default)]
 struct HostReport {
     received_at: Instant,
     /// The time up to which its admitted calls have been reported or estimated.
     counted_until: Instant,
-    /// The run of its process from which a full update has arrived. Before that, it is not known
-    /// which of the calls it reports were already counted.
+    /// The run of its process from which a full status update has arrived. Before that, it is not
+    /// known which of the calls it reports were already counted.
     baseline_run: Option<u64>,
     tenants: Map<Box<str>, TenantReport>,
 }
@@ -206,21 +210,21 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantReport {
-    update: TenantNews,
+    status: TenantNews,
     /// Until when the share that it reserves for silent hosts is valid.
     reserved_until: Instant,
     /// The tokens charged for this host since it went silent.
     estimated: f64,
     /// The fraction of the rate that the host is assumed to use while it is silent, computed from
-    /// the demand at its last update.
+    /// the demand at its last status update.
     share: Option<f64>,
 }
 
-/// The state of another host, judged by the age of its last update.
+/// The state of another host, judged by the age of its last status update.
 enum Liveness {
-    /// It has never sent an update to this process.
+    /// It has never sent a status update to this process.
     Unknown,
-    Alive,
+    Live,
     /// It is assumed to keep admitting calls within its share.
     Silent,
     /// It is assumed to admit no calls any more.
@@ -230,7 +234,7 @@
 fn liveness(now: Instant, report: Option<&HostReport>) -> Liveness {
     match report {
         None => Liveness::Unknown,
-        Some(report) if !report.is_silent(now) => Liveness::Alive,
+        Some(report) if !report.is_silent(now) => Liveness::Live,
         Some(report) if now.since(report.received_at) <= SILENT_SHARE_LIFETIME => Liveness::Silent,
         Some(_) => Liveness::Gone,
     }
@@ -241,7 +245,7 @@
 pub struct Rates {
     accounts: Map<Box<str>, Account>,
     reports: Map<HostId, HostReport>,
-    /// The other hosts of the fleet, reachable or not.
+    /// The other hosts of the fleet, live or not.
     others: Vec<HostId>,
     ticked: Option<Instant>,
 }
@@ -266,7 +270,7 @@
                 spent: 0.0,
                 samples: VecDeque::new(),
                 withheld: Withheld::default(),
-                unreachable_share: 0.0,
+                non_live_share: 0.0,
                 peers_need_level: false,
                 last_sent: None,
             });
@@ -286,8 +290,8 @@
         self.others = others;
     }
 
-    /// Applies an update from the process run `run` of a host. It covers all of its tenants if
-    /// `all` is set, and otherwise those with changes.
+    /// Applies a status update from the process run `run` of a host. It covers all of its tenants
+    /// if `all` is set, and otherwise those with changes.
     pub fn hear(
         &mut self,
         now: Instant,
@@ -309,22 +313,23 @@
             return;
         }
         report.baseline_run = Some(run);
-        // A new run counts from zero; tenants missing from its full update have no demand there.
+        // A new run counts from zero; tenants missing from its full status update have no demand
+        // there.
         let mut corrections = Vec::new();
         let mut previous_run = match same_run {
             true => Map::default(),
             false => std::mem::take(&mut report.tenants),
         };
 
-        for (tenant, update) in updates {
-            let reserved_until = now + update.withheld.left;
-            let new = TenantReport { update, reserved_until, estimated: 0.0, share: None };
+        for (tenant, status) in updates {
+            let reserved_until = now + status.withheld.left;
+            let new = TenantReport { status, reserved_until, estimated: 0.0, share: None };
             let before = report.tenants.insert(tenant.clone(), new).unwrap_or_default();
             let Some(account) = self.accounts.get_mut(&tenant) else { continue };
             account.refill(now);
-            let admitted = update.admitted as f64 - before.update.admitted as f64;
+            let admitted = status.admitted as f64 - before.status.admitted as f64;
             let taken = match (is_new, same_run) {
-                // The level already includes what the host admitted before its first update
+                // The level already includes what the host admitted before its first status update
                 // arrived.
                 (true, _) => 0.0,
                 (false, true) => admitted - before.estimated,
@@ -338,11 +343,11 @@
             account.level -= taken;
             account.spent += if is_new { 0.0 } else { admitted };
 
-            let excess = (account.level - update.level).max(0.0);
+            let excess = (account.level - status.level).max(0.0);
             // A new process adopts the lower level of any host.
             if now < account.startup_until {
                 account.level -= excess;
-            } else if update.hears_all && !account.hears_all() {
+            } else if status.hears_all && !account.hears_all() {
                 // A host whose level contains estimates adopts the lower level of one whose level
                 // contains none.
                 account.level -= excess;
@@ -369,9 +374,9 @@
         }
     }
 
-    /// Returns the updates for the other hosts and records them as sent. With `all`, covers every
-    /// tenant that had calls here, for hosts that missed updates; otherwise only tenants with
-    /// changes.
+    /// Returns the status updates for the other hosts and records them as sent. With `all`, covers
+    /// every tenant that had calls here, for hosts that missed status updates; otherwise only
+    /// tenants with changes.
     pub fn take_news(&mut self, all: bool) -> Vec<(Box<str>, TenantNews)> {
         let mut updates = Vec::new();
 
@@ -381,15 +386,15 @@
             }
             let Account { admitted, demand, level, withheld, .. } = *account;
             let hears_all = account.hears_all();
-            let update = TenantNews { admitted, demand, level, withheld, hears_all };
-            account.last_sent = Some(update);
-            updates.push((name.clone(), update));
+            let status = TenantNews { admitted, demand, level, withheld, hears_all };
+            account.last_sent = Some(status);
+            updates.push((name.clone(), status));
         }
         updates
     }
 
     /// Updates the demand with the calls since the last tick, and charges the estimated calls of
-    /// unreachable hosts. Called several times a second.
+    /// hosts that are not live. Called several times a second.
     pub fn tick(&mut self, now: Instant) {
         let elapsed = self.ticked.map_or(Duration::ZERO, |t| now.since(t));
         self.ticked = Some(now);
@@ -402,7 +407,7 @@
         for (name, account) in &mut self.accounts {
             account.refill(now);
             account.smooth(elapsed);
-            others.charge_unreachable(name, account, &mut self.reports);
+            others.charge_non_live(name, account, &mut self.reports);
         }
         for report in self.reports.values_mut().filter(|report| report.is_silent(now)) {
             report.counted_until = now;
@@ -448,7 +453,7 @@
             rate: account.rate,
             demand: account.demand,
             others_demand: account.others_demand,
-            withheld: account.unreachable_share,
+            withheld: account.non_live_share,
         })
     }
 
@@ -484,7 +489,7 @@
 
     /// Returns whether the level contains only reported calls and no estimates.
     fn hears_all(&self) -> bool {
-        self.unreachable_share <= 0.0
+        self.non_live_share <= 0.0
     }
 
     /// Returns the capacity of the bucket.
@@ -508,7 +513,7 @@
 
     /// Returns the number of tokens that must remain after a call is admitted.
     ///
-    /// Other hosts may have admitted calls whose updates are still in transit. Without this
+    /// Other hosts may have admitted calls whose status updates are still in transit. Without this
     /// reserve, a tenant that sends many times its rate would exceed it, each time the bucket runs
     /// empty, by the calls that arrive within [`UPDATE_DELAY`]. The demand counts for at most twice
     /// the rate, since the other hosts refuse what exceeds that.
--- a/crates/policy/src/entry/rates/estimates.rs
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -1,5 +1,5 @@
-//! Estimates of the calls that unreachable hosts admit. A host is unreachable if it is silent, or
-//! has never sent an update to this process.
+//! Estimates of the calls admitted by hosts that are not live. A host is not live if it is silent,
+//! or has never sent a status update to this process.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 /// The fraction of an even share that each host gets without any demand when shares are estimated.
 const DEMAND_FLOOR: f64 = 0.25;
 
-/// The other hosts during one tick, grouped by the age of their last update.
+/// The other hosts during one tick, grouped by the age of their last status update.
 pub(super) struct OtherHosts {
     now: Instant,
     /// The time since the last tick.
     elapsed: Duration,
     /// The number of hosts, this one included.
     fleet_size: f64,
-    reachable: Vec<HostId>,
+    live: Vec<HostId>,
     silent: Vec<HostId>,
-    /// The number of hosts that have never sent an update to this process.
+    /// The number of hosts that have never sent a status update to this process.
     unknown: f64,
 }
 
@@ -35,13 +35,13 @@
         reports: &Map<HostId, HostReport>,
     ) -> Self {
         let fleet_size = (hosts.len() + 1) as f64;
-        let (reachable, silent) = (Vec::new(), Vec::new());
-        let mut others = Self { now, elapsed, fleet_size, reachable, silent, unknown: 0.0 };
+        let (live, silent) = (Vec::new(), Vec::new());
+        let mut others = Self { now, elapsed, fleet_size, live, silent, unknown: 0.0 };
 
         for host in hosts {
             match liveness(now, reports.get(host)) {
                 Liveness::Unknown => others.unknown += 1.0,
-                Liveness::Alive => others.reachable.push(*host),
+                Liveness::Live => others.live.push(*host),
                 Liveness::Silent => others.silent.push(*host),
                 Liveness::Gone => {}
             }
@@ -49,8 +49,9 @@
         others
     }
 
-    /// Subtracts from a tenant's bucket the calls that unreachable hosts admit within their shares.
-    pub(super) fn charge_unreachable(
+    /// Subtracts from a tenant's bucket the calls admitted by hosts that are not live, within their
+    /// shares.
+    pub(super) fn charge_non_live(
         &self,
         tenant: &str,
         account: &mut Account,
@@ -60,22 +61,22 @@
         account.record_sample(self.now);
         account.peers_need_level = self.peers_need_level(tenant, reports);
         account.withheld = Withheld::default();
-        account.unreachable_share = 0.0;
+        account.non_live_share = 0.0;
         if self.silent.is_empty() && self.unknown <= 0.0 {
             return;
         }
 
         let newly_silent = self.fix_shares(tenant, account, reports);
         let silent: f64 = self.silent.iter().map(|host| reports[host].share(tenant)).sum();
-        let unreachable = silent + self.unknown * self.even_share(account);
+        let non_live = silent + self.unknown * self.even_share(account);
         account.withheld = self.reserved_share(tenant, silent, reports);
-        account.unreachable_share =
-            unreachable.max(account.withheld.share).min(self.max_unreachable_share());
+        account.non_live_share =
+            non_live.max(account.withheld.share).min(self.max_non_live_share());
 
         // Each silent host's estimate is recorded, and corrected when it reports its admitted
         // calls.
-        let scale = (account.unreachable_share / unreachable.max(f64::MIN_POSITIVE)).min(1.0);
-        let unrecorded = account.unreachable_share - silent * scale;
+        let scale = (account.non_live_share / non_live.max(f64::MIN_POSITIVE)).min(1.0);
+        let unrecorded = account.non_live_share - silent * scale;
         let mut taken = account.rate * unrecorded * self.elapsed.as_secs_f64();
         for host in &self.silent {
             let Some(report) = reports.get_mut(host) else { continue };
@@ -90,12 +91,12 @@
         account.level = (account.level - taken).max(-account.capacity());
     }
 
-    /// Returns the largest fraction of a rate that may be charged for unreachable hosts. Shares
-    /// that were fixed at different times may add up to more than the whole rate.
-    fn max_unreachable_share(&self) -> f64 {
-        let reachable = self.reachable.len() as f64 + 1.0;
+    /// Returns the largest fraction of a rate that may be charged for hosts that are not live.
+    /// Shares that were fixed at different times may add up to more than the whole rate.
+    fn max_non_live_share(&self) -> f64 {
+        let live = self.live.len() as f64 + 1.0;
 
-        1.0 - DEMAND_FLOOR * reachable / self.fleet_size
+        1.0 - DEMAND_FLOOR * live / self.fleet_size
     }
 
     /// Returns the demand, in calls per second, that each host counts with at least.
@@ -103,8 +104,8 @@
         DEMAND_FLOOR * account.rate / self.fleet_size
     }
 
-    /// Returns the share of a host that has never sent an update. It is assumed to have the same
-    /// demand as this host, so that hosts that cannot reach each other share evenly.
+    /// Returns the share of a host that has never sent a status update. It is assumed to have the
+    /// same demand as this host, so that hosts that cannot reach each other share evenly.
     fn even_share(&self, account: &Account) -> f64 {
         let all = account.demand + account.others_demand + DEMAND_FLOOR * account.rate;
 
@@ -118,10 +119,10 @@
         account: &Account,
         reports: &Map<HostId, HostReport>,
     ) -> f64 {
-        let known = self.reachable.iter().chain(&self.silent).filter_map(|host| reports.get(host));
+        let known = self.live.iter().chain(&self.silent).filter_map(|host| reports.get(host));
         let tenants = known.filter_map(|report| report.tenants.get(tenant));
 
-        tenants.map(|t| t.update.demand).sum::<f64>() + self.unknown * account.demand
+        tenants.map(|t| t.status.demand).sum::<f64>() + self.unknown * account.demand
     }
 
     fn reports_of<'a>(
@@ -129,12 +130,12 @@
         tenant: &str,
         reports: &'a Map<HostId, HostReport>,
     ) -> impl Iterator<Item = &'a TenantReport> {
-        let reachable = self.reachable.iter().filter_map(|host| reports.get(host));
+        let live = self.live.iter().filter_map(|host| reports.get(host));
 
-        reachable.filter_map(move |report| report.tenants.get(tenant))
+        live.filter_map(move |report| report.tenants.get(tenant))
     }
 
-    /// Returns whether a reachable host reserves a share for silent ones.
+    /// Returns whether a live host reserves a share for silent ones.
     fn peers_need_level(&self, tenant: &str, reports: &Map<HostId, HostReport>) -> bool {
         self.reports_of(tenant, reports).any(|t| t.reserved_until > self.now)
     }
@@ -153,7 +154,7 @@
             let all = account.sample_at(report.received_at).demand + DEMAND_FLOOR * account.rate;
             let tenant = report.tenants.entry(tenant.into()).or_default();
             if tenant.share.is_none() {
-                tenant.share = Some((tenant.update.demand + self.demand_floor(account)) / all);
+                tenant.share = Some((tenant.status.demand + self.demand_floor(account)) / all);
                 newly_silent.push(*host);
             }
         }
@@ -161,7 +162,8 @@
     }
 
     /// Returns the share reserved for silent hosts, where `silent` is the sum of their shares. For
-    /// a host that never sent an update to this process, other hosts may know how much to reserve.
+    /// a host that never sent a status update to this process, other hosts may know how much to
+    /// reserve.
     fn reserved_share(
         &self,
         tenant: &str,
@@ -178,20 +180,20 @@
 
         let valid = self.reports_of(tenant, reports).filter(|t| t.reserved_until > self.now);
         let theirs = valid.map(|t| Withheld {
-            share: t.update.withheld.share,
+            share: t.status.withheld.share,
             left: t.reserved_until.since(self.now),
         });
         theirs.chain([own]).max_by(|a, b| a.share.total_cmp(&b.share)).unwrap_or(own)
     }
 
-    /// Estimates the calls that a host has admitted since its last update, assuming that all
-    /// unreachable hosts used their shares to the same degree as the reachable ones. Together they
+    /// Estimates the calls that a host has admitted since its last status update, assuming that all
+    /// hosts that are not live used their shares to the same degree as the live ones. Together they
     /// had no more than the tokens in the bucket, whose level all hosts knew.
     fn estimate_since_update(&self, account: &Account, report: &HostReport, share: f64) -> f64 {
         let refilled = account.rate * self.now.since(report.counted_until).as_secs_f64();
         let here = account.spent - account.sample_at(report.received_at).spent;
-        let alike = here * share / (1.0 - account.unreachable_share);
-        let most = (account.capacity() + refilled) * share / account.unreachable_share;
+        let alike = here * share / (1.0 - account.non_live_share);
+        let most = (account.capacity() + refilled) * share / account.non_live_share;
 
         alike.min(most).max(refilled * share)
     }
--- a/crates/policy/src/entry/target_table.rs
+++ b/crates/policy/src/entry/target_table.rs
@@ -1,13 +1,14 @@
 //! A host's copy of the table in which targets register themselves.
 //!
-//! A host learns of the table from changes in order, from whole reads and from other hosts' copies.
-//! Each of these is complete as of a version of the store, so two of them can always be compared: the
-//! one as of the higher version holds, rows and absences alike. What arrives last does not matter.
+//! A host receives the table as ordered changes, as full reads and as copies from other hosts. Each
+//! of these is complete as of a version of the store, so any two can be compared: the one with the
+//! higher version is right about both the rows that exist and those that don't. The order of
+//! arrival does not matter.
 //!
-//! The absence of a row means that its target has left, unless the store was silent for so long that
-//! rows of living targets may have expired meanwhile. Such targets are used until
-//! [`LAPSE_GRACE`] after the store's return. That deadline is passed on to hosts that have just
-//! started, with what is left of it.
+//! A missing row means that its target has left, unless the store was silent for so long that rows
+//! of running targets may have expired. Such targets stay in use until [`LAPSE_GRACE`] after the
+//! store's recovery. Hosts that have just started are sent the time that is left of this grace
+//! period.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,49 +20,50 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// How often the store is asked for changes.
+/// How often the store is polled for changes.
 pub const POLL_PERIOD: Duration = Duration::from_millis(400);
 
-/// How long the store may let a question wait before another host is asked for its copy, while the
-/// store's answer is still waited for.
+/// How long a request to the store may be unanswered before another host is asked for its copy. The
+/// store's answer is still awaited.
 pub const HEDGE_DELAY: Duration = Duration::from_millis(150);
 
-/// How long another host may take for its copy.
+/// How long another host may take to send its copy.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The pause after a round in which the store did not answer.
+/// The pause after a polling round in which the store did not answer.
 pub const FAILED_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often the table is read whole although its changes are followed. A copy that is wrong for
-/// whatever reason is right again after this time.
+/// How often the full table is read although its changes are followed. A copy that is wrong for any
+/// reason is corrected after this time.
 pub const RELIST_PERIOD: Duration = Duration::from_secs(10);
 
-/// How long after the store's return, as a host sees it, a row that expired meanwhile may take to be
-/// back: two seconds, and some of the time that the next question takes.
+/// How long a row that expired during an outage may take to reappear, counted from when a host
+/// detects the store's recovery: two seconds, and some time for the next request.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_100);
 
-/// How long after the store's return a host may see it: a try that is still waited for, and a pause.
+/// How long after the store's recovery a host may detect it: an attempt that is still awaited, plus
+/// a pause.
 pub const RETURN_DELAY: Duration = Duration::from_millis(700);
 
-/// Of the interval of targets' heartbeats, the silence of the store from which on rows of living
-/// targets may have expired. A row expires three intervals after the last heartbeat, which is at
-/// most one interval older than the silence.
+/// The length of a silence of the store from which on rows of running targets may have expired, in
+/// heartbeat intervals of the targets. A row expires three intervals after the last heartbeat,
+/// which is at most one interval older than the start of the silence.
 const LAPSE_HEARTBEATS: f64 = 1.25;
 
-/// In how many intervals of targets' heartbeats silences add up. A store that answers now and then may
-/// have let no target write in between.
-const SILENCES_HEARTBEATS: u32 = 3;
+/// The window over which silences are added up, in heartbeat intervals of the targets. A store that
+/// answers only now and then may not have accepted any target's write in between.
+const SILENCE_WINDOW_HEARTBEATS: u32 = 3;
 
-/// The time between two answers from which on it counts as a silence.
-const LEAST_SILENCE: Duration = POLL_PERIOD.saturating_mul(2);
+/// The shortest time between two answers that counts as a silence.
+const MIN_SILENCE: Duration = POLL_PERIOD.saturating_mul(2);
 
-/// How long a removal is remembered. It is longer than [`LAPSE_GRACE`], within which another host may
-/// still tell of the target as one that may be back.
+/// How long a removal is remembered. It must exceed [`LAPSE_GRACE`], during which another host may
+/// still report the target as one whose row may reappear.
 const REMOVAL_MEMORY: Duration = Duration::from_secs(10);
 
-/// The longest time from a change of the table until a host that the store answers, or that reaches
-/// another one that the store answers, goes by it. The other host's copy is at most a pause and a
-/// question old.
+/// The longest time from a change of the table until a host acts on it, for a host that the store
+/// answers, or that reaches a host that the store answers. The other host's copy is at most one
+/// poll and one request old.
 ///
 /// ```
 /// use std::time::Duration;
@@ -82,7 +84,8 @@
     pub id: Box<str>,
     /// The version of the row.
     pub version: RowVersion,
-    /// What the target says of itself; `None` if the row cannot be read and names no target to use.
+    /// The entry that the target registered; `None` if the row is unreadable and names no usable
+    /// target.
     pub entry: Option<TargetEntry>,
 }
 
@@ -95,146 +98,148 @@
     Removed(Box<str>),
 }
 
-/// A target whose row is missing since a silence of the store and may be back.
+/// A target whose row went missing during a silence of the store and may reappear.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LapsedRow {
-    /// What the target said of itself.
+    /// The entry that the target registered.
     pub entry: TargetEntry,
-    /// What is left of its grace, in milliseconds.
+    /// The remaining time of its grace period, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub left: Duration,
 }
 
-/// A host's copy, as other hosts are told it.
+/// A host's copy, as sent to other hosts.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableCopy {
-    /// The version of the store as of which it is complete.
+    /// The version of the store as of which the copy is complete.
     pub as_of: RowVersion,
-    /// How long ago the store confirmed it, in milliseconds.
+    /// How long ago the store last confirmed the copy, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
-    /// The rows; `None` if none has changed since the version that the asking host has.
+    /// The rows; `None` if none has changed since the version that the requesting host has.
     pub rows: Option<Vec<EntryRow>>,
-    /// The targets that are used although their rows are missing.
+    /// The targets that are in use although their rows are missing.
     pub lapsed: Vec<LapsedRow>,
 }
 
-/// Where knowledge of the table comes from.
+/// The source of a change to the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Changes in order.
+    /// Ordered changes from the store.
     Changes,
-    /// A whole read.
+    /// A full read of the store's table.
     WholeRead,
     /// Another host's copy.
     Peer,
-    /// The end of a grace.
+    /// The end of a grace period.
     Grace,
 }
 
-/// Why a target is not used any more.
+/// Why a target is no longer used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dropped {
     /// Its row was removed.
     Removed,
-    /// Its row cannot be read.
+    /// Its row is unreadable.
     Unreadable,
-    /// Its row was not back in time after a silence of the store.
+    /// Its row did not reappear in time after a silence of the store.
     NotBack,
 }
 
-/// What a host is to do with a target.
+/// A change to the set of targets that a host uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// To go by this entry.
+    /// Use the target with this entry.
     Use(TargetEntry),
-    /// To use the target no more.
+    /// Stop using the target.
     Drop(Box<str>, Dropped),
 }
 
-/// What is known of a target.
+/// The known state of a target.
 #[derive(Clone, Debug)]
 enum State {
-    /// It has a row; `None` if that cannot be read.
+    /// Its row exists; `None` if the row is unreadable.
     Present(Option<TargetEntry>),
-    /// Its row is missing since a silence of the store, and may be back until this moment.
+    /// Its row went missing during a silence of the store, and may reappear until this time.
     Lapsed(TargetEntry, Instant),
-    /// Its row was removed; known since this moment.
+    /// Its row was removed; detected at this time.
     Removed(Instant),
 }
 
 #[derive(Clone, Debug)]
-struct Known {
-    /// The version of the row, or the one as of which it is missing.
+struct KnownTarget {
+    /// The version of the row, or the version as of which it is missing.
     version: RowVersion,
     state: State,
 }
 
-/// The copy, complete as of a version of the store.
+/// A copy of the table, complete as of a version of the store.
 #[derive(Clone, Debug)]
 pub struct TargetTable {
-    rows: Map<Box<str>, Known>,
+    rows: Map<Box<str>, KnownTarget>,
     as_of: RowVersion,
-    /// The version as of which a row last may have differed from what another host has.
-    changed: RowVersion,
-    /// The version as of which this process saw the table first.
-    first_seen: Option<RowVersion>,
-    /// When the store confirmed the copy last.
-    confirmed: Option<Instant>,
-    /// When the table was seen first.
-    began: Option<Instant>,
-    /// When the store returned from a silence in which rows may have expired.
-    regained: Option<Instant>,
-    /// The silences of the store of late: when each ended, and how long it was.
-    silences: VecDeque<(Instant, Duration)>,
+    /// The latest version at which a row may have become different from another host's copy.
+    last_difference: RowVersion,
+    /// The version of the first copy that this process received.
+    first_version: Option<RowVersion>,
+    /// When the store last confirmed the copy.
+    confirmed_at: Option<Instant>,
+    /// When this process received its first copy.
+    first_copy_at: Option<Instant>,
+    /// When the store recovered from a silence during which rows may have expired.
+    recovered_at: Option<Instant>,
+    /// Recent silences of the store: when each ended, and how long it was.
+    recent_silences: VecDeque<(Instant, Duration)>,
     /// How often targets write their rows.
     heartbeat: Duration,
 }
 
 impl TargetTable {
-    /// Makes an empty copy; `heartbeat` is how often targets write their rows.
+    /// Creates an empty copy. `heartbeat` is the interval at which targets write their rows.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             rows: Map::default(),
             as_of: RowVersion::default(),
-            changed: RowVersion::default(),
-            first_seen: None,
-            confirmed: None,
-            began: None,
-            regained: None,
-            silences: VecDeque::new(),
+            last_difference: RowVersion::default(),
+            first_version: None,
+            confirmed_at: None,
+            first_copy_at: None,
+            recovered_at: None,
+            recent_silences: VecDeque::new(),
             heartbeat,
         }
     }
 
-    /// Returns the version from which on changes are to be asked for; `None` while no source has
-    /// told the table yet.
+    /// Returns the version after which to request changes; `None` until the first copy has been
+    /// received.
     pub fn as_of(&self) -> Option<RowVersion> {
-        self.first_seen.map(|_| self.as_of)
+        self.first_version.map(|_| self.as_of)
     }
 
-    /// Returns whether the store has been silent for so long that rows of living targets may expire.
+    /// Returns whether the store has been silent for so long that rows of running targets may have
+    /// expired.
     pub fn is_silent(&self, now: Instant) -> bool {
-        self.confirmed.is_none_or(|at| now.since(at) >= self.lapse_silence())
+        self.confirmed_at.is_none_or(|at| now.since(at) >= self.lapse_silence())
     }
 
-    /// Returns the silence of the store from which on rows of living targets may have expired.
+    /// Returns the length of a silence of the store from which on rows of running targets may have
+    /// expired.
     fn lapse_silence(&self) -> Duration {
         self.heartbeat.mul_f64(LAPSE_HEARTBEATS)
     }
 
-    /// Returns whether rows of living targets may be missing: the process has just started, or the
-    /// store has just returned.
+    /// Returns whether rows of running targets may be missing: the process has just started, or the
+    /// store has just recovered.
     pub fn may_miss_rows(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.since(at) < LAPSE_GRACE;
 
-        self.began.is_none_or(is_recent) || self.regained.is_some_and(is_recent)
+        self.first_copy_at.is_none_or(is_recent) || self.recovered_at.is_some_and(is_recent)
     }
 
-    /// Takes in the changes after the version that was asked from, in their order. `asked_at` is
-    /// when the store was asked.
+    /// Applies the changes after version `after`, in their order. `asked_at` is the time of the
+    /// request to the store.
     ///
     /// ```
     /// use std::time::Duration;
@@ -257,8 +262,8 @@
         changes: Vec<EntryChange>,
         as_of: RowVersion,
     ) -> Vec<Effect> {
-        // Another source may have told of a later version meanwhile. The last change of each key is as
-        // of the answer's version, whatever is known from in between.
+        // Another source may have supplied a later version in the meantime. The answer holds the
+        // last change of each key as of its own version, whatever was received from in between.
         if after > self.as_of || as_of < self.as_of {
             return Vec::new();
         }
@@ -266,8 +271,8 @@
         let mut last: Map<Box<str>, Option<EntryRow>> = Map::default();
 
         if !changes.is_empty() {
-            // Other hosts may have seen a row that came and went within this answer.
-            self.changed = as_of;
+            // Other hosts may have a row that was written and removed within this answer.
+            self.last_difference = as_of;
         }
 
         for change in changes {
@@ -285,7 +290,8 @@
         effects.collect()
     }
 
-    /// Takes in a whole read of the table as of a version. `asked_at` is when the store was asked.
+    /// Applies a full read of the table as of a version. `asked_at` is the time of the request to
+    /// the store.
     pub fn take_whole(
         &mut self,
         now: Instant,
@@ -299,10 +305,10 @@
         self.replace(now, asked_at, rows, as_of)
     }
 
-    /// Takes in another host's copy. `asked_at` is when that host was asked.
+    /// Applies another host's copy. `asked_at` is the time of the request to that host.
     ///
-    /// A copy as of a higher version than the own one holds. One as of a lower version tells nothing
-    /// new, but for targets whose rows expired before this process started.
+    /// A copy with a higher version replaces this one. A copy with a lower version adds nothing,
+    /// except targets whose rows expired before this process started.
     pub fn take_copy(&mut self, now: Instant, asked_at: Instant, copy: TableCopy) -> Vec<Effect> {
         let confirmed_at = asked_at - copy.age;
         let mut effects = Vec::new();
@@ -315,13 +321,14 @@
                 None => {
                     self.confirm(now, confirmed_at);
                     self.as_of = copy.as_of;
-                    self.first_seen.get_or_insert(copy.as_of);
+                    self.first_version.get_or_insert(copy.as_of);
                 }
             }
         }
-        // A copy from before the first own read may tell of a target that came back and left since.
-        let is_told_since = self.first_seen.is_some_and(|first| copy.as_of >= first);
-        if is_told_since && self.may_miss_rows(now) {
+        // A copy that is older than this process's first one may contain a target whose row has
+        // reappeared and been removed since.
+        let is_recent_enough = self.first_version.is_some_and(|first| copy.as_of >= first);
+        if is_recent_enough && self.may_miss_rows(now) {
             let unknown =
                 copy.lapsed.into_iter().filter(|row| !self.rows.contains_key(&row.entry.id));
             let unknown: Vec<_> = unknown.collect();
@@ -330,7 +337,7 @@
         effects
     }
 
-    /// Returns when the next grace ends, if any target has one.
+    /// Returns when the next grace period ends, if there is any.
     pub fn next_end(&self) -> Option<Instant> {
         let ends = self.rows.values().filter_map(|known| match known.state {
             State::Lapsed(_, until) => Some(until),
@@ -340,7 +347,7 @@
         ends.min()
     }
 
-    /// Ends the grace of targets whose rows were not back in time.
+    /// Drops targets whose grace period has ended before their rows reappeared.
     pub fn expire(&mut self, now: Instant) -> Vec<Effect> {
         self.rows.retain(|_, known| match known.state {
             State::Removed(at) => now.since(at) < REMOVAL_MEMORY,
@@ -361,10 +368,10 @@
         ended.collect()
     }
 
-    /// Returns the copy for a host that has one as of a version; `None` while no source has told the
-    /// table yet.
+    /// Returns the copy for a host that has one as of version `has`; `None` until the first copy
+    /// has been received.
     pub fn copy_for(&self, now: Instant, has: RowVersion) -> Option<TableCopy> {
-        let confirmed = self.confirmed?;
+        let confirmed_at = self.confirmed_at?;
         let rows = self.rows.iter().filter_map(|(id, known)| match &known.state {
             State::Present(entry) => {
                 Some(EntryRow { id: id.clone(), version: known.version, entry: entry.clone() })
@@ -380,8 +387,8 @@
 
         Some(TableCopy {
             as_of: self.as_of,
-            age: now.since(confirmed),
-            rows: (self.changed > has).then(|| rows.collect()),
+            age: now.since(confirmed_at),
+            rows: (self.last_difference > has).then(|| rows.collect()),
             lapsed: lapsed.collect(),
         })
     }
@@ -398,42 +405,42 @@
         let missing: Vec<_> =
             self.rows.keys().filter(|id| !present.contains(*id)).cloned().collect();
         self.as_of = as_of;
-        // Other hosts may have seen a row that came and went between two whole reads.
-        self.changed = as_of;
-        self.first_seen.get_or_insert(as_of);
+        // Other hosts may have a row that was written and removed between two full reads.
+        self.last_difference = as_of;
+        self.first_version.get_or_insert(as_of);
 
         let written: Vec<_> = rows.into_iter().filter_map(|row| self.write(row)).collect();
         let removed = missing.iter().filter_map(|id| self.remove(now, id, grace_end));
         written.into_iter().chain(removed.collect::<Vec<_>>()).collect()
     }
 
-    /// Takes in that the store confirms the copy as it stood at a moment. Returns until when rows that
-    /// are missing now may be back; `None` if their targets have left.
+    /// Records that the store confirmed the copy as of `confirmed_at`. Returns until when rows that
+    /// are missing now may reappear; `None` if their targets have left.
     fn confirm(&mut self, now: Instant, confirmed_at: Instant) -> Option<Instant> {
-        let silence = self.confirmed.map_or(Duration::ZERO, |before| confirmed_at.since(before));
-        self.confirmed = self.confirmed.max(Some(confirmed_at));
-        self.began.get_or_insert(now);
-
-        if silence >= LEAST_SILENCE {
-            self.silences.push_back((confirmed_at, silence));
-            if self.silence_of_late(confirmed_at) >= self.lapse_silence() {
-                self.silences.clear();
-                self.regained = Some(now);
-                self.extend_lapses(now + LAPSE_GRACE);
+        let silence = self.confirmed_at.map_or(Duration::ZERO, |before| confirmed_at.since(before));
+        self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
+        self.first_copy_at.get_or_insert(now);
+
+        if silence >= MIN_SILENCE {
+            self.recent_silences.push_back((confirmed_at, silence));
+            if self.total_recent_silence(confirmed_at) >= self.lapse_silence() {
+                self.recent_silences.clear();
+                self.recovered_at = Some(now);
+                self.extend_grace_periods(now + LAPSE_GRACE);
             }
         }
-        self.regained.map(|at| at + LAPSE_GRACE).filter(|end| *end > now)
+        self.recovered_at.map(|at| at + LAPSE_GRACE).filter(|end| *end > now)
     }
 
-    /// Returns how long the store was silent of late, all silences together.
-    fn silence_of_late(&mut self, now: Instant) -> Duration {
-        let window = self.heartbeat.saturating_mul(SILENCES_HEARTBEATS);
+    /// Returns the sum of the store's recent silences.
+    fn total_recent_silence(&mut self, now: Instant) -> Duration {
+        let window = self.heartbeat.saturating_mul(SILENCE_WINDOW_HEARTBEATS);
 
-        self.silences.retain(|(ended, _)| now.since(*ended) < window);
-        self.silences.iter().map(|(_, silence)| *silence).sum()
+        self.recent_silences.retain(|(ended, _)| now.since(*ended) < window);
+        self.recent_silences.iter().map(|(_, silence)| *silence).sum()
     }
 
-    fn extend_lapses(&mut self, end: Instant) {
+    fn extend_grace_periods(&mut self, end: Instant) {
         for known in self.rows.values_mut() {
             if let State::Lapsed(_, until) = &mut known.state {
                 *until = end;
@@ -441,7 +448,7 @@
         }
     }
 
-    /// Takes in a row as it stands now.
+    /// Applies a row that exists in the store.
     fn write(&mut self, row: EntryRow) -> Option<Effect> {
         let before = self.rows.get(&row.id);
         let is_same = before.is_some_and(|known| {
@@ -456,16 +463,16 @@
             // Only a target that is in use can be dropped.
             None => before.map(|_| Effect::Drop(row.id.clone(), Dropped::Unreadable)),
         };
-        let known = Known { version: row.version, state: State::Present(row.entry) };
+        let known = KnownTarget { version: row.version, state: State::Present(row.entry) };
         self.rows.insert(row.id, known);
         effect
     }
 
-    /// Takes in that a row is missing now.
+    /// Records that a row is missing from the store.
     fn remove(&mut self, now: Instant, id: &str, grace_end: Option<Instant>) -> Option<Effect> {
         let Some(known) = self.rows.get_mut(id) else {
-            // Another host that is behind may still tell of it as one that may be back.
-            let removed = Known { version: self.as_of, state: State::Removed(now) };
+            // A host with an older copy may still report it as one that may reappear.
+            let removed = KnownTarget { version: self.as_of, state: State::Removed(now) };
             self.rows.insert(id.into(), removed);
             return None;
         };
@@ -474,7 +481,7 @@
 
         known.version = self.as_of;
         match (entry, grace_end) {
-            // One that said that it leaves has left.
+            // A draining target whose row is missing has left.
             (Some(entry), Some(until)) if entry.state == TargetState::Ready => {
                 known.state = State::Lapsed(entry, until);
                 None
@@ -488,7 +495,7 @@
 
     fn lapse(&mut self, now: Instant, row: LapsedRow) -> Effect {
         let state = State::Lapsed(row.entry.clone(), now + row.left.min(LAPSE_GRACE));
-        self.rows.insert(row.entry.id.clone(), Known { version: self.as_of, state });
+        self.rows.insert(row.entry.id.clone(), KnownTarget { version: self.as_of, state });
 
         Effect::Use(row.entry)
     }
--- a/crates/policy/src/entry/waiting.rs
+++ b/crates/policy/src/entry/waiting.rs
@@ -1,7 +1,8 @@
-//! The queue of calls that wait at a host for a slot at a target.
+//! The queue of calls that wait at a host for a place at a target: the right to have one call in
+//! flight there.
 //!
 //! Engines serve calls in the order of arrival. Calls therefore wait here once the targets are
-//! full, and the next free slot goes to the call whose program would lose most by waiting longer:
+//! full, and the next free place goes to the call whose program would lose most by waiting longer:
 //! first to programs that can still finish in time, before those that are late anyway; then to
 //! running programs before new ones, since a half-finished program is worth nothing; then by rank;
 //! then by the earliest deadline.
--- a/crates/policy/tests/entry_manifests.rs
+++ b/crates/policy/tests/entry_manifests.rs
@@ -83,8 +83,8 @@
     }
 }
 
-/// Simulates a request that is sent at time zero to a host whose updates arrive every `period`
-/// until `silent_from`. Returns when the request is given up.
+/// Simulates a request that is sent at time zero to a host whose status updates arrive every
+/// `period` until `silent_from`. Returns when the request is given up.
 fn given_up_at(period: u64, silent_from: u64) -> u64 {
     let heard = |now: u64| {
         let last = now.min(silent_from);
--- a/crates/policy/tests/entry_placement.rs
+++ b/crates/policy/tests/entry_placement.rs
@@ -117,10 +117,10 @@
 
 #[test]
 fn no_program_starts_while_the_targets_together_are_too_busy() {
-    // A third of the engines is lost under the usual load. With updates that are a tenth of a
-    // second old, one of the remaining engines nearly always seems to have a free slot, while turns
-    // at the others take twice as long. Programs that started there would be late, and make others
-    // late.
+    // A third of the engines is lost under the usual load. With status updates that are a tenth of
+    // a second old, one of the remaining engines nearly always seems to have a free slot, while
+    // turns at the others take twice as long. Programs that started there would be late, and make
+    // others late.
     let mut targets = Targets::new("a");
     for id in ["x", "y", "z"] {
         targets.put(TargetEntry { slots: 12, ..entry(id, "a") });
@@ -393,10 +393,10 @@
 
 #[test]
 fn hosts_with_the_same_knowledge_do_not_all_choose_the_same_target() {
-    // Until the next update 23 hosts of a zone start three programs each, with the same knowledge
-    // of 16 targets with six slots each. If each host chose the best target, 23 calls would arrive
-    // at it within a tenth of a second; it would reject some and delay the others while its
-    // neighbours are idle.
+    // Until the next status update 23 hosts of a zone start three programs each, with the same
+    // knowledge of 16 targets with six slots each. If each host chose the best target, 23 calls
+    // would arrive at it within a tenth of a second; it would reject some and delay the others
+    // while its neighbours are idle.
     let ids: Vec<_> = (0..16).map(|i| format!("engine-{i}")).collect();
     let mut sent: Map<Box<str>, u32> = Map::default();
 
@@ -420,8 +420,8 @@
 
 #[test]
 fn calls_without_a_prompt_are_spread_by_free_slots() {
-    // Plain calls of 20 ms start and end between two updates. Most of them must go where most slots
-    // are free.
+    // Plain calls of 20 ms start and end between two status updates. Most of them must go where
+    // most slots are free.
     let mut targets = Targets::new("a");
     for id in ["x", "y"] {
         targets.put(TargetEntry { slots: 6, ..entry(id, "a") });
--- a/crates/policy/tests/entry_rates.rs
+++ b/crates/policy/tests/entry_rates.rs
@@ -20,7 +20,7 @@
     hosts: Vec<Rates>,
     /// The hosts on one side of a network partition.
     partitioned: Vec<usize>,
-    /// The number of rounds in which the hosts sent each other updates.
+    /// The number of rounds in which the hosts sent each other status updates.
     rounds: u32,
 }
 
@@ -61,7 +61,7 @@
 
     fn exchange_updates(&mut self) {
         for from in 0..self.hosts.len() {
-            // Every tenth update is a full one, as in production.
+            // Every tenth status update is a full one, as in production.
             let all = self.rounds.is_multiple_of(10);
             let updates: Vec<(Box<str>, TenantNews)> = self.hosts[from].take_news(all);
 
@@ -100,9 +100,9 @@
 
 #[test]
 fn a_tenant_that_sends_many_times_its_rate_gets_its_rate_and_burst_over_all_hosts() {
-    // Guards against exceeding the rate through delayed updates: each host's level does not yet
-    // include the calls that others admitted since their last update. The excess within a window
-    // may reach the tolerance of ten percent plus twenty calls.
+    // Guards against exceeding the rate through delayed status updates: each host's level does not
+    // yet include the calls that others admitted since their last status update. The excess within
+    // a window may reach the tolerance of ten percent plus twenty calls.
     let mut fleet = Fleet::new(11, &tenant(150.0, 150.0));
     (0..100).for_each(|_| {
         fleet.tick(&[0; 11], false);
@@ -155,9 +155,9 @@
 
 #[test]
 fn updates_cover_only_changes_and_lose_nothing() {
-    // Guards against updates that repeat unchanged tenants, which were most of the traffic between
-    // hosts with seventy tenants of which three had calls. Also guards against a host that has just
-    // started counting old calls again.
+    // Guards against status updates that repeat unchanged tenants, which were most of the traffic
+    // between hosts with seventy tenants of which three had calls. Also guards against a host that
+    // has just started counting old calls again.
     let mut here = Rates::default();
     let mut there = Rates::default();
     let specs: Vec<_> = (0..70)
@@ -256,8 +256,8 @@
 #[test]
 fn a_partition_refuses_no_calls_within_the_rate() {
     // A zone is partitioned from the others while the host list still contains a host that was
-    // replaced for good, so that no host has ever received updates from all others. The tenant
-    // sends six tenths of its rate throughout and must not be refused.
+    // replaced for good, so that no host has ever received status updates from all others. The
+    // tenant sends six tenths of its rate throughout and must not be refused.
     let mut fleet = Fleet::new(12, &tenant(120.0, 120.0));
     fleet.partitioned = vec![11];
     let mut calls = [1; 12];
--- a/crates/policy/tests/entry_rates_cut.rs
+++ b/crates/policy/tests/entry_rates_cut.rs
@@ -71,7 +71,7 @@
     run: u64,
     began: Instant,
     rates: Rates,
-    /// The process runs of other hosts that have received a full update.
+    /// The process runs of other hosts that have received a full status update.
     fully_updated: Vec<u64>,
 }
 
@@ -262,8 +262,8 @@
 
 #[test]
 fn a_host_that_starts_during_a_partition_leaves_the_other_side_its_share() {
-    // The host has never received updates from the other side. If it admitted the whole rate on its
-    // own side, it would admit all calls that its neighbours refuse.
+    // The host has never received status updates from the other side. If it admitted the whole rate
+    // on its own side, it would admit all calls that its neighbours refuse.
     let mut fleet = Fleet::in_steady_state();
     fleet.run(6.0, HOT);
 
@@ -293,9 +293,9 @@
 
 #[test]
 fn a_new_run_of_a_process_returns_no_tokens_of_the_previous_run() {
-    // A new process counts from zero, and its updates omit tenants without calls there. If the last
-    // count of the previous run were taken as the new run's count, the difference would refill the
-    // buckets of all hosts.
+    // A new process counts from zero, and its status updates omit tenants without calls there. If
+    // the last count of the previous run were taken as the new run's count, the difference would
+    // refill the buckets of all hosts.
     let mut rates = Rates::default();
     let now = Instant::from_millis(10_000);
     rates.configure(Instant(0), &[tenant()]);
--- a/crates/policy/tests/entry_transfers.rs
+++ b/crates/policy/tests/entry_transfers.rs
@@ -13,7 +13,7 @@
 const LINK: u64 = 37_500;
 const STEP: u64 = 10;
 
-/// The delay of a host's updates, in milliseconds.
+/// The delay of a host's status updates, in milliseconds.
 const UPDATE_DELAY: u64 = 100;
 
 fn at(millis: u64) -> Instant {
--- a/crates/policy/tests/target_table.rs
+++ b/crates/policy/tests/target_table.rs
@@ -12,19 +12,20 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-/// How long a call may take to connect to the target that was chosen for it.
+/// How long a call may take to connect to its target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long after the store's return a host counts as in touch again: the least of the deployments.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+/// How long after the store's recovery a host counts as in contact again: the shortest time of all
+/// deployments.
+const CONTACT_RESTORED_AFTER: Duration = Duration::from_secs(3);
 
-/// How long after its removal a target may get calls: the least of the deployments' bounds.
+/// How long after its removal a target may still get calls: the tightest bound of all deployments.
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
 
-/// The store's grace for entries that expired while it was away.
+/// The store's grace period for entries that expired while it was unavailable.
 const STORE_GRACE: Duration = Duration::from_secs(2);
 
-/// An outage in which all entries expire.
+/// The length of an outage in which all entries expire.
 const OUTAGE_MS: u64 = 6_000;
 
 fn at(millis: u64) -> Instant {
@@ -55,11 +56,11 @@
     EntryChange::Removed(id.into())
 }
 
-fn gone(id: &str, why: Dropped) -> Vec<Effect> {
+fn dropped(id: &str, why: Dropped) -> Vec<Effect> {
     vec![Effect::Drop(id.into(), why)]
 }
 
-/// Returns a copy with one target that was read as of version 10 at the clock's start.
+/// Returns a copy with one target, from a full read at time zero as of version 10.
 fn with_one(id: &str) -> TargetTable {
     let mut table = TargetTable::new(HEARTBEAT);
     table.take_whole(at(0), at(0), vec![row(id, 5)], RowVersion(10));
@@ -67,14 +68,14 @@
     table
 }
 
-/// Takes in changes that are told at once, from where the copy stands.
+/// Applies changes that follow the copy's own version and are answered at once.
 fn change(table: &mut TargetTable, now: u64, changes: Vec<EntryChange>, as_of: u64) -> Vec<Effect> {
     let after = table.as_of().unwrap();
 
     table.take_changes(at(now), at(now), after, changes, RowVersion(as_of))
 }
 
-/// Takes in answers without changes, until a moment.
+/// Applies answers without changes, one per polling period, until a time.
 fn poll(table: &mut TargetTable, from: u64, until: u64) {
     for now in (from..=until).step_by(POLL_PERIOD.as_millis() as usize) {
         let as_of = table.as_of().unwrap().0 + 1;
@@ -86,7 +87,7 @@
     table.copy_for(at(now), RowVersion::default()).unwrap()
 }
 
-/// Guards against a target that registers and leaves between two polls and then gets calls for good.
+/// Guards against a target that registers and leaves between two polls and then gets calls forever.
 #[test]
 fn an_entry_that_is_written_and_removed_between_two_polls_is_not_used() {
     let mut table = with_one("x");
@@ -97,7 +98,7 @@
     assert_eq!(copy(&table, 400).rows.unwrap(), [row("x", 5)]);
 }
 
-/// Guards against a target that starts again under its id being taken for gone.
+/// Guards against treating a target as gone that restarted with the same id.
 #[test]
 fn an_entry_that_is_removed_and_written_between_two_polls_is_used() {
     let mut table = with_one("x");
@@ -107,9 +108,10 @@
     assert_eq!(effects, [Effect::Use(entry("x"))]);
 }
 
-/// Guards against calls to a target that left, which a host that is behind still tells of.
+/// Guards against calls to a target that has left but is still in the outdated copy of another
+/// host.
 #[test]
-fn a_copy_from_before_a_removal_does_not_bring_its_target_back() {
+fn a_copy_from_before_a_removal_does_not_restore_its_target() {
     let mut behind = with_one("x");
     let mut table = with_one("x");
     change(&mut behind, 300, vec![], 15);
@@ -118,26 +120,27 @@
     let by_copy =
         [401, 5_000, 60_000].map(|now| table.take_copy(at(now), at(now), copy(&behind, now)));
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", Dropped::Removed));
     assert_eq!(by_copy, [vec![], vec![], vec![]]);
 }
 
-/// Guards against calls to a target that left, on a host that the store turns away.
+/// Guards against calls to a target that has left, at a host that the store rejects.
 #[test]
-fn a_later_copy_of_another_host_takes_a_target_away() {
+fn a_newer_copy_of_another_host_removes_a_target() {
     let mut ahead = with_one("x");
     change(&mut ahead, 400, vec![removed("x")], 20);
     let mut table = with_one("x");
 
     let effects = table.take_copy(at(600), at(600), copy(&ahead, 600));
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", Dropped::Removed));
     assert_eq!(table.as_of(), Some(RowVersion(20)));
 }
 
-/// Guards against changes that were asked for before a later copy came and put an old entry back.
+/// Guards against restoring an old entry from an answer that was requested before a newer copy
+/// arrived.
 #[test]
-fn changes_from_before_a_later_copy_are_passed_over() {
+fn changes_older_than_a_newer_copy_are_ignored() {
     let mut ahead = with_one("x");
     change(&mut ahead, 400, vec![removed("x")], 20);
     let mut table = with_one("x");
@@ -150,20 +153,20 @@
     assert_eq!(effects, []);
 }
 
-/// Guards against a copy that differs from the store for good.
+/// Guards against a copy that differs from the store permanently.
 #[test]
-fn a_whole_read_puts_a_copy_right() {
+fn a_full_read_corrects_a_copy() {
     let mut table = with_one("x");
     change(&mut table, 400, vec![written("y", 11)], 12);
 
     let effects = table.take_whole(at(800), at(800), vec![row("x", 5)], RowVersion(14));
 
-    assert_eq!(effects, gone("y", Dropped::Removed));
+    assert_eq!(effects, dropped("y", Dropped::Removed));
 }
 
-/// Guards against an outage in which all entries expire and no target is left for two seconds.
+/// Guards against losing all targets for two seconds after an outage in which all entries expired.
 #[test]
-fn targets_whose_entries_expired_in_an_outage_are_used_until_they_had_time_to_be_back() {
+fn targets_whose_entries_expired_in_an_outage_are_used_for_a_grace_period() {
     let mut table = with_one("x");
     let back = OUTAGE_MS;
 
@@ -173,10 +176,11 @@
     let after_grace = table.expire(at(back) + LAPSE_GRACE);
 
     assert_eq!((at_return, in_grace), (vec![], vec![]));
-    assert_eq!(after_grace, gone("x", Dropped::NotBack));
+    assert_eq!(after_grace, dropped("x", Dropped::NotBack));
 }
 
-/// Guards against one lost answer that turns a removal into an expiry and delays it by seconds.
+/// Guards against one lost answer making a removal look like an expiry, which would delay it by
+/// seconds.
 #[test]
 fn a_removal_after_a_short_silence_takes_effect_at_once() {
     let mut table = with_one("x");
@@ -184,47 +188,48 @@
 
     let effects = change(&mut table, before_expiry, vec![removed("x")], 20);
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", Dropped::Removed));
 }
 
-/// Guards against a grace that begins anew with every further silence or host that tells of it.
+/// Guards against a grace period that restarts with each further silence or each copy from another
+/// host.
 #[test]
-fn a_host_that_has_just_started_gets_what_is_left_of_a_grace_and_no_more() {
-    let mut told = with_one("x");
-    change(&mut told, OUTAGE_MS, vec![removed("x")], 20);
+fn a_host_that_has_just_started_gets_only_the_remaining_grace_period() {
+    let mut other = with_one("x");
+    change(&mut other, OUTAGE_MS, vec![removed("x")], 20);
     let mut table = TargetTable::new(HEARTBEAT);
     let started = OUTAGE_MS + 1_000;
     table.take_whole(at(started), at(started), vec![], RowVersion(22));
-    poll(&mut told, OUTAGE_MS + 400, started);
-    change(&mut told, started, vec![], 23);
+    poll(&mut other, OUTAGE_MS + 400, started);
+    change(&mut other, started, vec![], 23);
 
-    let told_at = started + 100;
-    let learned = table.take_copy(at(told_at), at(told_at), copy(&told, told_at));
+    let received_at = started + 100;
+    let effects = table.take_copy(at(received_at), at(received_at), copy(&other, received_at));
     let end = OUTAGE_MS + LAPSE_GRACE.as_millis() as u64;
-    poll(&mut table, told_at, end);
+    poll(&mut table, received_at, end);
     let before_end = table.expire(at(end - 1));
     let at_end = table.expire(at(end));
 
-    assert_eq!(learned, [Effect::Use(entry("x"))]);
+    assert_eq!(effects, [Effect::Use(entry("x"))]);
     assert_eq!(before_end, []);
-    assert_eq!(at_end, gone("x", Dropped::NotBack));
+    assert_eq!(at_end, dropped("x", Dropped::NotBack));
 }
 
-/// Guards against a host that started in an outage and knows no target.
+/// Guards against a host that starts during an outage and knows no target.
 #[test]
-fn a_host_that_starts_in_an_outage_goes_by_the_copy_of_another() {
-    let told = with_one("x");
+fn a_host_that_starts_in_an_outage_uses_the_copy_of_another() {
+    let other = with_one("x");
     let mut table = TargetTable::new(HEARTBEAT);
 
-    let learned = table.take_copy(at(3_000), at(3_000), copy(&told, 3_000));
+    let effects = table.take_copy(at(3_000), at(3_000), copy(&other, 3_000));
 
-    assert_eq!(learned, [Effect::Use(entry("x"))]);
-    assert_eq!(table.as_of(), told.as_of());
+    assert_eq!(effects, [Effect::Use(entry("x"))]);
+    assert_eq!(table.as_of(), other.as_of());
 }
 
-/// Guards against a target that said that it leaves and is then held for one that expired.
+/// Guards against treating a draining target as one whose entry expired.
 #[test]
-fn a_target_that_was_leaving_is_not_used_after_an_outage() {
+fn a_target_that_was_draining_is_not_used_after_an_outage() {
     let mut table = with_one("x");
     let draining = TargetEntry { state: TargetState::Draining, ..entry("x") };
     let row = EntryRow { id: "x".into(), version: RowVersion(11), entry: Some(draining) };
@@ -232,54 +237,56 @@
 
     let effects = change(&mut table, OUTAGE_MS, vec![removed("x")], 20);
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", Dropped::Removed));
 }
 
-/// Guards against an entry of another writer that names no target to use.
+/// Guards against an entry, written by another client, that names no usable target.
 #[test]
-fn an_entry_that_cannot_be_read_takes_its_target_away() {
+fn an_unreadable_entry_removes_its_target() {
     let mut table = with_one("x");
     let unreadable = EntryRow { id: "x".into(), version: RowVersion(11), entry: None };
 
     let effects = change(&mut table, 400, vec![EntryChange::Written(unreadable)], 12);
 
-    assert_eq!(effects, gone("x", Dropped::Unreadable));
+    assert_eq!(effects, dropped("x", Dropped::Unreadable));
 }
 
-/// Guards against a sum of periods and timeouts that passes the bound although each looks short. One
-/// question to another host may be lost beside.
+/// Guards against periods and timeouts that each look short but together exceed the bound. It must
+/// hold even if one request to another host is lost.
 #[test]
-fn a_change_is_known_well_within_the_bound() {
+fn a_change_takes_effect_well_within_the_bound() {
     let a_lost_question = HEDGE_DELAY + PEER_TIMEOUT + FAILED_PAUSE;
 
     assert!(longest_delay() + a_lost_question + CONNECT_TIMEOUT < DRAIN_BOUND);
 }
 
-/// Guards against a grace that lasts until hosts are held to the bound again.
+/// Guards against a grace period that lasts beyond the time at which the bound on calls to removed
+/// targets applies again.
 #[test]
 fn a_grace_ends_before_the_bound_holds_again() {
-    assert!(RETURN_DELAY + LAPSE_GRACE < IN_TOUCH);
+    assert!(RETURN_DELAY + LAPSE_GRACE < CONTACT_RESTORED_AFTER);
     assert!(LAPSE_GRACE > STORE_GRACE);
 }
 
-/// Guards against a removal that another host's copy leaves out, since that host never had the entry.
+/// Guards against a removal that is missing from another host's copy because that host never had
+/// the entry.
 #[test]
-fn a_copy_tells_of_an_entry_that_came_and_went_within_one_answer() {
+fn a_copy_reflects_an_entry_that_was_added_and_removed_within_one_answer() {
     let mut quick = with_one("x");
     change(&mut quick, 300, vec![written("y", 11)], 12);
     let mut other = with_one("x");
     change(&mut other, 400, vec![written("y", 11), removed("y")], 14);
 
     let has = quick.as_of().unwrap();
-    let told = other.copy_for(at(500), has).unwrap();
-    let effects = quick.take_copy(at(500), at(500), told);
+    let sent = other.copy_for(at(500), has).unwrap();
+    let effects = quick.take_copy(at(500), at(500), sent);
 
-    assert_eq!(effects, gone("y", Dropped::Removed));
+    assert_eq!(effects, dropped("y", Dropped::Removed));
 }
 
-/// Guards against a removal that is dropped with a late answer, since another host's copy came first.
+/// Guards against losing a removal because its answer arrives after another host's copy.
 #[test]
-fn an_answer_that_is_newer_than_a_copy_that_overtook_it_is_taken_in() {
+fn an_answer_newer_than_a_copy_that_overtook_it_is_applied() {
     let mut table = with_one("x");
     let mut ahead = with_one("x");
     change(&mut ahead, 300, vec![], 15);
@@ -289,10 +296,11 @@
     let late = vec![removed("x")];
     let effects = table.take_changes(at(400), at(200), after, late, RowVersion(20));
 
-    assert_eq!(effects, gone("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", Dropped::Removed));
 }
 
-/// Guards against a target that left and that another host, which is behind, says may be back.
+/// Guards against using a target that has left because another host, with an older copy, reports
+/// that its row may reappear.
 #[test]
 fn a_removal_of_an_unknown_target_is_remembered() {
     let mut table = with_one("x");
@@ -305,9 +313,10 @@
     assert!(!effects.contains(&Effect::Use(entry("y"))));
 }
 
-/// Guards against a store that answers now and then, lets no target write, and all targets are lost.
+/// Guards against dropping all targets when the store answers now and then but accepts no target's
+/// writes.
 #[test]
-fn silences_that_are_short_each_add_up() {
+fn short_silences_add_up() {
     let mut table = with_one("x");
     let first = change(&mut table, 1_400, vec![], 11);
 
--- a/crates/policy/tests/target_table_fuzz/faults.rs
+++ b/crates/policy/tests/target_table_fuzz/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that were found at random, each as short as it was found to be.
+//! Cases of faults that random tests have found, each reduced to its shortest form.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 const SEED: u64 = 0;
 
-/// The target that all cases are about.
+/// The target that all cases use.
 const TARGET: usize = 0;
 
-/// The host that faults are about.
+/// The host that has the faults.
 const HOST: usize = 0;
 
 /// Returns a world in which all hosts use one target.
@@ -30,46 +30,47 @@
     world.run(Duration::from_millis(millis));
 }
 
-/// Guards against a quiet store, whose version stands still, being taken for a silent one by a host
-/// that learns from others: what leaves then counts as what may be back.
+/// Guards against a host that gets its table from other hosts mistaking an unchanged store for a
+/// silent one. Targets that left would then be treated as ones whose rows may reappear.
 #[test]
-fn a_copy_as_of_the_same_version_confirms_the_copy() {
+fn a_copy_of_the_same_version_confirms_the_copy() {
     let at = Instant::from_millis;
-    let mut told = TargetTable::new(HEARTBEAT);
+    let mut other = TargetTable::new(HEARTBEAT);
     let mut table = TargetTable::new(HEARTBEAT);
-    told.take_whole(at(0), at(0), vec![], RowVersion(10));
+    other.take_whole(at(0), at(0), vec![], RowVersion(10));
     table.take_whole(at(0), at(0), vec![], RowVersion(10));
 
     for now in (400..=4_000).step_by(400) {
-        told.take_changes(at(now), at(now), RowVersion(10), vec![], RowVersion(10));
-        let copy = told.copy_for(at(now), RowVersion(10)).unwrap();
+        other.take_changes(at(now), at(now), RowVersion(10), vec![], RowVersion(10));
+        let copy = other.copy_for(at(now), RowVersion(10)).unwrap();
         table.take_copy(at(now), at(now), copy);
     }
 
     assert!(!table.is_silent(at(4_000)));
 }
 
-/// Guards against a host that has just started and read the table whole, and then tells one that is
-/// behind that nothing has changed: a target that left stays in use until the next whole read.
+/// Guards against a host that has just started and read the full table telling one with an older
+/// copy that nothing has changed. A target that left would stay in use there until the next full
+/// read.
 #[test]
-fn a_host_that_has_just_started_tells_all_rows_to_one_that_is_behind() {
+fn a_host_that_has_just_started_sends_all_rows_to_one_with_an_older_copy() {
     let at = Instant::from_millis;
     let row = EntryRow { id: "x".into(), version: RowVersion(2), entry: None };
     let mut behind = TargetTable::new(HEARTBEAT);
-    let mut told = TargetTable::new(HEARTBEAT);
+    let mut other = TargetTable::new(HEARTBEAT);
     behind.take_whole(at(0), at(0), vec![row], RowVersion(2));
-    told.take_whole(at(400), at(400), vec![], RowVersion(4));
+    other.take_whole(at(400), at(400), vec![], RowVersion(4));
 
-    let copy = told.copy_for(at(500), RowVersion(2)).unwrap();
+    let copy = other.copy_for(at(500), RowVersion(2)).unwrap();
     behind.take_copy(at(500), at(500), copy);
 
     let rows = behind.copy_for(at(500), RowVersion::default()).unwrap().rows;
     assert_eq!(rows.unwrap_or_default(), []);
 }
 
-/// Guards against calls to a target that left, at a host that the store turns away for long.
+/// Guards against calls to a target that has left, at a host that the store rejects for long.
 #[test]
-fn a_host_that_the_store_turns_away_drops_a_target_in_time_although_nothing_else_changes() {
+fn a_host_that_the_store_rejects_drops_a_target_in_time_although_nothing_else_changes() {
     let mut world = with_one_target(SEED);
     world.set_mode(HOST, Mode::Refuses);
     run(&mut world, 6_000);
@@ -79,16 +80,19 @@
     world.converge();
 }
 
-/// Guards against calls to a target that left, at a host that was cut off until then: from the cut's
-/// end on, it has the time until it is in touch. The end comes at any point of the host's round.
+/// Guards against calls to a target that has left, at a host that was isolated until then. Once the
+/// isolation isolation_lengths, the host must drop the target by the time it counts as in contact. The isolation
+/// may end at any point of the host's polling round.
 #[test]
-fn a_host_that_was_cut_off_drops_a_target_in_time() {
-    let ends = (6_000..6_800).step_by(80);
+fn a_host_that_was_isolated_drops_a_target_in_time() {
+    let isolation_lengths = (6_000..6_800).step_by(80);
 
-    for (seed, cut) in (0..20).flat_map(|seed| ends.clone().map(move |cut| (seed, cut))) {
+    for (seed, length) in
+        (0..20).flat_map(|seed| isolation_lengths.clone().map(move |length| (seed, length)))
+    {
         let mut world = with_one_target(seed);
-        world.set_link(HOST, Link::Cut);
-        run(&mut world, cut);
+        world.set_link(HOST, Link::Partitioned);
+        run(&mut world, length);
 
         world.set_link(HOST, Link::Good);
         world.step(TARGET, Step::Leave);
@@ -97,8 +101,8 @@
     }
 }
 
-/// Guards against living targets that are dropped when the store goes once more before they could
-/// write their rows.
+/// Guards against dropping running targets when the store becomes unavailable again before they
+/// could write their rows.
 #[test]
 fn targets_stay_in_use_over_a_short_outage_that_follows_another() {
     for pause in (200..1_800).step_by(200) {
--- a/crates/policy/tests/target_table_fuzz/fuzz.rs
+++ b/crates/policy/tests/target_table_fuzz/fuzz.rs
@@ -1,4 +1,4 @@
-//! The faults. `CAMPHORWALK_FUZZ_CASES` sets the number of cases; the seed is fixed.
+//! The random faults. `CAMPHORWALK_FUZZ_CASES` sets the number of cases; the seed is fixed.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::targets::{Step, TARGETS};
 use crate::world::{HOSTS, Link, Mode, Outage, World};
 
-/// The cases that run if the environment does not say.
+/// The default number of cases.
 const CASES: u32 = 150;
 
-/// The variable that says how many cases run.
+/// The environment variable that sets the number of cases.
 const CASES_VAR: &str = "CAMPHORWALK_FUZZ_CASES";
 
 #[derive(Clone, Debug)]
 enum Fault {
     Step(usize, Step),
-    /// Changes that come at once, or nearly.
+    /// Several steps at the same time.
     Burst(Vec<(usize, Step)>),
     WriteElsewhere,
     DropHistory,
@@ -30,7 +30,7 @@
     Kill(usize),
 }
 
-/// Faults need no model: any of them may come at any time.
+/// Generates the faults. There is no model, since any fault may occur at any time.
 struct Faults;
 
 impl ReferenceStateMachine for Faults {
@@ -71,9 +71,9 @@
         2 => Just(Step::Drain),
         4 => Just(Step::Leave),
         2 => Just(Step::Replace),
-        2 => Just(Step::Flash),
+        2 => Just(Step::StartAndLeave),
         1 => Just(Step::Crash),
-        1 => Just(Step::Garble),
+        1 => Just(Step::Corrupt),
     ]
 }
 
@@ -99,13 +99,13 @@
         3 => Just(Mode::Up),
         1 => Just(Mode::Refuses),
         1 => Just(Mode::Silent),
-        1 => Just(Mode::Loses),
+        1 => Just(Mode::LosesAnswers),
         1 => Just(Mode::Late),
     ]
 }
 
 fn link() -> impl Strategy<Value = Link> {
-    prop_oneof![2 => Just(Link::Good), 1 => Just(Link::Lossy), 1 => Just(Link::Cut)]
+    prop_oneof![2 => Just(Link::Good), 1 => Just(Link::Lossy), 1 => Just(Link::Partitioned)]
 }
 
 struct TablesUnderFaults;
@@ -127,8 +127,8 @@
             Fault::WriteElsewhere => world.store.write_elsewhere(),
             Fault::DropHistory => world.store.drop_history(),
             Fault::Run(millis) => world.run(Duration::from_millis(millis)),
-            // One that follows another stands in `faults`.
-            Fault::Outage(Some(_)) if world.has_just_returned() => {}
+            // `faults` covers an outage that soon follows another.
+            Fault::Outage(Some(_)) if world.has_just_recovered() => {}
             Fault::Outage(outage) => world.set_outage(outage),
             Fault::Mode(host, mode) => world.set_mode(host, mode),
             Fault::Link(host, link) => world.set_link(host, link),
@@ -144,7 +144,7 @@
     }
 }
 
-/// Returns the fixed seed and the number of cases.
+/// Returns the configuration, with the fixed seed and the number of cases.
 fn config() -> Config {
     let cases = std::env::var(CASES_VAR).ok().and_then(|text| text.parse().ok());
 
@@ -160,7 +160,8 @@
 prop_state_machine! {
     #![proptest_config(config())]
 
-    /// Guards against calls to targets that have left, and against living ones that get none.
+    /// Guards against calls to targets that have left, and against running targets that get no
+    /// calls.
     #[test]
     fn hosts_use_the_targets_that_the_store_names(sequential 1..60 => TablesUnderFaults);
 }
--- a/crates/policy/tests/target_table_fuzz/host.rs
+++ b/crates/policy/tests/target_table_fuzz/host.rs
@@ -1,4 +1,5 @@
-//! A host: its copy, the targets that it uses, and what it knows of the store and of other hosts.
+//! A simulated host: its copy, the targets that it uses, and what it knows about the store and
+//! other hosts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,46 +15,46 @@
 use crate::store::{Answer, Op};
 use crate::targets::HEARTBEAT;
 
-/// For how long another host's news hold.
-const FRESH: Duration = Duration::from_millis(700);
+/// How long another host's status update is valid.
+const STATUS_VALIDITY: Duration = Duration::from_millis(700);
 
-/// What another host told last.
+/// The last status update of another host.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Status {
     at: Instant,
     store_answers: bool,
 }
 
-/// A whole read that has come to some page.
+/// A full read in progress, with the pages read so far.
 struct Listing {
     asked_at: Instant,
     rows: Vec<EntryRow>,
     version: Option<RowVersion>,
 }
 
-/// What comes next in a round.
+/// The next step in a polling round.
 pub enum Next {
     Ask(Op),
     EndRound,
 }
 
-/// One run of a host.
+/// One run of a host's process.
 pub struct Host {
     pub run: u64,
     pub table: TargetTable,
     pub in_use: Map<Box<str>, TargetEntry>,
-    /// The question to the store that is not answered yet.
+    /// The request to the store that is not answered yet.
     pub waiting: Option<u64>,
-    /// The question to another host that is not answered yet.
+    /// The request to another host that is not answered yet.
     pub asking: Option<u64>,
-    /// The round that waits for the store.
+    /// The polling round that waits for the store.
     pub round: u64,
     listing: Option<Listing>,
     listed_at: Option<Instant>,
-    /// Whether the store answered the last question.
+    /// Whether the store answered the last request.
     store_answers: Option<bool>,
-    away_at: Option<Instant>,
-    heard: BTreeMap<usize, Heard>,
+    unavailable_at: Option<Instant>,
+    statuses: BTreeMap<usize, Status>,
 }
 
 impl Host {
@@ -68,12 +69,12 @@
             listing: None,
             listed_at: None,
             store_answers: None,
-            away_at: None,
-            heard: BTreeMap::new(),
+            unavailable_at: None,
+            statuses: BTreeMap::new(),
         }
     }
 
-    /// Returns the first question of a round.
+    /// Returns the first request of a round.
     pub fn begin_round(&mut self, now: Instant) -> Op {
         let is_list_due = self.listed_at.is_none_or(|at| now.since(at) >= RELIST_PERIOD);
 
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Takes in an answer of the store.
-    pub fn take_answer(
+    /// Applies an answer from the store.
+    pub fn apply_answer(
         &mut self,
         now: Instant,
         asked_at: Instant,
@@ -96,27 +97,33 @@
         match (op, answer) {
             (Op::Changes(after), Answer::Changes(changes, as_of)) => {
                 let effects = self.table.take_changes(now, asked_at, *after, changes, as_of);
-                self.carry_out(effects);
+                self.apply_effects(effects);
                 Next::EndRound
             }
             (_, Answer::Page { rows, version, is_last }) => {
-                self.take_page(now, rows, version, is_last)
+                self.apply_page(now, rows, version, is_last)
             }
             _ => Next::Ask(self.begin_list(now)),
         }
     }
 
-    /// Takes in that a question to the store got no answer.
-    pub fn take_silence(&mut self, now: Instant) {
+    /// Records that a request to the store got no answer.
+    pub fn record_no_answer(&mut self, now: Instant) {
         self.store_answers = Some(false);
-        self.away_at = Some(now);
+        self.unavailable_at = Some(now);
         self.listing = None;
     }
 
-    pub fn hear(&mut self, now: Instant, from: usize, store_answers: bool, in_trouble: bool) {
-        self.heard.insert(from, Heard { at: now, store_answers });
-        if in_trouble {
-            self.away_at = Some(now);
+    pub fn record_status(
+        &mut self,
+        now: Instant,
+        from: usize,
+        store_answers: bool,
+        store_unavailable: bool,
+    ) {
+        self.statuses.insert(from, Status { at: now, store_answers });
+        if store_unavailable {
+            self.unavailable_at = Some(now);
         }
     }
 
@@ -124,27 +131,29 @@
         self.store_answers == Some(true)
     }
 
-    pub fn is_in_trouble(&self) -> bool {
+    pub fn sees_store_unavailable(&self) -> bool {
         self.store_answers == Some(false)
     }
 
-    /// Returns whether the store may lack entries of living targets, which other hosts know.
-    pub fn expects_lapses(&self, now: Instant) -> bool {
-        let was_there = self.away_at.is_none_or(|at| now.since(at) > LAPSE_GRACE);
+    /// Returns whether the store may lack entries of running targets that other hosts know.
+    pub fn may_lack_lapsed_targets(&self, now: Instant) -> bool {
+        let was_available = self.unavailable_at.is_none_or(|at| now.since(at) > LAPSE_GRACE);
 
-        self.table.may_miss_rows(now) && !was_there
+        self.table.may_miss_rows(now) && !was_available
     }
 
-    /// Returns the hosts to ask: those that the store answers if there are any.
+    /// Returns the hosts to request a copy from: those that the store answers, or else all live
+    /// ones.
     pub fn peers(&self, now: Instant) -> Vec<usize> {
-        let fresh = self.heard.iter().filter(|(_, heard)| now.since(heard.at) < FRESH);
-        let reaching = fresh.clone().filter(|(_, heard)| heard.store_answers);
-        let reaching: Vec<_> = reaching.map(|(host, _)| *host).collect();
+        let live =
+            self.statuses.iter().filter(|(_, status)| now.since(status.at) < STATUS_VALIDITY);
+        let with_store = live.clone().filter(|(_, status)| status.store_answers);
+        let with_store: Vec<_> = with_store.map(|(host, _)| *host).collect();
 
-        if reaching.is_empty() { fresh.map(|(host, _)| *host).collect() } else { reaching }
+        if with_store.is_empty() { live.map(|(host, _)| *host).collect() } else { with_store }
     }
 
-    pub fn carry_out(&mut self, effects: Vec<Effect>) {
+    pub fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Use(entry) => drop(self.in_use.insert(entry.id.clone(), entry)),
@@ -159,7 +168,7 @@
         Op::Page("".into())
     }
 
-    fn take_page(
+    fn apply_page(
         &mut self,
         now: Instant,
         rows: Vec<EntryRow>,
@@ -168,7 +177,7 @@
     ) -> Next {
         let Some(mut listing) = self.listing.take() else { return Next::EndRound };
         let after = rows.last().map(|row| row.id.clone()).unwrap_or_default();
-        // What changes between two pages is told by the changes after the first.
+        // Changes made between two pages are covered by the changes after the first page.
         let version = *listing.version.get_or_insert(version);
         listing.rows.extend(rows);
 
@@ -178,7 +187,7 @@
         }
         self.listed_at = Some(now);
         let effects = self.table.take_whole(now, listing.asked_at, listing.rows, version);
-        self.carry_out(effects);
+        self.apply_effects(effects);
         Next::EndRound
     }
 }
--- a/crates/policy/tests/target_table_fuzz/queue.rs
+++ b/crates/policy/tests/target_table_fuzz/queue.rs
@@ -1,4 +1,4 @@
-//! What is going to happen, in the order of its time.
+//! The queue of future events, ordered by time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 
 use crate::store::{Answer, Op};
 
-/// A question of a host to the store.
+/// A request of a host to the store.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct StoreRequest {
     pub host: usize,
     pub id: u64,
     pub asked_at: Instant,
     pub op: Op,
 }
 
-/// A question of a host to another one.
+/// A request of a host to another one.
 #[derive(Clone, Debug)]
-pub struct PeerQuestion {
+pub struct PeerRequest {
     pub from: usize,
     pub to: usize,
     pub id: u64,
@@ -29,12 +29,12 @@
     pub then: Then,
 }
 
-/// What a host does after another one has answered or not.
+/// What a host does after a request to another one has ended, with or without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Then {
-    /// It waits for the store still, in this round.
-    WaitOn(u64),
-    /// It ends the round, in which the store answered or not.
+    /// It keeps waiting for the store, in this round.
+    KeepWaiting(u64),
+    /// It ends the round; the flag tells whether the store answered in it.
     EndRound(bool),
 }
 
@@ -43,16 +43,16 @@
     /// Targets write their rows, and rows expire.
     Targets,
     Poll(usize, u64),
-    /// A host looks for targets whose grace is over.
+    /// A host checks for targets whose grace period has ended.
     Expire(usize, u64),
     Hedge(usize, u64),
-    News(usize, u64),
-    StoreHandles(Question),
-    StoreTells(Question, Answer),
-    StoreSilent(Question),
-    PeerHandles(PeerQuestion),
-    PeerTells(PeerQuestion, Option<TableCopy>),
-    PeerSilent(PeerQuestion),
+    Status(usize, u64),
+    StoreHandles(StoreRequest),
+    StoreAnswers(StoreRequest, Answer),
+    StoreSilent(StoreRequest),
+    PeerHandles(PeerRequest),
+    PeerAnswers(PeerRequest, Option<TableCopy>),
+    PeerSilent(PeerRequest),
 }
 
 #[derive(Default)]
@@ -67,7 +67,7 @@
         self.events.insert((now + delay, self.count), event);
     }
 
-    /// Returns the next event up to a moment.
+    /// Removes and returns the first event, if it is due by `end`.
     pub fn next(&mut self, end: Instant) -> Option<(Instant, Event)> {
         let first = self.events.first_entry().filter(|first| first.key().0 <= end)?;
         let at = first.key().0;
--- a/crates/policy/tests/target_table_fuzz/store.rs
+++ b/crates/policy/tests/target_table_fuzz/store.rs
@@ -1,4 +1,4 @@
-//! The store of targets' rows: one counter of versions and the ordered history of changes.
+//! The simulated store of targets' rows: a version counter and the ordered history of changes.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_policy::entry::target_table::{EntryChange, EntryRow};
 
-/// The rows of one page of a whole read: so few that most reads take several pages.
+/// The number of rows in a page of a full read: so few that most reads take several pages.
 const PAGE_ROWS: usize = 3;
 
-/// A question that hosts ask.
+/// A request of a host.
 #[derive(Clone, Debug)]
 pub enum Op {
     Changes(RowVersion),
@@ -29,8 +29,8 @@
     version: u64,
     rows: BTreeMap<Box<str>, EntryRow>,
     history: Vec<(RowVersion, EntryChange)>,
-    /// The version after which changes can be told.
-    kept_after: RowVersion,
+    /// The version after which the history of changes is complete.
+    history_start: RowVersion,
 }
 
 impl Store {
@@ -43,7 +43,7 @@
         self.rows.values().cloned().collect()
     }
 
-    /// Writes a row; `None` stands for what cannot be read.
+    /// Writes a row; `None` stands for an unreadable one.
     pub fn write(&mut self, id: &str, entry: Option<TargetEntry>) {
         let row = EntryRow { id: id.into(), version: self.next_version(), entry };
         self.history.push((row.version, EntryChange::Written(row.clone())));
@@ -57,19 +57,19 @@
         }
     }
 
-    /// Writes to another table.
+    /// Writes to another table, which advances the store's version.
     pub fn write_elsewhere(&mut self) {
         self.next_version();
     }
 
     pub fn drop_history(&mut self) {
-        self.kept_after = RowVersion(self.version);
+        self.history_start = RowVersion(self.version);
         self.history.clear();
     }
 
     pub fn run(&self, op: &Op) -> Answer {
         match op {
-            Op::Changes(after) if *after < self.kept_after => Answer::HistoryGone,
+            Op::Changes(after) if *after < self.history_start => Answer::HistoryGone,
             Op::Changes(after) => self.changes(*after),
             Op::Page(after) => self.page(after),
         }
--- a/crates/policy/tests/target_table_fuzz/targets.rs
+++ b/crates/policy/tests/target_table_fuzz/targets.rs
@@ -1,4 +1,4 @@
-//! The lives of the targets that register themselves.
+//! The simulated targets, which register themselves in the store.
 
 use std::time::Duration;
 
@@ -13,52 +13,52 @@
 /// How often a target writes its row.
 pub const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-/// The silence after which a row expires.
+/// The time without a heartbeat after which a row expires.
 pub const EXPIRY: Duration = HEARTBEAT.saturating_mul(3);
 
-/// How long after the store's return a living target may take to write its row.
-pub const BACK_WITHIN: Duration = Duration::from_secs(2);
+/// How long after the store's recovery a running target may take to write its row.
+pub const REWRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long before its expiry a living target writes its row at the latest.
+/// How long before the expiry of its row a running target writes it at the latest.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 
-/// What happens to a target.
+/// An event in a target's life.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// It starts, anew if it runs.
+    /// It starts, or restarts if it runs.
     Start,
-    /// It says that it leaves.
+    /// It announces that it is draining.
     Drain,
-    /// Its row is removed by itself.
+    /// It removes its row and ends.
     Leave,
     /// It leaves and starts again at once.
     Replace,
     /// It starts and leaves at once.
-    Flash,
-    /// It ends without a word.
+    StartAndLeave,
+    /// It ends without removing its row.
     Crash,
-    /// Another writer puts what cannot be read.
-    Garble,
+    /// Another writer replaces its row by an unreadable one.
+    Corrupt,
 }
 
 #[derive(Clone, Debug)]
-struct Life {
+struct RunningTarget {
     entry: TargetEntry,
-    last_beat: Instant,
-    next_beat: Instant,
+    last_heartbeat: Instant,
+    next_heartbeat: Instant,
 }
 
-/// A start of a target: its id and when it was born.
-pub type Start = (Box<str>, u64);
+/// One run of a target: its id and its `born` number.
+pub type TargetRun = (Box<str>, u64);
 
 pub struct Targets {
-    lives: Vec<Option<Life>>,
-    /// When each row was confirmed last, also for targets that live no more.
-    beats: Map<Box<str>, Instant>,
-    /// When the store told that a start of a target gets no more calls.
-    ended: Map<Start, Instant>,
-    /// Living targets whose rows expired while the store was away, or at its return.
-    expired: Map<Start, Instant>,
+    running: Vec<Option<RunningTarget>>,
+    /// When each row was last confirmed, also for targets that have ended.
+    confirmed_at: Map<Box<str>, Instant>,
+    /// When the store's rows stopped naming a run as ready for calls.
+    ended: Map<TargetRun, Instant>,
+    /// The running targets whose rows expired during an outage of the store, or at its recovery.
+    expired: Map<TargetRun, Instant>,
     next_born: u64,
 }
 
@@ -69,21 +69,21 @@
 impl Targets {
     pub fn new() -> Self {
         Self {
-            lives: vec![None; TARGETS],
-            beats: Map::default(),
+            running: vec![None; TARGETS],
+            confirmed_at: Map::default(),
             ended: Map::default(),
             expired: Map::default(),
             next_born: 1,
         }
     }
 
-    /// Returns when the store told that a start gets no more calls, if it did.
-    pub fn ended(&self, start: &Start) -> Option<Instant> {
-        self.ended.get(start).copied()
+    /// Returns when the store's rows stopped naming a run as ready for calls, if they did.
+    pub fn ended(&self, run: &TargetRun) -> Option<Instant> {
+        self.ended.get(run).copied()
     }
 
-    /// Returns the living starts whose rows are missing since an outage.
-    pub fn expired(&self) -> impl Iterator<Item = &Start> {
+    /// Returns the running targets whose rows are missing since an outage.
+    pub fn expired(&self) -> impl Iterator<Item = &TargetRun> {
         self.expired.keys()
     }
 
@@ -96,107 +96,110 @@
                 self.leave(now, store, target);
                 self.start(now, store, target);
             }
-            Step::Flash => {
+            Step::StartAndLeave => {
                 self.start(now, store, target);
                 self.leave(now, store, target);
             }
             Step::Crash => self.crash(target),
-            Step::Garble => {
-                self.end_row(now, store, &id(target));
+            Step::Corrupt => {
+                self.record_row_end(now, store, &id(target));
                 store.write(&id(target), None);
                 self.expired.retain(|(expired, _), _| **expired != *id(target));
-                self.beats.insert(id(target), now);
+                self.confirmed_at.insert(id(target), now);
             }
         }
     }
 
-    /// Ends a target without a word; it needs no store.
+    /// Ends a target without removing its row, which does not need the store.
     pub fn crash(&mut self, target: usize) {
-        if let Some(life) = self.lives[target].take() {
-            self.expired.remove(&(life.entry.id, life.entry.born));
+        if let Some(process) = self.running[target].take() {
+            self.expired.remove(&(process.entry.id, process.entry.born));
         }
     }
 
-    /// Lets living targets write, while the store is there.
-    pub fn beat(&mut self, now: Instant, store: &mut Store) {
-        for life in self.lives.iter_mut().flatten().filter(|life| life.next_beat <= now) {
-            (life.last_beat, life.next_beat) = (now, now + HEARTBEAT);
-            self.beats.insert(life.entry.id.clone(), now);
-
-            if store.row(&life.entry.id).is_none() {
-                let start = (life.entry.id.clone(), life.entry.born);
-                self.expired.remove(&start);
-                if life.entry.state == TargetState::Ready {
-                    self.ended.remove(&start);
+    /// Lets running targets write their rows. The store must be available.
+    pub fn write_heartbeats(&mut self, now: Instant, store: &mut Store) {
+        for process in
+            self.running.iter_mut().flatten().filter(|process| process.next_heartbeat <= now)
+        {
+            (process.last_heartbeat, process.next_heartbeat) = (now, now + HEARTBEAT);
+            self.confirmed_at.insert(process.entry.id.clone(), now);
+
+            if store.row(&process.entry.id).is_none() {
+                let run = (process.entry.id.clone(), process.entry.born);
+                self.expired.remove(&run);
+                if process.entry.state == TargetState::Ready {
+                    self.ended.remove(&run);
                 }
-                store.write(&life.entry.id, Some(life.entry.clone()));
+                store.write(&process.entry.id, Some(process.entry.clone()));
             }
         }
     }
 
-    /// Removes rows of targets that were silent for too long.
+    /// Removes rows that have not been confirmed for [`EXPIRY`].
     pub fn expire(&mut self, now: Instant, store: &mut Store) {
         for target in 0..TARGETS {
             let id = id(target);
-            let is_due = self.beats.get(&id).is_some_and(|at| now.since(*at) >= EXPIRY);
+            let is_due = self.confirmed_at.get(&id).is_some_and(|at| now.since(*at) >= EXPIRY);
             if !is_due || store.row(&id).is_none() {
                 continue;
             }
             let named = store.row(&id).and_then(|row| row.entry.clone());
-            self.end_row(now, store, &id);
+            self.record_row_end(now, store, &id);
             store.remove(&id);
 
-            // What the row named before counts: it may be another writer's.
+            // The previous content of the row decides, since it may be another writer's.
             let named = named.filter(|entry| entry.state == TargetState::Ready);
-            if let Some(entry) = named.filter(|_| self.lives[target].is_some()) {
+            if let Some(entry) = named.filter(|_| self.running[target].is_some()) {
                 self.expired.insert((id, entry.born), now);
             }
         }
     }
 
-    /// The store returns: each living target writes within [`BACK_WITHIN`], before its row expires
-    /// if it has not yet.
-    pub fn store_returns(&mut self, now: Instant, delay: impl Fn(usize) -> Duration) {
-        for (target, life) in self.lives.iter_mut().enumerate() {
-            let Some(life) = life else { continue };
-            let expiry = (life.last_beat + EXPIRY) - EXPIRY_MARGIN;
+    /// Handles the store's recovery: each running target writes within [`REWRITE_TIMEOUT`], and
+    /// before its row expires if it has not expired yet.
+    pub fn store_recovers(&mut self, now: Instant, delay: impl Fn(usize) -> Duration) {
+        for (target, process) in self.running.iter_mut().enumerate() {
+            let Some(process) = process else { continue };
+            let expiry = (process.last_heartbeat + EXPIRY) - EXPIRY_MARGIN;
 
-            life.next_beat = now + delay(target);
+            process.next_heartbeat = now + delay(target);
             if expiry > now {
-                life.next_beat = life.next_beat.min(expiry);
+                process.next_heartbeat = process.next_heartbeat.min(expiry);
             }
         }
     }
 
     fn start(&mut self, now: Instant, store: &mut Store, target: usize) {
         self.crash(target);
-        self.end_row(now, store, &id(target));
+        self.record_row_end(now, store, &id(target));
         let entry = entry(target, self.next_born);
         self.next_born += 1;
 
         store.write(&entry.id, Some(entry.clone()));
-        self.beats.insert(entry.id.clone(), now);
-        self.lives[target] = Some(Life { entry, last_beat: now, next_beat: now + HEARTBEAT });
+        self.confirmed_at.insert(entry.id.clone(), now);
+        self.running[target] =
+            Some(RunningTarget { entry, last_heartbeat: now, next_heartbeat: now + HEARTBEAT });
     }
 
     fn drain(&mut self, now: Instant, store: &mut Store, target: usize) {
-        let Some(life) = &mut self.lives[target] else { return };
-        life.entry.state = TargetState::Draining;
-        let (id, born) = (life.entry.id.clone(), life.entry.born);
+        let Some(process) = &mut self.running[target] else { return };
+        process.entry.state = TargetState::Draining;
+        let (id, born) = (process.entry.id.clone(), process.entry.born);
 
         self.expired.remove(&(id.clone(), born));
         self.ended.entry((id.clone(), born)).or_insert(now);
-        store.write(&id, Some(life.entry.clone()));
+        store.write(&id, Some(process.entry.clone()));
     }
 
     fn leave(&mut self, now: Instant, store: &mut Store, target: usize) {
         self.crash(target);
-        self.end_row(now, store, &id(target));
+        self.record_row_end(now, store, &id(target));
         store.remove(&id(target));
     }
 
-    /// Takes note that a row says no more that its target may get calls.
-    fn end_row(&mut self, now: Instant, store: &Store, id: &str) {
+    /// Records that a row no longer names its target as ready for calls.
+    fn record_row_end(&mut self, now: Instant, store: &Store, id: &str) {
         let entry = store.row(id).and_then(|row| row.entry.as_ref());
 
         if let Some(entry) = entry {
--- a/crates/policy/tests/target_table_fuzz/world.rs
+++ b/crates/policy/tests/target_table_fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Some hosts, the store and its targets, and what lies between them.
+//! The simulated hosts, store and targets, and the network between them.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -13,63 +13,63 @@
 
 use crate::host::{Host, Next};
 use crate::oracle::Oracle;
-use crate::queue::{Event, PeerQuestion, Question, Queue, Then};
+use crate::queue::{Event, PeerRequest, Queue, StoreRequest, Then};
 use crate::store::{Answer, Op, Store};
-use crate::targets::{BACK_WITHIN, EXPIRY, Step, TARGETS, Targets};
+use crate::targets::{EXPIRY, REWRITE_TIMEOUT, Step, TARGETS, Targets};
 
 pub const HOSTS: usize = 4;
 
-/// How long a host waits for an answer of the store.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// How long a host waits for an answer from the store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often hosts tell each other whether the store answers them.
-const NEWS_PERIOD: Duration = Duration::from_millis(100);
+/// How often hosts send each other status updates, which say whether the store answers them.
+const STATUS_PERIOD: Duration = Duration::from_millis(100);
 
-/// How often targets and expiries are looked at.
+/// How often targets' heartbeats and row expiries are processed.
 const TARGETS_PERIOD: Duration = Duration::from_millis(50);
 
-/// The way of a message, in milliseconds.
-const WAY_MS: Range<u64> = 1..10;
+/// The latency of a message, in milliseconds.
+const LATENCY_MS: Range<u64> = 1..10;
 
-/// The way of a message that is late, in milliseconds.
-const LATE_MS: Range<u64> = 50..600;
+/// The latency of a delayed message, in milliseconds.
+const DELAYED_LATENCY_MS: Range<u64> = 50..600;
 
-/// After the last fault, the time until every copy equals the store's rows.
+/// How long after the last fault every copy must equal the store's rows.
 const CONVERGENCE: Duration = RELIST_PERIOD.saturating_add(Duration::from_secs(3));
 
-/// How the store answers one host.
+/// How the store answers a particular host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     Up,
-    /// It refuses at once.
+    /// It rejects requests at once.
     Refuses,
-    /// It answers nothing.
+    /// It does not answer at all.
     Silent,
     /// Some answers are lost.
-    Loses,
-    /// Answers are out of date when they arrive, or come too late.
+    LosesAnswers,
+    /// Answers are outdated when they arrive, or arrive after the timeout.
     Late,
 }
 
-/// The least pause of a host between two looks for targets whose grace is over.
-const LEAST_EXPIRE_PAUSE: Duration = Duration::from_millis(20);
+/// The shortest pause between two checks of a host for targets whose grace period has ended.
+const MIN_EXPIRE_PAUSE: Duration = Duration::from_millis(20);
 
-/// How the store is for all.
+/// An outage of the store for all hosts and targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Rows expire meanwhile.
+    /// Rows expire during the outage.
     Expiring,
-    /// Rows expire at the return.
+    /// Rows expire at the recovery.
     Holding,
 }
 
-/// What lies between a host and all others.
+/// The state of the network between a host and all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     Good,
     /// Half of the messages are lost.
     Lossy,
-    Cut,
+    Partitioned,
 }
 
 pub struct World {
@@ -80,8 +80,8 @@
     pub modes: [Mode; HOSTS],
     pub links: [Link; HOSTS],
     pub outage: Option<Outage>,
-    /// When the store came back to all.
-    returned: Option<Instant>,
+    /// When the last outage for all ended.
+    recovered_at: Option<Instant>,
     oracle: Oracle,
     queue: Queue,
     rng: SmallRng,
@@ -98,7 +98,7 @@
             modes: [Mode::Up; HOSTS],
             links: [Link::Good; HOSTS],
             outage: None,
-            returned: None,
+            recovered_at: None,
             oracle: Oracle::default(),
             queue: Queue::default(),
             rng: SmallRng::seed_from_u64(seed),
@@ -110,15 +110,15 @@
         world
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
 
         while let Some((at, event)) = self.queue.next(end) {
-            self.pass_to(at);
+            self.advance_to(at);
             self.handle(event);
         }
-        self.pass_to(end);
+        self.advance_to(end);
     }
 
     pub fn step(&mut self, target: usize, step: Step) {
@@ -129,53 +129,53 @@
         }
     }
 
-    /// Starts a host, anew if it runs.
+    /// Starts a host, or restarts it if it runs.
     pub fn start(&mut self, host: usize) {
         let run = self.next_id();
 
         self.hosts[host] = Some(Host::new(run));
-        self.put_within(0..50, Event::News(host, run));
+        self.put_within(0..50, Event::Status(host, run));
         self.put_within(0..400, Event::Poll(host, run));
         self.put(POLL_PERIOD, Event::Expire(host, run));
-        self.note_faults(Some(host));
+        self.record_faults(Some(host));
     }
 
     pub fn kill(&mut self, host: usize) {
         self.hosts[host] = None;
-        self.note_faults(None);
+        self.record_faults(None);
     }
 
     pub fn set_mode(&mut self, host: usize, mode: Mode) {
         self.modes[host] = mode;
-        self.note_faults(None);
+        self.record_faults(None);
     }
 
     pub fn set_link(&mut self, host: usize, link: Link) {
         self.links[host] = link;
-        self.note_faults(None);
+        self.record_faults(None);
     }
 
-    /// Takes the store away from all, or lets it return.
+    /// Starts or ends an outage of the store for all.
     pub fn set_outage(&mut self, outage: Option<Outage>) {
-        let returns = self.outage.is_some() && outage.is_none();
-        if returns {
-            self.returned = Some(self.now);
+        let recovers = self.outage.is_some() && outage.is_none();
+        if recovers {
+            self.recovered_at = Some(self.now);
             self.targets.expire(self.now, &mut self.store);
             let delays: Vec<_> =
-                (0..TARGETS).map(|_| self.millis(0..BACK_WITHIN.as_millis() as u64)).collect();
-            self.targets.store_returns(self.now, |target| delays[target]);
+                (0..TARGETS).map(|_| self.millis(0..REWRITE_TIMEOUT.as_millis() as u64)).collect();
+            self.targets.store_recovers(self.now, |target| delays[target]);
         }
 
         self.outage = outage;
-        self.note_faults(None);
+        self.record_faults(None);
     }
 
-    /// Returns whether targets may not have written their rows yet since the store came back.
-    pub fn has_just_returned(&self) -> bool {
-        self.returned.is_some_and(|at| self.now.since(at) <= BACK_WITHIN)
+    /// Returns whether targets may not have written their rows yet since the store's recovery.
+    pub fn has_just_recovered(&self) -> bool {
+        self.recovered_at.is_some_and(|at| self.now.since(at) <= REWRITE_TIMEOUT)
     }
 
-    /// Ends all faults and checks that the copies come to equal the store's rows.
+    /// Ends all faults and checks that all copies converge to the store's rows.
     pub fn converge(&mut self) {
         for host in 0..HOSTS {
             self.set_mode(host, Mode::Up);
@@ -185,7 +185,7 @@
             }
         }
         self.set_outage(None);
-        self.run(BACK_WITHIN + EXPIRY);
+        self.run(REWRITE_TIMEOUT + EXPIRY);
 
         self.run(CONVERGENCE);
         self.oracle_checks(|oracle, world| oracle.check_converged(world));
@@ -193,16 +193,16 @@
 
     /// Returns whether messages between two hosts arrive.
     fn is_linked(&self, a: usize, b: usize) -> bool {
-        self.links[a] != Link::Cut && self.links[b] != Link::Cut
+        self.links[a] != Link::Partitioned && self.links[b] != Link::Partitioned
     }
 
-    fn pass_to(&mut self, at: Instant) {
+    fn advance_to(&mut self, at: Instant) {
         self.oracle_checks(|oracle, world| oracle.check_until(world, at));
         self.now = at;
     }
 
-    fn note_faults(&mut self, started: Option<usize>) {
-        self.oracle_checks(|oracle, world| oracle.note_faults(world, started));
+    fn record_faults(&mut self, started: Option<usize>) {
+        self.oracle_checks(|oracle, world| oracle.record_faults(world, started));
     }
 
     fn oracle_checks(&mut self, check: impl FnOnce(&mut Oracle, &Self)) {
@@ -213,24 +213,24 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Targets => self.turn_targets(),
+            Event::Targets => self.process_targets(),
             Event::Poll(host, run) if self.is_run(host, run) => self.poll(host),
             Event::Hedge(host, round) => self.hedge(host, round),
-            Event::News(host, run) if self.is_run(host, run) => self.tell_news(host, run),
+            Event::Status(host, run) if self.is_run(host, run) => self.send_status(host, run),
             Event::Expire(host, run) if self.is_run(host, run) => self.expire(host, run),
-            Event::Poll(..) | Event::News(..) | Event::Expire(..) => {}
-            Event::StoreHandles(question) => self.store_handles(question),
-            Event::StoreTells(question, answer) => self.store_tells(question, answer),
-            Event::StoreSilent(question) => self.store_silent(&question),
-            Event::PeerHandles(question) => self.peer_handles(question),
-            Event::PeerTells(question, copy) => self.peer_tells(&question, copy),
-            Event::PeerSilent(question) => self.peer_ended(&question),
+            Event::Poll(..) | Event::Status(..) | Event::Expire(..) => {}
+            Event::StoreHandles(request) => self.store_handles(request),
+            Event::StoreAnswers(request, answer) => self.store_answered(request, answer),
+            Event::StoreSilent(request) => self.store_silent(&request),
+            Event::PeerHandles(request) => self.peer_handles(request),
+            Event::PeerAnswers(request, copy) => self.peer_answered(&request, copy),
+            Event::PeerSilent(request) => self.peer_ended(&request),
         }
     }
 
-    fn turn_targets(&mut self) {
+    fn process_targets(&mut self) {
         if self.outage.is_none() {
-            self.targets.beat(self.now, &mut self.store);
+            self.targets.write_heartbeats(self.now, &mut self.store);
         }
         if self.outage != Some(Outage::Holding) {
             self.targets.expire(self.now, &mut self.store);
@@ -238,25 +238,26 @@
         self.put(TARGETS_PERIOD, Event::Targets);
     }
 
-    fn tell_news(&mut self, host: usize, run: u64) {
-        let Some(teller) = &self.hosts[host] else { return };
-        let (store_answers, in_trouble) = (teller.store_answers(), teller.is_in_trouble());
+    fn send_status(&mut self, host: usize, run: u64) {
+        let Some(sender) = &self.hosts[host] else { return };
+        let (store_answers, store_unavailable) =
+            (sender.store_answers(), sender.sees_store_unavailable());
 
         for other in (0..HOSTS).filter(|other| *other != host) {
             let arrives = self.is_linked(host, other) && !self.loses(host, other);
-            if let Some(hearer) = self.hosts[other].as_mut().filter(|_| arrives) {
-                hearer.hear(self.now, host, store_answers, in_trouble);
+            if let Some(receiver) = self.hosts[other].as_mut().filter(|_| arrives) {
+                receiver.record_status(self.now, host, store_answers, store_unavailable);
             }
         }
-        self.put(NEWS_PERIOD, Event::News(host, run));
+        self.put(STATUS_PERIOD, Event::Status(host, run));
     }
 
     fn poll(&mut self, host: usize) {
         let now = self.now;
         let round = self.next_id();
-        let Some(asker) = &mut self.hosts[host] else { return };
-        asker.round = round;
-        let op = asker.begin_round(now);
+        let Some(requester) = &mut self.hosts[host] else { return };
+        requester.round = round;
+        let op = requester.begin_round(now);
 
         self.put(HEDGE_DELAY, Event::Hedge(host, round));
         self.ask_store(host, op);
@@ -264,130 +265,135 @@
 
     fn ask_store(&mut self, host: usize, op: Op) {
         let id = self.next_id();
-        let Some(asker) = &mut self.hosts[host] else { return };
-        asker.waiting = Some(id);
-        let question = Question { host, id, asked_at: self.now, op };
+        let Some(requester) = &mut self.hosts[host] else { return };
+        requester.waiting = Some(id);
+        let request = StoreRequest { host, id, asked_at: self.now, op };
 
-        if self.modes[host] == Mode::Refuses && self.links[host] != Link::Cut {
-            self.put_within(WAY_MS, Event::StoreSilent(question.clone()));
+        if self.modes[host] == Mode::Refuses && self.links[host] != Link::Partitioned {
+            self.put_within(LATENCY_MS, Event::StoreSilent(request.clone()));
         }
-        self.put(PATIENCE, Event::StoreSilent(question.clone()));
-        self.put_within(WAY_MS, Event::StoreHandles(question));
+        self.put(STORE_TIMEOUT, Event::StoreSilent(request.clone()));
+        self.put_within(LATENCY_MS, Event::StoreHandles(request));
     }
 
-    fn store_handles(&mut self, question: Question) {
-        let host = question.host;
-        let is_reached = self.outage.is_none() && self.links[host] != Link::Cut;
+    fn store_handles(&mut self, request: StoreRequest) {
+        let host = request.host;
+        let is_reached = self.outage.is_none() && self.links[host] != Link::Partitioned;
         let is_answered = match self.modes[host] {
             Mode::Refuses | Mode::Silent => false,
-            Mode::Loses => self.chance(),
+            Mode::LosesAnswers => self.chance(),
             Mode::Up | Mode::Late => true,
         };
         if !is_reached || !is_answered || self.loses(host, host) {
             return;
         }
 
-        let way = if self.modes[host] == Mode::Late { LATE_MS } else { WAY_MS };
-        let answer = self.store.run(&question.op);
-        self.put_within(way, Event::StoreTells(question, answer));
+        let latency = if self.modes[host] == Mode::Late { DELAYED_LATENCY_MS } else { LATENCY_MS };
+        let answer = self.store.run(&request.op);
+        self.put_within(latency, Event::StoreAnswers(request, answer));
     }
 
-    fn store_tells(&mut self, question: Question, answer: Answer) {
-        let (now, host) = (self.now, question.host);
-        let is_cut = self.links[host] == Link::Cut;
-        let Some(asker) = self.waiting(&question).filter(|_| !is_cut) else { return };
+    fn store_answered(&mut self, request: StoreRequest, answer: Answer) {
+        let (now, host) = (self.now, request.host);
+        let is_partitioned = self.links[host] == Link::Partitioned;
+        let Some(requester) = self.waiting(&request).filter(|_| !is_partitioned) else { return };
 
-        match asker.take_answer(now, question.asked_at, &question.op, answer) {
+        match requester.apply_answer(now, request.asked_at, &request.op, answer) {
             Next::Ask(op) => self.ask_store(host, op),
             Next::EndRound => self.store_round_over(host, true),
         }
         self.check_host(host);
     }
 
-    fn store_silent(&mut self, question: &Question) {
+    fn store_silent(&mut self, request: &StoreRequest) {
         let now = self.now;
-        let Some(asker) = self.waiting(question) else { return };
+        let Some(requester) = self.waiting(request) else { return };
 
-        asker.take_silence(now);
-        self.store_round_over(question.host, false);
+        requester.record_no_answer(now);
+        self.store_round_over(request.host, false);
     }
 
-    /// Returns the asking host if it still waits for the answer.
-    fn waiting(&mut self, question: &Question) -> Option<&mut Host> {
-        let host = self.hosts[question.host].as_mut()?;
+    /// Returns the requesting host if it still waits for the answer.
+    fn waiting(&mut self, request: &StoreRequest) -> Option<&mut Host> {
+        let host = self.hosts[request.host].as_mut()?;
 
-        (host.waiting == Some(question.id)).then_some(host)
+        (host.waiting == Some(request.id)).then_some(host)
     }
 
     fn store_round_over(&mut self, host: usize, answered: bool) {
         let now = self.now;
-        let Some(asker) = &mut self.hosts[host] else { return };
-        (asker.waiting, asker.asking, asker.round) = (None, None, 0);
+        let Some(requester) = &mut self.hosts[host] else { return };
+        (requester.waiting, requester.asking, requester.round) = (None, None, 0);
 
-        if answered && !asker.expects_lapses(now) || !self.ask_peer(host, Then::EndRound(answered))
+        if answered && !requester.may_lack_lapsed_targets(now)
+            || !self.ask_peer(host, Then::EndRound(answered))
         {
             self.end_round(host, answered);
         }
     }
 
     fn hedge(&mut self, host: usize, round: u64) {
-        let is_current = self.hosts[host].as_ref().is_some_and(|asker| asker.round == round);
+        let is_current =
+            self.hosts[host].as_ref().is_some_and(|requester| requester.round == round);
 
-        if is_current && !self.ask_peer(host, Then::WaitOn(round)) {
+        if is_current && !self.ask_peer(host, Then::KeepWaiting(round)) {
             self.put(POLL_PERIOD, Event::Hedge(host, round));
         }
     }
 
-    /// Returns whether there is a host to ask.
+    /// Requests the copy of a random suitable host; returns whether there is one.
     fn ask_peer(&mut self, from: usize, then: Then) -> bool {
         let (now, id) = (self.now, self.next_id());
-        let Some(asker) = &mut self.hosts[from] else { return false };
-        let peers = asker.peers(now);
+        let Some(requester) = &mut self.hosts[from] else { return false };
+        let peers = requester.peers(now);
         let Some(to) = peers.choose(&mut self.rng).copied() else { return false };
-        asker.asking = Some(id);
-        let has = asker.table.as_of().unwrap_or_default();
-        let question = PeerQuestion { from, to, id, asked_at: now, has, then };
+        requester.asking = Some(id);
+        let has = requester.table.as_of().unwrap_or_default();
+        let request = PeerRequest { from, to, id, asked_at: now, has, then };
 
-        self.put(PEER_TIMEOUT, Event::PeerSilent(question.clone()));
-        self.put_within(WAY_MS, Event::PeerHandles(question));
+        self.put(PEER_TIMEOUT, Event::PeerSilent(request.clone()));
+        self.put_within(LATENCY_MS, Event::PeerHandles(request));
         true
     }
 
-    fn peer_handles(&mut self, question: PeerQuestion) {
-        let (from, to) = (question.from, question.to);
+    fn peer_handles(&mut self, request: PeerRequest) {
+        let (from, to) = (request.from, request.to);
         if !self.is_linked(from, to) || self.loses(from, to) {
             return;
         }
         let Some(asked) = &self.hosts[to] else { return };
-        let copy = asked.table.copy_for(self.now, question.has);
+        let copy = asked.table.copy_for(self.now, request.has);
 
-        self.put_within(WAY_MS, Event::PeerTells(question, copy));
+        self.put_within(LATENCY_MS, Event::PeerAnswers(request, copy));
     }
 
-    fn peer_tells(&mut self, question: &PeerQuestion, copy: Option<TableCopy>) {
-        let (now, from) = (self.now, question.from);
-        let is_linked = self.is_linked(from, question.to);
-        let asker = self.hosts[from].as_mut().filter(|_| is_linked);
-        let Some(asker) = asker.filter(|asker| asker.asking == Some(question.id)) else { return };
+    fn peer_answered(&mut self, request: &PeerRequest, copy: Option<TableCopy>) {
+        let (now, from) = (self.now, request.from);
+        let is_linked = self.is_linked(from, request.to);
+        let requester = self.hosts[from].as_mut().filter(|_| is_linked);
+        let Some(requester) = requester.filter(|requester| requester.asking == Some(request.id))
+        else {
+            return;
+        };
 
         if let Some(copy) = copy {
-            let effects = asker.table.take_copy(now, question.asked_at, copy);
-            asker.carry_out(effects);
+            let effects = requester.table.take_copy(now, request.asked_at, copy);
+            requester.apply_effects(effects);
         }
-        self.peer_ended(question);
+        self.peer_ended(request);
         self.check_host(from);
     }
 
-    fn peer_ended(&mut self, question: &PeerQuestion) {
-        let from = question.from;
-        let Some(asker) = &mut self.hosts[from] else { return };
-        if asker.asking != Some(question.id) {
+    fn peer_ended(&mut self, request: &PeerRequest) {
+        let from = request.from;
+        let Some(requester) = &mut self.hosts[from] else { return };
+        if requester.asking != Some(request.id) {
             return;
         }
 
-        asker.asking = None;
-        match question.then {
-            Then::WaitOn(round) => self.put(POLL_PERIOD, Event::Hedge(from, round)),
+        requester.asking = None;
+        match request.then {
+            Then::KeepWaiting(round) => self.put(POLL_PERIOD, Event::Hedge(from, round)),
             Then::EndRound(answered) => self.end_round(from, answered),
         }
     }
@@ -396,15 +402,15 @@
         let now = self.now;
         let Some(expiring) = &mut self.hosts[host] else { return };
         let ended = expiring.table.expire(now);
-        expiring.carry_out(ended);
+        expiring.apply_effects(ended);
         let until_next = expiring.table.next_end().map_or(POLL_PERIOD, |end| end.since(now));
 
-        self.put(until_next.clamp(LEAST_EXPIRE_PAUSE, POLL_PERIOD), Event::Expire(host, run));
+        self.put(until_next.clamp(MIN_EXPIRE_PAUSE, POLL_PERIOD), Event::Expire(host, run));
     }
 
     fn end_round(&mut self, host: usize, answered: bool) {
-        let Some(asker) = &mut self.hosts[host] else { return };
-        let run = asker.run;
+        let Some(requester) = &mut self.hosts[host] else { return };
+        let run = requester.run;
 
         self.put(if answered { POLL_PERIOD } else { FAILED_PAUSE }, Event::Poll(host, run));
     }
@@ -417,7 +423,7 @@
         self.hosts[host].as_ref().is_some_and(|host| host.run == run)
     }
 
-    /// Returns whether a lossy link takes a message.
+    /// Returns whether a lossy link drops a message.
     fn loses(&mut self, a: usize, b: usize) -> bool {
         let is_lossy = self.links[a] == Link::Lossy || self.links[b] == Link::Lossy;
 
