--- a/crates/policy/tests/target_table_fuzz/faults.rs
+++ b/crates/policy/tests/target_table_fuzz/faults.rs
@@ -81,7 +81,7 @@
 }
 
 /// Guards against calls to a target that has left, at a host that was isolated until then. Once the
-/// isolation isolation_lengths, the host must drop the target by the time it counts as in contact. The isolation
+/// isolation ends, the host must drop the target by the time it counts as in contact. The isolation
 /// may end at any point of the host's polling round.
 #[test]
 fn a_host_that_was_isolated_drops_a_target_in_time() {
