--- a/crates/policy/tests/target_table_fuzz/world.rs
+++ b/crates/policy/tests/target_table_fuzz/world.rs
@@ -416,7 +416,7 @@
     }
 
     fn check_host(&mut self, host: usize) {
-        self.oracle_checks(|oracle, world| oracle.check_never_back(world, host));
+        self.oracle_checks(|oracle, world| oracle.check_never_decreases(world, host));
     }
 
     fn is_run(&self, host: usize, run: u64) -> bool {
