--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -14,9 +14,9 @@
 use camphorwalk_policy::entry::isolation::{self, Surroundings};
 use camphorwalk_policy::entry::placement::Targets;
 use camphorwalk_policy::entry::rates::Rates;
-use camphorwalk_policy::entry::recent::Recent;
+use camphorwalk_policy::entry::recent::RecentMap;
 use camphorwalk_policy::entry::routes::RouteTable;
-use camphorwalk_policy::entry::shares::{self, KNOWS_ALL_AFTER, Memory};
+use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER};
 use camphorwalk_policy::entry::target_table::TargetTable;
 use camphorwalk_policy::entry::turns::TurnCache;
 use camphorwalk_store::{Client, ClientOptions, RetryOptions, ShareOptions};
@@ -104,14 +104,14 @@
     pub(crate) places: Places,
     pub(crate) connections: Connections,
     pub(crate) budgets: RefCell<Budgets>,
-    memory: RefCell<Memory>,
+    memory: RefCell<GrantHistory>,
     /// When a host last granted tokens without the store, or held such grants.
     pub(crate) loose_at: Cell<Option<Instant>>,
     /// Taken while a program's budget is asked for.
     pub(crate) budget_locks: RefCell<Map<ProgramKey, Rc<Mutex<()>>>>,
     pub(crate) turns: RefCell<TurnCache>,
     /// The hosts that had the last turn of a line, by the id of the line's prompt part.
-    pub(crate) line_hosts: RefCell<Recent<u64, HostId>>,
+    pub(crate) line_hosts: RefCell<RecentMap<u64, HostId>>,
     pub(crate) written: RefCell<retention::Written>,
     pub(crate) crashes: RefCell<Crashes>,
     pub(crate) fleet: Fleet,
@@ -217,7 +217,8 @@
     pub(crate) fn grants_loose(&self) -> bool {
         let is_heard = |run| self.hears_run(run);
 
-        self.store.missed_any(ALL_TOLD) || self.budgets.borrow().answers_for_loose(is_heard)
+        self.store.missed_any(ALL_TOLD)
+            || self.budgets.borrow().is_responsible_for_unstored(is_heard)
     }
 
     /// Returns whether no host has granted tokens without the store for a while, as far as they told
@@ -238,7 +239,7 @@
 
     /// Returns whether this host knows of grants without the store to programs that may return.
     pub(crate) fn knows_of_loose(&self) -> bool {
-        self.loose_at.get().is_some_and(|at| clock::now().since(at) <= KNOWS_ALL_AFTER)
+        self.loose_at.get().is_some_and(|at| clock::now().since(at) <= HISTORY_COMPLETE_AFTER)
     }
 
     /// Returns whether this process knows of all that was granted to programs without the store.
@@ -249,23 +250,23 @@
     }
 
     /// Returns what this host knows of the fleet that decides how much of budgets may be granted.
-    pub(crate) fn budget_surroundings(&self) -> shares::Surroundings {
+    pub(crate) fn budget_surroundings(&self) -> shares::FleetView {
         let others = self.surroundings_without_itself();
 
-        others.with_itself(self.remembers(), self.knows_of_loose())
+        others.including_self(self.remembers(), self.knows_of_loose())
     }
 
-    fn surroundings_without_itself(&self) -> shares::Surroundings {
+    fn surroundings_without_itself(&self) -> shares::FleetView {
         let heard = self.fleet.fresh_news();
         let remembering = heard.iter().filter(|heard| heard.remembers);
         let free_of_loose = remembering.clone().filter(|heard| !heard.knows_of_loose);
 
-        shares::Surroundings {
+        shares::FleetView {
             is_all_stored: self.is_all_stored(),
-            known: self.fleet.size(),
-            heard: heard.len() + 1,
-            remembering: remembering.count(),
-            free_of_loose: free_of_loose.count(),
+            known_hosts: self.fleet.size(),
+            live_hosts: heard.len() + 1,
+            complete_histories: remembering.count(),
+            without_unstored_grants: free_of_loose.count(),
         }
     }
 
@@ -276,7 +277,7 @@
 
     /// Returns whether a call that comes now might still be under way when the host ends.
     pub(crate) fn takes_no_more(&self) -> bool {
-        let longest = LAST_CALLS.min(self.settings.grace.mul_f64(LAST_CALLS_PART));
+        let longest = LAST_CALLS.min(self.settings.shutdown_grace.mul_f64(LAST_CALLS_PART));
 
         self.leaving.get().is_some_and(|at| clock::now().since(at) > longest)
     }
@@ -317,7 +318,7 @@
         let store = Store::new(store_client(&settings, run, &metrics)?);
         let turn_bytes = usize::try_from(settings.memory_bytes / TURN_CACHE_PART).unwrap_or(0);
         info!(
-            name = %settings.name, zone = %settings.zone, callers = %settings.callers,
+            name = %settings.name, zone = %settings.zone, callers = %settings.callers_address,
             run = format!("{:016x}", run.0), "host: started"
         );
 
@@ -337,10 +338,10 @@
             connections: Connections::default(),
             budgets: RefCell::new(Budgets::new(run)),
             loose_at: Cell::new(None),
-            memory: RefCell::new(Memory::new(clock::now(), settings.is_first_start)),
+            memory: RefCell::new(GrantHistory::new(clock::now(), settings.is_first_start)),
             budget_locks: RefCell::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
-            line_hosts: RefCell::new(Recent::new(LINES_REMEMBERED)),
+            line_hosts: RefCell::new(RecentMap::new(LINES_REMEMBERED)),
             written: RefCell::default(),
             crashes: RefCell::default(),
             fleet: Fleet::new(&settings.name, &settings.zone),
@@ -369,26 +370,26 @@
     }
 
     /// Returns where it is asked whether it is ready.
-    pub fn ready_address(&self) -> SocketAddr {
+    pub fn readiness_address(&self) -> SocketAddr {
         self.ready
     }
 
     /// Takes in that the settings file was read anew. A process keeps its addresses; nothing
     /// else of the settings changes while it runs.
-    pub fn reloaded(&self, settings: &EntrySettings) {
+    pub fn on_settings_reloaded(&self, settings: &EntrySettings) {
         let same = *settings == self.shared.settings;
         info!(same, "host: settings read again");
     }
 
     /// Leaves: says that it is not ready, serves what comes until callers have moved on, and
     /// returns when nothing is open or the grace period is over.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         let shared = &self.shared;
         shared.leaving.set(Some(clock::now()));
         info!(open = shared.open_requests.get(), "host: leaving");
 
         let begun = TokioInstant::now();
-        let end = begun + shared.settings.grace.saturating_sub(GRACE_MARGIN);
+        let end = begun + shared.settings.shutdown_grace.saturating_sub(GRACE_MARGIN);
         let done = async {
             sleep(BALANCER_DELAY).await;
             while shared.open_requests.get() > 0 {
@@ -420,7 +421,7 @@
         },
         seed: run.0,
         dialect: camphorwalk_adapter::store::dialect(),
-        ..ClientOptions::new(settings.store, &settings.zone)
+        ..ClientOptions::new(settings.store_address, &settings.zone)
     })?;
     store.register(metrics.registry())?;
 
--- a/crates/policy/src/entry/crashes.rs
+++ b/crates/policy/src/entry/crashes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::hash::Map;
-use camphorwalk_core::messages::entry::CrashNews;
+use camphorwalk_core::messages::entry::CrashReport;
 use camphorwalk_core::time::Instant;
 
 /// A hash that identifies a call when it is retried: of its route, path, caller and body.
@@ -30,7 +30,7 @@
 pub struct Crashes {
     records: Map<Fingerprint, Record>,
     /// The crashes not yet reported to the other hosts.
-    unreported: Vec<CrashNews>,
+    unreported: Vec<CrashReport>,
 }
 
 impl Crashes {
@@ -41,21 +41,21 @@
     /// use camphorwalk_policy::entry::crashes::{Crashes, Fingerprint};
     /// let mut crashes = Crashes::default();
     /// let call = Fingerprint(1);
-    /// (0..3).for_each(|_| { crashes.count(Instant(0), call); });
-    /// assert!(crashes.is_barred(call));
+    /// (0..3).for_each(|_| { crashes.record(Instant(0), call); });
+    /// assert!(crashes.is_blocked(call));
     /// ```
-    pub fn count(&mut self, now: Instant, call: Fingerprint) -> u32 {
+    pub fn record(&mut self, now: Instant, call: Fingerprint) -> u32 {
         self.records.retain(|_, record| now.since(record.last) < RECORD_LIFETIME);
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
         record.own += 1;
         record.last = now;
-        self.unreported.push(CrashNews { call: call.0, crashes: 1 });
+        self.unreported.push(CrashReport { call: call.0, crashes: 1 });
 
         record.own + record.others
     }
 
     /// Records crashes that another host reported.
-    pub fn hear(&mut self, now: Instant, report: CrashNews) {
+    pub fn record_remote(&mut self, now: Instant, report: CrashReport) {
         let call = Fingerprint(report.call);
         let record = self.records.entry(call).or_insert(Record { own: 0, others: 0, last: now });
         record.others += report.crashes;
@@ -63,12 +63,12 @@
     }
 
     /// Takes the crashes that have not been reported to the other hosts yet.
-    pub fn take_news(&mut self) -> Vec<CrashNews> {
+    pub fn take_updates(&mut self) -> Vec<CrashReport> {
         std::mem::take(&mut self.unreported)
     }
 
     /// Returns whether a call has crashed so many targets that it must not be sent to another one.
-    pub fn is_barred(&self, call: Fingerprint) -> bool {
+    pub fn is_blocked(&self, call: Fingerprint) -> bool {
         self.records.get(&call).is_some_and(|record| record.own + record.others >= MAX_CRASHES)
     }
 }
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -89,9 +89,9 @@
 
 /// What a call needs from a target.
 #[derive(Clone, Debug, Default)]
-pub struct Shape {
+pub struct PlacementRequest {
     /// The rank of the call if it starts a program.
-    pub begins: Option<u32>,
+    pub new_program_rank: Option<u32>,
     /// The prompt parts, in order. While a target reads a prompt, its other calls make no progress.
     pub parts: Vec<Part>,
     /// The object that the call refers to, for a call without a prompt.
@@ -102,7 +102,7 @@
     pub seed: u64,
 }
 
-impl Shape {
+impl PlacementRequest {
     /// Returns the seed of the random draw. All turns of a conversation use the same seed at all
     /// hosts, so hosts with the same knowledge draw the same target for it.
     fn draw_seed(&self) -> u64 {
@@ -111,7 +111,7 @@
 
     /// Returns the number of calls below which a target with `slots` slots accepts this one.
     fn limit(&self, slots: u32) -> u32 {
-        match self.begins {
+        match self.new_program_rank {
             None => slots + MAX_QUEUED_AT_TARGET,
             Some(rank) => {
                 let part = NEW_PROGRAMS_TARGET_LIMIT[usize::from(rank > 0)];
@@ -130,7 +130,7 @@
     /// All usable targets are full; the call has to wait.
     Full,
     /// No target of the service is usable.
-    Nowhere,
+    NoTarget,
 }
 
 /// How a call to a target ended.
@@ -143,7 +143,7 @@
     /// The connection failed, or no answer arrived in time.
     Failed,
     /// The call ended for a reason other than the target: the caller went away.
-    Left,
+    Abandoned,
 }
 
 /// All known targets, and their load.
@@ -233,7 +233,7 @@
     }
 
     /// Removes a target whose entry is gone. Returns its key if it was known.
-    pub fn gone(&mut self, id: &str) -> Option<TargetKey> {
+    pub fn remove_by_id(&mut self, id: &str) -> Option<TargetKey> {
         let key = self.by_id.get(id).copied()?;
         self.remove(key);
 
@@ -263,7 +263,7 @@
 
     /// Sets another host's calls in flight by target, and its waiting calls by service. Both are
     /// empty for a silent host.
-    pub fn hear(
+    pub fn set_remote_load(
         &mut self,
         host: HostId,
         in_flight: Map<Box<str>, u32>,
@@ -290,7 +290,7 @@
     }
 
     /// Records the last parts of prompts that another host sent to a target.
-    pub fn learn(&mut self, id: &str, parts: &[Part]) {
+    pub fn record_remote_prompts(&mut self, id: &str, parts: &[Part]) {
         let target = self.by_id.get(id).and_then(|key| self.targets.get_mut(*key));
 
         if let Some(target) = target {
@@ -300,7 +300,7 @@
 
     /// Takes the last parts of the prompts that this host sent to each target since the previous
     /// call, by target id.
-    pub fn take_news(&mut self) -> Vec<(Box<str>, Vec<Part>)> {
+    pub fn take_updates(&mut self) -> Vec<(Box<str>, Vec<Part>)> {
         let targets =
             self.targets.values_mut().filter(|target| !target.unreported_parts.is_empty());
 
@@ -314,13 +314,14 @@
     /// a call is long. If all hosts chose the target that seems best, they would all choose the
     /// same one until the next status update. The two others are therefore drawn at random,
     /// weighted by their free slots.
-    pub fn choose(&self, now: Instant, service: &str, shape: &Shape) -> Choice {
+    pub fn choose(&self, now: Instant, service: &str, shape: &PlacementRequest) -> Choice {
         let usable = |(key, target): &(TargetKey, &Target)| {
             !shape.avoid.contains(key) && !target.is_ejected(now)
         };
-        let is_postponed =
-            shape.begins.is_some_and(|rank| self.is_too_busy_to_start(now, service, rank))
-                || shape.begins.is_some() && self.has_turns_waiting_elsewhere(service);
+        let is_postponed = shape
+            .new_program_rank
+            .is_some_and(|rank| self.is_too_busy_to_start(now, service, rank))
+            || shape.new_program_rank.is_some() && self.has_turns_waiting_elsewhere(service);
         let stats = self.stats(service);
         let seed = shape.draw_seed();
         let mut any_usable = false;
@@ -352,11 +353,11 @@
         match best {
             Some((_, key)) => Choice::Target(key),
             None if any_usable => Choice::Full,
-            None => Choice::Nowhere,
+            None => Choice::NoTarget,
         }
     }
 
-    fn cost(&self, target: &Target, stats: &CallStats, shape: &Shape) -> f64 {
+    fn cost(&self, target: &Target, stats: &CallStats, shape: &PlacementRequest) -> f64 {
         let zone_cost = if self.is_in_own_zone(target) { 0.0 } else { CROSS_ZONE_COST_MS };
 
         target.cost(stats, shape) + zone_cost
@@ -398,7 +399,7 @@
 
     /// Records that a call was sent to a target. Returns the number of prompt tokens to be read
     /// there.
-    pub fn sent(&mut self, key: TargetKey, shape: &Shape) -> u32 {
+    pub fn record_sent(&mut self, key: TargetKey, shape: &PlacementRequest) -> u32 {
         let Some(target) = self.targets.get_mut(key) else { return 0 };
         target.own_calls += 1;
         if let Some(object) = shape.object {
@@ -416,7 +417,7 @@
 
     /// Records that the first event of a stream arrived `waited` after the call was sent, with
     /// `missing` prompt tokens to be read.
-    pub fn began(&mut self, key: TargetKey, missing: u32, waited: Duration) {
+    pub fn record_first_event(&mut self, key: TargetKey, missing: u32, waited: Duration) {
         let Some(target) = self.targets.get(key) else { return };
 
         // If the slots are full, the time includes the wait for other calls.
@@ -426,14 +427,14 @@
     }
 
     /// Records that a target generated `events` events after the first one in the time `took`.
-    pub fn made(&mut self, key: TargetKey, events: u32, took: Duration) {
+    pub fn record_events(&mut self, key: TargetKey, events: u32, took: Duration) {
         if let Some(target) = self.targets.get(key) {
             stats_of(&mut self.stats, &target.entry.service).record_events(events, took);
         }
     }
 
     /// Records how a call ended. Returns whether the target was ejected.
-    pub fn ended(&mut self, now: Instant, key: TargetKey, outcome: Outcome) -> bool {
+    pub fn record_outcome(&mut self, now: Instant, key: TargetKey, outcome: Outcome) -> bool {
         let Some(target) = self.targets.get_mut(key) else { return false };
         target.own_calls = target.own_calls.saturating_sub(1);
 
@@ -445,14 +446,14 @@
                 stats_of(&mut self.stats, &target.entry.service).record_slot_time(held);
                 false
             }
-            Outcome::Left => false,
+            Outcome::Abandoned => false,
             Outcome::Shed => false,
             Outcome::Failed => target.record_failure(now),
         }
     }
 
     /// Returns the time until the first ejected target of a service gets calls again.
-    pub fn next_return(&self, now: Instant, service: &str) -> Option<Duration> {
+    pub fn time_to_readmission(&self, now: Instant, service: &str) -> Option<Duration> {
         let until = self.of_service(service).filter_map(|(_, target)| target.ejected_until);
 
         until.min().map(|at| at.since(now))
@@ -477,13 +478,13 @@
         self.own_calls + self.others_calls
     }
 
-    fn has_room(&self, shape: &Shape) -> bool {
+    fn has_room(&self, shape: &PlacementRequest) -> bool {
         self.load() < shape.limit(self.entry.slots)
     }
 
     /// Returns whether the target recently handled the call's object, or caches more of its prompt
     /// than the first part, which all calls of a kind share.
-    fn holds_prompt_or_object(&self, shape: &Shape) -> bool {
+    fn holds_prompt_or_object(&self, shape: &PlacementRequest) -> bool {
         let own = shape.parts.iter().skip(1).map(|(id, _)| *id);
 
         own.chain(shape.object).any(|id| self.prompts.contains(id))
@@ -492,7 +493,7 @@
     /// Returns the target's position in the random draw; the lowest is drawn first. It is a random
     /// number derived from the target's id, scaled so that more free slots make a low position more
     /// likely.
-    fn draw_position(&self, seed: u64, shape: &Shape) -> f64 {
+    fn draw_position(&self, seed: u64, shape: &PlacementRequest) -> f64 {
         let free = shape.limit(self.entry.slots).min(self.entry.slots).saturating_sub(self.load());
         let weight = f64::from(free).max(FULL_TARGET_WEIGHT);
         let random = (rendezvous_weight(seed, self.id_hash).0 >> 11) as f64 / (1u64 << 53) as f64;
@@ -507,7 +508,7 @@
     /// Returns the cost of a call at this target in milliseconds, beyond the time that it takes
     /// anywhere: the wait for a slot, the time to read its prompt, the delay that neighbouring
     /// calls cause, and the delay that they suffer while its prompt is read.
-    fn cost(&self, stats: &CallStats, shape: &Shape) -> f64 {
+    fn cost(&self, stats: &CallStats, shape: &PlacementRequest) -> f64 {
         let slots = self.entry.slots.max(1);
         let load = self.load();
         let running = f64::from(load.min(slots));
--- a/crates/policy/src/entry/prompts.rs
+++ b/crates/policy/src/entry/prompts.rs
@@ -1,6 +1,6 @@
 //! The prompt parts that a target is believed to have cached.
 
-use crate::entry::recent::Recent;
+use crate::entry::recent::RecentMap;
 
 /// How many prompt parts are remembered for each target at least.
 const PARTS_REMEMBERED: usize = 2_048;
@@ -13,12 +13,12 @@
 /// hosts' reports.
 #[derive(Clone, Debug)]
 pub struct Prompts {
-    parts: Recent<u64, u32>,
+    parts: RecentMap<u64, u32>,
 }
 
 impl Default for Prompts {
     fn default() -> Self {
-        Self { parts: Recent::new(PARTS_REMEMBERED) }
+        Self { parts: RecentMap::new(PARTS_REMEMBERED) }
     }
 }
 
--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -97,22 +97,22 @@
     /// The demand at the other hosts, reported or estimated, in calls per second.
     pub others_demand: f64,
     /// The fraction of the rate that is set aside for hosts that are not live.
-    pub withheld: f64,
+    pub reserved: f64,
 }
 
 /// The fraction of a tenant's rate that a host reserves for hosts that have gone silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Withheld {
+pub struct ReservedShare {
     /// The fraction, from 0 to 1.
     pub share: f64,
     /// The remaining validity, counted from the last status update of the host that went silent
     /// last.
-    pub left: Duration,
+    pub expires_in: Duration,
 }
 
 /// A host's status update about one tenant, as sent to the other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TenantNews {
+pub struct TenantStatus {
     /// The number of calls that the sender has admitted since its process started.
     pub admitted: u64,
     /// The demand at the sender, in calls per second.
@@ -121,10 +121,10 @@
     pub level: f64,
     /// The share that the sender reserves for hosts that are not live. A host that has just started
     /// never received their status updates and takes the share from here.
-    pub withheld: Withheld,
+    pub reserved: ReservedShare,
     /// Whether the sender receives status updates from all hosts, so that its level contains no
     /// estimates.
-    pub hears_all: bool,
+    pub all_hosts_live: bool,
 }
 
 /// The known state of a tenant at one point in time.
@@ -161,14 +161,14 @@
     /// silent.
     samples: VecDeque<Sample>,
     /// The share reserved for silent hosts, as sent to the other hosts.
-    withheld: Withheld,
+    reserved: ReservedShare,
     /// The fraction of the rate that is charged for hosts that are not live.
     non_live_share: f64,
     /// Whether a live host charges such a fraction and needs this host's level to correct its
     /// estimate.
     peers_need_level: bool,
     /// The last status update sent to the other hosts.
-    last_sent: Option<TenantNews>,
+    last_sent: Option<TenantStatus>,
 }
 
 impl Account {
@@ -176,9 +176,9 @@
     fn has_update(&self) -> bool {
         let Some(last) = self.last_sent else { return self.admitted > 0 || self.arrived > 0 };
         let slack = (last.demand * DEMAND_CHANGE).max(MIN_DEMAND_CHANGE);
-        let reserved_change = (self.withheld.share - last.withheld.share).abs();
+        let reserved_change = (self.reserved.share - last.reserved.share).abs();
 
-        (self.peers_need_level && self.hears_all())
+        (self.peers_need_level && self.all_hosts_live())
             || self.admitted != last.admitted
             || (self.demand - last.demand).abs() > slack
             || reserved_change > RESERVED_CHANGE
@@ -210,7 +210,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantReport {
-    status: TenantNews,
+    status: TenantStatus,
     /// Until when the share that it reserves for silent hosts is valid.
     reserved_until: Instant,
     /// The tokens charged for this host since it went silent.
@@ -269,7 +269,7 @@
                 others_demand: 0.0,
                 spent: 0.0,
                 samples: VecDeque::new(),
-                withheld: Withheld::default(),
+                reserved: ReservedShare::default(),
                 non_live_share: 0.0,
                 peers_need_level: false,
                 last_sent: None,
@@ -285,20 +285,20 @@
     }
 
     /// Sets the other hosts of the fleet.
-    pub fn set_others(&mut self, others: Vec<HostId>) {
+    pub fn set_peers(&mut self, others: Vec<HostId>) {
         self.reports.retain(|host, _| others.contains(host));
         self.others = others;
     }
 
     /// Applies a status update from the process run `run` of a host. It covers all of its tenants
     /// if `all` is set, and otherwise those with changes.
-    pub fn hear(
+    pub fn apply_update(
         &mut self,
         now: Instant,
         host: HostId,
         run: u64,
         all: bool,
-        updates: impl IntoIterator<Item = (Box<str>, TenantNews)>,
+        updates: impl IntoIterator<Item = (Box<str>, TenantStatus)>,
     ) {
         let report = self.reports.entry(host).or_default();
         let is_new = report.baseline_run.is_none();
@@ -322,7 +322,7 @@
         };
 
         for (tenant, status) in updates {
-            let reserved_until = now + status.withheld.left;
+            let reserved_until = now + status.reserved.expires_in;
             let new = TenantReport { status, reserved_until, estimated: 0.0, share: None };
             let before = report.tenants.insert(tenant.clone(), new).unwrap_or_default();
             let Some(account) = self.accounts.get_mut(&tenant) else { continue };
@@ -347,7 +347,7 @@
             // A new process adopts the lower level of any host.
             if now < account.startup_until {
                 account.level -= excess;
-            } else if status.hears_all && !account.hears_all() {
+            } else if status.all_hosts_live && !account.all_hosts_live() {
                 // A host whose level contains estimates adopts the lower level of one whose level
                 // contains none.
                 account.level -= excess;
@@ -377,16 +377,16 @@
     /// Returns the status updates for the other hosts and records them as sent. With `all`, covers
     /// every tenant that had calls here, for hosts that missed status updates; otherwise only
     /// tenants with changes.
-    pub fn take_news(&mut self, all: bool) -> Vec<(Box<str>, TenantNews)> {
+    pub fn take_updates(&mut self, all: bool) -> Vec<(Box<str>, TenantStatus)> {
         let mut updates = Vec::new();
 
         for (name, account) in &mut self.accounts {
             if !(account.has_update() || (all && account.last_sent.is_some())) {
                 continue;
             }
-            let Account { admitted, demand, level, withheld, .. } = *account;
-            let hears_all = account.hears_all();
-            let status = TenantNews { admitted, demand, level, withheld, hears_all };
+            let Account { admitted, demand, level, reserved, .. } = *account;
+            let all_hosts_live = account.all_hosts_live();
+            let status = TenantStatus { admitted, demand, level, reserved, all_hosts_live };
             account.last_sent = Some(status);
             updates.push((name.clone(), status));
         }
@@ -453,12 +453,12 @@
             rate: account.rate,
             demand: account.demand,
             others_demand: account.others_demand,
-            withheld: account.non_live_share,
+            reserved: account.non_live_share,
         })
     }
 
     /// Returns the token of a call that has not run and never will.
-    pub fn give_back(&mut self, tenant: &str) {
+    pub fn refund(&mut self, tenant: &str) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.level = (account.level + 1.0).min(account.capacity());
             account.admitted = account.admitted.saturating_sub(1);
@@ -488,7 +488,7 @@
     }
 
     /// Returns whether the level contains only reported calls and no estimates.
-    fn hears_all(&self) -> bool {
+    fn all_hosts_live(&self) -> bool {
         self.non_live_share <= 0.0
     }
 
--- a/crates/policy/src/entry/rates/estimates.rs
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::time::Instant;
 
 use super::{
-    Account, HostReport, Liveness, SILENT_SHARE_LIFETIME, TenantReport, Withheld, liveness,
+    Account, HostReport, Liveness, ReservedShare, SILENT_SHARE_LIFETIME, TenantReport, liveness,
 };
 
 /// The fraction of an even share that each host gets without any demand when shares are estimated.
@@ -60,7 +60,7 @@
         account.others_demand = self.others_demand(tenant, account, reports);
         account.record_sample(self.now);
         account.peers_need_level = self.peers_need_level(tenant, reports);
-        account.withheld = Withheld::default();
+        account.reserved = ReservedShare::default();
         account.non_live_share = 0.0;
         if self.silent.is_empty() && self.unknown <= 0.0 {
             return;
@@ -69,9 +69,9 @@
         let newly_silent = self.fix_shares(tenant, account, reports);
         let silent: f64 = self.silent.iter().map(|host| reports[host].share(tenant)).sum();
         let non_live = silent + self.unknown * self.even_share(account);
-        account.withheld = self.reserved_share(tenant, silent, reports);
+        account.reserved = self.reserved_share(tenant, silent, reports);
         account.non_live_share =
-            non_live.max(account.withheld.share).min(self.max_non_live_share());
+            non_live.max(account.reserved.share).min(self.max_non_live_share());
 
         // Each silent host's estimate is recorded, and corrected when it reports its admitted
         // calls.
@@ -169,19 +169,19 @@
         tenant: &str,
         silent: f64,
         reports: &Map<HostId, HostReport>,
-    ) -> Withheld {
+    ) -> ReservedShare {
         let left =
             |report: &HostReport| (report.received_at + SILENT_SHARE_LIFETIME).since(self.now);
         let longest = self.silent.iter().map(|host| left(&reports[host])).max();
-        let own = Withheld { share: silent, left: longest.unwrap_or_default() };
+        let own = ReservedShare { share: silent, expires_in: longest.unwrap_or_default() };
         if self.unknown <= 0.0 {
             return own;
         }
 
         let valid = self.reports_of(tenant, reports).filter(|t| t.reserved_until > self.now);
-        let theirs = valid.map(|t| Withheld {
-            share: t.status.withheld.share,
-            left: t.reserved_until.since(self.now),
+        let theirs = valid.map(|t| ReservedShare {
+            share: t.status.reserved.share,
+            expires_in: t.reserved_until.since(self.now),
         });
         theirs.chain([own]).max_by(|a, b| a.share.total_cmp(&b.share)).unwrap_or(own)
     }
--- a/crates/policy/src/entry/target_table.rs
+++ b/crates/policy/src/entry/target_table.rs
@@ -43,7 +43,7 @@
 
 /// How long after the store's recovery a host may detect it: an attempt that is still awaited, plus
 /// a pause.
-pub const RETURN_DELAY: Duration = Duration::from_millis(700);
+pub const RETURN_DETECTION_DELAY: Duration = Duration::from_millis(700);
 
 /// The length of a silence of the store from which on rows of running targets may have expired, in
 /// heartbeat intervals of the targets. A row expires three intervals after the last heartbeat,
@@ -67,10 +67,10 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use camphorwalk_policy::entry::target_table::{POLL_PERIOD, longest_delay};
-/// assert!(longest_delay() > POLL_PERIOD * 2);
+/// use camphorwalk_policy::entry::target_table::{POLL_PERIOD, max_propagation_delay};
+/// assert!(max_propagation_delay() > POLL_PERIOD * 2);
 /// ```
-pub const fn longest_delay() -> Duration {
+pub const fn max_propagation_delay() -> Duration {
     let own = POLL_PERIOD.as_millis() + HEDGE_DELAY.as_millis() + PEER_TIMEOUT.as_millis();
     let others = POLL_PERIOD.as_millis() + HEDGE_DELAY.as_millis();
 
@@ -139,7 +139,7 @@
 
 /// Why a target is no longer used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum RemovalReason {
     /// Its row was removed.
     Removed,
     /// Its row is unreadable.
@@ -154,7 +154,7 @@
     /// Use the target with this entry.
     Use(TargetEntry),
     /// Stop using the target.
-    Drop(Box<str>, Dropped),
+    Drop(Box<str>, RemovalReason),
 }
 
 /// The known state of a target.
@@ -220,7 +220,7 @@
 
     /// Returns whether the store has been silent for so long that rows of running targets may have
     /// expired.
-    pub fn is_silent(&self, now: Instant) -> bool {
+    pub fn is_store_silent(&self, now: Instant) -> bool {
         self.confirmed_at.is_none_or(|at| now.since(at) >= self.lapse_silence())
     }
 
@@ -248,13 +248,13 @@
     /// use camphorwalk_policy::entry::target_table::{EntryChange, EntryRow, TargetTable};
     /// let mut table = TargetTable::new(Duration::from_secs(1));
     /// let now = Instant::from_millis(5);
-    /// table.take_whole(now, now, vec![], RowVersion(1));
+    /// table.apply_full_read(now, now, vec![], RowVersion(1));
     /// let row = EntryRow { id: "i-1".into(), version: RowVersion(2), entry: None };
     /// let changes = vec![EntryChange::Written(row), EntryChange::Removed("i-1".into())];
-    /// assert!(table.take_changes(now, now, RowVersion(1), changes, RowVersion(3)).is_empty());
+    /// assert!(table.apply_changes(now, now, RowVersion(1), changes, RowVersion(3)).is_empty());
     /// assert_eq!(table.as_of(), Some(RowVersion(3)));
     /// ```
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         now: Instant,
         asked_at: Instant,
@@ -292,7 +292,7 @@
 
     /// Applies a full read of the table as of a version. `asked_at` is the time of the request to
     /// the store.
-    pub fn take_whole(
+    pub fn apply_full_read(
         &mut self,
         now: Instant,
         asked_at: Instant,
@@ -309,7 +309,12 @@
     ///
     /// A copy with a higher version replaces this one. A copy with a lower version adds nothing,
     /// except targets whose rows expired before this process started.
-    pub fn take_copy(&mut self, now: Instant, asked_at: Instant, copy: TableCopy) -> Vec<Effect> {
+    pub fn apply_peer_copy(
+        &mut self,
+        now: Instant,
+        asked_at: Instant,
+        copy: TableCopy,
+    ) -> Vec<Effect> {
         let confirmed_at = asked_at - copy.age;
         let mut effects = Vec::new();
 
@@ -338,7 +343,7 @@
     }
 
     /// Returns when the next grace period ends, if there is any.
-    pub fn next_end(&self) -> Option<Instant> {
+    pub fn next_grace_end(&self) -> Option<Instant> {
         let ends = self.rows.values().filter_map(|known| match known.state {
             State::Lapsed(_, until) => Some(until),
             _ => None,
@@ -354,14 +359,14 @@
             State::Present(_) | State::Lapsed(..) => true,
         });
         // While the store is silent, targets cannot write their rows.
-        if self.is_silent(now) {
+        if self.is_store_silent(now) {
             return Vec::new();
         }
 
         let ended = self.rows.iter_mut().filter_map(|(id, known)| match known.state {
             State::Lapsed(_, until) if until <= now => {
                 known.state = State::Removed(now);
-                Some(Effect::Drop(id.clone(), Dropped::NotBack))
+                Some(Effect::Drop(id.clone(), RemovalReason::NotBack))
             }
             _ => None,
         });
@@ -461,7 +466,7 @@
         let effect = match row.entry.clone() {
             Some(entry) => Some(Effect::Use(entry)),
             // Only a target that is in use can be dropped.
-            None => before.map(|_| Effect::Drop(row.id.clone(), Dropped::Unreadable)),
+            None => before.map(|_| Effect::Drop(row.id.clone(), RemovalReason::Unreadable)),
         };
         let known = KnownTarget { version: row.version, state: State::Present(row.entry) };
         self.rows.insert(row.id, known);
@@ -488,7 +493,7 @@
             }
             _ => {
                 known.state = State::Removed(now);
-                Some(Effect::Drop(id.into(), Dropped::Removed))
+                Some(Effect::Drop(id.into(), RemovalReason::Removed))
             }
         }
     }
--- a/crates/policy/src/entry/transfers.rs
+++ b/crates/policy/src/entry/transfers.rs
@@ -54,13 +54,13 @@
     /// use camphorwalk_policy::entry::transfers::{Transfers, Decision, MAX_TRANSFERS};
     /// let mut transfers = Transfers::default();
     /// for host in 0..MAX_TRANSFERS as u64 {
-    ///     assert_eq!(transfers.asked(Instant(0), HostId(host), 7), Decision::Send);
+    ///     assert_eq!(transfers.request(Instant(0), HostId(host), 7), Decision::Send);
     /// }
-    /// assert_eq!(transfers.asked(Instant(0), HostId(99), 7), Decision::Refuse);
-    /// transfers.told(HostId(0), 7);
-    /// assert_eq!(transfers.asked(Instant(0), HostId(99), 7), Decision::Send);
+    /// assert_eq!(transfers.request(Instant(0), HostId(99), 7), Decision::Refuse);
+    /// transfers.acknowledge(HostId(0), 7);
+    /// assert_eq!(transfers.request(Instant(0), HostId(99), 7), Decision::Send);
     /// ```
-    pub fn asked(&mut self, now: Instant, host: HostId, version: u64) -> Decision {
+    pub fn request(&mut self, now: Instant, host: HostId, version: u64) -> Decision {
         self.in_progress.remove(&host);
         // The requesting host has given up after this time.
         self.in_progress.retain(|_, transfer| now.since(transfer.started_at) < REQUEST_TIMEOUT);
@@ -74,14 +74,14 @@
 
     /// Records that a host reported this version of the manifest as in force. The copy that was
     /// being sent to it has arrived or is no longer needed.
-    pub fn told(&mut self, host: HostId, version: u64) {
+    pub fn acknowledge(&mut self, host: HostId, version: u64) {
         if self.in_progress.get(&host).is_some_and(|transfer| transfer.version <= version) {
             self.in_progress.remove(&host);
         }
     }
 
     /// Records that a transfer could not be sent.
-    pub fn not_sent(&mut self, host: HostId) {
+    pub fn send_failed(&mut self, host: HostId) {
         self.in_progress.remove(&host);
     }
 
@@ -110,11 +110,11 @@
     /// use camphorwalk_core::time::Instant;
     /// use camphorwalk_policy::entry::transfers::Backoff;
     /// let mut backoff = Backoff::default();
-    /// backoff.refused(Instant(0), HostId(1));
+    /// backoff.record_refusal(Instant(0), HostId(1));
     /// assert!(!backoff.may_ask(Instant::from_millis(299), HostId(1)));
     /// assert!(backoff.may_ask(Instant::from_millis(300), HostId(1)));
     /// ```
-    pub fn refused(&mut self, now: Instant, host: HostId) {
+    pub fn record_refusal(&mut self, now: Instant, host: HostId) {
         self.refused_at.retain(|_, at| now.since(*at) < REFUSED_PAUSE);
         self.refused_at.insert(host, now);
     }
--- a/crates/policy/tests/entry_fuzz/host.rs
+++ b/crates/policy/tests/entry_fuzz/host.rs
@@ -12,7 +12,7 @@
 use camphorwalk_policy::entry::host_rows::{HostRows, Presence};
 use camphorwalk_policy::entry::isolation::{self, Contact, Surroundings};
 use camphorwalk_policy::entry::outage::StoreHealth;
-use camphorwalk_policy::entry::shares::{self, KNOWS_ALL_AFTER, Limit, Memory};
+use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER, Limit};
 
 use crate::asks::{self, Ask, News, Reply};
 use crate::budget::{self, Held};
@@ -51,7 +51,7 @@
     /// Whether the whole fleet started with it.
     is_first_start: bool,
     began: Instant,
-    memory: RefCell<Memory>,
+    memory: RefCell<GrantHistory>,
     pub budgets: RefCell<Budgets>,
     pub health: RefCell<StoreHealth>,
     /// Whether it has read who the others are, without which it talks to none.
@@ -81,7 +81,7 @@
             run,
             is_first_start,
             began: now,
-            memory: RefCell::new(Memory::new(now, is_first_start)),
+            memory: RefCell::new(GrantHistory::new(now, is_first_start)),
             budgets: RefCell::new(Budgets::new(run)),
             health: RefCell::default(),
             joined: Cell::new(false),
@@ -154,8 +154,8 @@
             let version = RowVersion(self.world.host_rows.get()[other]);
             let is_due = last.is_some() && !self.hears(other);
             let host = HostId(other as u64);
-            match self.host.rows.borrow_mut().read(host, version, is_due) {
-                Presence::Wrote => drop(known.insert(other)),
+            match self.host.rows.borrow_mut().record_read(host, version, is_due) {
+                Presence::Updated => drop(known.insert(other)),
                 Presence::Silent => {}
                 Presence::Gone => drop(known.remove(&other)),
             }
@@ -217,7 +217,7 @@
     pub fn answers_whole(&self) -> bool {
         let health = self.host.health.borrow();
 
-        health.answers() && !health.misses_any()
+        health.answers() && !health.any_part_unavailable()
     }
 
     fn store_peer(&self) -> Option<usize> {
@@ -235,9 +235,10 @@
     }
 
     fn grants_loose(&self) -> bool {
-        let misses_any = self.host.health.borrow().missed_any(self.now(), ALL_TOLD);
+        let misses_any = self.host.health.borrow().any_part_failed_within(self.now(), ALL_TOLD);
 
-        misses_any || self.host.budgets.borrow().answers_for_loose(|run| self.hears_run(run))
+        misses_any
+            || self.host.budgets.borrow().is_responsible_for_unstored(|run| self.hears_run(run))
     }
 
     fn is_all_stored(&self) -> bool {
@@ -263,26 +264,26 @@
     fn knows_of_loose(&self) -> bool {
         let loose_at = self.host.loose_at.get();
 
-        loose_at.is_some_and(|at| self.now().since(at) <= KNOWS_ALL_AFTER)
+        loose_at.is_some_and(|at| self.now().since(at) <= HISTORY_COMPLETE_AFTER)
     }
 
-    fn surroundings(&self) -> shares::Surroundings {
+    fn surroundings(&self) -> shares::FleetView {
         let others = self.surroundings_without_itself();
 
-        others.with_itself(self.remembers(), self.knows_of_loose())
+        others.including_self(self.remembers(), self.knows_of_loose())
     }
 
-    fn surroundings_without_itself(&self) -> shares::Surroundings {
+    fn surroundings_without_itself(&self) -> shares::FleetView {
         let fresh = self.fresh_known();
         let remembering = fresh.iter().filter(|(_, heard)| heard.remembers);
         let free_of_loose = remembering.clone().filter(|(_, heard)| !heard.knows_of_loose);
 
-        shares::Surroundings {
+        shares::FleetView {
             is_all_stored: self.is_all_stored(),
-            known: self.known(),
-            heard: fresh.len() + 1,
-            remembering: remembering.count(),
-            free_of_loose: free_of_loose.count(),
+            known_hosts: self.known(),
+            live_hosts: fresh.len() + 1,
+            complete_histories: remembering.count(),
+            without_unstored_grants: free_of_loose.count(),
         }
     }
 
@@ -308,7 +309,7 @@
     pub async fn ask_store(&self, op: Op) -> StoreReply {
         let is_held_up = {
             let mut health = self.host.health.borrow_mut();
-            health.is_away(op.part()) && !health.try_again(self.now(), op.part())
+            health.is_unavailable(op.part()) && !health.start_retry_if_due(self.now(), op.part())
         };
 
         match is_held_up {
@@ -338,7 +339,7 @@
             StoreReply::Unknown => drop(health.failed(began, part)),
             _ => drop(health.answered(now, part)),
         }
-        if health.misses_any() {
+        if health.any_part_unavailable() {
             self.host.away_at.set(Some(now));
         }
         reply
@@ -373,7 +374,7 @@
 
     fn news(&self) -> News {
         let is_slow = self.host.slow_at.get().is_some_and(|at| self.now().since(at) < SLOW_TOLD);
-        let misses_any = self.host.health.borrow().misses_any();
+        let misses_any = self.host.health.borrow().any_part_unavailable();
 
         News {
             run: self.host.run,
@@ -459,7 +460,7 @@
     loop {
         shared.world.sim.sleep(SWEEP_PERIOD).await;
         let asked = shared.now();
-        let old = shared.host.budgets.borrow_mut().forget(asked, RETENTION + SWEEP_MARGIN);
+        let old = shared.host.budgets.borrow_mut().take_idle(asked, RETENTION + SWEEP_MARGIN);
         for (program, version) in old {
             budget::delete(&shared, program, version, asked).await;
         }
--- a/crates/policy/tests/entry_rates_cut.rs
+++ b/crates/policy/tests/entry_rates_cut.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::entry::TenantSpec;
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::rates::{Admission, Rates, TenantNews};
+use camphorwalk_policy::entry::rates::{Admission, Rates, TenantStatus};
 
 const TICK: Duration = Duration::from_millis(100);
 const TICKS_PER_SECOND: usize = 10;
@@ -112,7 +112,7 @@
 
     fn start(&mut self, host: usize) {
         let mut rates = Rates::default();
-        rates.set_others((0..HOSTS).map(id).filter(|other| *other != id(host)).collect());
+        rates.set_peers((0..HOSTS).map(id).filter(|other| *other != id(host)).collect());
         rates.configure(self.now, &[tenant()]);
         self.runs += 1;
         self.hosts[host] =
@@ -170,7 +170,7 @@
 
     fn send_updates(&mut self, from: usize) {
         let Some(mut sender) = self.hosts[from].take() else { return };
-        let changes = sender.rates.take_news(false);
+        let changes = sender.rates.take_updates(false);
 
         for to in 0..HOSTS {
             let is_between = self.between.contains(&from) || self.between.contains(&to);
@@ -181,10 +181,10 @@
             };
             let all = !sender.fully_updated.contains(&receiver.run);
             let updates = match all {
-                true => sender.rates.take_news(true),
+                true => sender.rates.take_updates(true),
                 false => changes.clone(),
             };
-            receiver.rates.hear(self.now, id(from), sender.run, all, updates);
+            receiver.rates.apply_update(self.now, id(from), sender.run, all, updates);
             if all {
                 sender.fully_updated.push(receiver.run);
             }
@@ -299,14 +299,14 @@
     let mut rates = Rates::default();
     let now = Instant::from_millis(10_000);
     rates.configure(Instant(0), &[tenant()]);
-    let update = |admitted| [(TENANT.into(), TenantNews { admitted, ..TenantNews::default() })];
-    rates.hear(Instant::from_millis(100), HostId(2), 1, true, update(0));
-    rates.hear(now, HostId(2), 1, false, update(200));
+    let update = |admitted| [(TENANT.into(), TenantStatus { admitted, ..TenantStatus::default() })];
+    rates.apply_update(Instant::from_millis(100), HostId(2), 1, true, update(0));
+    rates.apply_update(now, HostId(2), 1, false, update(200));
     let level = |rates: &Rates| rates.explain(TENANT).expect("the tenant has a rate").level;
     let before = level(&rates);
 
-    rates.hear(now, HostId(2), 2, true, []);
-    rates.hear(now, HostId(2), 2, false, update(5));
+    rates.apply_update(now, HostId(2), 2, true, []);
+    rates.apply_update(now, HostId(2), 2, false, update(5));
 
     assert_eq!(before - level(&rates), 5.0);
 }
--- a/crates/policy/tests/entry_transfers.rs
+++ b/crates/policy/tests/entry_transfers.rs
@@ -69,11 +69,13 @@
             return;
         };
 
-        match self.hosts[*from].transfers.asked(at(now), HostId(host as u64), VERSION) {
+        match self.hosts[*from].transfers.request(at(now), HostId(host as u64), VERSION) {
             Decision::Send => {
                 self.hosts[host].receiving = Some(Receiving { from: *from, left: MANIFEST });
             }
-            Decision::Refuse => self.hosts[host].backoff.refused(at(now), HostId(*from as u64)),
+            Decision::Refuse => {
+                self.hosts[host].backoff.record_refusal(at(now), HostId(*from as u64))
+            }
         }
     }
 
@@ -99,7 +101,7 @@
             (0..self.hosts.len()).filter(|i| self.hosts[*i].is_known_to_have(now)).collect();
 
         for host in &mut self.hosts {
-            holders.iter().for_each(|i| host.transfers.told(HostId(*i as u64), VERSION));
+            holders.iter().for_each(|i| host.transfers.acknowledge(HostId(*i as u64), VERSION));
         }
     }
 
@@ -139,7 +141,7 @@
 fn a_transfer_that_never_arrives_expires() {
     let mut transfers = Transfers::default();
     let asked =
-        |transfers: &mut Transfers, now, host| transfers.asked(at(now), HostId(host), VERSION);
+        |transfers: &mut Transfers, now, host| transfers.request(at(now), HostId(host), VERSION);
 
     (0..MAX_TRANSFERS as u64)
         .for_each(|host| assert_eq!(asked(&mut transfers, 0, host), Decision::Send));
@@ -152,11 +154,11 @@
 #[test]
 fn an_update_with_an_older_version_does_not_end_a_transfer() {
     let mut transfers = Transfers::default();
-    transfers.asked(at(0), HostId(1), VERSION);
+    transfers.request(at(0), HostId(1), VERSION);
 
-    transfers.told(HostId(1), VERSION - 1);
+    transfers.acknowledge(HostId(1), VERSION - 1);
     assert_eq!(transfers.len(), 1);
-    transfers.told(HostId(1), VERSION + 1);
+    transfers.acknowledge(HostId(1), VERSION + 1);
     assert!(transfers.is_empty());
 }
 
@@ -165,19 +167,19 @@
 fn a_repeated_request_replaces_the_previous_one() {
     let mut transfers = Transfers::default();
     (0..MAX_TRANSFERS as u64).for_each(|host| {
-        transfers.asked(at(0), HostId(host), VERSION);
+        transfers.request(at(0), HostId(host), VERSION);
     });
 
-    assert_eq!(transfers.asked(at(1_000), HostId(0), VERSION), Decision::Send);
+    assert_eq!(transfers.request(at(1_000), HostId(0), VERSION), Decision::Send);
     assert_eq!(transfers.len(), MAX_TRANSFERS);
 }
 
 #[test]
 fn a_failed_transfer_is_not_counted() {
     let mut transfers = Transfers::default();
-    transfers.asked(at(0), HostId(1), VERSION);
+    transfers.request(at(0), HostId(1), VERSION);
 
-    transfers.not_sent(HostId(1));
+    transfers.send_failed(HostId(1));
 
     assert!(transfers.is_empty());
 }
--- a/crates/policy/tests/target_table.rs
+++ b/crates/policy/tests/target_table.rs
@@ -6,8 +6,9 @@
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::target_table::{
-    Dropped, Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
-    POLL_PERIOD, RETURN_DELAY, TableCopy, TargetTable, longest_delay,
+    Effect, EntryChange, EntryRow, FAILED_PAUSE, HEDGE_DELAY, LAPSE_GRACE, PEER_TIMEOUT,
+    POLL_PERIOD, RETURN_DETECTION_DELAY, RemovalReason, TableCopy, TargetTable,
+    max_propagation_delay,
 };
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
@@ -56,14 +57,14 @@
     EntryChange::Removed(id.into())
 }
 
-fn dropped(id: &str, why: Dropped) -> Vec<Effect> {
+fn dropped(id: &str, why: RemovalReason) -> Vec<Effect> {
     vec![Effect::Drop(id.into(), why)]
 }
 
 /// Returns a copy with one target, from a full read at time zero as of version 10.
 fn with_one(id: &str) -> TargetTable {
     let mut table = TargetTable::new(HEARTBEAT);
-    table.take_whole(at(0), at(0), vec![row(id, 5)], RowVersion(10));
+    table.apply_full_read(at(0), at(0), vec![row(id, 5)], RowVersion(10));
 
     table
 }
@@ -72,7 +73,7 @@
 fn change(table: &mut TargetTable, now: u64, changes: Vec<EntryChange>, as_of: u64) -> Vec<Effect> {
     let after = table.as_of().unwrap();
 
-    table.take_changes(at(now), at(now), after, changes, RowVersion(as_of))
+    table.apply_changes(at(now), at(now), after, changes, RowVersion(as_of))
 }
 
 /// Applies answers without changes, one per polling period, until a time.
@@ -118,9 +119,9 @@
 
     let effects = change(&mut table, 400, vec![removed("x")], 20);
     let by_copy =
-        [401, 5_000, 60_000].map(|now| table.take_copy(at(now), at(now), copy(&behind, now)));
+        [401, 5_000, 60_000].map(|now| table.apply_peer_copy(at(now), at(now), copy(&behind, now)));
 
-    assert_eq!(effects, dropped("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", RemovalReason::Removed));
     assert_eq!(by_copy, [vec![], vec![], vec![]]);
 }
 
@@ -131,9 +132,9 @@
     change(&mut ahead, 400, vec![removed("x")], 20);
     let mut table = with_one("x");
 
-    let effects = table.take_copy(at(600), at(600), copy(&ahead, 600));
+    let effects = table.apply_peer_copy(at(600), at(600), copy(&ahead, 600));
 
-    assert_eq!(effects, dropped("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", RemovalReason::Removed));
     assert_eq!(table.as_of(), Some(RowVersion(20)));
 }
 
@@ -145,10 +146,10 @@
     change(&mut ahead, 400, vec![removed("x")], 20);
     let mut table = with_one("x");
     let after = table.as_of().unwrap();
-    table.take_copy(at(600), at(600), copy(&ahead, 600));
+    table.apply_peer_copy(at(600), at(600), copy(&ahead, 600));
 
     let late = vec![written("x", 11)];
-    let effects = table.take_changes(at(700), at(300), after, late, RowVersion(12));
+    let effects = table.apply_changes(at(700), at(300), after, late, RowVersion(12));
 
     assert_eq!(effects, []);
 }
@@ -159,9 +160,9 @@
     let mut table = with_one("x");
     change(&mut table, 400, vec![written("y", 11)], 12);
 
-    let effects = table.take_whole(at(800), at(800), vec![row("x", 5)], RowVersion(14));
+    let effects = table.apply_full_read(at(800), at(800), vec![row("x", 5)], RowVersion(14));
 
-    assert_eq!(effects, dropped("y", Dropped::Removed));
+    assert_eq!(effects, dropped("y", RemovalReason::Removed));
 }
 
 /// Guards against losing all targets for two seconds after an outage in which all entries expired.
@@ -176,7 +177,7 @@
     let after_grace = table.expire(at(back) + LAPSE_GRACE);
 
     assert_eq!((at_return, in_grace), (vec![], vec![]));
-    assert_eq!(after_grace, dropped("x", Dropped::NotBack));
+    assert_eq!(after_grace, dropped("x", RemovalReason::NotBack));
 }
 
 /// Guards against one lost answer making a removal look like an expiry, which would delay it by
@@ -188,7 +189,7 @@
 
     let effects = change(&mut table, before_expiry, vec![removed("x")], 20);
 
-    assert_eq!(effects, dropped("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", RemovalReason::Removed));
 }
 
 /// Guards against a grace period that restarts with each further silence or each copy from another
@@ -199,12 +200,13 @@
     change(&mut other, OUTAGE_MS, vec![removed("x")], 20);
     let mut table = TargetTable::new(HEARTBEAT);
     let started = OUTAGE_MS + 1_000;
-    table.take_whole(at(started), at(started), vec![], RowVersion(22));
+    table.apply_full_read(at(started), at(started), vec![], RowVersion(22));
     poll(&mut other, OUTAGE_MS + 400, started);
     change(&mut other, started, vec![], 23);
 
     let received_at = started + 100;
-    let effects = table.take_copy(at(received_at), at(received_at), copy(&other, received_at));
+    let effects =
+        table.apply_peer_copy(at(received_at), at(received_at), copy(&other, received_at));
     let end = OUTAGE_MS + LAPSE_GRACE.as_millis() as u64;
     poll(&mut table, received_at, end);
     let before_end = table.expire(at(end - 1));
@@ -212,7 +214,7 @@
 
     assert_eq!(effects, [Effect::Use(entry("x"))]);
     assert_eq!(before_end, []);
-    assert_eq!(at_end, dropped("x", Dropped::NotBack));
+    assert_eq!(at_end, dropped("x", RemovalReason::NotBack));
 }
 
 /// Guards against a host that starts during an outage and knows no target.
@@ -221,7 +223,7 @@
     let other = with_one("x");
     let mut table = TargetTable::new(HEARTBEAT);
 
-    let effects = table.take_copy(at(3_000), at(3_000), copy(&other, 3_000));
+    let effects = table.apply_peer_copy(at(3_000), at(3_000), copy(&other, 3_000));
 
     assert_eq!(effects, [Effect::Use(entry("x"))]);
     assert_eq!(table.as_of(), other.as_of());
@@ -237,7 +239,7 @@
 
     let effects = change(&mut table, OUTAGE_MS, vec![removed("x")], 20);
 
-    assert_eq!(effects, dropped("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", RemovalReason::Removed));
 }
 
 /// Guards against an entry, written by another client, that names no usable target.
@@ -248,7 +250,7 @@
 
     let effects = change(&mut table, 400, vec![EntryChange::Written(unreadable)], 12);
 
-    assert_eq!(effects, dropped("x", Dropped::Unreadable));
+    assert_eq!(effects, dropped("x", RemovalReason::Unreadable));
 }
 
 /// Guards against periods and timeouts that each look short but together exceed the bound. It must
@@ -257,14 +259,14 @@
 fn a_change_takes_effect_well_within_the_bound() {
     let a_lost_question = HEDGE_DELAY + PEER_TIMEOUT + FAILED_PAUSE;
 
-    assert!(longest_delay() + a_lost_question + CONNECT_TIMEOUT < DRAIN_BOUND);
+    assert!(max_propagation_delay() + a_lost_question + CONNECT_TIMEOUT < DRAIN_BOUND);
 }
 
 /// Guards against a grace period that lasts beyond the time at which the bound on calls to removed
 /// targets applies again.
 #[test]
 fn a_grace_ends_before_the_bound_holds_again() {
-    assert!(RETURN_DELAY + LAPSE_GRACE < CONTACT_RESTORED_AFTER);
+    assert!(RETURN_DETECTION_DELAY + LAPSE_GRACE < CONTACT_RESTORED_AFTER);
     assert!(LAPSE_GRACE > STORE_GRACE);
 }
 
@@ -279,9 +281,9 @@
 
     let has = quick.as_of().unwrap();
     let sent = other.copy_for(at(500), has).unwrap();
-    let effects = quick.take_copy(at(500), at(500), sent);
+    let effects = quick.apply_peer_copy(at(500), at(500), sent);
 
-    assert_eq!(effects, dropped("y", Dropped::Removed));
+    assert_eq!(effects, dropped("y", RemovalReason::Removed));
 }
 
 /// Guards against losing a removal because its answer arrives after another host's copy.
@@ -291,12 +293,12 @@
     let mut ahead = with_one("x");
     change(&mut ahead, 300, vec![], 15);
     let after = table.as_of().unwrap();
-    table.take_copy(at(350), at(350), copy(&ahead, 350));
+    table.apply_peer_copy(at(350), at(350), copy(&ahead, 350));
 
     let late = vec![removed("x")];
-    let effects = table.take_changes(at(400), at(200), after, late, RowVersion(20));
+    let effects = table.apply_changes(at(400), at(200), after, late, RowVersion(20));
 
-    assert_eq!(effects, dropped("x", Dropped::Removed));
+    assert_eq!(effects, dropped("x", RemovalReason::Removed));
 }
 
 /// Guards against using a target that has left because another host, with an older copy, reports
@@ -308,7 +310,7 @@
     change(&mut behind, OUTAGE_MS, vec![removed("y")], 20);
     change(&mut table, 100, vec![written("y", 11), removed("y")], 12);
 
-    let effects = table.take_copy(at(200), at(200), copy(&behind, OUTAGE_MS));
+    let effects = table.apply_peer_copy(at(200), at(200), copy(&behind, OUTAGE_MS));
 
     assert!(!effects.contains(&Effect::Use(entry("y"))));
 }
--- a/crates/policy/tests/target_table_fuzz/world.rs
+++ b/crates/policy/tests/target_table_fuzz/world.rs
@@ -377,7 +377,7 @@
         };
 
         if let Some(copy) = copy {
-            let effects = requester.table.take_copy(now, request.asked_at, copy);
+            let effects = requester.table.apply_peer_copy(now, request.asked_at, copy);
             requester.apply_effects(effects);
         }
         self.peer_ended(request);
@@ -403,7 +403,7 @@
         let Some(expiring) = &mut self.hosts[host] else { return };
         let ended = expiring.table.expire(now);
         expiring.apply_effects(ended);
-        let until_next = expiring.table.next_end().map_or(POLL_PERIOD, |end| end.since(now));
+        let until_next = expiring.table.next_grace_end().map_or(POLL_PERIOD, |end| end.since(now));
 
         self.put(until_next.clamp(MIN_EXPIRE_PAUSE, POLL_PERIOD), Event::Expire(host, run));
     }
