--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -314,16 +314,16 @@
     /// a call is long. If all hosts chose the target that seems best, they would all choose the
     /// same one until the next status update. The two others are therefore drawn at random,
     /// weighted by their free slots.
-    pub fn choose(&self, now: Instant, service: &str, shape: &PlacementRequest) -> Choice {
+    pub fn choose(&self, now: Instant, service: &str, request: &PlacementRequest) -> Choice {
         let usable = |(key, target): &(TargetKey, &Target)| {
-            !shape.avoid.contains(key) && !target.is_ejected(now)
+            !request.avoid.contains(key) && !target.is_ejected(now)
         };
-        let is_postponed = shape
+        let is_postponed = request
             .new_program_rank
             .is_some_and(|rank| self.is_too_busy_to_start(now, service, rank))
-            || shape.new_program_rank.is_some() && self.has_turns_waiting_elsewhere(service);
+            || request.new_program_rank.is_some() && self.has_turns_waiting_elsewhere(service);
         let stats = self.stats(service);
-        let seed = shape.draw_seed();
+        let seed = request.draw_seed();
         let mut any_usable = false;
         let mut best_holder: Option<(f64, TargetKey)> = None;
         let mut drawn: [Option<(f64, TargetKey)>; 2] = [None; 2];
@@ -331,14 +331,14 @@
         for (key, target) in self.of_service(service).filter(usable) {
             any_usable = true;
 
-            if is_postponed || !target.has_room(shape) {
+            if is_postponed || !target.has_room(request) {
                 continue;
             }
-            if target.holds_prompt_or_object(shape) {
-                keep_cheapest(&mut best_holder, (self.cost(target, &stats, shape), key));
+            if target.holds_prompt_or_object(request) {
+                keep_cheapest(&mut best_holder, (self.cost(target, &stats, request), key));
             }
             let zone_weight = if self.is_in_own_zone(target) { 1.0 } else { CROSS_ZONE_WEIGHT };
-            let position = target.draw_position(seed, shape) / zone_weight;
+            let position = target.draw_position(seed, request) / zone_weight;
             if drawn[0].is_none_or(|(first, _)| position < first) {
                 drawn = [Some((position, key)), drawn[0]];
             } else {
@@ -348,7 +348,7 @@
 
         let mut best = best_holder;
         for (_, key) in drawn.into_iter().flatten() {
-            keep_cheapest(&mut best, (self.cost(&self.targets[key], &stats, shape), key));
+            keep_cheapest(&mut best, (self.cost(&self.targets[key], &stats, request), key));
         }
         match best {
             Some((_, key)) => Choice::Target(key),
@@ -357,10 +357,10 @@
         }
     }
 
-    fn cost(&self, target: &Target, stats: &CallStats, shape: &PlacementRequest) -> f64 {
+    fn cost(&self, target: &Target, stats: &CallStats, request: &PlacementRequest) -> f64 {
         let zone_cost = if self.is_in_own_zone(target) { 0.0 } else { CROSS_ZONE_COST_MS };
 
-        target.cost(stats, shape) + zone_cost
+        target.cost(stats, request) + zone_cost
     }
 
     fn is_in_own_zone(&self, target: &Target) -> bool {
@@ -399,16 +399,16 @@
 
     /// Records that a call was sent to a target. Returns the number of prompt tokens to be read
     /// there.
-    pub fn record_sent(&mut self, key: TargetKey, shape: &PlacementRequest) -> u32 {
+    pub fn record_sent(&mut self, key: TargetKey, request: &PlacementRequest) -> u32 {
         let Some(target) = self.targets.get_mut(key) else { return 0 };
         target.own_calls += 1;
-        if let Some(object) = shape.object {
+        if let Some(object) = request.object {
             target.prompts.insert((object, 1));
         }
-        let Some(last) = shape.parts.last() else { return 0 };
+        let Some(last) = request.parts.last() else { return 0 };
 
-        let missing = target.prompts.missing_tokens(&shape.parts);
-        shape.parts.iter().for_each(|part| target.prompts.insert(*part));
+        let missing = target.prompts.missing_tokens(&request.parts);
+        request.parts.iter().for_each(|part| target.prompts.insert(*part));
         target.unreported_parts.push(*last);
         stats_of(&mut self.stats, &target.entry.service).record_missing_tokens(missing);
 
@@ -478,23 +478,24 @@
         self.own_calls + self.others_calls
     }
 
-    fn has_room(&self, shape: &PlacementRequest) -> bool {
-        self.load() < shape.limit(self.entry.slots)
+    fn has_room(&self, request: &PlacementRequest) -> bool {
+        self.load() < request.limit(self.entry.slots)
     }
 
     /// Returns whether the target recently handled the call's object, or caches more of its prompt
     /// than the first part, which all calls of a kind share.
-    fn holds_prompt_or_object(&self, shape: &PlacementRequest) -> bool {
-        let own = shape.parts.iter().skip(1).map(|(id, _)| *id);
+    fn holds_prompt_or_object(&self, request: &PlacementRequest) -> bool {
+        let own = request.parts.iter().skip(1).map(|(id, _)| *id);
 
-        own.chain(shape.object).any(|id| self.prompts.contains(id))
+        own.chain(request.object).any(|id| self.prompts.contains(id))
     }
 
     /// Returns the target's position in the random draw; the lowest is drawn first. It is a random
     /// number derived from the target's id, scaled so that more free slots make a low position more
     /// likely.
-    fn draw_position(&self, seed: u64, shape: &PlacementRequest) -> f64 {
-        let free = shape.limit(self.entry.slots).min(self.entry.slots).saturating_sub(self.load());
+    fn draw_position(&self, seed: u64, request: &PlacementRequest) -> f64 {
+        let free =
+            request.limit(self.entry.slots).min(self.entry.slots).saturating_sub(self.load());
         let weight = f64::from(free).max(FULL_TARGET_WEIGHT);
         let random = (rendezvous_weight(seed, self.id_hash).0 >> 11) as f64 / (1u64 << 53) as f64;
 
@@ -508,15 +509,15 @@
     /// Returns the cost of a call at this target in milliseconds, beyond the time that it takes
     /// anywhere: the wait for a slot, the time to read its prompt, the delay that neighbouring
     /// calls cause, and the delay that they suffer while its prompt is read.
-    fn cost(&self, stats: &CallStats, shape: &PlacementRequest) -> f64 {
+    fn cost(&self, stats: &CallStats, request: &PlacementRequest) -> f64 {
         let slots = self.entry.slots.max(1);
         let load = self.load();
         let running = f64::from(load.min(slots));
 
-        let prompt = stats.prompt_ms(self.prompts.missing_tokens(&shape.parts));
+        let prompt = stats.prompt_ms(self.prompts.missing_tokens(&request.parts));
         let waiting = f64::from((load + 1).saturating_sub(slots));
         let wait = waiting * stats.slot_ms() / f64::from(slots);
-        let knows_object = shape.object.is_some_and(|object| self.prompts.contains(object));
+        let knows_object = request.object.is_some_and(|object| self.prompts.contains(object));
         let saved = if knows_object { stats.slot_ms() * SAVING_FOR_KNOWN_OBJECT } else { 0.0 };
 
         prompt * (1.0 + running) + stats.interference_ms() * running - saved + wait
--- a/crates/policy/tests/entry_placement.rs
+++ b/crates/policy/tests/entry_placement.rs
@@ -32,10 +32,10 @@
     targets
 }
 
-fn send(targets: &mut Targets, shape: &PlacementRequest) -> Option<TargetKey> {
-    match targets.choose(NOW, "engines", shape) {
+fn send(targets: &mut Targets, request: &PlacementRequest) -> Option<TargetKey> {
+    match targets.choose(NOW, "engines", request) {
         Choice::Target(key) => {
-            targets.record_sent(key, shape);
+            targets.record_sent(key, request);
             Some(key)
         }
         Choice::Full | Choice::NoTarget => None,
@@ -49,11 +49,12 @@
 #[test]
 fn a_conversation_goes_where_its_prompt_is_cached() {
     let mut targets = targets(&["x", "y"]);
-    let shape = PlacementRequest { parts: vec![(1, 512), (2, 654)], ..PlacementRequest::default() };
-    let first = send(&mut targets, &shape).unwrap();
+    let request =
+        PlacementRequest { parts: vec![(1, 512), (2, 654)], ..PlacementRequest::default() };
+    let first = send(&mut targets, &request).unwrap();
     targets.record_outcome(NOW, first, Outcome::Answered(Duration::from_millis(200)));
 
-    let second = send(&mut targets, &shape).unwrap();
+    let second = send(&mut targets, &request).unwrap();
 
     assert_eq!(first, second);
 }
@@ -68,13 +69,13 @@
     let mut there = targets(&ids);
 
     for conversation in 0..50 {
-        let shape = PlacementRequest {
+        let request = PlacementRequest {
             parts: vec![(1, 512), (conversation, 654)],
             ..PlacementRequest::default()
         };
-        let first = send(&mut here, &shape).unwrap();
+        let first = send(&mut here, &request).unwrap();
         here.record_outcome(NOW, first, Outcome::Answered(Duration::from_millis(200)));
-        let second = send(&mut there, &shape).unwrap();
+        let second = send(&mut there, &request).unwrap();
         there.record_outcome(NOW, second, Outcome::Answered(Duration::from_millis(200)));
 
         assert_eq!(name(&here, first), name(&there, second));
@@ -110,11 +111,11 @@
     // would wait behind them, and all would finish late.
     let mut targets = Targets::new("a");
     targets.put(TargetEntry { slots: 12, ..entry("x", "a") });
-    let begins =
+    let starting =
         |rank| PlacementRequest { new_program_rank: Some(rank), ..PlacementRequest::default() };
 
-    let second_rank = (0..20).filter(|_| send(&mut targets, &begins(1)).is_some()).count();
-    let first_rank = (0..20).filter(|_| send(&mut targets, &begins(0)).is_some()).count();
+    let second_rank = (0..20).filter(|_| send(&mut targets, &starting(1)).is_some()).count();
+    let first_rank = (0..20).filter(|_| send(&mut targets, &starting(0)).is_some()).count();
     let running =
         (0..20).filter(|_| send(&mut targets, &PlacementRequest::default()).is_some()).count();
 
@@ -132,16 +133,16 @@
         targets.put(TargetEntry { slots: 12, ..entry(id, "a") });
     }
     let in_flight = |x, y, z| Map::from_iter([("x".into(), x), ("y".into(), y), ("z".into(), z)]);
-    let begins =
+    let starting =
         |rank| PlacementRequest { new_program_rank: Some(rank), ..PlacementRequest::default() };
 
     targets.set_remote_load(HostId(1), in_flight(14, 12, 7), Map::default());
-    let busy = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
+    let busy = [0, 1].map(|rank| targets.choose(NOW, "engines", &starting(rank)));
     let running = targets.choose(NOW, "engines", &PlacementRequest::default());
     targets.set_remote_load(HostId(1), in_flight(14, 12, 3), Map::default());
-    let less_busy = [0, 1].map(|rank| targets.choose(NOW, "engines", &begins(rank)));
+    let less_busy = [0, 1].map(|rank| targets.choose(NOW, "engines", &starting(rank)));
     targets.set_remote_load(HostId(1), in_flight(14, 11, 3), Map::default());
-    let second_rank = targets.choose(NOW, "engines", &begins(1));
+    let second_rank = targets.choose(NOW, "engines", &starting(1));
 
     assert_eq!(busy, [Choice::Full, Choice::Full]);
     assert!(matches!(running, Choice::Target(_)));
@@ -153,13 +154,13 @@
 fn no_program_starts_while_turns_of_running_ones_wait_at_another_host() {
     // Each host sees free slots that turns waiting at other hosts are about to take.
     let mut targets = targets(&["x", "y"]);
-    let begins = PlacementRequest { new_program_rank: Some(0), ..PlacementRequest::default() };
+    let starting = PlacementRequest { new_program_rank: Some(0), ..PlacementRequest::default() };
     let waiting = Map::from_iter([(Box::from("engines"), 3)]);
 
     targets.set_remote_load(HostId(1), Map::default(), waiting);
-    let postponed = targets.choose(NOW, "engines", &begins);
+    let postponed = targets.choose(NOW, "engines", &starting);
     targets.set_remote_load(HostId(1), Map::default(), Map::default());
-    let free = targets.choose(NOW, "engines", &begins);
+    let free = targets.choose(NOW, "engines", &starting);
 
     assert_eq!(postponed, Choice::Full);
     assert!(matches!(free, Choice::Target(_)));
@@ -248,11 +249,11 @@
     let mut chosen = Vec::new();
 
     for turn in 1..8 {
-        let shape = PlacementRequest {
+        let request = PlacementRequest {
             parts: vec![(1, 512), (2, 600 * turn)],
             ..PlacementRequest::default()
         };
-        let key = send(&mut targets, &shape).unwrap();
+        let key = send(&mut targets, &request).unwrap();
         let events = if turn % 2 == 0 { 29 } else { 2 };
         targets.record_first_event(key, 600, Duration::from_millis(40));
         targets.record_events(key, events - 1, Duration::from_millis(26) * (events - 1));
@@ -303,24 +304,24 @@
     });
 
     for conversation in 0..50 {
-        let shape = PlacementRequest {
+        let request = PlacementRequest {
             parts: vec![(1, 512), (100 + conversation, 654)],
             ..PlacementRequest::default()
         };
-        let first_choice = match here.choose(NOW, "engines", &shape) {
+        let first_choice = match here.choose(NOW, "engines", &request) {
             Choice::Target(key) => Box::from(name(&here, key)),
             other => panic!("{other:?}"),
         };
         let busy = Map::from_iter([(first_choice, 14)]);
         here.set_remote_load(HostId(9), busy, Map::default());
-        let first = send(&mut here, &shape).unwrap();
+        let first = send(&mut here, &request).unwrap();
         here.record_outcome(NOW, first, Outcome::Answered(Duration::from_millis(200)));
         here.set_remote_load(HostId(9), Map::default(), Map::default());
 
         for (id, parts) in here.take_updates() {
             there.record_remote_prompts(&id, &parts);
         }
-        let second = send(&mut there, &shape).unwrap();
+        let second = send(&mut there, &request).unwrap();
         there.record_outcome(NOW, second, Outcome::Answered(Duration::from_millis(200)));
 
         assert_eq!(name(&here, first), name(&there, second));
@@ -352,7 +353,7 @@
             parts: vec![(1, 512), (2, 1_500), (own, 300)],
             ..PlacementRequest::default()
         })
-        .map(|shape| send(&mut targets, &shape).unwrap())
+        .map(|request| send(&mut targets, &request).unwrap())
         .collect();
 
     assert_eq!(sent, [first; 3]);
@@ -373,7 +374,7 @@
             parts: vec![(conversation + 10, 654)],
             ..PlacementRequest::default()
         });
-        let chosen = conversations.map(|shape| targets.choose(NOW, "engines", &shape));
+        let chosen = conversations.map(|request| targets.choose(NOW, "engines", &request));
         chosen.filter(|c| matches!(c, Choice::Target(key) if name(targets, *key) == "slow")).count()
     };
 
@@ -433,11 +434,11 @@
         });
         for program in 0..3 {
             let conversation = 1_000 + host * 10 + program;
-            let shape = PlacementRequest {
+            let request = PlacementRequest {
                 parts: vec![(1, 512), (conversation, 654)],
                 ..PlacementRequest::default()
             };
-            let key = send(&mut targets, &shape).unwrap();
+            let key = send(&mut targets, &request).unwrap();
             *sent.entry(name(&targets, key).into()).or_default() += 1;
         }
     }
@@ -462,8 +463,8 @@
     );
 
     let chosen = (0..200).map(|seed| {
-        let shape = PlacementRequest { seed, ..PlacementRequest::default() };
-        targets.choose(NOW, "engines", &shape)
+        let request = PlacementRequest { seed, ..PlacementRequest::default() };
+        targets.choose(NOW, "engines", &request)
     });
     let to_y = chosen
         .filter(|choice| matches!(choice, Choice::Target(key) if name(&targets, *key) == "y"));
@@ -484,7 +485,7 @@
             parts: vec![(1, 512), (conversation + 10, 654)],
             ..PlacementRequest::default()
         });
-        let chosen = conversations.map(|shape| targets.choose(NOW, "engines", &shape));
+        let chosen = conversations.map(|request| targets.choose(NOW, "engines", &request));
         chosen.filter(|c| matches!(c, Choice::Target(key) if name(targets, *key) == "near")).count()
     };
 
