--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -114,9 +114,9 @@
         match self.new_program_rank {
             None => slots + MAX_QUEUED_AT_TARGET,
             Some(rank) => {
-                let part = NEW_PROGRAMS_TARGET_LIMIT[usize::from(rank > 0)];
+                let fraction = NEW_PROGRAMS_TARGET_LIMIT[usize::from(rank > 0)];
                 // Rounded down, but even a target with few slots accepts one call.
-                ((f64::from(slots) * part) as u32).max(1)
+                ((f64::from(slots) * fraction) as u32).max(1)
             }
         }
     }
@@ -269,8 +269,8 @@
         in_flight: Map<Box<str>, u32>,
         waiting: Map<Box<str>, u32>,
     ) {
-        // Applies only the difference for this host, so the cost depends on the number of targets
-        // in the status update and not on the number of hosts or targets in the fleet.
+        // Replaces only the calls of the sending host, so the cost depends on the number of
+        // targets in its status updates and not on the number of hosts or targets in the fleet.
         for (id, calls) in self.calls_by_host.remove(&host).unwrap_or_default() {
             self.change_others_calls(&id, |others| others.saturating_sub(calls));
         }
--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -175,12 +175,12 @@
     /// Returns whether to send a status update: the values that other hosts use have changed.
     fn has_update(&self) -> bool {
         let Some(last) = self.last_sent else { return self.admitted > 0 || self.arrived > 0 };
-        let slack = (last.demand * DEMAND_CHANGE).max(MIN_DEMAND_CHANGE);
+        let demand_change = (last.demand * DEMAND_CHANGE).max(MIN_DEMAND_CHANGE);
         let reserved_change = (self.reserved.share - last.reserved.share).abs();
 
         (self.peers_need_level && self.all_hosts_live())
             || self.admitted != last.admitted
-            || (self.demand - last.demand).abs() > slack
+            || (self.demand - last.demand).abs() > demand_change
             || reserved_change > RESERVED_CHANGE
     }
 }
@@ -328,7 +328,7 @@
             let Some(account) = self.accounts.get_mut(&tenant) else { continue };
             account.refill(now);
             let admitted = status.admitted as f64 - before.status.admitted as f64;
-            let taken = match (is_new, same_run) {
+            let charged = match (is_new, same_run) {
                 // The level already includes what the host admitted before its first status update
                 // arrived.
                 (true, _) => 0.0,
@@ -340,7 +340,7 @@
                     (admitted - estimated).max(0.0)
                 }
             };
-            account.level -= taken;
+            account.level -= charged;
             account.spent += if is_new { 0.0 } else { admitted };
 
             let excess = (account.level - status.level).max(0.0);
@@ -364,12 +364,12 @@
     /// shown.
     fn add_to_estimates(&mut self, now: Instant, tenant: &str, calls: f64) {
         let silent = |report: &HostReport| matches!(liveness(now, Some(report)), Liveness::Silent);
-        let all: f64 = self.reports.values().filter(|r| silent(r)).map(|r| r.share(tenant)).sum();
+        let total: f64 = self.reports.values().filter(|r| silent(r)).map(|r| r.share(tenant)).sum();
 
         for report in self.reports.values_mut().filter(|report| silent(report)) {
-            let part = report.share(tenant) / all.max(f64::MIN_POSITIVE);
+            let fraction = report.share(tenant) / total.max(f64::MIN_POSITIVE);
             if let Some(tenant) = report.tenants.get_mut(tenant) {
-                tenant.estimated += calls * part;
+                tenant.estimated += calls * fraction;
             }
         }
     }
@@ -430,9 +430,9 @@
         let needed = 1.0 + account.headroom(is_new);
         if account.level < needed {
             let after = account.time_until_level(needed);
-            let longest = if is_new { MAX_WAIT_NEW } else { MAX_WAIT };
+            let max_wait = if is_new { MAX_WAIT_NEW } else { MAX_WAIT };
 
-            return match waited + after <= longest {
+            return match waited + after <= max_wait {
                 true => Admission::Wait(after),
                 false => Admission::Refused(after),
             };
@@ -505,10 +505,10 @@
     }
 
     fn smooth(&mut self, elapsed: Duration) {
-        let seen = f64::from(std::mem::take(&mut self.arrived)) / elapsed.as_secs_f64();
-        let part = 1.0 - (-elapsed.as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
+        let current = f64::from(std::mem::take(&mut self.arrived)) / elapsed.as_secs_f64();
+        let weight = 1.0 - (-elapsed.as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
 
-        self.demand += (seen - self.demand) * part;
+        self.demand += (current - self.demand) * weight;
     }
 
     /// Returns the number of tokens that must remain after a call is admitted.
--- a/crates/policy/src/entry/rates/estimates.rs
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -77,7 +77,7 @@
         // calls.
         let scale = (account.non_live_share / non_live.max(f64::MIN_POSITIVE)).min(1.0);
         let unrecorded = account.non_live_share - silent * scale;
-        let mut taken = account.rate * unrecorded * self.elapsed.as_secs_f64();
+        let mut charged = account.rate * unrecorded * self.elapsed.as_secs_f64();
         for host in &self.silent {
             let Some(report) = reports.get_mut(host) else { continue };
             let share = report.share(tenant) * scale;
@@ -86,9 +86,9 @@
                 false => account.rate * share * self.elapsed.as_secs_f64(),
             };
             report.tenants.entry(tenant.into()).or_default().estimated += estimated;
-            taken += estimated;
+            charged += estimated;
         }
-        account.level = (account.level - taken).max(-account.capacity());
+        account.level = (account.level - charged).max(-account.capacity());
     }
 
     /// Returns the largest fraction of a rate that may be charged for hosts that are not live.
@@ -107,9 +107,9 @@
     /// Returns the share of a host that has never sent a status update. It is assumed to have the
     /// same demand as this host, so that hosts that cannot reach each other share evenly.
     fn even_share(&self, account: &Account) -> f64 {
-        let all = account.demand + account.others_demand + DEMAND_FLOOR * account.rate;
+        let total_demand = account.demand + account.others_demand + DEMAND_FLOOR * account.rate;
 
-        (account.demand + self.demand_floor(account)) / all
+        (account.demand + self.demand_floor(account)) / total_demand
     }
 
     /// Returns the demand at the other hosts, in calls per second.
@@ -151,10 +151,12 @@
 
         for host in &self.silent {
             let Some(report) = reports.get_mut(host) else { continue };
-            let all = account.sample_at(report.received_at).demand + DEMAND_FLOOR * account.rate;
+            let total_demand =
+                account.sample_at(report.received_at).demand + DEMAND_FLOOR * account.rate;
             let tenant = report.tenants.entry(tenant.into()).or_default();
             if tenant.share.is_none() {
-                tenant.share = Some((tenant.status.demand + self.demand_floor(account)) / all);
+                tenant.share =
+                    Some((tenant.status.demand + self.demand_floor(account)) / total_demand);
                 newly_silent.push(*host);
             }
         }
@@ -170,16 +172,17 @@
         silent: f64,
         reports: &Map<HostId, HostReport>,
     ) -> ReservedShare {
-        let left =
+        let remaining =
             |report: &HostReport| (report.received_at + SILENT_SHARE_LIFETIME).since(self.now);
-        let longest = self.silent.iter().map(|host| left(&reports[host])).max();
+        let longest = self.silent.iter().map(|host| remaining(&reports[host])).max();
         let own = ReservedShare { share: silent, expires_in: longest.unwrap_or_default() };
         if self.unknown <= 0.0 {
             return own;
         }
 
-        let valid = self.reports_of(tenant, reports).filter(|t| t.reserved_until > self.now);
-        let theirs = valid.map(|t| ReservedShare {
+        let valid_reports =
+            self.reports_of(tenant, reports).filter(|t| t.reserved_until > self.now);
+        let theirs = valid_reports.map(|t| ReservedShare {
             share: t.status.reserved.share,
             expires_in: t.reserved_until.since(self.now),
         });
@@ -191,10 +194,10 @@
     /// had no more than the tokens in the bucket, whose level all hosts knew.
     fn estimate_since_update(&self, account: &Account, report: &HostReport, share: f64) -> f64 {
         let refilled = account.rate * self.now.since(report.counted_until).as_secs_f64();
-        let here = account.spent - account.sample_at(report.received_at).spent;
-        let alike = here * share / (1.0 - account.non_live_share);
-        let most = (account.capacity() + refilled) * share / account.non_live_share;
+        let admitted = account.spent - account.sample_at(report.received_at).spent;
+        let proportional = admitted * share / (1.0 - account.non_live_share);
+        let upper_bound = (account.capacity() + refilled) * share / account.non_live_share;
 
-        alike.min(most).max(refilled * share)
+        proportional.min(upper_bound).max(refilled * share)
     }
 }
