--- a/crates/policy/tests/entry_placement.rs
+++ b/crates/policy/tests/entry_placement.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn no_program_starts_while_the_targets_together_are_too_busy() {
+fn no_program_begins_while_the_targets_together_are_crowded() {
     // A third of the engines is lost under the usual load. With status updates that are a tenth of
     // a second old, one of the remaining engines nearly always seems to have a free slot, while
     // turns at the others take twice as long. Programs that started there would be late, and make
--- a/crates/policy/tests/target_table.rs
+++ b/crates/policy/tests/target_table.rs
@@ -256,7 +256,7 @@
 /// Guards against periods and timeouts that each look short but together exceed the bound. It must
 /// hold even if one request to another host is lost.
 #[test]
-fn a_change_takes_effect_well_within_the_bound() {
+fn a_change_is_known_well_within_the_bound() {
     let a_lost_question = HEDGE_DELAY + PEER_TIMEOUT + FAILED_PAUSE;
 
     assert!(max_propagation_delay() + a_lost_question + CONNECT_TIMEOUT < DRAIN_BOUND);
