--- /dev/null
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -0,0 +1,203 @@
+//! Estimates of the calls admitted by hosts that are not live. A host is not live if it is silent,
+//! or has never sent a status update to this process.
+
+use std::time::Duration;
+
+use camphorwalk_core::hash::Map;
+use camphorwalk_core::ids::HostId;
+use camphorwalk_core::time::Instant;
+
+use super::{
+    Account, HostReport, Liveness, ReservedShare, SILENT_SHARE_LIFETIME, TenantReport, liveness,
+};
+
+/// The fraction of an even share that each host gets without any demand when shares are estimated.
+const DEMAND_FLOOR: f64 = 0.25;
+
+/// The other hosts during one tick, grouped by the age of their last status update.
+pub(super) struct OtherHosts {
+    now: Instant,
+    /// The time since the last tick.
+    elapsed: Duration,
+    /// The number of hosts, this one included.
+    fleet_size: f64,
+    live: Vec<HostId>,
+    silent: Vec<HostId>,
+    /// The number of hosts that have never sent a status update to this process.
+    unknown: f64,
+}
+
+impl OtherHosts {
+    pub(super) fn new(
+        now: Instant,
+        elapsed: Duration,
+        hosts: &[HostId],
+        reports: &Map<HostId, HostReport>,
+    ) -> Self {
+        let fleet_size = (hosts.len() + 1) as f64;
+        let (live, silent) = (Vec::new(), Vec::new());
+        let mut others = Self { now, elapsed, fleet_size, live, silent, unknown: 0.0 };
+
+        for host in hosts {
+            match liveness(now, reports.get(host)) {
+                Liveness::Unknown => others.unknown += 1.0,
+                Liveness::Live => others.live.push(*host),
+                Liveness::Silent => others.silent.push(*host),
+                Liveness::Gone => {}
+            }
+        }
+        others
+    }
+
+    /// Subtracts from a tenant's bucket the calls admitted by hosts that are not live, within their
+    /// shares.
+    pub(super) fn charge_non_live(
+        &self,
+        tenant: &str,
+        account: &mut Account,
+        reports: &mut Map<HostId, HostReport>,
+    ) {
+        account.others_demand = self.others_demand(tenant, account, reports);
+        account.record_sample(self.now);
+        account.peers_need_level = self.peers_need_level(tenant, reports);
+        account.reserved = ReservedShare::default();
+        account.non_live_share = 0.0;
+        if self.silent.is_empty() && self.unknown <= 0.0 {
+            return;
+        }
+
+        let newly_silent = self.fix_shares(tenant, account, reports);
+        let silent: f64 = self.silent.iter().map(|host| reports[host].share(tenant)).sum();
+        let non_live = silent + self.unknown * self.even_share(account);
+        account.reserved = self.reserved_share(tenant, silent, reports);
+        account.non_live_share =
+            non_live.max(account.reserved.share).min(self.max_non_live_share());
+
+        // Each silent host's estimate is recorded, and corrected when it reports its admitted
+        // calls.
+        let scale = (account.non_live_share / non_live.max(f64::MIN_POSITIVE)).min(1.0);
+        let unrecorded = account.non_live_share - silent * scale;
+        let mut charged = account.rate * unrecorded * self.elapsed.as_secs_f64();
+        for host in &self.silent {
+            let Some(report) = reports.get_mut(host) else { continue };
+            let share = report.share(tenant) * scale;
+            let estimated = match newly_silent.contains(host) {
+                true => self.estimate_since_update(account, report, share),
+                false => account.rate * share * self.elapsed.as_secs_f64(),
+            };
+            report.tenants.entry(tenant.into()).or_default().estimated += estimated;
+            charged += estimated;
+        }
+        account.level = (account.level - charged).max(-account.capacity());
+    }
+
+    /// Returns the largest fraction of a rate that may be charged for hosts that are not live.
+    /// Shares that were fixed at different times may add up to more than the whole rate.
+    fn max_non_live_share(&self) -> f64 {
+        let live = self.live.len() as f64 + 1.0;
+
+        1.0 - DEMAND_FLOOR * live / self.fleet_size
+    }
+
+    /// Returns the demand, in calls per second, that each host counts with at least.
+    fn demand_floor(&self, account: &Account) -> f64 {
+        DEMAND_FLOOR * account.rate / self.fleet_size
+    }
+
+    /// Returns the share of a host that has never sent a status update. It is assumed to have the
+    /// same demand as this host, so that hosts that cannot reach each other share evenly.
+    fn even_share(&self, account: &Account) -> f64 {
+        let total_demand = account.demand + account.others_demand + DEMAND_FLOOR * account.rate;
+
+        (account.demand + self.demand_floor(account)) / total_demand
+    }
+
+    /// Returns the demand at the other hosts, in calls per second.
+    fn others_demand(
+        &self,
+        tenant: &str,
+        account: &Account,
+        reports: &Map<HostId, HostReport>,
+    ) -> f64 {
+        let known = self.live.iter().chain(&self.silent).filter_map(|host| reports.get(host));
+        let tenants = known.filter_map(|report| report.tenants.get(tenant));
+
+        tenants.map(|t| t.status.demand).sum::<f64>() + self.unknown * account.demand
+    }
+
+    fn reports_of<'a>(
+        &self,
+        tenant: &str,
+        reports: &'a Map<HostId, HostReport>,
+    ) -> impl Iterator<Item = &'a TenantReport> {
+        let live = self.live.iter().filter_map(|host| reports.get(host));
+
+        live.filter_map(move |report| report.tenants.get(tenant))
+    }
+
+    /// Returns whether a live host reserves a share for silent ones.
+    fn peers_need_level(&self, tenant: &str, reports: &Map<HostId, HostReport>) -> bool {
+        self.reports_of(tenant, reports).any(|t| t.reserved_until > self.now)
+    }
+
+    /// Fixes the shares of hosts that have just gone silent, and returns these hosts.
+    fn fix_shares(
+        &self,
+        tenant: &str,
+        account: &Account,
+        reports: &mut Map<HostId, HostReport>,
+    ) -> Vec<HostId> {
+        let mut newly_silent = Vec::new();
+
+        for host in &self.silent {
+            let Some(report) = reports.get_mut(host) else { continue };
+            let total_demand =
+                account.sample_at(report.received_at).demand + DEMAND_FLOOR * account.rate;
+            let tenant = report.tenants.entry(tenant.into()).or_default();
+            if tenant.share.is_none() {
+                tenant.share =
+                    Some((tenant.status.demand + self.demand_floor(account)) / total_demand);
+                newly_silent.push(*host);
+            }
+        }
+        newly_silent
+    }
+
+    /// Returns the share reserved for silent hosts, where `silent` is the sum of their shares. For
+    /// a host that never sent a status update to this process, other hosts may know how much to
+    /// reserve.
+    fn reserved_share(
+        &self,
+        tenant: &str,
+        silent: f64,
+        reports: &Map<HostId, HostReport>,
+    ) -> ReservedShare {
+        let remaining =
+            |report: &HostReport| (report.received_at + SILENT_SHARE_LIFETIME).since(self.now);
+        let longest = self.silent.iter().map(|host| remaining(&reports[host])).max();
+        let own = ReservedShare { share: silent, expires_in: longest.unwrap_or_default() };
+        if self.unknown <= 0.0 {
+            return own;
+        }
+
+        let valid_reports =
+            self.reports_of(tenant, reports).filter(|t| t.reserved_until > self.now);
+        let theirs = valid_reports.map(|t| ReservedShare {
+            share: t.status.reserved.share,
+            expires_in: t.reserved_until.since(self.now),
+        });
+        theirs.chain([own]).max_by(|a, b| a.share.total_cmp(&b.share)).unwrap_or(own)
+    }
+
+    /// Estimates the calls that a host has admitted since its last status update, assuming that all
+    /// hosts that are not live used their shares to the same degree as the live ones. Together they
+    /// had no more than the tokens in the bucket, whose level all hosts knew.
+    fn estimate_since_update(&self, account: &Account, report: &HostReport, share: f64) -> f64 {
+        let refilled = account.rate * self.now.since(report.counted_until).as_secs_f64();
+        let admitted = account.spent - account.sample_at(report.received_at).spent;
+        let proportional = admitted * share / (1.0 - account.non_live_share);
+        let upper_bound = (account.capacity() + refilled) * share / account.non_live_share;
+
+        proportional.min(upper_bound).max(refilled * share)
+    }
+}
