--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use camphorwalk_core::ids::TargetId;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
 use camphorwalk_policy::wire::Asker;
 
 /// How a baseline chooses a target.
@@ -43,7 +43,7 @@
     }
 
     /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, event: &QueueEvent, out: &mut Vec<QueueNext>) {
+    pub fn step(&mut self, event: &QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
             QueueEvent::Ask { asker, .. } => self.calls.push_back(*asker),
             QueueEvent::Vacate { asker, .. } => self.vacate(*asker),
@@ -53,7 +53,7 @@
         while let Some((asker, at)) = self.next() {
             self.targets[at].1 += 1;
             self.places.insert(asker, at);
-            out.push(QueueNext::Grant { asker, target: self.targets[at].0 });
+            out.push(QueueAction::Grant { asker, target: self.targets[at].0 });
         }
     }
 
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
 use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
 use serde::Serialize;
 
@@ -78,7 +78,7 @@
     tenants: u64,
     asked: u64,
     granted: std::collections::VecDeque<Asker>,
-    out: Vec<QueueNext>,
+    out: Vec<QueueAction>,
 }
 
 impl Load {
@@ -104,7 +104,7 @@
         self.scheduler.step(self.now, event, &mut self.out);
 
         for next in self.out.drain(..) {
-            if let QueueNext::Grant { asker, .. } = next {
+            if let QueueAction::Grant { asker, .. } = next {
                 self.granted.push_back(asker);
             }
         }
--- a/crates/bench/src/drive.rs
+++ b/crates/bench/src/drive.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{LoadReport, QueueEvent, QueueNext};
+use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent};
 use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -105,7 +105,7 @@
     woken: Option<u64>,
     start: Start,
     next_closed: usize,
-    out: Vec<QueueNext>,
+    out: Vec<QueueAction>,
 }
 
 impl<'a> Drive<'a> {
@@ -272,8 +272,8 @@
 
         for next in out.drain(..) {
             match next {
-                QueueNext::Grant { asker, target } => self.granted(asker, target),
-                QueueNext::Refuse { asker, .. } => self.refused(asker),
+                QueueAction::Grant { asker, target } => self.granted(asker, target),
+                QueueAction::Refuse { asker, .. } => self.refused(asker),
             }
         }
 
--- a/crates/bench/src/limits/checks.rs
+++ b/crates/bench/src/limits/checks.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::ids::TenantId;
 use camphorwalk_core::messages::slices::{SliceBody, TakeAnswer, TakeRequest};
-use camphorwalk_policy::slices::{SliceEvent, SliceNext, TakeId};
+use camphorwalk_policy::slices::{SliceAction, SliceEvent, TakeId};
 use camphorwalk_policy::wire::Verdict;
 
 use super::bucket::ExactBucket;
@@ -87,14 +87,14 @@
         &mut self,
         now: u64,
         event: &SliceEvent,
-        out: &[SliceNext],
+        out: &[SliceAction],
     ) -> Vec<(TenantId, bool)> {
         let mut verdicts = Vec::new();
 
         for next in out {
             match next {
-                SliceNext::Send { message, .. } => self.note_message(now, event, &message.body),
-                SliceNext::Verdict { take, verdict } => {
+                SliceAction::Send { message, .. } => self.note_message(now, event, &message.body),
+                SliceAction::Verdict { take, verdict } => {
                     let admitted = *verdict == Verdict::Admitted;
                     let tenant = self.note_verdict(now, event, *take, admitted);
                     verdicts.extend(tenant.map(|tenant| (tenant, admitted)));
--- a/crates/bench/src/limits/fleet.rs
+++ b/crates/bench/src/limits/fleet.rs
@@ -13,7 +13,7 @@
 use camphorwalk_core::messages::slices::SliceMessage;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::slices::{
-    ColumnId, SliceEvent, SliceHost, SliceNext, SliceOptions, SliceTimes, Slices, TakeId, columns,
+    ColumnId, SliceAction, SliceEvent, SliceHost, SliceOptions, SliceTimes, Slices, TakeId, columns,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -423,7 +423,7 @@
         }
 
         for next in out {
-            if let SliceNext::Send { to, message } = next {
+            if let SliceAction::Send { to, message } = next {
                 self.send(host, to, message);
             }
         }
--- a/crates/bench/src/scheduler.rs
+++ b/crates/bench/src/scheduler.rs
@@ -2,7 +2,7 @@
 
 use camphorwalk_core::ids::{TargetId, ZoneId};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext, QueueOptions, Queues};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent, QueueOptions, Queues};
 use serde::Serialize;
 
 use crate::baseline::{Choice, Fifo};
@@ -58,7 +58,7 @@
     }
 
     /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueNext>) {
+    pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueAction>) {
         match self {
             Self::Queues(queues) => queues.step(now, event, out),
             Self::Fifo(fifo) => fifo.step(&event, out),
--- a/crates/policy/src/configs.rs
+++ b/crates/policy/src/configs.rs
@@ -83,7 +83,7 @@
 
 /// What to do next for the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ConfigNext {
+pub enum ConfigAction {
     /// Run an operation on the platform.
     Platform {
         /// The number to answer with.
@@ -242,7 +242,7 @@
     }
 
     /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, now: Instant, event: ConfigEvent, out: &mut Vec<ConfigNext>) {
+    pub fn step(&mut self, now: Instant, event: ConfigEvent, out: &mut Vec<ConfigAction>) {
         match event {
             ConfigEvent::Platform { op, reply } => self.on_platform(op, reply, out),
             ConfigEvent::Heard(pointer) => self.on_pointer(pointer, out),
@@ -266,14 +266,14 @@
         Some(self.next_poll)
     }
 
-    fn start(&mut self, pending: Pending, request: PlatformOp, out: &mut Vec<ConfigNext>) {
+    fn start(&mut self, pending: Pending, request: PlatformOp, out: &mut Vec<ConfigAction>) {
         self.next_op += 1;
         let op = ConfigOp(self.next_op);
         self.pending.push((op, pending));
-        out.push(ConfigNext::Platform { op, request });
+        out.push(ConfigAction::Platform { op, request });
     }
 
-    fn poll(&mut self, out: &mut Vec<ConfigNext>) {
+    fn poll(&mut self, out: &mut Vec<ConfigAction>) {
         // A poll that is still under way when the next is due goes on alone.
         if !self.pending.iter().any(|(_, p)| matches!(p, Pending::Pointer)) {
             self.start(Pending::Pointer, read_pointer(), out);
@@ -297,7 +297,7 @@
         }
     }
 
-    fn on_platform(&mut self, op: ConfigOp, reply: PlatformReply, out: &mut Vec<ConfigNext>) {
+    fn on_platform(&mut self, op: ConfigOp, reply: PlatformReply, out: &mut Vec<ConfigAction>) {
         let Some(index) = self.pending.iter().position(|(waiting, _)| *waiting == op) else {
             return;
         };
@@ -321,7 +321,7 @@
         }
     }
 
-    fn on_pointer(&mut self, pointer: Pointer, out: &mut Vec<ConfigNext>) {
+    fn on_pointer(&mut self, pointer: Pointer, out: &mut Vec<ConfigAction>) {
         let newer = self.pointer.as_ref().is_none_or(|mine| pointer.version > mine.version);
         let fetching = |p: &Pending| matches!(p, Pending::Object(of) if *of == pointer);
 
@@ -332,7 +332,7 @@
     }
 
     /// Adopts a configuration if it is newer and sound.
-    fn on_bytes(&mut self, bytes: Box<[u8]>, out: &mut Vec<ConfigNext>) {
+    fn on_bytes(&mut self, bytes: Box<[u8]>, out: &mut Vec<ConfigAction>) {
         // One that this host cannot read is left alone: it goes on with what it has, and
         // `status` shows that it is behind.
         let Ok(config) = (self.options.read)(&bytes) else {
@@ -350,10 +350,10 @@
         self.pointer = Some(pointer);
         self.bytes = bytes;
         self.current = Some(config.clone());
-        out.push(ConfigNext::Adopted(config));
+        out.push(ConfigAction::Adopted(config));
     }
 
-    fn on_tombstones(&mut self, rows: &[Row], out: &mut Vec<ConfigNext>) {
+    fn on_tombstones(&mut self, rows: &[Row], out: &mut Vec<ConfigAction>) {
         let keys = rows.iter().filter_map(|row| u64::from_str_radix(&row.key.key, 16).ok());
 
         for key in keys.map(KeyId) {
@@ -362,7 +362,7 @@
         }
     }
 
-    fn add_withdrawn(&mut self, key: KeyId, store: bool, out: &mut Vec<ConfigNext>) {
+    fn add_withdrawn(&mut self, key: KeyId, store: bool, out: &mut Vec<ConfigAction>) {
         if !self.withdrawn.insert(key) {
             return;
         }
@@ -371,7 +371,7 @@
             self.unstored.push(key);
             self.start(Pending::Store(key), store_tombstone(key), out);
         }
-        out.push(ConfigNext::KeyWithdrawn(key));
+        out.push(ConfigAction::KeyWithdrawn(key));
     }
 
     fn publish(
@@ -379,7 +379,7 @@
         ask: OperatorId,
         base: ConfigVersion,
         mut config: Config,
-        out: &mut Vec<ConfigNext>,
+        out: &mut Vec<ConfigAction>,
     ) {
         config.version = ConfigVersion(base.0 + 1);
         let object = (self.options.write)(&config);
@@ -394,7 +394,7 @@
         publication: Box<Publication>,
         step: PublishStep,
         reply: PlatformReply,
-        out: &mut Vec<ConfigNext>,
+        out: &mut Vec<ConfigAction>,
     ) {
         let ask = publication.ask;
         let answer = match (step, reply) {
@@ -438,7 +438,7 @@
             _ => Published::Unavailable,
         };
 
-        out.push(ConfigNext::Published { ask, answer });
+        out.push(ConfigAction::Published { ask, answer });
     }
 }
 
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -132,7 +132,7 @@
 
 /// What to do next for leases.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LeaseNext {
+pub enum LeaseAction {
     /// Run an operation on the platform.
     Platform {
         /// The number to answer with.
@@ -287,7 +287,7 @@
     }
 
     /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, now: Instant, event: LeaseEvent, out: &mut Vec<LeaseNext>) {
+    pub fn step(&mut self, now: Instant, event: LeaseEvent, out: &mut Vec<LeaseAction>) {
         match event {
             LeaseEvent::Wanted(wanted) => self.wanted = wanted,
             LeaseEvent::Busy(busy) => self.busy = busy,
@@ -369,14 +369,14 @@
     }
 
     /// Starts a renewal and a round over the tables, whichever is due.
-    fn start_due(&mut self, now: Instant, out: &mut Vec<LeaseNext>) {
+    fn start_due(&mut self, now: Instant, out: &mut Vec<LeaseAction>) {
         if self.left {
             return;
         }
 
         if self.may_just_end(now) {
             self.left = true;
-            out.push(LeaseNext::Left);
+            out.push(LeaseAction::Left);
             return;
         }
 
@@ -384,7 +384,7 @@
         if self.session.due(now) {
             let op = self.number();
             let request = self.session.start(now, op);
-            out.push(LeaseNext::Platform { op, request });
+            out.push(LeaseAction::Platform { op, request });
         }
 
         if self.round == Round::Idle && now >= self.next_poll && self.session.is_live() {
@@ -415,7 +415,7 @@
         LeaseOp(self.next_op)
     }
 
-    fn scan(&mut self, table: &str, out: &mut Vec<LeaseNext>) -> LeaseOp {
+    fn scan(&mut self, table: &str, out: &mut Vec<LeaseAction>) -> LeaseOp {
         let op = self.number();
         let request = PlatformOp::Scan {
             table: table.into(),
@@ -423,14 +423,14 @@
             after: "".into(),
             limit: SCAN_LIMIT,
         };
-        out.push(LeaseNext::Platform { op, request });
+        out.push(LeaseAction::Platform { op, request });
 
         op
     }
 
-    fn commit(&mut self, transaction: Transaction, out: &mut Vec<LeaseNext>) -> LeaseOp {
+    fn commit(&mut self, transaction: Transaction, out: &mut Vec<LeaseAction>) -> LeaseOp {
         let op = self.number();
-        out.push(LeaseNext::Platform { op, request: PlatformOp::Commit(transaction) });
+        out.push(LeaseAction::Platform { op, request: PlatformOp::Commit(transaction) });
 
         op
     }
@@ -440,7 +440,7 @@
         now: Instant,
         op: LeaseOp,
         reply: PlatformReply,
-        out: &mut Vec<LeaseNext>,
+        out: &mut Vec<LeaseAction>,
     ) {
         if self.session.waits_for(op) {
             self.on_session(now, reply, out);
@@ -488,24 +488,24 @@
         }
     }
 
-    fn on_session(&mut self, now: Instant, reply: PlatformReply, out: &mut Vec<LeaseNext>) {
+    fn on_session(&mut self, now: Instant, reply: PlatformReply, out: &mut Vec<LeaseAction>) {
         match self.session.on_reply(now, reply) {
             SessionStep::Nothing => {}
             SessionStep::Renewed { until } => {
                 self.until = until;
-                out.push(LeaseNext::Renewed { until });
+                out.push(LeaseAction::Renewed { until });
             }
             SessionStep::Lost => {
                 // Another host ended the session: all that it held may be held by others.
                 let mut names: Vec<_> = self.held.drain().map(|(name, _)| name).collect();
                 names.sort_unstable();
                 self.settling.clear();
-                out.extend(names.into_iter().map(|name| LeaseNext::Lost { name }));
+                out.extend(names.into_iter().map(|name| LeaseAction::Lost { name }));
                 self.round = Round::Idle;
             }
             SessionStep::Left => {
                 self.left = true;
-                out.push(LeaseNext::Left);
+                out.push(LeaseAction::Left);
             }
         }
     }
@@ -518,7 +518,7 @@
     }
 
     /// Compares what the tables say with what is held and wanted, and starts the next step.
-    fn on_tables(&mut self, now: Instant, out: &mut Vec<LeaseNext>) {
+    fn on_tables(&mut self, now: Instant, out: &mut Vec<LeaseAction>) {
         let rows = self.parse_rows();
         self.candidates = self.observer.candidates();
         self.adopt(&rows, out);
@@ -548,7 +548,7 @@
     }
 
     /// Takes over into `held` what the rows say of this session, and nothing else.
-    fn adopt(&mut self, rows: &Map<LeaseName, (LeaseRow, RowVersion)>, out: &mut Vec<LeaseNext>) {
+    fn adopt(&mut self, rows: &Map<LeaseName, (LeaseRow, RowVersion)>, out: &mut Vec<LeaseAction>) {
         let mine = self.session.key();
         let is_mine = |name: &LeaseName| rows.get(name).is_some_and(|(row, _)| row.session == mine);
 
@@ -557,7 +557,7 @@
         lost.sort_unstable();
         for name in lost {
             self.forget(name);
-            out.push(LeaseNext::Lost { name });
+            out.push(LeaseAction::Lost { name });
         }
 
         // Held according to the table, but not according to memory: also after a taking
@@ -568,11 +568,11 @@
         for name in gained {
             let (row, version) = &rows[&name];
             self.held.insert(name, Held { epoch: row.epoch, version: *version });
-            out.push(LeaseNext::Acquired { name, epoch: row.epoch, version: *version });
+            out.push(LeaseAction::Acquired { name, epoch: row.epoch, version: *version });
         }
     }
 
-    fn report(&self, rows: &Map<LeaseName, (LeaseRow, RowVersion)>, out: &mut Vec<LeaseNext>) {
+    fn report(&self, rows: &Map<LeaseName, (LeaseRow, RowVersion)>, out: &mut Vec<LeaseAction>) {
         let live = |row: &LeaseRow| self.observer.session(&row.session);
         let mut routes: Vec<_> = rows
             .iter()
@@ -584,7 +584,7 @@
             .collect();
         routes.sort_unstable_by_key(|(name, _)| *name);
 
-        out.push(LeaseNext::Seen { routes, hosts: self.observer.sessions() });
+        out.push(LeaseAction::Seen { routes, hosts: self.observer.sessions() });
     }
 }
 
--- a/crates/policy/src/leases/tables.rs
+++ b/crates/policy/src/leases/tables.rs
@@ -7,7 +7,7 @@
 
 use super::observer::Candidate;
 use super::rows::{self, LeaseRow};
-use super::{LeaseName, LeaseNext, Leases, SETTLE_TIME, Wanted};
+use super::{LeaseAction, LeaseName, Leases, SETTLE_TIME, Wanted};
 
 /// The most leases that one transaction takes or gives back.
 const LEASES_PER_TRANSACTION: usize = 64;
@@ -89,7 +89,7 @@
         &mut self,
         now: Instant,
         rows: &Map<LeaseName, (LeaseRow, RowVersion)>,
-        out: &mut Vec<LeaseNext>,
+        out: &mut Vec<LeaseAction>,
     ) -> Option<Transaction> {
         let mut transaction = Transaction::default();
 
@@ -97,7 +97,7 @@
             if let LeaseName::Partition(partition) = name
                 && self.settling.insert(partition)
             {
-                out.push(LeaseNext::Settle { partition });
+                out.push(LeaseAction::Settle { partition });
                 self.next_poll = now + SETTLE_TIME;
                 continue;
             }
@@ -112,7 +112,7 @@
             // and a tenant more than its rate. If the write fails, that look brings it back.
             if let LeaseName::Column(_) = name {
                 self.held.remove(&name);
-                out.push(LeaseNext::Lost { name });
+                out.push(LeaseAction::Lost { name });
             }
         }
 
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -108,7 +108,7 @@
 
 /// What to do next for membership.
 #[derive(Clone, Debug, PartialEq)]
-pub enum MembershipNext {
+pub enum MembershipAction {
     /// Send this news to a host.
     Gossip {
         /// The receiver.
@@ -185,7 +185,7 @@
         zone: &str,
         peer_address: SocketAddr,
         leaving: bool,
-        out: &mut Vec<MembershipNext>,
+        out: &mut Vec<MembershipAction>,
     ) {
         let host = HostId::from_name(name);
         if host == self.me {
@@ -213,7 +213,7 @@
             let moved = member.peer_address != peer_address;
             member.peer_address = peer_address;
             if is_new || moved {
-                out.push(MembershipNext::Address { host, address: peer_address });
+                out.push(MembershipAction::Address { host, address: peer_address });
             }
         }
         self.leaving_changed |= leaving && !member.leaving;
@@ -226,7 +226,7 @@
         now: Instant,
         whole: &[HostNews],
         beats: &[HostBeat],
-        out: &mut Vec<MembershipNext>,
+        out: &mut Vec<MembershipAction>,
     ) {
         whole.iter().for_each(|item| self.hear_whole(now, item, out));
         beats.iter().for_each(|beat| self.hear_beat(now, beat));
@@ -234,7 +234,7 @@
         self.look(now, out);
     }
 
-    fn hear_whole(&mut self, now: Instant, item: &HostNews, out: &mut Vec<MembershipNext>) {
+    fn hear_whole(&mut self, now: Instant, item: &HostNews, out: &mut Vec<MembershipAction>) {
         let Ok(address) = item.peer_address.parse() else {
             return;
         };
@@ -247,7 +247,7 @@
         }
 
         if member.peer_address != address {
-            out.push(MembershipNext::Address { host: member.host, address });
+            out.push(MembershipAction::Address { host: member.host, address });
         }
         let same = member.session == item.session
             && member.peer_address == address
@@ -273,7 +273,7 @@
     }
 
     /// Gossips, if it is time, and looks who has gone silent.
-    pub fn wake(&mut self, now: Instant, out: &mut Vec<MembershipNext>) {
+    pub fn wake(&mut self, now: Instant, out: &mut Vec<MembershipAction>) {
         if now > self.next_look || self.leaving_changed {
             self.look(now, out);
         }
@@ -289,7 +289,7 @@
         }
         for to in self.receivers() {
             let news = self.news_for(to);
-            out.push(MembershipNext::Gossip { to, news });
+            out.push(MembershipAction::Gossip { to, news });
         }
     }
 
@@ -333,7 +333,7 @@
     }
 
     /// Finds out whose state changed since the last look.
-    fn look(&mut self, now: Instant, out: &mut Vec<MembershipNext>) {
+    fn look(&mut self, now: Instant, out: &mut Vec<MembershipAction>) {
         let suspect_after = self.options.suspect_after;
         // A host that begins to leave stays alive, yet others must stop choosing it.
         let mut changed = std::mem::take(&mut self.leaving_changed);
@@ -357,9 +357,9 @@
         // What a gone host left undone is asked of another at once, so the choice among those
         // alive comes first: else the gone host would be asked again, and never answer.
         if changed {
-            out.push(MembershipNext::Changed);
+            out.push(MembershipAction::Changed);
         }
-        out.extend(gone.into_iter().map(MembershipNext::Gone));
+        out.extend(gone.into_iter().map(MembershipAction::Gone));
     }
 
     /// Picks whom to tell: one host of this zone, so that a zone that is cut off still hears
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -93,21 +93,21 @@
         /// The request.
         ticket: Ticket,
     },
-    /// The answer to [`ProgramNext::Admit`].
+    /// The answer to [`ProgramAction::Admit`].
     Verdict {
         /// The call.
         call: CallId,
         /// The answer.
         verdict: Verdict,
     },
-    /// The answer to [`ProgramNext::Place`]: the call may go to this target.
+    /// The answer to [`ProgramAction::Place`]: the call may go to this target.
     Placed {
         /// The call.
         call: CallId,
         /// The target.
         target: TargetId,
     },
-    /// The answer to [`ProgramNext::Place`]: it cannot be served in time.
+    /// The answer to [`ProgramAction::Place`]: it cannot be served in time.
     Unplaced {
         /// The call.
         call: CallId,
@@ -121,7 +121,7 @@
         /// How.
         end: AttemptEnd,
     },
-    /// The platform answered [`ProgramNext::Platform`].
+    /// The platform answered [`ProgramAction::Platform`].
     Platform {
         /// The operation.
         op: ProgramOp,
@@ -138,7 +138,7 @@
 
 /// What to do next for a program.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ProgramNext {
+pub enum ProgramAction {
     /// Answer a request, once and for all.
     Answer {
         /// The request.
@@ -271,7 +271,7 @@
     /// The time of the step.
     now: Instant,
     /// What to do next.
-    out: &'a mut Vec<ProgramNext>,
+    out: &'a mut Vec<ProgramAction>,
 }
 
 impl Programs {
@@ -331,7 +331,7 @@
     /// use camphorwalk_core::calls::Request;
     /// use camphorwalk_core::ids::{KeyId, ProgramId, RequestId, TenantId, Ticket};
     /// use camphorwalk_core::time::Instant;
-    /// use camphorwalk_policy::programs::{ProgramEvent, ProgramNext};
+    /// use camphorwalk_policy::programs::{ProgramEvent, ProgramAction};
     ///
     /// let ticket = Ticket { entry: HostId::from_name("a1"), request: RequestId(1) };
     /// let event = ProgramEvent::Request {
@@ -344,9 +344,9 @@
     /// Programs::new(options).step(Instant::from_millis(5), event, &mut out);
     ///
     /// // This host is home of nothing yet.
-    /// assert!(matches!(out[..], [ProgramNext::Answer { .. }]));
+    /// assert!(matches!(out[..], [ProgramAction::Answer { .. }]));
     /// ```
-    pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramNext>) {
+    pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramAction>) {
         let cx = &mut Cx { now, out };
 
         // First: a host that was paused past a deadline must not act on an older event as if
@@ -458,7 +458,7 @@
     /// Answers a request.
     fn answer(&mut self, cx: &mut Cx<'_>, ticket: Ticket, reply: Reply) {
         self.tickets.remove(&ticket);
-        cx.out.push(ProgramNext::Answer { ticket, reply });
+        cx.out.push(ProgramAction::Answer { ticket, reply });
     }
 
     /// Refuses a request.
@@ -470,7 +470,7 @@
     fn platform(&mut self, cx: &mut Cx<'_>, request: PlatformOp) -> ProgramOp {
         self.last_op += 1;
         let op = ProgramOp(self.last_op);
-        cx.out.push(ProgramNext::Platform { op, request });
+        cx.out.push(ProgramAction::Platform { op, request });
 
         op
     }
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -12,7 +12,7 @@
 use super::requests::spent;
 use super::retry::Crash;
 use super::state::{Kind, ProgramKey, ProgramState, Stage};
-use super::{Cx, ProgramNext, Programs, answers};
+use super::{Cx, ProgramAction, Programs, answers};
 use crate::wire::{AttemptEnd, CallId, PlaceEndKind};
 
 /// How long an answer waits for its record to be durable before it goes out as not stored.
@@ -133,7 +133,7 @@
         match self.suspects.crashed(digest) {
             Crash::Suspect => false,
             Crash::Quarantine => {
-                cx.out.push(ProgramNext::Quarantine { digest });
+                cx.out.push(ProgramAction::Quarantine { digest });
                 true
             }
         }
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -15,7 +15,7 @@
 use super::retry::request_digest;
 use super::state::{Call, Caller, Kind, Program, ProgramKey, ProgramState, Stage, estimate};
 use super::tail::{self, TailError};
-use super::{Cx, ProgramNext, Programs, answers};
+use super::{Cx, ProgramAction, Programs, answers};
 use crate::wire::CallId;
 
 /// What a call comes to, given what is known of its idempotency key.
@@ -195,7 +195,7 @@
 
         self.tickets.insert(caller.ticket, id);
         self.retries.earn();
-        cx.out.push(ProgramNext::Admit { call: id, tenant });
+        cx.out.push(ProgramAction::Admit { call: id, tenant });
     }
 
     /// Takes over the calls of a tail that a caller handed back.
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -7,7 +7,7 @@
 use super::entries::{Entry, OutcomeEntry};
 use super::journal::{Fate, Pending, Waiter};
 use super::state::{ProgramKey, Stage};
-use super::{Cx, ProgramNext, ProgramOp, Programs, answers};
+use super::{Cx, ProgramAction, ProgramOp, Programs, answers};
 use crate::wire::CallId;
 
 impl Programs {
@@ -67,7 +67,7 @@
         }
 
         for (partition, epoch) in resolved.fenced {
-            cx.out.push(ProgramNext::Fenced { partition, epoch });
+            cx.out.push(ProgramAction::Fenced { partition, epoch });
             self.lost(cx, partition);
         }
 
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -10,7 +10,7 @@
 use super::journal::Waiter;
 use super::state::{Kind, ProgramKey, ProgramState, Stage};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
+use super::{Cx, ProgramAction, Programs, answers};
 use crate::wire::CallId;
 
 /// How long an ended program is remembered, for repeats. After that it looks like none.
@@ -70,7 +70,7 @@
             self.stop_call(cx, call, reason);
         }
 
-        cx.out.push(ProgramNext::Over { program: id });
+        cx.out.push(ProgramAction::Over { program: id });
         self.append(key, Entry::Ended { program: id }, Waiter::End(key));
     }
 
@@ -91,7 +91,7 @@
         let call = &self.calls[id];
 
         if let (Kind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
-            cx.out.push(ProgramNext::Cancel { attempt });
+            cx.out.push(ProgramAction::Cancel { attempt });
         }
     }
 
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -10,7 +10,7 @@
 use super::journal::Waiter;
 use super::state::{Kind, ProgramState, Stage};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
+use super::{Cx, ProgramAction, Programs, answers};
 use crate::wire::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
 
 /// How long a call waits for the platform to take its intent or grant.
@@ -61,7 +61,7 @@
         let call = &self.calls[id];
         let program = &self.programs[call.program];
 
-        cx.out.push(ProgramNext::Place {
+        cx.out.push(ProgramAction::Place {
             call: id,
             request: PlaceRequest {
                 pool: call.pool,
@@ -149,7 +149,7 @@
             },
         };
 
-        cx.out.push(ProgramNext::Dispatch(Dispatch {
+        cx.out.push(ProgramAction::Dispatch(Dispatch {
             attempt,
             call: id,
             target,
@@ -205,7 +205,7 @@
         let program = &self.programs[call.program];
         let usage = usage.copied().unwrap_or_default();
 
-        cx.out.push(ProgramNext::Vacate {
+        cx.out.push(ProgramAction::Vacate {
             call: id,
             end: PlaceEnd {
                 how,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -96,7 +96,7 @@
 
 /// What to do next for a call that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QueueNext {
+pub enum QueueAction {
     /// It may go to this target.
     Grant {
         /// Who asked.
@@ -190,7 +190,7 @@
     /// queues.step(Instant(0), QueueEvent::HostGone(HostId(7)), &mut out);
     /// assert!(out.is_empty());
     /// ```
-    pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueNext>) {
+    pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
             QueueEvent::Config(config) => self.configure(now, &config, out),
             QueueEvent::Ask { asker, request } => self.ask(now, asker, request, out),
@@ -228,7 +228,7 @@
         self.targets.get(target).map_or(0, |target| target.in_flight())
     }
 
-    fn configure(&mut self, now: Instant, config: &Config, out: &mut Vec<QueueNext>) {
+    fn configure(&mut self, now: Instant, config: &Config, out: &mut Vec<QueueAction>) {
         let classes = config.fleet.classes.iter();
         self.ranks = classes.map(|class| (ClassId::from_name(&class.name), class.rank)).collect();
 
@@ -237,19 +237,25 @@
 
         for asker in self.waiting.matching(|waiter| !self.targets.can_serve(&waiter.request)) {
             self.withdraw(asker);
-            out.push(QueueNext::Refuse { asker, retry_after: RETRY_NO_TARGET });
+            out.push(QueueAction::Refuse { asker, retry_after: RETRY_NO_TARGET });
         }
 
         self.serve_all(now, out);
     }
 
-    fn ask(&mut self, now: Instant, asker: Asker, request: PlaceRequest, out: &mut Vec<QueueNext>) {
+    fn ask(
+        &mut self,
+        now: Instant,
+        asker: Asker,
+        request: PlaceRequest,
+        out: &mut Vec<QueueAction>,
+    ) {
         // A question sent again after a reconnect must not take a second place: its first
         // grant may be under way, and nobody would ever give that place back.
         if let Some(place) =
             self.places.get(asker).filter(|place| is_same(&place.request, &request))
         {
-            out.push(QueueNext::Grant { asker, target: place.target });
+            out.push(QueueAction::Grant { asker, target: place.target });
             return;
         }
 
@@ -265,7 +271,7 @@
                 self.enqueue(asker, waiter);
                 self.serve(now, request.pool, out);
             }
-            Admission::Refuse(retry_after) => out.push(QueueNext::Refuse { asker, retry_after }),
+            Admission::Refuse(retry_after) => out.push(QueueAction::Refuse { asker, retry_after }),
         }
     }
 
@@ -340,7 +346,7 @@
         Some(waiter)
     }
 
-    fn vacate(&mut self, now: Instant, asker: Asker, end: PlaceEnd, out: &mut Vec<QueueNext>) {
+    fn vacate(&mut self, now: Instant, asker: Asker, end: PlaceEnd, out: &mut Vec<QueueAction>) {
         let withdrawn = self.withdraw(asker).map(|waiter| waiter.request);
         let freed = self.free(now, asker, end).map(|place| place.request);
         let Some(request) = withdrawn.or(freed) else { return };
@@ -352,7 +358,7 @@
         self.serve(now, request.pool, out);
     }
 
-    fn host_gone(&mut self, now: Instant, host: HostId, out: &mut Vec<QueueNext>) {
+    fn host_gone(&mut self, now: Instant, host: HostId, out: &mut Vec<QueueAction>) {
         for asker in self.waiting.of_host(host) {
             self.withdraw(asker);
         }
@@ -364,7 +370,7 @@
         self.serve_all(now, out);
     }
 
-    fn wake(&mut self, now: Instant, out: &mut Vec<QueueNext>) {
+    fn wake(&mut self, now: Instant, out: &mut Vec<QueueAction>) {
         while let Some(asker) = self.waiting.overdue(now) {
             self.refuse(asker, out);
         }
@@ -376,11 +382,11 @@
         self.serve_all(now, out);
     }
 
-    fn refuse(&mut self, asker: Asker, out: &mut Vec<QueueNext>) {
+    fn refuse(&mut self, asker: Asker, out: &mut Vec<QueueAction>) {
         let Some(waiter) = self.withdraw(asker) else { return };
         let retry_after = retry_after(Duration::from_micros(waiter.refuse_at.0 - waiter.since.0));
 
-        out.push(QueueNext::Refuse { asker, retry_after });
+        out.push(QueueAction::Refuse { asker, retry_after });
     }
 
     /// Takes a place back.
@@ -409,14 +415,14 @@
         Some(place)
     }
 
-    fn serve_all(&mut self, now: Instant, out: &mut Vec<QueueNext>) {
+    fn serve_all(&mut self, now: Instant, out: &mut Vec<QueueAction>) {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
 
         pools.into_iter().for_each(|pool| self.serve(now, pool, out));
     }
 
     /// Grants places of a pool for as long as one is free and a call can take it.
-    fn serve(&mut self, now: Instant, id: PoolId, out: &mut Vec<QueueNext>) {
+    fn serve(&mut self, now: Instant, id: PoolId, out: &mut Vec<QueueAction>) {
         while let Some(pool) = self.pools.get_mut(&id) {
             pool.look_again = None;
 
@@ -442,7 +448,7 @@
         asker: Asker,
         target: TargetId,
         computed: Tokens,
-        out: &mut Vec<QueueNext>,
+        out: &mut Vec<QueueAction>,
     ) {
         let Some(waiter) = self.waiting.get(asker).copied() else { return };
         let request = waiter.request;
@@ -466,7 +472,7 @@
         }
 
         self.dequeue(asker);
-        out.push(QueueNext::Grant { asker, target });
+        out.push(QueueAction::Grant { asker, target });
     }
 }
 
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -10,13 +10,13 @@
 use camphorwalk_core::time::Instant;
 
 use super::{Action, Event, OpId, Scheduler, Waiting};
-use crate::configs::{ConfigEvent, ConfigNext};
+use crate::configs::{ConfigAction, ConfigEvent};
 use crate::leases::rows::SessionRow;
-use crate::leases::{Busy, Holder, LeaseEvent, LeaseName, LeaseNext, Wanted};
-use crate::membership::{Member, MembershipNext};
-use crate::programs::{ProgramEvent, ProgramNext};
-use crate::queue::{QueueEvent, QueueNext};
-use crate::slices::{self, SliceEvent, SliceHost, SliceNext, TakeId};
+use crate::leases::{Busy, Holder, LeaseAction, LeaseEvent, LeaseName, Wanted};
+use crate::membership::{Member, MembershipAction};
+use crate::programs::{ProgramAction, ProgramEvent};
+use crate::queue::{QueueAction, QueueEvent};
+use crate::slices::{self, SliceAction, SliceEvent, SliceHost, TakeId};
 
 /// An event for one controller.
 #[derive(Clone, Debug)]
@@ -142,18 +142,18 @@
         }
     }
 
-    fn on_lease(&mut self, now: Instant, next: LeaseNext, out: &mut Vec<Action>) {
+    fn on_lease(&mut self, now: Instant, next: LeaseAction, out: &mut Vec<Action>) {
         match next {
-            LeaseNext::Platform { op, request } => {
+            LeaseAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Lease(op), request });
             }
-            LeaseNext::Acquired { name: LeaseName::Partition(partition), epoch, version } => {
+            LeaseAction::Acquired { name: LeaseName::Partition(partition), epoch, version } => {
                 self.board.homes.insert(partition);
                 let event = ProgramEvent::Acquired { partition, epoch, lease: version };
                 self.work.push_back(Work::Program(event));
                 self.tell_homes(out);
             }
-            LeaseNext::Acquired { name: LeaseName::Column(column), epoch, .. } => {
+            LeaseAction::Acquired { name: LeaseName::Column(column), epoch, .. } => {
                 let until = self.board.leases_until;
                 let event = if epoch == Epoch::FIRST {
                     SliceEvent::First { column, until }
@@ -162,25 +162,25 @@
                 };
                 self.work.push_back(Work::Slice(event));
             }
-            LeaseNext::Lost { name: LeaseName::Partition(partition) } => {
+            LeaseAction::Lost { name: LeaseName::Partition(partition) } => {
                 self.board.homes.remove(&partition);
                 self.work.push_back(Work::Program(ProgramEvent::Lost { partition }));
             }
-            LeaseNext::Lost { name: LeaseName::Column(column) } => {
+            LeaseAction::Lost { name: LeaseName::Column(column) } => {
                 self.work.push_back(Work::Slice(SliceEvent::Lost { column }));
             }
-            LeaseNext::Renewed { until } => {
+            LeaseAction::Renewed { until } => {
                 self.board.leases_until = until;
                 for column in self.leases.columns() {
                     let event = SliceEvent::Owned { column, until, fresh: false };
                     self.work.push_back(Work::Slice(event));
                 }
             }
-            LeaseNext::Seen { routes, hosts } => self.on_tables(now, routes, hosts, out),
-            LeaseNext::Settle { partition } => {
+            LeaseAction::Seen { routes, hosts } => self.on_tables(now, routes, hosts, out),
+            LeaseAction::Settle { partition } => {
                 self.work.push_back(Work::Program(ProgramEvent::Settle { partition }));
             }
-            LeaseNext::Left => out.push(Action::Left),
+            LeaseAction::Left => out.push(Action::Left),
         }
     }
 
@@ -206,12 +206,12 @@
         self.on_membership(now, next, out);
     }
 
-    fn on_config(&mut self, now: Instant, next: ConfigNext, out: &mut Vec<Action>) {
+    fn on_config(&mut self, now: Instant, next: ConfigAction, out: &mut Vec<Action>) {
         match next {
-            ConfigNext::Platform { op, request } => {
+            ConfigAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Config(op), request });
             }
-            ConfigNext::Adopted(config) => {
+            ConfigAction::Adopted(config) => {
                 self.adopted_at = now;
                 // A key that is taken out of the declarations is withdrawn like one that is named:
                 // what waits or streams under it ends.
@@ -225,52 +225,52 @@
                 out.push(Action::Adopted(config));
                 self.update_watched(out);
             }
-            ConfigNext::KeyWithdrawn(key) => {
+            ConfigAction::KeyWithdrawn(key) => {
                 self.work.push_back(Work::Program(ProgramEvent::KeyWithdrawn(key)));
                 out.push(Action::KeyWithdrawn(key));
             }
-            ConfigNext::Published { ask, answer } => self.on_published(ask, answer, out),
+            ConfigAction::Published { ask, answer } => self.on_published(ask, answer, out),
         }
     }
 
-    fn on_program(&mut self, now: Instant, next: ProgramNext, out: &mut Vec<Action>) {
+    fn on_program(&mut self, now: Instant, next: ProgramAction, out: &mut Vec<Action>) {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answer(ticket, reply, out),
-            ProgramNext::Admit { call, tenant } => {
+            ProgramAction::Answer { ticket, reply } => self.answer(ticket, reply, out),
+            ProgramAction::Admit { call, tenant } => {
                 self.next_take += 1;
                 let take = TakeId(self.next_take);
                 self.takes.insert(take, call);
                 self.work.push_back(Work::Slice(SliceEvent::Take { take, tenant }));
             }
-            ProgramNext::Place { call, request } => self.ask(now, call, request, out),
-            ProgramNext::Vacate { call, end } => self.vacate(call, end, out),
-            ProgramNext::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
-            ProgramNext::Cancel { attempt } => out.push(Action::Cancel(attempt)),
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Place { call, request } => self.ask(now, call, request, out),
+            ProgramAction::Vacate { call, end } => self.vacate(call, end, out),
+            ProgramAction::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
+            ProgramAction::Cancel { attempt } => out.push(Action::Cancel(attempt)),
+            ProgramAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Program(op), request });
             }
-            ProgramNext::Over { program } => out.push(Action::Free(program)),
-            ProgramNext::Quarantine { digest } => self.quarantine(digest),
+            ProgramAction::Over { program } => out.push(Action::Free(program)),
+            ProgramAction::Quarantine { digest } => self.quarantine(digest),
             // The tables say who holds it now; what is left is to look.
-            ProgramNext::Fenced { .. } => self.work.push_back(Work::Lease(LeaseEvent::Suspect)),
+            ProgramAction::Fenced { .. } => self.work.push_back(Work::Lease(LeaseEvent::Suspect)),
         }
     }
 
-    fn on_queue(&mut self, next: QueueNext, out: &mut Vec<Action>) {
+    fn on_queue(&mut self, next: QueueAction, out: &mut Vec<Action>) {
         match next {
-            QueueNext::Grant { asker, target } => self.grant(asker, target, out),
-            QueueNext::Refuse { asker, retry_after } => self.refuse_ask(asker, retry_after, out),
+            QueueAction::Grant { asker, target } => self.grant(asker, target, out),
+            QueueAction::Refuse { asker, retry_after } => self.refuse_ask(asker, retry_after, out),
         }
     }
 
-    fn on_slice(&mut self, next: SliceNext, out: &mut Vec<Action>) {
+    fn on_slice(&mut self, next: SliceAction, out: &mut Vec<Action>) {
         match next {
-            SliceNext::Verdict { take, verdict } => {
+            SliceAction::Verdict { take, verdict } => {
                 if let Some(call) = self.takes.remove(&take) {
                     self.work.push_back(Work::Program(ProgramEvent::Verdict { call, verdict }));
                 }
             }
-            SliceNext::Send { to, message } => {
+            SliceAction::Send { to, message } => {
                 out.push(Action::Send { to, message: Body::Slices(message).into() });
             }
         }
@@ -279,17 +279,17 @@
     pub(super) fn on_membership(
         &mut self,
         now: Instant,
-        next: Vec<MembershipNext>,
+        next: Vec<MembershipAction>,
         out: &mut Vec<Action>,
     ) {
         for item in next {
             match item {
-                MembershipNext::Address { host, address } => {
+                MembershipAction::Address { host, address } => {
                     out.push(Action::Address { host, address });
                 }
-                MembershipNext::Gossip { to, news } => self.gossip(now, to, news, out),
-                MembershipNext::Changed => self.on_alive_changed(out),
-                MembershipNext::Gone(host) => self.on_gone(now, host, out),
+                MembershipAction::Gossip { to, news } => self.gossip(now, to, news, out),
+                MembershipAction::Changed => self.on_alive_changed(out),
+                MembershipAction::Gone(host) => self.on_gone(now, host, out),
             }
         }
     }
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -95,7 +95,7 @@
 
 /// What to do next for slices.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SliceNext {
+pub enum SliceAction {
     /// The answer to a question. Each question is answered once, also when the tenant's
     /// pool host is silent.
     Verdict {
@@ -205,7 +205,7 @@
 /// // Without a column there is no token.
 /// let take = SliceEvent::Take { take: TakeId(1), tenant: TenantId::from_name("inkwick") };
 /// slices.step(Instant(0), take, &mut out);
-/// assert!(matches!(out[0], SliceNext::Verdict { verdict: Verdict::Refused { .. }, .. }));
+/// assert!(matches!(out[0], SliceAction::Verdict { verdict: Verdict::Refused { .. }, .. }));
 /// ```
 #[derive(Debug)]
 pub struct Slices {
@@ -238,7 +238,7 @@
     }
 
     /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceNext>) {
+    pub fn step(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceAction>) {
         let now = self.notice_pause(now);
 
         self.lender.expire(now);
@@ -287,7 +287,7 @@
         now
     }
 
-    fn handle(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceNext>) {
+    fn handle(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceAction>) {
         match event {
             SliceEvent::Config(cfg) => {
                 self.cfg = Some(cfg);
@@ -334,7 +334,7 @@
         now: Instant,
         from: HostId,
         message: SliceMessage,
-        out: &mut Vec<SliceNext>,
+        out: &mut Vec<SliceAction>,
     ) {
         match message.body {
             Some(SliceBody::Offer(offer)) => self.borrower.offer(from, &offer),
@@ -354,7 +354,7 @@
                         Verdict::Admitted => Verdict::Admitted,
                         refused => self.fall_back(now, asked.tenant, refused),
                     };
-                    out.push(SliceNext::Verdict { take: asked.take, verdict });
+                    out.push(SliceAction::Verdict { take: asked.take, verdict });
                 }
             }
             None => {}
@@ -362,12 +362,12 @@
     }
 
     /// Decides a question of this host, or asks the tenant's pool host.
-    fn take(&mut self, now: Instant, take: TakeId, tenant: TenantId, out: &mut Vec<SliceNext>) {
+    fn take(&mut self, now: Instant, take: TakeId, tenant: TenantId, out: &mut Vec<SliceAction>) {
         let pool = self.pools.of(tenant);
 
         if pool == self.me {
             let verdict = self.decide(now, tenant);
-            out.push(SliceNext::Verdict { take, verdict });
+            out.push(SliceAction::Verdict { take, verdict });
             return;
         }
 
@@ -412,10 +412,10 @@
     }
 
     /// Ends questions that the pool host does not answer, and repeats the younger ones.
-    fn end_takes(&mut self, now: Instant, out: &mut Vec<SliceNext>) {
+    fn end_takes(&mut self, now: Instant, out: &mut Vec<SliceAction>) {
         for asked in self.takes.expire(now) {
             let verdict = self.decide(now, asked.tenant);
-            out.push(SliceNext::Verdict { take: asked.take, verdict });
+            out.push(SliceAction::Verdict { take: asked.take, verdict });
         }
 
         for (to, req) in self.takes.repeats(now) {
@@ -423,7 +423,7 @@
         }
     }
 
-    fn send_loan_messages(&mut self, now: Instant, out: &mut Vec<SliceNext>) {
+    fn send_loan_messages(&mut self, now: Instant, out: &mut Vec<SliceAction>) {
         for (host, offer) in self.lender.offers(self.me, &mut self.pools, now) {
             out.push(send(host, SliceBody::Offer(offer)));
         }
@@ -434,8 +434,8 @@
     }
 }
 
-fn send(to: HostId, body: SliceBody) -> SliceNext {
-    SliceNext::Send { to, message: body.into() }
+fn send(to: HostId, body: SliceBody) -> SliceAction {
+    SliceAction::Send { to, message: body.into() }
 }
 
 fn verdict_of(answer: &TakeAnswer) -> Verdict {
--- a/crates/policy/tests/leases_give_back.rs
+++ b/crates/policy/tests/leases_give_back.rs
@@ -5,7 +5,9 @@
 
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, Row, RowKey, RowVersion};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::leases::{LeaseEvent, LeaseName, LeaseNext, LeaseOptions, Leases, Wanted};
+use camphorwalk_policy::leases::{
+    LeaseAction, LeaseEvent, LeaseName, LeaseOptions, Leases, Wanted,
+};
 use camphorwalk_policy::slices::ColumnId;
 
 const COLUMN: LeaseName = LeaseName::Column(ColumnId(0));
@@ -52,7 +54,7 @@
 
 /// Runs a host and its platform for a second from an event on; returns all that it did, in
 /// order.
-fn run(leases: &mut Leases, tables: &mut Tables, from: u64, event: LeaseEvent) -> Vec<LeaseNext> {
+fn run(leases: &mut Leases, tables: &mut Tables, from: u64, event: LeaseEvent) -> Vec<LeaseAction> {
     let mut all = Vec::new();
     let mut event = Some(event);
 
@@ -64,7 +66,7 @@
         while !out.is_empty() {
             let next = out.remove(0);
             all.push(next.clone());
-            if let LeaseNext::Platform { op, request } = next {
+            if let LeaseAction::Platform { op, request } = next {
                 let reply = tables.run(request);
                 leases.step(now, LeaseEvent::Platform { op, reply }, &mut out);
             }
@@ -94,14 +96,14 @@
 
     let after = run(&mut leases, &mut tables, 1_010, LeaseEvent::Leave);
 
-    let is_taken = |next: &LeaseNext| matches!(next, LeaseNext::Acquired { name: COLUMN, .. });
-    let frees = |next: &LeaseNext| match next {
-        LeaseNext::Platform { request: PlatformOp::Commit(transaction), .. } => {
+    let is_taken = |next: &LeaseAction| matches!(next, LeaseAction::Acquired { name: COLUMN, .. });
+    let frees = |next: &LeaseAction| match next {
+        LeaseAction::Platform { request: PlatformOp::Commit(transaction), .. } => {
             transaction.writes.iter().any(|write| write.key == COLUMN.row())
         }
         _ => false,
     };
-    let lost = after.iter().position(|next| *next == LeaseNext::Lost { name: COLUMN });
+    let lost = after.iter().position(|next| *next == LeaseAction::Lost { name: COLUMN });
     let freed = after.iter().position(frees);
     assert!(before.iter().any(is_taken) && freed.is_some());
     assert!(lost.is_some() && lost < freed, "lost {lost:?}, freed {freed:?}");
--- a/crates/policy/tests/leases_outage.rs
+++ b/crates/policy/tests/leases_outage.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, Row, RowKey, RowVersion};
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::leases::rows::{SESSIONS, SessionRow};
-use camphorwalk_policy::leases::{LeaseEvent, LeaseNext, LeaseOptions, Leases};
+use camphorwalk_policy::leases::{LeaseAction, LeaseEvent, LeaseOptions, Leases};
 
 const LIFETIME: Duration = Duration::from_secs(6);
 
@@ -54,7 +54,7 @@
         leases.step(now, LeaseEvent::Wake, &mut out);
 
         while !out.is_empty() {
-            let LeaseNext::Platform { op, request } = out.remove(0) else {
+            let LeaseAction::Platform { op, request } = out.remove(0) else {
                 continue;
             };
             if ends_other(&request) {
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -4,7 +4,7 @@
 
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::membership::{Membership, MembershipNext, MembershipOptions};
+use camphorwalk_policy::membership::{Membership, MembershipAction, MembershipOptions};
 
 /// The time from one round of gossip to the next.
 const PERIOD_MS: u64 = 500;
@@ -51,7 +51,7 @@
         let mut out = Vec::new();
         membership.wake(now, &mut out);
         let told = out.into_iter().filter_map(|next| match next {
-            MembershipNext::Gossip { to, news } => Some((host, to, news)),
+            MembershipAction::Gossip { to, news } => Some((host, to, news)),
             _ => None,
         });
         messages.extend(told);
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -18,7 +18,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::{
-    ProgramEvent, ProgramNext, ProgramOp, ProgramOptions, Programs,
+    ProgramAction, ProgramEvent, ProgramOp, ProgramOptions, Programs,
 };
 use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
 
@@ -273,18 +273,18 @@
         }
     }
 
-    fn next(&mut self, platform: &mut Platform, next: ProgramNext) -> Option<ProgramEvent> {
+    fn next(&mut self, platform: &mut Platform, next: ProgramAction) -> Option<ProgramEvent> {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answers.push((ticket, reply)),
-            ProgramNext::Admit { call, .. } if !self.hold_places => {
+            ProgramAction::Answer { ticket, reply } => self.answers.push((ticket, reply)),
+            ProgramAction::Admit { call, .. } if !self.hold_places => {
                 return Some(ProgramEvent::Verdict { call, verdict: Verdict::Admitted });
             }
-            ProgramNext::Place { call, request } => {
+            ProgramAction::Place { call, request } => {
                 self.placed.push(request);
                 let target = TargetId(self.placed.len() as u64);
                 return (!self.hold_places).then_some(ProgramEvent::Placed { call, target });
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 self.requests.push(request.clone());
 
                 match platform.run(&request) {
@@ -292,13 +292,13 @@
                     None => self.hanging.push((op, request)),
                 }
             }
-            ProgramNext::Dispatch(dispatch) => self.sent.push(dispatch),
-            ProgramNext::Cancel { .. } => self.cancelled += 1,
-            ProgramNext::Over { program } => self.over.push(program),
-            ProgramNext::Quarantine { digest } => self.quarantined.push(digest),
-            ProgramNext::Fenced { .. } => self.fenced += 1,
-            ProgramNext::Vacate { call, .. } => self.vacated.push(call),
-            ProgramNext::Admit { .. } => {}
+            ProgramAction::Dispatch(dispatch) => self.sent.push(dispatch),
+            ProgramAction::Cancel { .. } => self.cancelled += 1,
+            ProgramAction::Over { program } => self.over.push(program),
+            ProgramAction::Quarantine { digest } => self.quarantined.push(digest),
+            ProgramAction::Fenced { .. } => self.fenced += 1,
+            ProgramAction::Vacate { call, .. } => self.vacated.push(call),
+            ProgramAction::Admit { .. } => {}
         }
 
         None
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -10,7 +10,7 @@
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion, Transaction};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::programs::{ProgramEvent, ProgramNext, ProgramOptions, Programs};
+use camphorwalk_policy::programs::{ProgramAction, ProgramEvent, ProgramOptions, Programs};
 use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, Verdict, Work};
 
 use crate::fixture::{Mode, Platform, config, tenant};
@@ -307,10 +307,10 @@
         }
     }
 
-    fn next(&mut self, host: usize, next: ProgramNext) {
+    fn next(&mut self, host: usize, next: ProgramAction) {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answered(ticket.request.0, reply),
-            ProgramNext::Admit { call, .. } => {
+            ProgramAction::Answer { ticket, reply } => self.answered(ticket.request.0, reply),
+            ProgramAction::Admit { call, .. } => {
                 let retry_after = Duration::from_secs(1);
                 let verdict = match std::mem::take(&mut self.deny) {
                     true => Verdict::Refused { retry_after },
@@ -318,22 +318,22 @@
                 };
                 self.hosts[host].mailbox.push_back(ProgramEvent::Verdict { call, verdict });
             }
-            ProgramNext::Place { call, .. } => self.place(host, call),
-            ProgramNext::Vacate { call, .. } => {
+            ProgramAction::Place { call, .. } => self.place(host, call),
+            ProgramAction::Vacate { call, .. } => {
                 assert!(self.hosts[host].places.remove(&call), "a place was vacated twice");
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 let reply = self.platform_reply(&request);
                 self.hosts[host].mailbox.push_back(ProgramEvent::Platform { op, reply });
             }
-            ProgramNext::Dispatch(dispatch) => {
+            ProgramAction::Dispatch(dispatch) => {
                 let session = self.hosts[host].session;
                 self.air.push((host, session, dispatch));
             }
-            ProgramNext::Cancel { .. }
-            | ProgramNext::Over { .. }
-            | ProgramNext::Quarantine { .. }
-            | ProgramNext::Fenced { .. } => {}
+            ProgramAction::Cancel { .. }
+            | ProgramAction::Over { .. }
+            | ProgramAction::Quarantine { .. }
+            | ProgramAction::Fenced { .. } => {}
         }
     }
 
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -14,7 +14,7 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
 use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
@@ -173,11 +173,11 @@
     }
 
     /// Takes in the answers, one by one.
-    fn take(&mut self, out: Vec<QueueNext>) {
+    fn take(&mut self, out: Vec<QueueAction>) {
         for next in out {
             match next {
-                QueueNext::Grant { asker, target } => self.granted(asker, target),
-                QueueNext::Refuse { asker, retry_after } => {
+                QueueAction::Grant { asker, target } => self.granted(asker, target),
+                QueueAction::Refuse { asker, retry_after } => {
                     assert!(retry_after > Duration::ZERO);
                     self.answer(asker, Answer::Refused);
                 }
--- a/crates/policy/tests/queue_rules.rs
+++ b/crates/policy/tests/queue_rules.rs
@@ -6,7 +6,7 @@
 
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
 use camphorwalk_policy::wire::{PlaceEnd, PlaceEndKind, PlaceRequest};
 use queue_support::{Bench, asker, end, grant, id, leaving, request, target};
 
@@ -186,7 +186,7 @@
 
     let out = bench.ask(1, request("x", "chat", 1));
 
-    assert!(matches!(out[..], [QueueNext::Refuse { .. }]));
+    assert!(matches!(out[..], [QueueAction::Refuse { .. }]));
 }
 
 #[test]
@@ -199,7 +199,7 @@
 
     let out = bench.configure(vec![leaving("t", "a", 1)]);
 
-    assert!(matches!(out[..], [QueueNext::Refuse { asker: a, .. }] if a == asker(2)));
+    assert!(matches!(out[..], [QueueAction::Refuse { asker: a, .. }] if a == asker(2)));
 }
 
 #[test]
@@ -210,7 +210,7 @@
 
     let out = bench.pass(Duration::from_secs(3));
 
-    assert!(matches!(out[..], [QueueNext::Refuse { asker: a, .. }] if a == asker(2)));
+    assert!(matches!(out[..], [QueueAction::Refuse { asker: a, .. }] if a == asker(2)));
 }
 
 #[test]
@@ -229,7 +229,7 @@
     let late = PlaceRequest { attained: Tokens(9_000), ..request("x", "chat", 300) };
     let out = bench.ask(300, PlaceRequest { deadline_left: Duration::from_secs(20), ..late });
 
-    assert!(matches!(out[..], [QueueNext::Refuse { .. }]));
+    assert!(matches!(out[..], [QueueAction::Refuse { .. }]));
 }
 
 #[test]
@@ -248,7 +248,7 @@
 
     let out = bench.ask(50, PlaceRequest { deadline_left: Duration::from_secs(110), ..new(50) });
 
-    assert!(matches!(out[..], [QueueNext::Refuse { retry_after, .. }] if !retry_after.is_zero()));
+    assert!(matches!(out[..], [QueueAction::Refuse { retry_after, .. }] if !retry_after.is_zero()));
 }
 
 #[test]
@@ -259,7 +259,7 @@
 
     let refused = (0..5_000).filter(|n| {
         let out = bench.ask(*n, request("x", "chat", (*n).into()));
-        matches!(out[..], [QueueNext::Refuse { .. }])
+        matches!(out[..], [QueueAction::Refuse { .. }])
     });
 
     assert_eq!(refused.count(), 5_000 - 4_096 - 1);
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -9,7 +9,7 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId, ZoneId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::{ConfigVersion, Tokens};
-use camphorwalk_policy::queue::{LoadReport, QueueEvent, QueueNext, QueueOptions, Queues};
+use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent, QueueOptions, Queues};
 use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
 
 /// The zone of the queues under test.
@@ -90,8 +90,8 @@
     TargetId::from_name(target)
 }
 
-pub fn grant(number: u64, target: &str) -> Vec<QueueNext> {
-    vec![QueueNext::Grant { asker: asker(number), target: id(target) }]
+pub fn grant(number: u64, target: &str) -> Vec<QueueAction> {
+    vec![QueueAction::Grant { asker: asker(number), target: id(target) }]
 }
 
 /// Queues with a clock that the test moves.
@@ -109,37 +109,37 @@
         bench
     }
 
-    pub fn step(&mut self, event: QueueEvent) -> Vec<QueueNext> {
+    pub fn step(&mut self, event: QueueEvent) -> Vec<QueueAction> {
         let mut out = Vec::new();
         self.queues.step(self.now, event, &mut out);
 
         out
     }
 
-    pub fn configure(&mut self, targets: Vec<Target>) -> Vec<QueueNext> {
+    pub fn configure(&mut self, targets: Vec<Target>) -> Vec<QueueAction> {
         self.step(QueueEvent::Config(Arc::new(config(targets))))
     }
 
-    pub fn ask(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueNext> {
+    pub fn ask(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueAction> {
         self.step(QueueEvent::Ask { asker: asker(number), request })
     }
 
-    pub fn vacate(&mut self, number: u64) -> Vec<QueueNext> {
+    pub fn vacate(&mut self, number: u64) -> Vec<QueueAction> {
         self.vacate_with(number, end(PlaceEndKind::Finished))
     }
 
-    pub fn vacate_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueNext> {
+    pub fn vacate_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueAction> {
         self.step(QueueEvent::Vacate { asker: asker(number), end })
     }
 
-    pub fn load(&mut self, target: &str, waiting: u32) -> Vec<QueueNext> {
+    pub fn load(&mut self, target: &str, waiting: u32) -> Vec<QueueAction> {
         let report = LoadReport { running: 1, waiting, held: Tokens(0) };
 
         self.step(QueueEvent::Load { target: id(target), report })
     }
 
     /// Moves the clock, waking the queues whenever they ask for it.
-    pub fn pass(&mut self, time: Duration) -> Vec<QueueNext> {
+    pub fn pass(&mut self, time: Duration) -> Vec<QueueAction> {
         let until = self.now + time;
         let mut out = Vec::new();
 
--- a/crates/policy/tests/slices_first.rs
+++ b/crates/policy/tests/slices_first.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::ids::{HostId, TenantId, ZoneId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::slices::{
-    SliceEvent, SliceHost, SliceNext, SliceOptions, Slices, TakeId, columns,
+    SliceAction, SliceEvent, SliceHost, SliceOptions, Slices, TakeId, columns,
 };
 use camphorwalk_policy::wire::Verdict;
 use serde_json::json;
@@ -45,8 +45,8 @@
         let now = Instant(from.0 + i * 10_000);
         let mut out = Vec::new();
         slices.step(now, SliceEvent::Take { take: TakeId(i), tenant }, &mut out);
-        let yes = |next: &SliceNext| {
-            matches!(next, SliceNext::Verdict { verdict: Verdict::Admitted, .. })
+        let yes = |next: &SliceAction| {
+            matches!(next, SliceAction::Verdict { verdict: Verdict::Admitted, .. })
         };
         count += out.iter().filter(|next| yes(next)).count() as u32;
     }
--- a/crates/policy/tests/slices_rules.rs
+++ b/crates/policy/tests/slices_rules.rs
@@ -12,7 +12,7 @@
 };
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::slices::{
-    ColumnId, SliceEvent, SliceHost, SliceNext, SliceOptions, SliceTimes, Slices, TakeId, split,
+    ColumnId, SliceAction, SliceEvent, SliceHost, SliceOptions, SliceTimes, Slices, TakeId, split,
 };
 use camphorwalk_policy::wire::Verdict;
 
@@ -64,16 +64,16 @@
     lender
 }
 
-fn step(slices: &mut Slices, at: u64, event: SliceEvent) -> Vec<SliceNext> {
+fn step(slices: &mut Slices, at: u64, event: SliceEvent) -> Vec<SliceAction> {
     let mut out = Vec::new();
     slices.step(Instant::from_millis(at), event, &mut out);
     out
 }
 
-fn bodies(out: Vec<SliceNext>) -> Vec<SliceBody> {
+fn bodies(out: Vec<SliceAction>) -> Vec<SliceBody> {
     let body = |next| match next {
-        SliceNext::Send { message, .. } => message.body,
-        SliceNext::Verdict { .. } => None,
+        SliceAction::Send { message, .. } => message.body,
+        SliceAction::Verdict { .. } => None,
     };
     out.into_iter().filter_map(body).collect()
 }
@@ -125,8 +125,8 @@
     let take = |number| SliceEvent::Take { take: TakeId(number), tenant: tenant() };
     let out = (0..calls).flat_map(|number| step(slices, at, take(number)));
     let verdict = |next| match next {
-        SliceNext::Verdict { verdict, .. } => Some(verdict),
-        SliceNext::Send { .. } => None,
+        SliceAction::Verdict { verdict, .. } => Some(verdict),
+        SliceAction::Send { .. } => None,
     };
     out.filter_map(verdict).collect()
 }
@@ -290,7 +290,7 @@
 
     let ended = step(&mut lender, READY + 250, SliceEvent::Wake);
 
-    let verdict = SliceNext::Verdict { take: TakeId(0), verdict: Verdict::Admitted };
+    let verdict = SliceAction::Verdict { take: TakeId(0), verdict: Verdict::Admitted };
     assert!(open.is_empty() && ended.contains(&verdict));
 }
 
@@ -330,13 +330,13 @@
     see(&mut slices, 0, &all);
 
     let take = |i| SliceEvent::Take { take: TakeId(i), tenant: TenantId(i * 7_919) };
-    let asked: Vec<SliceNext> = (0..600).flat_map(|i| step(&mut slices, 0, take(i))).collect();
+    let asked: Vec<SliceAction> = (0..600).flat_map(|i| step(&mut slices, 0, take(i))).collect();
 
     let mut pools: Vec<HostId> = asked
         .iter()
         .filter_map(|next| match next {
-            SliceNext::Send { to, .. } => Some(*to),
-            SliceNext::Verdict { .. } => None,
+            SliceAction::Send { to, .. } => Some(*to),
+            SliceAction::Verdict { .. } => None,
         })
         .collect();
     pools.sort_unstable();
