--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -7,7 +7,7 @@
 
 use camphorwalk_core::ids::TargetId;
 use camphorwalk_policy::queue::{QueueAction, QueueEvent};
-use camphorwalk_policy::wire::Asker;
+use camphorwalk_policy::shared_types::PlaceRequestId;
 
 /// How a baseline chooses a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,8 +25,8 @@
     window: u32,
     targets: Vec<(TargetId, u32)>,
     turn: usize,
-    calls: VecDeque<Asker>,
-    places: BTreeMap<Asker, usize>,
+    calls: VecDeque<PlaceRequestId>,
+    places: BTreeMap<PlaceRequestId, usize>,
 }
 
 impl Fifo {
@@ -45,34 +45,34 @@
     /// Takes in an event and appends what to do next to `out`.
     pub fn step(&mut self, event: &QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
-            QueueEvent::Ask { asker, .. } => self.calls.push_back(*asker),
-            QueueEvent::Vacate { asker, .. } => self.vacate(*asker),
+            QueueEvent::Ask { request_id, .. } => self.calls.push_back(*request_id),
+            QueueEvent::Vacate { request_id, .. } => self.vacate(*request_id),
             _ => return,
         }
 
-        while let Some((asker, at)) = self.next() {
+        while let Some((request_id, at)) = self.next() {
             self.targets[at].1 += 1;
-            self.places.insert(asker, at);
-            out.push(QueueAction::Grant { asker, target: self.targets[at].0 });
+            self.places.insert(request_id, at);
+            out.push(QueueAction::Grant { request_id, target: self.targets[at].0 });
         }
     }
 
-    fn vacate(&mut self, asker: Asker) {
-        match self.places.remove(&asker) {
+    fn vacate(&mut self, request_id: PlaceRequestId) {
+        match self.places.remove(&request_id) {
             Some(at) => self.targets[at].1 -= 1,
-            None => self.calls.retain(|waiting| *waiting != asker),
+            None => self.calls.retain(|waiting| *waiting != request_id),
         }
     }
 
-    fn next(&mut self) -> Option<(Asker, usize)> {
+    fn next(&mut self) -> Option<(PlaceRequestId, usize)> {
         let at = match self.choice {
             Choice::RoundRobin => self.next_in_turn()?,
             Choice::LeastLoaded => self.least_loaded()?,
         };
-        let asker = self.calls.pop_front()?;
+        let request_id = self.calls.pop_front()?;
         self.turn = at + 1;
 
-        Some((asker, at))
+        Some((request_id, at))
     }
 
     fn next_in_turn(&self) -> Option<usize> {
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{QueueAction, QueueEvent};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
 use serde::Serialize;
 
 use crate::fleet::{Engines, POOL, config, tenant_name};
@@ -77,7 +77,7 @@
     places: u64,
     tenants: u64,
     asked: u64,
-    granted: std::collections::VecDeque<Asker>,
+    granted: std::collections::VecDeque<PlaceRequestId>,
     out: Vec<QueueAction>,
 }
 
@@ -104,8 +104,8 @@
         self.scheduler.step(self.now, event, &mut self.out);
 
         for next in self.out.drain(..) {
-            if let QueueAction::Grant { asker, .. } = next {
-                self.granted.push_back(asker);
+            if let QueueAction::Grant { request_id, .. } = next {
+                self.granted.push_back(request_id);
             }
         }
     }
@@ -129,11 +129,14 @@
             suspect: false,
         };
 
-        self.step(QueueEvent::Ask { asker: Asker { host: HostId(1), number }, request });
+        self.step(QueueEvent::Ask {
+            request_id: PlaceRequestId { host: HostId(1), number },
+            request,
+        });
     }
 
     fn end_oldest(&mut self) {
-        let Some(asker) = self.granted.pop_front() else { return };
+        let Some(request_id) = self.granted.pop_front() else { return };
         let end = PlaceEnd {
             how: PlaceEndKind::Finished,
             computed: Tokens(200),
@@ -141,6 +144,6 @@
             program_over: false,
         };
 
-        self.step(QueueEvent::Vacate { asker, end });
+        self.step(QueueEvent::Vacate { request_id, end });
     }
 }
--- a/crates/bench/src/drive.rs
+++ b/crates/bench/src/drive.rs
@@ -9,7 +9,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -262,7 +262,7 @@
         self.asked += 1;
         self.askers.insert(number, program);
         self.progress[program].asked = Some(number);
-        self.tell(QueueEvent::Ask { asker: asker(number), request });
+        self.tell(QueueEvent::Ask { request_id: request_id(number), request });
     }
 
     /// Tells the scheduler, and does what it says.
@@ -272,8 +272,8 @@
 
         for next in out.drain(..) {
             match next {
-                QueueAction::Grant { asker, target } => self.granted(asker, target),
-                QueueAction::Refuse { asker, .. } => self.refused(asker),
+                QueueAction::Grant { request_id, target } => self.granted(request_id, target),
+                QueueAction::Refuse { request_id, .. } => self.refused(request_id),
             }
         }
 
@@ -291,18 +291,23 @@
         }
     }
 
-    fn granted(&mut self, asker: Asker, target: TargetId) {
-        let Some(program) = self.askers.get(&asker.number).copied() else { return };
+    fn granted(&mut self, request_id: PlaceRequestId, target: TargetId) {
+        let Some(program) = self.askers.get(&request_id.number).copied() else { return };
         let Some(engine) = self.targets.iter().position(|known| *known == target) else { return };
         let turn = &self.programs[program].turns[self.progress[program].turn];
 
         self.progress[program].engine = Some(engine);
-        self.engines[engine].send(Sequence::new(asker.number, program, turn.prompt, turn.output));
+        self.engines[engine].send(Sequence::new(
+            request_id.number,
+            program,
+            turn.prompt,
+            turn.output,
+        ));
         self.iterate(engine);
     }
 
-    fn refused(&mut self, asker: Asker) {
-        let Some(program) = self.askers.remove(&asker.number) else { return };
+    fn refused(&mut self, request_id: PlaceRequestId) {
+        let Some(program) = self.askers.remove(&request_id.number) else { return };
 
         self.progress[program].asked = None;
         self.end(self.root(program), End::Refused);
@@ -367,7 +372,7 @@
             program_over: how == PlaceEndKind::Failed || how == PlaceEndKind::NotSent,
         };
 
-        self.tell(QueueEvent::Vacate { asker: asker(number), end });
+        self.tell(QueueEvent::Vacate { request_id: request_id(number), end });
     }
 
     fn after_turn(&mut self, program: usize, turn: usize) {
@@ -486,6 +491,6 @@
     ProgramId(number as u128)
 }
 
-fn asker(number: u64) -> Asker {
-    Asker { host: HostId(1), number }
+fn request_id(number: u64) -> PlaceRequestId {
+    PlaceRequestId { host: HostId(1), number }
 }
--- a/crates/bench/src/limits/checks.rs
+++ b/crates/bench/src/limits/checks.rs
@@ -6,8 +6,8 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::ids::TenantId;
 use camphorwalk_core::messages::slices::{SliceBody, TakeAnswer, TakeRequest};
+use camphorwalk_policy::shared_types::Verdict;
 use camphorwalk_policy::slices::{SliceAction, SliceEvent, TakeId};
-use camphorwalk_policy::wire::Verdict;
 
 use super::bucket::ExactBucket;
 use super::fleet::SECOND;
--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -16,7 +16,7 @@
 use camphorwalk_policy::scheduler::{
     Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
 };
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptEnd;
 use camphorwalk_standin::Store;
 use prost::Message as _;
 
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -11,7 +11,7 @@
 use camphorwalk_peer::{Inbound, PeerOptions, Peers, Secret};
 use camphorwalk_policy::configs::OperatorId;
 use camphorwalk_policy::scheduler::{Action, Event, OperatorReply, SchedulerOptions};
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptEnd;
 use camphorwalk_store::{Client, ClientOptions};
 use rand::RngCore as _;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -254,7 +254,7 @@
         }
     }
 
-    fn dispatch(&self, dispatch: camphorwalk_policy::wire::Dispatch) {
+    fn dispatch(&self, dispatch: camphorwalk_policy::shared_types::Dispatch) {
         let (attempt, stream) = (dispatch.attempt, dispatch.stream);
         let (targets, shared) = (self.targets.clone(), self.shared.clone());
 
--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -16,7 +16,7 @@
 use camphorwalk_core::config::{Config, Target, TargetKind};
 use camphorwalk_core::hash::{Map, Set};
 use camphorwalk_core::ids::{AttemptId, ProgramId, TargetId, Ticket};
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch, Work};
 use futures::future::BoxFuture;
 use http::{Request, Uri};
 use http_body_util::{BodyExt as _, Full, Limited};
--- a/crates/node/src/targets/engine.rs
+++ b/crates/node/src/targets/engine.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::{ProgramId, Ticket};
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch};
+use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch};
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
--- a/crates/node/src/targets/service.rs
+++ b/crates/node/src/targets/service.rs
@@ -2,7 +2,7 @@
 
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::ProgramId;
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch};
+use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch};
 use http::StatusCode;
 use http_body_util::{BodyExt as _, Limited};
 use serde::{Deserialize, Serialize};
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -46,7 +46,7 @@
 use self::retry::{RetryBudget, Suspects};
 use self::state::{Call, Program, ProgramKey, ProgramState, Recovering};
 use self::timers::{Timer, Timers};
-use crate::wire::{AttemptEnd, CallId, Dispatch, PlaceEnd, PlaceRequest, Verdict};
+use crate::shared_types::{AttemptEnd, CallId, Dispatch, PlaceEnd, PlaceRequest, Verdict};
 
 /// A platform operation that the programs wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -13,7 +13,7 @@
 use super::retry::Crash;
 use super::state::{Kind, ProgramKey, ProgramState, Stage};
 use super::{Cx, ProgramAction, Programs, answers};
-use crate::wire::{AttemptEnd, CallId, PlaceEndKind};
+use crate::shared_types::{AttemptEnd, CallId, PlaceEndKind};
 
 /// How long an answer waits for its record to be durable before it goes out as not stored.
 const STORE_WAIT: Duration = Duration::from_millis(500);
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -16,7 +16,7 @@
 use super::state::{Call, Caller, Kind, Program, ProgramKey, ProgramState, Stage, estimate};
 use super::tail::{self, TailError};
 use super::{Cx, ProgramAction, Programs, answers};
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 /// What a call comes to, given what is known of its idempotency key.
 enum Step {
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -8,7 +8,7 @@
 use super::journal::{Fate, Pending, Waiter};
 use super::state::{ProgramKey, Stage};
 use super::{Cx, ProgramAction, ProgramOp, Programs, answers};
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 impl Programs {
     /// Adds an entry to a program's journal.
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -14,7 +14,7 @@
 use super::entries::{Entry, JournalRow, journal_key, lease_key};
 use super::flight::{Flight, FlightRow, bears, stands};
 use super::state::ProgramKey;
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 /// The most bytes of entries in one transaction.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -5,7 +5,7 @@
 
 use super::state::{Kind, Stage};
 use super::{Cx, Programs, answers};
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 impl Programs {
     /// A caller is gone: nobody reads its answer.
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -11,7 +11,7 @@
 use super::state::{Kind, ProgramKey, ProgramState, Stage};
 use super::timers::Timer;
 use super::{Cx, ProgramAction, Programs, answers};
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 /// How long an ended program is remembered, for repeats. After that it looks like none.
 pub(super) const REMEMBERED: Duration = Duration::from_secs(60);
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -17,7 +17,7 @@
 use super::compaction::Compaction;
 use super::entries::{CallText, Recorded};
 use super::journal::Tenure;
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 slotmap::new_key_type! {
     /// A program that this host remembers.
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -11,7 +11,7 @@
 use super::state::{Kind, ProgramState, Stage};
 use super::timers::Timer;
 use super::{Cx, ProgramAction, Programs, answers};
-use crate::wire::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
+use crate::shared_types::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
 
 /// How long a call waits for the platform to take its intent or grant.
 const ASK_WAIT: Duration = Duration::from_secs(1);
--- a/crates/policy/src/programs/timers.rs
+++ b/crates/policy/src/programs/timers.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::time::Instant;
 
 use super::state::ProgramKey;
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -42,7 +42,7 @@
 use self::shares::Weights;
 use self::targets::{Candidate, Targets};
 use self::waiting::{Waiter, Waiting};
-use crate::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use crate::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
 
 /// What an engine says of its load; it lags.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -63,14 +63,14 @@
     /// A call asks for a place.
     Ask {
         /// Who asks.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// For what.
         request: PlaceRequest,
     },
     /// A place is free again, or a question is withdrawn.
     Vacate {
         /// Who asked for it.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// How the place was used.
         end: PlaceEnd,
     },
@@ -100,14 +100,14 @@
     /// It may go to this target.
     Grant {
         /// Who asked.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// The target.
         target: TargetId,
     },
     /// It cannot be served in time: it is told so at once.
     Refuse {
         /// Who asked.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// When a later try can help.
         retry_after: Duration,
     },
@@ -193,8 +193,8 @@
     pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
             QueueEvent::Config(config) => self.configure(now, &config, out),
-            QueueEvent::Ask { asker, request } => self.ask(now, asker, request, out),
-            QueueEvent::Vacate { asker, end } => self.vacate(now, asker, end, out),
+            QueueEvent::Ask { request_id, request } => self.ask(now, request_id, request, out),
+            QueueEvent::Vacate { request_id, end } => self.vacate(now, request_id, end, out),
             QueueEvent::HostGone(host) => self.host_gone(now, host, out),
             QueueEvent::Load { target, report } => {
                 if let Some(pool) = self.targets.report(now, target, report) {
@@ -235,9 +235,9 @@
         self.weights = Weights::of(config);
         self.targets.configure(config, self.options.zone);
 
-        for asker in self.waiting.matching(|waiter| !self.targets.can_serve(&waiter.request)) {
-            self.withdraw(asker);
-            out.push(QueueAction::Refuse { asker, retry_after: RETRY_NO_TARGET });
+        for request_id in self.waiting.matching(|waiter| !self.targets.can_serve(&waiter.request)) {
+            self.withdraw(request_id);
+            out.push(QueueAction::Refuse { request_id, retry_after: RETRY_NO_TARGET });
         }
 
         self.serve_all(now, out);
@@ -246,37 +246,44 @@
     fn ask(
         &mut self,
         now: Instant,
-        asker: Asker,
+        request_id: PlaceRequestId,
         request: PlaceRequest,
         out: &mut Vec<QueueAction>,
     ) {
         // A question sent again after a reconnect must not take a second place: its first
         // grant may be under way, and nobody would ever give that place back.
         if let Some(place) =
-            self.places.get(asker).filter(|place| is_same(&place.request, &request))
+            self.places.get(request_id).filter(|place| is_same(&place.request, &request))
         {
-            out.push(QueueAction::Grant { asker, target: place.target });
+            out.push(QueueAction::Grant { request_id, target: place.target });
             return;
         }
 
-        if self.waiting.get(asker).is_some_and(|waiter| is_same(&waiter.request, &request)) {
+        if self.waiting.get(request_id).is_some_and(|waiter| is_same(&waiter.request, &request)) {
             return;
         }
 
         // Another question of that number is one of the host's old process.
-        self.vacate(now, asker, UNKNOWN_END, out);
+        self.vacate(now, request_id, UNKNOWN_END, out);
 
-        match self.admit(now, asker, request) {
+        match self.admit(now, request_id, request) {
             Admission::Wait(waiter) => {
-                self.enqueue(asker, waiter);
+                self.enqueue(request_id, waiter);
                 self.serve(now, request.pool, out);
             }
-            Admission::Refuse(retry_after) => out.push(QueueAction::Refuse { asker, retry_after }),
+            Admission::Refuse(retry_after) => {
+                out.push(QueueAction::Refuse { request_id, retry_after })
+            }
         }
     }
 
     /// Returns the call as it is to wait, or when to come back if it cannot be served.
-    fn admit(&mut self, now: Instant, asker: Asker, request: PlaceRequest) -> Admission {
+    fn admit(
+        &mut self,
+        now: Instant,
+        request_id: PlaceRequestId,
+        request: PlaceRequest,
+    ) -> Admission {
         if !self.targets.can_serve(&request) {
             return Admission::Refuse(RETRY_NO_TARGET);
         }
@@ -286,7 +293,7 @@
         let rank = self.ranks.get(&request.class).copied().unwrap_or(u8::MAX);
         let lane = LaneId { rank, tenant: request.tenant };
         let deadline = now + request.deadline_left;
-        let position = Pool::position(&request, asker, deadline, self.arrivals);
+        let position = Pool::position(&request, request_id, deadline, self.arrivals);
         let pause = self.targets.idle(now, request.pool, request.program);
         let room = self.targets.room(now, request.pool);
         let pool = self.pools.entry(request.pool).or_default();
@@ -314,19 +321,19 @@
         })
     }
 
-    fn enqueue(&mut self, asker: Asker, waiter: Waiter) {
+    fn enqueue(&mut self, request_id: PlaceRequestId, waiter: Waiter) {
         let pool = self.pools.entry(waiter.request.pool).or_default();
 
         pool.shares.enter(waiter.request.tenant);
         pool.lanes.insert(waiter.lane, waiter.position);
         pool.demand.wait(waiter.request.tenant, awaited(&waiter.request));
         self.targets.set_awaited(&waiter.request, true);
-        self.waiting.insert(asker, waiter);
+        self.waiting.insert(request_id, waiter);
     }
 
     /// Takes a call out of the queue.
-    fn dequeue(&mut self, asker: Asker) -> Option<Waiter> {
-        let waiter = self.waiting.remove(asker)?;
+    fn dequeue(&mut self, request_id: PlaceRequestId) -> Option<Waiter> {
+        let waiter = self.waiting.remove(request_id)?;
         self.targets.set_awaited(&waiter.request, false);
 
         if let Some(pool) = self.pools.get_mut(&waiter.request.pool) {
@@ -339,16 +346,22 @@
     }
 
     /// Takes a call that will not be served out of the queue.
-    fn withdraw(&mut self, asker: Asker) -> Option<Waiter> {
-        let waiter = self.dequeue(asker)?;
-        self.targets.unreserve(waiter.request.pool, asker);
+    fn withdraw(&mut self, request_id: PlaceRequestId) -> Option<Waiter> {
+        let waiter = self.dequeue(request_id)?;
+        self.targets.unreserve(waiter.request.pool, request_id);
 
         Some(waiter)
     }
 
-    fn vacate(&mut self, now: Instant, asker: Asker, end: PlaceEnd, out: &mut Vec<QueueAction>) {
-        let withdrawn = self.withdraw(asker).map(|waiter| waiter.request);
-        let freed = self.free(now, asker, end).map(|place| place.request);
+    fn vacate(
+        &mut self,
+        now: Instant,
+        request_id: PlaceRequestId,
+        end: PlaceEnd,
+        out: &mut Vec<QueueAction>,
+    ) {
+        let withdrawn = self.withdraw(request_id).map(|waiter| waiter.request);
+        let freed = self.free(now, request_id, end).map(|place| place.request);
         let Some(request) = withdrawn.or(freed) else { return };
 
         if end.program_over {
@@ -359,39 +372,39 @@
     }
 
     fn host_gone(&mut self, now: Instant, host: HostId, out: &mut Vec<QueueAction>) {
-        for asker in self.waiting.of_host(host) {
-            self.withdraw(asker);
+        for request_id in self.waiting.of_host(host) {
+            self.withdraw(request_id);
         }
 
-        for asker in self.places.of_host(host) {
-            self.free(now, asker, UNKNOWN_END);
+        for request_id in self.places.of_host(host) {
+            self.free(now, request_id, UNKNOWN_END);
         }
 
         self.serve_all(now, out);
     }
 
     fn wake(&mut self, now: Instant, out: &mut Vec<QueueAction>) {
-        while let Some(asker) = self.waiting.overdue(now) {
-            self.refuse(asker, out);
+        while let Some(request_id) = self.waiting.overdue(now) {
+            self.refuse(request_id, out);
         }
 
-        while let Some(asker) = self.places.expired(now) {
-            self.free(now, asker, UNKNOWN_END);
+        while let Some(request_id) = self.places.expired(now) {
+            self.free(now, request_id, UNKNOWN_END);
         }
 
         self.serve_all(now, out);
     }
 
-    fn refuse(&mut self, asker: Asker, out: &mut Vec<QueueAction>) {
-        let Some(waiter) = self.withdraw(asker) else { return };
+    fn refuse(&mut self, request_id: PlaceRequestId, out: &mut Vec<QueueAction>) {
+        let Some(waiter) = self.withdraw(request_id) else { return };
         let retry_after = retry_after(Duration::from_micros(waiter.refuse_at.0 - waiter.since.0));
 
-        out.push(QueueAction::Refuse { asker, retry_after });
+        out.push(QueueAction::Refuse { request_id, retry_after });
     }
 
     /// Takes a place back.
-    fn free(&mut self, now: Instant, asker: Asker, end: PlaceEnd) -> Option<Place> {
-        let place = self.places.remove(asker)?;
+    fn free(&mut self, now: Instant, request_id: PlaceRequestId, end: PlaceEnd) -> Option<Place> {
+        let place = self.places.remove(request_id)?;
         let PlaceRequest { pool, tenant, class, .. } = place.request;
         let used = match end.how {
             PlaceEndKind::NotSent => Tokens(0),
@@ -400,7 +413,7 @@
         let weight = self.weights.get(tenant);
 
         self.targets.learn(now, &place, end);
-        self.targets.leave(place.target, asker);
+        self.targets.leave(place.target, request_id);
 
         if let Some(pool) = self.pools.get_mut(&pool) {
             pool.shares.refund(tenant, weight, place.charged.minus(used));
@@ -431,8 +444,8 @@
             }
 
             match pool.pick(now, id, &self.weights, &mut self.waiting, &mut self.targets) {
-                Pick::Grant(asker, target, computed) => {
-                    self.grant(now, asker, target, computed, out);
+                Pick::Grant(request_id, target, computed) => {
+                    self.grant(now, request_id, target, computed, out);
                 }
                 Pick::Nothing(look_again) => {
                     pool.look_again = look_again;
@@ -445,12 +458,12 @@
     fn grant(
         &mut self,
         now: Instant,
-        asker: Asker,
+        request_id: PlaceRequestId,
         target: TargetId,
         computed: Tokens,
         out: &mut Vec<QueueAction>,
     ) {
-        let Some(waiter) = self.waiting.get(asker).copied() else { return };
+        let Some(waiter) = self.waiting.get(request_id).copied() else { return };
         let request = waiter.request;
         let weight = self.weights.get(request.tenant);
 
@@ -459,7 +472,7 @@
             let charged = CALL_TOKENS.plus(computed).plus(output);
             let deadline = waiter.deadline;
             let place = Place { request, target, granted: now, computed, charged, deadline };
-            let candidate = Candidate { asker, request: &request, passed: None };
+            let candidate = Candidate { request_id, request: &request, passed: None };
 
             let is_first = request.attained == Tokens(0);
             pool.estimates.granted(now, waiter.lane, is_first, waiter.since);
@@ -468,11 +481,11 @@
             pool.demand.place(request.tenant, request.prompt.plus(output));
             pool.shares.charge(request.tenant, weight, charged);
             self.targets.enter(now, target, candidate, output);
-            self.places.insert(asker, place);
+            self.places.insert(request_id, place);
         }
 
-        self.dequeue(asker);
-        out.push(QueueAction::Grant { asker, target });
+        self.dequeue(request_id);
+        out.push(QueueAction::Grant { request_id, target });
     }
 }
 
--- a/crates/policy/src/queue/lanes.rs
+++ b/crates/policy/src/queue/lanes.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::time::Instant;
 
 use super::shares::Shares;
-use crate::wire::Asker;
+use crate::shared_types::PlaceRequestId;
 
 /// One in so many grants goes to the lane that has waited longest for one.
 ///
@@ -41,7 +41,7 @@
     /// The number of its arrival.
     pub arrival: u64,
     /// Who asked.
-    pub asker: Asker,
+    pub request_id: PlaceRequestId,
 }
 
 /// The least position of a program under way: level 0 is for new programs.
@@ -49,7 +49,7 @@
     level: 1,
     deadline: Instant(0),
     arrival: 0,
-    asker: Asker { host: HostId(0), number: 0 },
+    request_id: PlaceRequestId { host: HostId(0), number: 0 },
 };
 
 /// How many calls of new programs in a lane are looked at for one that can be placed.
@@ -146,14 +146,14 @@
     /// the first of programs under way.
     ///
     /// Both are looked at, since new programs may be held back.
-    pub fn first(&self, id: LaneId) -> impl Iterator<Item = Asker> + '_ {
+    pub fn first(&self, id: LaneId) -> impl Iterator<Item = PlaceRequestId> + '_ {
         let calls = self.lanes.get(&id).map(|lane| &lane.calls);
         let new = calls.into_iter().flat_map(|calls| calls.range(..FIRST_UNDER_WAY));
         let under_way = calls.into_iter().flat_map(|calls| calls.range(FIRST_UNDER_WAY..));
 
         new.take(LOOK_AT_NEW)
             .chain(under_way.take(LOOK_AT_UNDER_WAY))
-            .map(|position| position.asker)
+            .map(|position| position.request_id)
     }
 
     /// Returns whether a program under way waits in a lane.
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
-use crate::wire::{Asker, PlaceRequest};
+use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
 /// How long after its call's deadline a place is taken back.
 ///
@@ -45,8 +45,8 @@
 /// All places.
 #[derive(Debug, Default)]
 pub struct Places {
-    places: Map<Asker, Place>,
-    expiries: BTreeSet<(Instant, Asker)>,
+    places: Map<PlaceRequestId, Place>,
+    expiries: BTreeSet<(Instant, PlaceRequestId)>,
 }
 
 impl Places {
@@ -56,36 +56,36 @@
     }
 
     /// Returns the place of an asker.
-    pub fn get(&self, asker: Asker) -> Option<&Place> {
-        self.places.get(&asker)
+    pub fn get(&self, request_id: PlaceRequestId) -> Option<&Place> {
+        self.places.get(&request_id)
     }
 
     /// Adds a place.
-    pub fn insert(&mut self, asker: Asker, place: Place) {
-        self.places.insert(asker, place);
-        self.expiries.insert((place.expiry(), asker));
+    pub fn insert(&mut self, request_id: PlaceRequestId, place: Place) {
+        self.places.insert(request_id, place);
+        self.expiries.insert((place.expiry(), request_id));
     }
 
     /// Removes a place.
-    pub fn remove(&mut self, asker: Asker) -> Option<Place> {
-        let place = self.places.remove(&asker)?;
-        self.expiries.remove(&(place.expiry(), asker));
+    pub fn remove(&mut self, request_id: PlaceRequestId) -> Option<Place> {
+        let place = self.places.remove(&request_id)?;
+        self.expiries.remove(&(place.expiry(), request_id));
 
         Some(place)
     }
 
     /// Returns the askers of a host, in order.
-    pub fn of_host(&self, host: HostId) -> Vec<Asker> {
-        let mut askers: Vec<Asker> =
-            self.places.keys().copied().filter(|asker| asker.host == host).collect();
+    pub fn of_host(&self, host: HostId) -> Vec<PlaceRequestId> {
+        let mut askers: Vec<PlaceRequestId> =
+            self.places.keys().copied().filter(|request_id| request_id.host == host).collect();
         askers.sort_unstable();
 
         askers
     }
 
     /// Returns a place that is to be taken back by now.
-    pub fn expired(&self, now: Instant) -> Option<Asker> {
-        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, asker)| *asker)
+    pub fn expired(&self, now: Instant) -> Option<PlaceRequestId> {
+        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, request_id)| *request_id)
     }
 
     /// Returns when the next place is to be taken back.
--- a/crates/policy/src/queue/pool.rs
+++ b/crates/policy/src/queue/pool.rs
@@ -12,7 +12,7 @@
 use super::shares::{Shares, Weights};
 use super::targets::{Candidate, Choice, Targets};
 use super::waiting::{Waiter, Waiting};
-use crate::wire::{Asker, PlaceRequest};
+use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
 /// How many calls of a pool are looked at for one that can be placed.
 const LOOK_AHEAD: usize = 32;
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pick {
     /// This call may go to this target, and so many prompt tokens will be computed.
-    Grant(Asker, TargetId, Tokens),
+    Grant(PlaceRequestId, TargetId, Tokens),
     /// No call can be placed before this instant, unless something changes.
     Nothing(Option<Instant>),
 }
@@ -67,10 +67,10 @@
     ) -> Pick {
         // An empty target that is kept for a suspect would stand idle if the suspect were
         // only looked for in the order.
-        if let Some((asker, target)) = targets.ready_suspect(id, now)
-            && let Some(waiter) = waiting.get(asker)
+        if let Some((request_id, target)) = targets.ready_suspect(id, now)
+            && let Some(waiter) = waiting.get(request_id)
         {
-            return Pick::Grant(asker, target, waiter.request.prompt);
+            return Pick::Grant(request_id, target, waiter.request.prompt);
         }
 
         let mut look_again = targets.next_probe(now, id);
@@ -89,10 +89,10 @@
 
         while let Some(order) = self.lanes.after(last, &self.shares).filter(|_| looked < LOOK_AHEAD)
         {
-            for asker in self.lanes.first(order.2) {
-                let Some(waiter) = waiting.get(asker) else { continue };
+            for request_id in self.lanes.first(order.2) {
+                let Some(waiter) = waiting.get(request_id) else { continue };
                 let request = &waiter.request;
-                let candidate = Candidate { asker, request, passed: waiter.passed };
+                let candidate = Candidate { request_id, request, passed: waiter.passed };
                 looked += 1;
 
                 if self.holds_back(waiter, weights, cache) {
@@ -101,13 +101,15 @@
                 }
 
                 match targets.choose(now, candidate, &self.estimates) {
-                    Choice::Take(target, computed) => return Pick::Grant(asker, target, computed),
+                    Choice::Take(target, computed) => {
+                        return Pick::Grant(request_id, target, computed);
+                    }
                     Choice::Wait(until) => {
                         look_again = look_again.into_iter().chain(until).min();
-                        targets.reserve(now, asker, request);
+                        targets.reserve(now, request_id, request);
 
                         if until.is_some() {
-                            waiting.pass(now, asker);
+                            waiting.pass(now, request_id);
                         }
                     }
                 }
@@ -140,11 +142,11 @@
     /// Returns the place of a new call in its lane.
     pub fn position(
         request: &PlaceRequest,
-        asker: Asker,
+        request_id: PlaceRequestId,
         deadline: Instant,
         arrival: u64,
     ) -> Position {
-        Position { level: level(request), deadline, arrival, asker }
+        Position { level: level(request), deadline, arrival, request_id }
     }
 
     /// Returns from when a call can no longer be served in time.
--- a/crates/policy/src/queue/residents.rs
+++ b/crates/policy/src/queue/residents.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
-use crate::wire::PlaceRequest;
+use crate::shared_types::PlaceRequest;
 
 /// What an entry counts for at least, so that memory stays bounded with tiny prompts.
 const SMALLEST_ENTRY: Tokens = Tokens(64);
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -14,7 +14,7 @@
 use super::places::Place;
 use super::residents::{Resident, Residents};
 use super::window::Window;
-use crate::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use crate::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
 
 /// A call waits no longer than this for the target that holds its prefix.
 const LONGEST_PREFIX_WAIT: Duration = Duration::from_secs(5);
@@ -39,9 +39,9 @@
     window: Window,
     in_flight: u32,
     /// The suspect that runs alone here.
-    alone: Option<Asker>,
+    alone: Option<PlaceRequestId>,
     /// The suspect that the target is kept empty for.
-    reserved: Option<Asker>,
+    reserved: Option<PlaceRequestId>,
     health: Health,
     report: LoadReport,
     residents: Residents,
@@ -79,10 +79,10 @@
     }
 
     /// Returns whether the call can go here now.
-    fn is_free(&self, now: Instant, asker: Asker, request: &PlaceRequest) -> bool {
+    fn is_free(&self, now: Instant, request_id: PlaceRequestId, request: &PlaceRequest) -> bool {
         match self.reserved {
             _ if self.alone.is_some() => false,
-            Some(reserved) if reserved != asker => false,
+            Some(reserved) if reserved != request_id => false,
             _ if request.suspect => self.in_flight == 0 && self.limit(now) > 0,
             _ => self.in_flight < self.limit(now),
         }
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// Who asked.
-    pub asker: Asker,
+    pub request_id: PlaceRequestId,
     /// For what.
     pub request: &'a PlaceRequest,
     /// Since when it is passed over because a full target holds its prefix, if it is.
@@ -252,7 +252,7 @@
         let request = call.request;
 
         let free = self.members(request.pool).filter(|(id, state)| {
-            state.suits(*id, request) && state.is_free(now, call.asker, request)
+            state.suits(*id, request) && state.is_free(now, call.request_id, request)
         });
         let worth = |resident: &Resident| worth(now, resident, estimates);
         let best = free
@@ -297,7 +297,7 @@
     }
 
     /// Keeps a target of this zone empty for a suspect, unless one is kept already.
-    pub fn reserve(&mut self, now: Instant, asker: Asker, request: &PlaceRequest) {
+    pub fn reserve(&mut self, now: Instant, request_id: PlaceRequestId, request: &PlaceRequest) {
         let kept = self.members(request.pool).any(|(_, state)| state.is_kept());
 
         if kept || !request.suspect {
@@ -311,12 +311,12 @@
             .map(|(id, _)| id);
 
         if let Some(state) = target.and_then(|target| self.states.get_mut(&target)) {
-            state.reserved = Some(asker);
+            state.reserved = Some(request_id);
         }
     }
 
     /// Returns a suspect and the empty target that is kept for it.
-    pub fn ready_suspect(&self, pool: PoolId, now: Instant) -> Option<(Asker, TargetId)> {
+    pub fn ready_suspect(&self, pool: PoolId, now: Instant) -> Option<(PlaceRequestId, TargetId)> {
         let empty = self
             .members(pool)
             .filter(|(_, state)| !state.leaving && state.in_flight == 0 && state.limit(now) > 0);
@@ -325,10 +325,10 @@
     }
 
     /// Keeps no target empty any more for a suspect that is withdrawn.
-    pub fn unreserve(&mut self, pool: PoolId, asker: Asker) {
+    pub fn unreserve(&mut self, pool: PoolId, request_id: PlaceRequestId) {
         for id in self.pools.get(&pool).into_iter().flatten() {
             if let Some(state) =
-                self.states.get_mut(id).filter(|state| state.reserved == Some(asker))
+                self.states.get_mut(id).filter(|state| state.reserved == Some(request_id))
             {
                 state.reserved = None;
             }
@@ -345,18 +345,18 @@
 
         if suspect {
             // Another target may have been kept empty for it meanwhile.
-            self.unreserve(pool, call.asker);
-            self.states.entry(target).and_modify(|state| state.alone = Some(call.asker));
+            self.unreserve(pool, call.request_id);
+            self.states.entry(target).and_modify(|state| state.alone = Some(call.request_id));
         }
     }
 
     /// Counts a call out.
-    pub fn leave(&mut self, target: TargetId, asker: Asker) {
+    pub fn leave(&mut self, target: TargetId, request_id: PlaceRequestId) {
         let Some(state) = self.states.get_mut(&target) else { return };
 
         state.in_flight = state.in_flight.saturating_sub(1);
 
-        if state.alone == Some(asker) {
+        if state.alone == Some(request_id) {
             state.alone = None;
         }
 
--- a/crates/policy/src/queue/waiting.rs
+++ b/crates/policy/src/queue/waiting.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::time::Instant;
 
 use super::lanes::{LaneId, Position};
-use crate::wire::{Asker, PlaceRequest};
+use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
 /// A call that waits.
 #[derive(Clone, Copy, Debug)]
@@ -31,8 +31,8 @@
 /// All calls that wait.
 #[derive(Debug, Default)]
 pub struct Waiting {
-    calls: Map<Asker, Waiter>,
-    refusals: BTreeSet<(Instant, Asker)>,
+    calls: Map<PlaceRequestId, Waiter>,
+    refusals: BTreeSet<(Instant, PlaceRequestId)>,
     tenants: Map<TenantId, usize>,
 }
 
@@ -48,28 +48,28 @@
     }
 
     /// Returns a call.
-    pub fn get(&self, asker: Asker) -> Option<&Waiter> {
-        self.calls.get(&asker)
+    pub fn get(&self, request_id: PlaceRequestId) -> Option<&Waiter> {
+        self.calls.get(&request_id)
     }
 
     /// Notes that a call is passed over because a full target holds its prefix.
-    pub fn pass(&mut self, now: Instant, asker: Asker) {
-        if let Some(waiter) = self.calls.get_mut(&asker) {
+    pub fn pass(&mut self, now: Instant, request_id: PlaceRequestId) {
+        if let Some(waiter) = self.calls.get_mut(&request_id) {
             waiter.passed.get_or_insert(now);
         }
     }
 
     /// Adds a call.
-    pub fn insert(&mut self, asker: Asker, waiter: Waiter) {
+    pub fn insert(&mut self, request_id: PlaceRequestId, waiter: Waiter) {
         *self.tenants.entry(waiter.request.tenant).or_default() += 1;
-        self.refusals.insert((waiter.refuse_at, asker));
-        self.calls.insert(asker, waiter);
+        self.refusals.insert((waiter.refuse_at, request_id));
+        self.calls.insert(request_id, waiter);
     }
 
     /// Removes a call.
-    pub fn remove(&mut self, asker: Asker) -> Option<Waiter> {
-        let waiter = self.calls.remove(&asker)?;
-        self.refusals.remove(&(waiter.refuse_at, asker));
+    pub fn remove(&mut self, request_id: PlaceRequestId) -> Option<Waiter> {
+        let waiter = self.calls.remove(&request_id)?;
+        self.refusals.remove(&(waiter.refuse_at, request_id));
 
         if let Some(count) = self.tenants.get_mut(&waiter.request.tenant) {
             *count -= 1;
@@ -83,22 +83,22 @@
     }
 
     /// Returns the askers of a host, in order.
-    pub fn of_host(&self, host: HostId) -> Vec<Asker> {
-        self.matching(|waiter| waiter.position.asker.host == host)
+    pub fn of_host(&self, host: HostId) -> Vec<PlaceRequestId> {
+        self.matching(|waiter| waiter.position.request_id.host == host)
     }
 
     /// Returns the askers of the calls that `which` picks, in order.
-    pub fn matching(&self, which: impl Fn(&Waiter) -> bool) -> Vec<Asker> {
+    pub fn matching(&self, which: impl Fn(&Waiter) -> bool) -> Vec<PlaceRequestId> {
         let calls = self.calls.iter().filter(|(_, waiter)| which(waiter));
-        let mut askers: Vec<Asker> = calls.map(|(asker, _)| *asker).collect();
+        let mut askers: Vec<PlaceRequestId> = calls.map(|(request_id, _)| *request_id).collect();
         askers.sort_unstable();
 
         askers
     }
 
     /// Returns a call that is to be refused by now.
-    pub fn overdue(&self, now: Instant) -> Option<Asker> {
-        self.refusals.first().filter(|(at, _)| *at <= now).map(|(_, asker)| *asker)
+    pub fn overdue(&self, now: Instant) -> Option<PlaceRequestId> {
+        self.refusals.first().filter(|(at, _)| *at <= now).map(|(_, request_id)| *request_id)
     }
 
     /// Returns when the next call is to be refused.
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -35,8 +35,8 @@
 use crate::membership::{Membership, MembershipOptions};
 use crate::programs::{ProgramOp, ProgramOptions, Programs};
 use crate::queue::{LoadReport, QueueOptions, Queues};
+use crate::shared_types::{AttemptEnd, CallId, Dispatch};
 use crate::slices::{SliceOptions, Slices, TakeId};
-use crate::wire::{AttemptEnd, CallId, Dispatch};
 
 use self::asks::Asks;
 use self::late::LateAnswer;
--- a/crates/policy/src/scheduler/asks.rs
+++ b/crates/policy/src/scheduler/asks.rs
@@ -13,7 +13,7 @@
 use super::{Action, Scheduler};
 use crate::programs::ProgramEvent;
 use crate::queue::QueueEvent;
-use crate::wire::{Asker, CallId, PlaceEnd, PlaceEndKind, PlaceRequest};
+use crate::shared_types::{CallId, PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
 
 /// How long a question stays unanswered before it is sent once more: messages may be lost,
 /// and a repeated question is known by its number.
@@ -86,8 +86,8 @@
     fn send_question(&mut self, number: u64, out: &mut Vec<Action>) {
         let Question { keeper, request, .. } = self.asks.questions[&number];
         if keeper == self.board.me {
-            let asker = Asker { host: self.board.me, number };
-            self.work.push_back(Work::Queue(QueueEvent::Ask { asker, request }));
+            let request_id = PlaceRequestId { host: self.board.me, number };
+            self.work.push_back(Work::Queue(QueueEvent::Ask { request_id, request }));
             return;
         }
 
@@ -104,8 +104,8 @@
         };
 
         if question.keeper == self.board.me {
-            let asker = Asker { host: self.board.me, number };
-            self.work.push_back(Work::Queue(QueueEvent::Vacate { asker, end }));
+            let request_id = PlaceRequestId { host: self.board.me, number };
+            self.work.push_back(Work::Queue(QueueEvent::Vacate { request_id, end }));
             return;
         }
         out.push(send(question.keeper, QueueBody::Done(done_message(number, &end))));
@@ -166,31 +166,36 @@
     }
 
     /// Tells an asker of its place.
-    pub(super) fn grant(&mut self, asker: Asker, target: TargetId, out: &mut Vec<Action>) {
-        if asker.host == self.board.me {
-            self.on_grant(self.board.me, asker.number, target, out);
+    pub(super) fn grant(
+        &mut self,
+        request_id: PlaceRequestId,
+        target: TargetId,
+        out: &mut Vec<Action>,
+    ) {
+        if request_id.host == self.board.me {
+            self.on_grant(self.board.me, request_id.number, target, out);
             return;
         }
 
-        let grant = Grant { number: asker.number, target: target.0 };
-        out.push(send(asker.host, QueueBody::Grant(grant)));
+        let grant = Grant { number: request_id.number, target: target.0 };
+        out.push(send(request_id.host, QueueBody::Grant(grant)));
     }
 
     /// Tells an asker that it cannot be served in time.
     pub(super) fn refuse_ask(
         &mut self,
-        asker: Asker,
+        request_id: PlaceRequestId,
         retry_after: Duration,
         out: &mut Vec<Action>,
     ) {
-        if asker.host == self.board.me {
-            self.on_refused(asker.number, retry_after);
+        if request_id.host == self.board.me {
+            self.on_refused(request_id.number, retry_after);
             return;
         }
 
         let retry_after_ms = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
-        let refuse = Refuse { number: asker.number, retry_after_ms };
-        out.push(send(asker.host, QueueBody::Refuse(refuse)));
+        let refuse = Refuse { number: request_id.number, retry_after_ms };
+        out.push(send(request_id.host, QueueBody::Refuse(refuse)));
     }
 
     pub(super) fn on_queue_message(
@@ -201,14 +206,14 @@
     ) {
         match message.body {
             Some(QueueBody::Ask(ask)) => {
-                let asker = Asker { host: from, number: ask.number };
+                let request_id = PlaceRequestId { host: from, number: ask.number };
                 let request = place_request(&ask);
-                self.work.push_back(Work::Queue(QueueEvent::Ask { asker, request }));
+                self.work.push_back(Work::Queue(QueueEvent::Ask { request_id, request }));
             }
             Some(QueueBody::Done(done)) => {
-                let asker = Asker { host: from, number: done.number };
+                let request_id = PlaceRequestId { host: from, number: done.number };
                 let end = place_end(&done);
-                self.work.push_back(Work::Queue(QueueEvent::Vacate { asker, end }));
+                self.work.push_back(Work::Queue(QueueEvent::Vacate { request_id, end }));
             }
             Some(QueueBody::Grant(grant)) => {
                 self.on_grant(from, grant.number, TargetId(grant.target), out);
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -258,8 +258,10 @@
 
     fn on_queue(&mut self, next: QueueAction, out: &mut Vec<Action>) {
         match next {
-            QueueAction::Grant { asker, target } => self.grant(asker, target, out),
-            QueueAction::Refuse { asker, retry_after } => self.refuse_ask(asker, retry_after, out),
+            QueueAction::Grant { request_id, target } => self.grant(request_id, target, out),
+            QueueAction::Refuse { request_id, retry_after } => {
+                self.refuse_ask(request_id, retry_after, out)
+            }
         }
     }
 
--- a/crates/policy/src/wire.rs
+++ b/crates/policy/src/shared_types.rs
@@ -28,7 +28,7 @@
 
 /// A question for a place at a target, from whichever host is home of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Asker {
+pub struct PlaceRequestId {
     /// The asking host.
     pub host: HostId,
     /// Its number for the question.
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -16,7 +16,7 @@
 use camphorwalk_core::messages::slices::{SliceBody, SliceMessage, TakeAnswer, TakeRequest};
 use camphorwalk_core::time::Instant;
 
-use crate::wire::Verdict;
+use crate::shared_types::Verdict;
 
 use borrower::Borrower;
 use lender::Lender;
@@ -195,7 +195,7 @@
 /// use camphorwalk_core::ids::{HostId, TenantId, ZoneId};
 /// use camphorwalk_core::time::Instant;
 /// use camphorwalk_policy::slices::*;
-/// use camphorwalk_policy::wire::Verdict;
+/// use camphorwalk_policy::shared_types::Verdict;
 /// let host = HostId::from_name("a1");
 /// let zone = ZoneId::from_name("a");
 /// let times = SliceTimes::default();
--- a/crates/policy/src/slices/takes.rs
+++ b/crates/policy/src/slices/takes.rs
@@ -9,7 +9,7 @@
 use camphorwalk_core::time::Instant;
 
 use super::{SliceTimes, TakeId};
-use crate::wire::Verdict;
+use crate::shared_types::Verdict;
 
 /// How long answers are kept for repeated questions, in timeouts of a question.
 ///
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -4,7 +4,7 @@
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptEnd;
 
 use crate::fixture::{
     BUDGET, Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, lost, open_child,
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
 use camphorwalk_core::ids::KeyId;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptEnd;
 
 use crate::fixture::{Home, PROGRAM, Platform, call, done};
 
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -20,7 +20,7 @@
 use camphorwalk_policy::programs::{
     ProgramAction, ProgramEvent, ProgramOp, ProgramOptions, Programs,
 };
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
+use camphorwalk_policy::shared_types::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
 
 /// The partition that all programs of the stories are in.
 pub const PARTITION: PartitionId = PartitionId(0);
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -2,7 +2,7 @@
 
 use camphorwalk_core::calls::{Code, Ran};
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptEnd;
 
 use crate::fixture::{Home, Mode, PARTITION, Platform, call, call_with_tail, done, lost};
 
--- a/crates/policy/tests/programs_home/targets.rs
+++ b/crates/policy/tests/programs_home/targets.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch, Work};
 
 /// What becomes of an attempt.
 #[derive(Clone, Copy, Debug)]
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -11,7 +11,7 @@
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion, Transaction};
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::programs::{ProgramAction, ProgramEvent, ProgramOptions, Programs};
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, Verdict, Work};
+use camphorwalk_policy::shared_types::{AttemptEnd, CallId, Dispatch, Verdict, Work};
 
 use crate::fixture::{Mode, Platform, config, tenant};
 use crate::oracle::{self, Sent};
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -15,7 +15,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{QueueAction, QueueEvent};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -149,7 +149,7 @@
 /// The queues and the oracle beside them.
 struct Checked {
     bench: Bench,
-    questions: BTreeMap<Asker, Question>,
+    questions: BTreeMap<PlaceRequestId, Question>,
     leaving: [bool; 5],
     /// For each lane that waits, the grants to others since its last one.
     passed_over: BTreeMap<LaneKey, u32>,
@@ -176,45 +176,45 @@
     fn take(&mut self, out: Vec<QueueAction>) {
         for next in out {
             match next {
-                QueueAction::Grant { asker, target } => self.granted(asker, target),
-                QueueAction::Refuse { asker, retry_after } => {
+                QueueAction::Grant { request_id, target } => self.granted(request_id, target),
+                QueueAction::Refuse { request_id, retry_after } => {
                     assert!(retry_after > Duration::ZERO);
-                    self.answer(asker, Answer::Refused);
+                    self.answer(request_id, Answer::Refused);
                 }
             }
         }
     }
 
-    fn answer(&mut self, asker: Asker, answer: Answer) {
-        let question = self.questions.get_mut(&asker).expect("nobody asked");
-        assert_eq!(question.answer, Answer::Open, "answered twice: {asker:?}");
+    fn answer(&mut self, request_id: PlaceRequestId, answer: Answer) {
+        let question = self.questions.get_mut(&request_id).expect("nobody asked");
+        assert_eq!(question.answer, Answer::Open, "answered twice: {request_id:?}");
         question.answer = answer;
     }
 
-    fn granted(&mut self, asker: Asker, target: TargetId) {
+    fn granted(&mut self, request_id: PlaceRequestId, target: TargetId) {
         // A question that was sent again gets the same answer again.
-        if self.questions[&asker].answer == Answer::Granted(target) {
+        if self.questions[&request_id].answer == Answer::Granted(target) {
             return;
         }
 
         let at = TARGETS.iter().position(|known| TargetId::from_name(known.0) == target).unwrap();
         assert!(!self.leaving[at], "a leaving target got a call");
         let pool = PoolId::from_name(TARGETS[at].3);
-        assert_eq!(self.questions[&asker].request.pool, pool, "a target of another pool");
+        assert_eq!(self.questions[&request_id].request.pool, pool, "a target of another pool");
 
         let beside: Vec<&Question> = self.at(target).collect();
         let cap = if TARGETS[at].1 == "a" { TARGETS[at].2 } else { FAR_CAP };
         assert!(beside.len() < cap as usize, "a window is passed at {}", TARGETS[at].0);
         assert!(beside.iter().all(|question| !question.request.suspect), "beside a suspect");
-        let suspect = self.questions[&asker].request.suspect;
+        let suspect = self.questions[&request_id].request.suspect;
         assert!(!suspect || beside.is_empty(), "a suspect does not run alone");
 
-        self.answer(asker, Answer::Granted(target));
-        self.count_grant(asker);
+        self.answer(request_id, Answer::Granted(target));
+        self.count_grant(request_id);
     }
 
-    fn count_grant(&mut self, asker: Asker) {
-        let granted = lane(&self.questions[&asker]);
+    fn count_grant(&mut self, request_id: PlaceRequestId) {
+        let granted = lane(&self.questions[&request_id]);
         let open = self.questions.values().filter(|question| question.answer == Answer::Open);
         let open: BTreeSet<LaneKey> = open.map(lane).collect();
 
@@ -233,45 +233,45 @@
     }
 
     /// Returns the askers whose question is open or whose place is out.
-    fn live(&self) -> Vec<Asker> {
+    fn live(&self) -> Vec<PlaceRequestId> {
         let live = self
             .questions
             .iter()
             .filter(|(_, question)| matches!(question.answer, Answer::Open | Answer::Granted(_)));
 
-        live.map(|(asker, _)| *asker).collect()
+        live.map(|(request_id, _)| *request_id).collect()
     }
 
-    fn ask(&mut self, asker: Asker, request: PlaceRequest) {
+    fn ask(&mut self, request_id: PlaceRequestId, request: PlaceRequest) {
         let deadline = self.bench.now + request.deadline_left;
-        self.questions.insert(asker, Question { request, deadline, answer: Answer::Open });
-        self.step(QueueEvent::Ask { asker, request });
+        self.questions.insert(request_id, Question { request, deadline, answer: Answer::Open });
+        self.step(QueueEvent::Ask { request_id, request });
     }
 
-    fn repeat(&mut self, asker: Asker) {
-        let Question { request, deadline, answer } = self.questions[&asker];
+    fn repeat(&mut self, request_id: PlaceRequestId) {
+        let Question { request, deadline, answer } = self.questions[&request_id];
         let deadline_left = deadline.since(self.bench.now);
         let request = PlaceRequest { deadline_left, ..request };
 
         // One that was answered or withdrawn is a new question to the queues: it must not
         // leak, so it is answered, or its place comes back, by the deadline.
         match answer {
-            Answer::Refused | Answer::Over => self.ask(asker, request),
-            Answer::Open | Answer::Granted(_) => self.step(QueueEvent::Ask { asker, request }),
+            Answer::Refused | Answer::Over => self.ask(request_id, request),
+            Answer::Open | Answer::Granted(_) => self.step(QueueEvent::Ask { request_id, request }),
         }
     }
 
-    fn end(&mut self, asker: Asker, how: PlaceEndKind, over: bool) {
-        let computed = self.questions[&asker].request.prompt;
+    fn end(&mut self, request_id: PlaceRequestId, how: PlaceEndKind, over: bool) {
+        let computed = self.questions[&request_id].request.prompt;
         let end = PlaceEnd { how, computed, output: Tokens(50), program_over: over };
 
-        self.questions.get_mut(&asker).unwrap().answer = Answer::Over;
-        self.step(QueueEvent::Vacate { asker, end });
+        self.questions.get_mut(&request_id).unwrap().answer = Answer::Over;
+        self.step(QueueEvent::Vacate { request_id, end });
     }
 
     fn host_gone(&mut self, host: HostId) {
-        let gone = self.questions.iter_mut().filter(|(asker, question)| {
-            asker.host == host && matches!(question.answer, Answer::Open | Answer::Granted(_))
+        let gone = self.questions.iter_mut().filter(|(request_id, question)| {
+            request_id.host == host && matches!(question.answer, Answer::Open | Answer::Granted(_))
         });
 
         gone.for_each(|(_, question)| question.answer = Answer::Over);
@@ -336,7 +336,7 @@
     }
 
     fn apply(mut state: Self, _: &(), transition: Transition) -> Self {
-        let asked: Vec<Asker> = state.questions.keys().copied().collect();
+        let asked: Vec<PlaceRequestId> = state.questions.keys().copied().collect();
         let live = state.live();
 
         match transition {
@@ -350,17 +350,17 @@
                     suspect,
                     ..request(TENANTS[tenant], CLASSES[class], program.into())
                 };
-                state.ask(Asker { host: HostId(number % 3), number }, request);
+                state.ask(PlaceRequestId { host: HostId(number % 3), number }, request);
             }
             Transition::Repeat(which) if !asked.is_empty() => state.repeat(*which.get(&asked)),
             Transition::Vacate { which, how, over } if !live.is_empty() => {
                 state.end(*which.get(&live), how, over);
             }
             Transition::Stale(which) if !asked.is_empty() => {
-                let asker = *which.get(&asked);
+                let request_id = *which.get(&asked);
 
-                if !live.contains(&asker) {
-                    state.step(QueueEvent::Vacate { asker, end: STALE });
+                if !live.contains(&request_id) {
+                    state.step(QueueEvent::Vacate { request_id, end: STALE });
                 }
             }
             Transition::HostGone(host) => state.host_gone(HostId(host.into())),
--- a/crates/policy/tests/queue_rules.rs
+++ b/crates/policy/tests/queue_rules.rs
@@ -7,8 +7,8 @@
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{QueueAction, QueueEvent};
-use camphorwalk_policy::wire::{PlaceEnd, PlaceEndKind, PlaceRequest};
-use queue_support::{Bench, asker, end, grant, id, leaving, request, target};
+use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest};
+use queue_support::{Bench, end, grant, id, leaving, request, request_id, target};
 
 #[test]
 fn a_window_bounds_what_is_in_flight() {
@@ -199,7 +199,7 @@
 
     let out = bench.configure(vec![leaving("t", "a", 1)]);
 
-    assert!(matches!(out[..], [QueueAction::Refuse { asker: a, .. }] if a == asker(2)));
+    assert!(matches!(out[..], [QueueAction::Refuse { request_id: a, .. }] if a == request_id(2)));
 }
 
 #[test]
@@ -210,7 +210,7 @@
 
     let out = bench.pass(Duration::from_secs(3));
 
-    assert!(matches!(out[..], [QueueAction::Refuse { asker: a, .. }] if a == asker(2)));
+    assert!(matches!(out[..], [QueueAction::Refuse { request_id: a, .. }] if a == request_id(2)));
 }
 
 #[test]
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -10,7 +10,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::{ConfigVersion, Tokens};
 use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent, QueueOptions, Queues};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
 
 /// The zone of the queues under test.
 pub const NEAR: &str = "a";
@@ -78,8 +78,8 @@
 }
 
 /// The asker with this number; each hundred is another host.
-pub fn asker(number: u64) -> Asker {
-    Asker { host: HostId(number / 100), number }
+pub fn request_id(number: u64) -> PlaceRequestId {
+    PlaceRequestId { host: HostId(number / 100), number }
 }
 
 pub fn end(how: PlaceEndKind) -> PlaceEnd {
@@ -91,7 +91,7 @@
 }
 
 pub fn grant(number: u64, target: &str) -> Vec<QueueAction> {
-    vec![QueueAction::Grant { asker: asker(number), target: id(target) }]
+    vec![QueueAction::Grant { request_id: request_id(number), target: id(target) }]
 }
 
 /// Queues with a clock that the test moves.
@@ -121,7 +121,7 @@
     }
 
     pub fn ask(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueAction> {
-        self.step(QueueEvent::Ask { asker: asker(number), request })
+        self.step(QueueEvent::Ask { request_id: request_id(number), request })
     }
 
     pub fn vacate(&mut self, number: u64) -> Vec<QueueAction> {
@@ -129,7 +129,7 @@
     }
 
     pub fn vacate_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueAction> {
-        self.step(QueueEvent::Vacate { asker: asker(number), end })
+        self.step(QueueEvent::Vacate { request_id: request_id(number), end })
     }
 
     pub fn load(&mut self, target: &str, waiting: u32) -> Vec<QueueAction> {
--- a/crates/policy/tests/queue_targets.rs
+++ b/crates/policy/tests/queue_targets.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::ids::{ClassId, ProgramId};
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::QueueEvent;
-use camphorwalk_policy::wire::{PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest};
 use queue_support::{Bench, end, grant, id, leaving, request, target};
 
 fn two() -> Bench {
--- a/crates/policy/tests/slices_first.rs
+++ b/crates/policy/tests/slices_first.rs
@@ -5,10 +5,10 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::ids::{HostId, TenantId, ZoneId};
 use camphorwalk_core::time::Instant;
+use camphorwalk_policy::shared_types::Verdict;
 use camphorwalk_policy::slices::{
     SliceAction, SliceEvent, SliceHost, SliceOptions, Slices, TakeId, columns,
 };
-use camphorwalk_policy::wire::Verdict;
 use serde_json::json;
 
 const BURST: u32 = 8;
--- a/crates/policy/tests/slices_rules.rs
+++ b/crates/policy/tests/slices_rules.rs
@@ -11,10 +11,10 @@
     LoanGrant, LoanOffer, LoanRequest, SliceBody, SliceMessage,
 };
 use camphorwalk_core::time::Instant;
+use camphorwalk_policy::shared_types::Verdict;
 use camphorwalk_policy::slices::{
     ColumnId, SliceAction, SliceEvent, SliceHost, SliceOptions, SliceTimes, Slices, TakeId, split,
 };
-use camphorwalk_policy::wire::Verdict;
 
 const RATE: f64 = 2.0;
 const BURST: u32 = 4;
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -21,7 +21,7 @@
 use camphorwalk_policy::scheduler::{
     Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
 };
-use camphorwalk_policy::wire::Dispatch;
+use camphorwalk_policy::shared_types::Dispatch;
 
 use crate::record::{Record, Submission};
 use faults::Trap;
--- a/crates/scenario/src/world/targets.rs
+++ b/crates/scenario/src/world/targets.rs
@@ -9,7 +9,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::scheduler::Event;
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch, Work};
 
 use super::{Item, World};
 use crate::record::Sent;
