--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{QueueAction, QueueEvent};
-use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 use serde::Serialize;
 
 use crate::fleet::{Engines, POOL, config, tenant_name};
@@ -137,11 +137,11 @@
 
     fn end_oldest(&mut self) {
         let Some(request_id) = self.granted.pop_front() else { return };
-        let end = PlaceEnd {
-            how: PlaceEndKind::Finished,
-            computed: Tokens(200),
+        let end = PlaceRelease {
+            outcome: PlaceOutcome::Finished,
+            computed_prompt: Tokens(200),
             output: Tokens(100),
-            program_over: false,
+            program_ended: false,
         };
 
         self.step(QueueEvent::Vacate { request_id, end });
--- a/crates/bench/src/drive.rs
+++ b/crates/bench/src/drive.rs
@@ -9,7 +9,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent};
-use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -360,16 +360,16 @@
         self.progress[program].engine = None;
         self.progress[program].asked = None;
         self.askers.remove(&sequence.number);
-        self.vacate(sequence.number, PlaceEndKind::Finished, sequence.computed, sequence.output);
+        self.vacate(sequence.number, PlaceOutcome::Finished, sequence.computed, sequence.output);
         self.after_turn(program, turn);
     }
 
-    fn vacate(&mut self, number: u64, how: PlaceEndKind, computed: u64, output: u64) {
-        let end = PlaceEnd {
-            how,
-            computed: Tokens(computed),
+    fn vacate(&mut self, number: u64, outcome: PlaceOutcome, computed: u64, output: u64) {
+        let end = PlaceRelease {
+            outcome,
+            computed_prompt: Tokens(computed),
             output: Tokens(output),
-            program_over: how == PlaceEndKind::Failed || how == PlaceEndKind::NotSent,
+            program_ended: outcome == PlaceOutcome::Failed || outcome == PlaceOutcome::NotSent,
         };
 
         self.tell(QueueEvent::Vacate { request_id: request_id(number), end });
@@ -452,9 +452,9 @@
         match self.progress[program].engine.take() {
             Some(engine) => {
                 self.engines[engine].cancel(number);
-                self.vacate(number, PlaceEndKind::Failed, 0, 0);
+                self.vacate(number, PlaceOutcome::Failed, 0, 0);
             }
-            None => self.vacate(number, PlaceEndKind::NotSent, 0, 0),
+            None => self.vacate(number, PlaceOutcome::NotSent, 0, 0),
         }
     }
 
--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -16,7 +16,7 @@
 use camphorwalk_policy::scheduler::{
     Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
 };
-use camphorwalk_policy::shared_types::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 use camphorwalk_standin::Store;
 use prost::Message as _;
 
@@ -236,7 +236,8 @@
             }
             Action::Dispatch(dispatch) => {
                 let usage = Usage { output_tokens: Tokens(8), ..Usage::default() };
-                let end = AttemptEnd::Done { output: "\"some words of an answer\"".into(), usage };
+                let end =
+                    AttemptOutcome::Done { output: "\"some words of an answer\"".into(), usage };
                 self.add(TARGET_TIME, host, Event::Ended { attempt: dispatch.attempt, end });
             }
             Action::Cancel(_)
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -11,7 +11,7 @@
 use camphorwalk_peer::{Inbound, PeerOptions, Peers, Secret};
 use camphorwalk_policy::configs::OperatorId;
 use camphorwalk_policy::scheduler::{Action, Event, OperatorReply, SchedulerOptions};
-use camphorwalk_policy::shared_types::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 use camphorwalk_store::{Client, ClientOptions};
 use rand::RngCore as _;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -264,7 +264,7 @@
             let stands = read(&shared.keys).stands(dispatch.key);
             let end = if stands { targets.run(dispatch).await } else { key_withdrawn() };
             // A cancelled attempt may be answered to nobody: what was counted for the answer goes.
-            if let (AttemptEnd::Cancelled, Some(ticket)) = (&end, stream) {
+            if let (AttemptOutcome::Cancelled, Some(ticket)) = (&end, stream) {
                 shared.streams.take_sent(ticket);
             }
             shared.metrics.attempts.with_label_values(&[end_label(&end)]).inc();
@@ -418,18 +418,18 @@
 }
 
 /// Returns the end of an attempt whose key was withdrawn before it was sent.
-fn key_withdrawn() -> AttemptEnd {
-    AttemptEnd::Refused { message: "its key was withdrawn".into() }
+fn key_withdrawn() -> AttemptOutcome {
+    AttemptOutcome::Refused { message: "its key was withdrawn".into() }
 }
 
-fn end_label(end: &AttemptEnd) -> &'static str {
+fn end_label(end: &AttemptOutcome) -> &'static str {
     match end {
-        AttemptEnd::Done { .. } => "done",
-        AttemptEnd::NotSent => "not_sent",
-        AttemptEnd::Refused { .. } => "refused",
-        AttemptEnd::Failed { .. } => "failed",
-        AttemptEnd::Lost { .. } => "lost",
-        AttemptEnd::Cancelled => "cancelled",
+        AttemptOutcome::Done { .. } => "done",
+        AttemptOutcome::NotSent => "not_sent",
+        AttemptOutcome::Refused { .. } => "refused",
+        AttemptOutcome::Failed { .. } => "failed",
+        AttemptOutcome::Lost { .. } => "lost",
+        AttemptOutcome::Cancelled => "cancelled",
     }
 }
 
--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -16,7 +16,7 @@
 use camphorwalk_core::config::{Config, Target, TargetKind};
 use camphorwalk_core::hash::{Map, Set};
 use camphorwalk_core::ids::{AttemptId, ProgramId, TargetId, Ticket};
-use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, Dispatch};
 use futures::future::BoxFuture;
 use http::{Request, Uri};
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -94,10 +94,10 @@
     }
 
     /// Runs an attempt to its end.
-    pub async fn run(&self, dispatch: Dispatch) -> AttemptEnd {
+    pub async fn run(&self, dispatch: Dispatch) -> AttemptOutcome {
         let Some(target) = self.address(dispatch.target) else {
             let message = "it is not in the configuration of this host".into();
-            return AttemptEnd::Refused { message };
+            return AttemptOutcome::Refused { message };
         };
         let cancel = CancellationToken::new();
         lock(&self.shared.running).insert(dispatch.attempt, cancel.clone());
@@ -114,16 +114,16 @@
         target: TargetAddress,
         dispatch: Dispatch,
         cancel: &CancellationToken,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let timeout = dispatch.timeout;
         let streamed = AtomicBool::new(false);
         let work = async {
-            match &dispatch.work {
-                Work::Generate { prompt, max_tokens } => {
+            match &dispatch.payload {
+                AttemptPayload::Generate { prompt, max_tokens } => {
                     self.note_served(dispatch.program, dispatch.target);
                     self.generate(target, &dispatch, prompt, *max_tokens, &streamed).await
                 }
-                Work::Operation { operation, key, input } => {
+                AttemptPayload::Operation { operation, key, input } => {
                     self.operate(target, &dispatch, operation, key, input).await
                 }
             }
@@ -132,8 +132,8 @@
         // Dropping the work closes its connection, which ends it at an engine.
         tokio::select! {
             end = work => end,
-            () = cancel.cancelled() => AttemptEnd::Cancelled,
-            () = tokio::time::sleep(timeout) => AttemptEnd::Lost {
+            () = cancel.cancelled() => AttemptOutcome::Cancelled,
+            () = tokio::time::sleep(timeout) => AttemptOutcome::Lost {
                 streamed: streamed.load(Ordering::Relaxed),
                 crashed: false,
             },
@@ -211,12 +211,12 @@
 ///
 /// Only a connection that was never made proves that nothing was sent. Anything later may
 /// have reached the target: told as "not sent" it could be run a second time.
-fn sending_failed(e: &hyper_util::client::legacy::Error) -> AttemptEnd {
+fn sending_failed(e: &hyper_util::client::legacy::Error) -> AttemptOutcome {
     if e.is_connect() {
-        return AttemptEnd::NotSent;
+        return AttemptOutcome::NotSent;
     }
 
-    AttemptEnd::Lost { streamed: false, crashed: true }
+    AttemptOutcome::Lost { streamed: false, crashed: true }
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/node/src/targets/engine.rs
+++ b/crates/node/src/targets/engine.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::{ProgramId, Ticket};
-use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch};
+use camphorwalk_policy::shared_types::{AttemptOutcome, Dispatch};
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
@@ -54,7 +54,7 @@
         prompt: &[Arc<str>],
         max_tokens: u32,
         streamed: &AtomicBool,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let body = Generate {
             attempt: dispatch.attempt.to_string(),
             program: dispatch.program,
@@ -69,7 +69,7 @@
             Err(e) => return sending_failed(&e),
         };
         if !response.status().is_success() {
-            return AttemptEnd::Refused { message: response.status().to_string().into() };
+            return AttemptOutcome::Refused { message: response.status().to_string().into() };
         }
 
         self.read_stream(response.into_body(), dispatch.stream, streamed).await
@@ -80,10 +80,10 @@
         mut body: Incoming,
         stream: Option<Ticket>,
         streamed: &AtomicBool,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let mut reader = StreamReader::default();
         let mut parts = 0;
-        let lost = |parts| AttemptEnd::Lost { streamed: parts > 0, crashed: true };
+        let lost = |parts| AttemptOutcome::Lost { streamed: parts > 0, crashed: true };
 
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
@@ -102,7 +102,7 @@
                     continue;
                 };
                 let Ok(Text { text }) = serde_json::from_str(&event.data) else {
-                    return AttemptEnd::Failed { message: "a malformed part".into() };
+                    return AttemptOutcome::Failed { message: "a malformed part".into() };
                 };
                 streamed.store(true, Ordering::Relaxed);
                 if !(self.shared.send_part)(ticket, parts, text).await {
@@ -112,7 +112,7 @@
                 parts += 1;
             }
             if reader.pending() > LARGEST_ANSWER {
-                return AttemptEnd::Failed { message: "the answer is too large".into() };
+                return AttemptOutcome::Failed { message: "the answer is too large".into() };
             }
         }
 
@@ -131,9 +131,9 @@
     }
 }
 
-fn done(event: &StreamEvent) -> AttemptEnd {
+fn done(event: &StreamEvent) -> AttemptOutcome {
     match serde_json::from_str::<Generated>(&event.data) {
-        Ok(end) => AttemptEnd::Done { output: end.output.to_string().into(), usage: end.usage },
-        Err(_) => AttemptEnd::Failed { message: "a malformed end of the answer".into() },
+        Ok(end) => AttemptOutcome::Done { output: end.output.to_string().into(), usage: end.usage },
+        Err(_) => AttemptOutcome::Failed { message: "a malformed end of the answer".into() },
     }
 }
--- a/crates/node/src/targets/service.rs
+++ b/crates/node/src/targets/service.rs
@@ -2,7 +2,7 @@
 
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::ProgramId;
-use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch};
+use camphorwalk_policy::shared_types::{AttemptOutcome, Dispatch};
 use http::StatusCode;
 use http_body_util::{BodyExt as _, Limited};
 use serde::{Deserialize, Serialize};
@@ -43,9 +43,9 @@
         operation: &str,
         key: &str,
         input: &str,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let Ok(input) = serde_json::from_str::<&RawValue>(input) else {
-            return AttemptEnd::Refused { message: "the input is not JSON".into() };
+            return AttemptOutcome::Refused { message: "the input is not JSON".into() };
         };
         let (program, call) = (dispatch.program, dispatch.number);
         let body = serde_json::to_vec(&Run { operation, key, program, call, input })
@@ -58,28 +58,28 @@
         let status = response.status();
         let body = Limited::new(response.into_body(), LARGEST_ANSWER);
         let Ok(body) = body.collect().await else {
-            return AttemptEnd::Lost { streamed: false, crashed: true };
+            return AttemptOutcome::Lost { streamed: false, crashed: true };
         };
 
         read_answer(status, &body.to_bytes())
     }
 }
 
-fn read_answer(status: StatusCode, body: &[u8]) -> AttemptEnd {
+fn read_answer(status: StatusCode, body: &[u8]) -> AttemptOutcome {
     if status.is_success() {
         return match serde_json::from_slice::<Output>(body) {
             Ok(Output { output }) => {
-                AttemptEnd::Done { output: output.to_string().into(), usage: Usage::default() }
+                AttemptOutcome::Done { output: output.to_string().into(), usage: Usage::default() }
             }
-            Err(_) => AttemptEnd::Failed { message: "a malformed answer".into() },
+            Err(_) => AttemptOutcome::Failed { message: "a malformed answer".into() },
         };
     }
 
     // Only the service itself can say that it did not run the operation.
     let failure: Failure = serde_json::from_slice(body).unwrap_or_default();
     if status == StatusCode::SERVICE_UNAVAILABLE || failure.ran == Some(false) {
-        return AttemptEnd::Refused { message: failure.error };
+        return AttemptOutcome::Refused { message: failure.error };
     }
 
-    AttemptEnd::Failed { message: failure.error }
+    AttemptOutcome::Failed { message: failure.error }
 }
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -46,7 +46,7 @@
 use self::retry::{RetryBudget, Suspects};
 use self::state::{Call, Program, ProgramKey, ProgramState, Recovering};
 use self::timers::{Timer, Timers};
-use crate::shared_types::{AttemptEnd, CallId, Dispatch, PlaceEnd, PlaceRequest, Verdict};
+use crate::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRelease, PlaceRequest, Verdict};
 
 /// A platform operation that the programs wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -119,7 +119,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// How.
-        end: AttemptEnd,
+        end: AttemptOutcome,
     },
     /// The platform answered [`ProgramAction::Platform`].
     Platform {
@@ -166,7 +166,7 @@
         /// The call.
         call: CallId,
         /// How the place was used.
-        end: PlaceEnd,
+        end: PlaceRelease,
     },
     /// Send an attempt to a target.
     Dispatch(Dispatch),
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -13,7 +13,7 @@
 use super::retry::Crash;
 use super::state::{Kind, ProgramKey, ProgramState, Stage};
 use super::{Cx, ProgramAction, Programs, answers};
-use crate::shared_types::{AttemptEnd, CallId, PlaceEndKind};
+use crate::shared_types::{AttemptOutcome, CallId, PlaceOutcome};
 
 /// How long an answer waits for its record to be durable before it goes out as not stored.
 const STORE_WAIT: Duration = Duration::from_millis(500);
@@ -23,7 +23,7 @@
 
 impl Programs {
     /// An attempt ended.
-    pub(super) fn on_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
+    pub(super) fn on_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptOutcome) {
         // Each attempt ends once; a late or crossed second end finds nothing.
         let Some(id) = self.attempts.remove(&attempt) else { return };
 
@@ -32,34 +32,36 @@
         }
 
         match end {
-            AttemptEnd::Done { output, usage } => self.done(cx, id, output.into(), usage),
+            AttemptOutcome::Done { output, usage } => self.done(cx, id, output.into(), usage),
             // A target that refuses connections does so at once, and so always looks idle. Told
             // as a place that was not used, each call would be sent there first.
-            AttemptEnd::NotSent => {
-                self.not_run(cx, id, PlaceEndKind::Crashed, "it cannot be reached");
+            AttemptOutcome::NotSent => {
+                self.not_run(cx, id, PlaceOutcome::Crashed, "it cannot be reached");
             }
-            AttemptEnd::Refused { message } => {
-                self.not_run(cx, id, PlaceEndKind::Failed, &message);
+            AttemptOutcome::Refused { message } => {
+                self.not_run(cx, id, PlaceOutcome::Failed, &message);
             }
-            AttemptEnd::Failed { message } => self.failed(cx, id, &message),
-            AttemptEnd::Lost { streamed, crashed } => self.lost_attempt(cx, id, streamed, crashed),
-            AttemptEnd::Cancelled => self.cancelled(cx, id),
+            AttemptOutcome::Failed { message } => self.failed(cx, id, &message),
+            AttemptOutcome::Lost { streamed, crashed } => {
+                self.lost_attempt(cx, id, streamed, crashed)
+            }
+            AttemptOutcome::Cancelled => self.cancelled(cx, id),
         }
     }
 
     /// The target answered in full.
     fn done(&mut self, cx: &mut Cx<'_>, id: CallId, output: Arc<str>, usage: Usage) {
         self.settle(id, Some(&usage));
-        self.vacate(cx, id, PlaceEndKind::Finished, Some(&usage));
+        self.vacate(cx, id, PlaceOutcome::Finished, Some(&usage));
         let digest = self.calls[id].digest;
         self.suspects.cleared(&digest);
         self.record(cx, id, Recorded::Done { output, usage });
     }
 
     /// It is proved that the target did not run the call and will not.
-    fn not_run(&mut self, cx: &mut Cx<'_>, id: CallId, how: PlaceEndKind, message: &str) {
+    fn not_run(&mut self, cx: &mut Cx<'_>, id: CallId, outcome: PlaceOutcome, message: &str) {
         self.release(id);
-        self.vacate(cx, id, how, None);
+        self.vacate(cx, id, outcome, None);
 
         if matches!(self.calls[id].kind, Kind::Once(_)) {
             self.journal_not_run(id);
@@ -74,7 +76,7 @@
     /// The target ran the call and failed.
     fn failed(&mut self, cx: &mut Cx<'_>, id: CallId, message: &str) {
         self.settle(id, None);
-        self.vacate(cx, id, PlaceEndKind::Failed, None);
+        self.vacate(cx, id, PlaceOutcome::Failed, None);
         self.calls[id].may_have_run = true;
 
         if matches!(self.calls[id].kind, Kind::Once(_)) {
@@ -88,9 +90,9 @@
 
     /// Nobody knows whether the target ran the call.
     fn lost_attempt(&mut self, cx: &mut Cx<'_>, id: CallId, streamed: bool, crashed: bool) {
-        let how = if crashed { PlaceEndKind::Crashed } else { PlaceEndKind::Failed };
+        let outcome = if crashed { PlaceOutcome::Crashed } else { PlaceOutcome::Failed };
         self.settle(id, None);
-        self.vacate(cx, id, how, None);
+        self.vacate(cx, id, outcome, None);
         self.calls[id].may_have_run = true;
         let quarantined = crashed && self.crashed(cx, id);
 
@@ -112,7 +114,7 @@
     /// An attempt was cancelled, as this home asked.
     fn cancelled(&mut self, cx: &mut Cx<'_>, id: CallId) {
         self.settle(id, None);
-        self.vacate(cx, id, PlaceEndKind::Failed, None);
+        self.vacate(cx, id, PlaceOutcome::Failed, None);
         self.calls[id].may_have_run = true;
 
         if matches!(self.calls[id].kind, Kind::Once(_)) {
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -11,7 +11,9 @@
 use super::state::{Kind, ProgramState, Stage};
 use super::timers::Timer;
 use super::{Cx, ProgramAction, Programs, answers};
-use crate::shared_types::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
+use crate::shared_types::{
+    AttemptPayload, CallId, Dispatch, PlaceOutcome, PlaceRelease, PlaceRequest, Verdict,
+};
 
 /// How long a call waits for the platform to take its intent or grant.
 const ASK_WAIT: Duration = Duration::from_secs(1);
@@ -138,11 +140,12 @@
         let program = &self.programs[call.program];
         let (Some(attempt), Some(target)) = (call.attempt, call.target) else { return };
 
-        let work = match &call.kind {
-            Kind::Turn { max_tokens } => {
-                Work::Generate { prompt: program.prompt(&call.text.input), max_tokens: *max_tokens }
-            }
-            Kind::Repeatable(operation) | Kind::Once(operation) => Work::Operation {
+        let payload = match &call.kind {
+            Kind::Turn { max_tokens } => AttemptPayload::Generate {
+                prompt: program.prompt(&call.text.input),
+                max_tokens: *max_tokens,
+            },
+            Kind::Repeatable(operation) | Kind::Once(operation) => AttemptPayload::Operation {
                 operation: operation.clone(),
                 key: call.text.key.clone(),
                 input: Box::from(&*call.text.input),
@@ -157,7 +160,7 @@
             key: call.key,
             program: program.id,
             number: call.number,
-            work,
+            payload,
             stream: call.callers.iter().find(|caller| caller.stream).map(|c| c.ticket),
             timeout: program.left(cx.now),
         }));
@@ -186,7 +189,7 @@
         }
 
         if matches!(self.calls[id].stage, Stage::Placing | Stage::Intending) {
-            self.vacate(cx, id, PlaceEndKind::NotSent, None);
+            self.vacate(cx, id, PlaceOutcome::NotSent, None);
         }
 
         self.answer_callers(cx, id, &refusal);
@@ -198,7 +201,7 @@
         &mut self,
         cx: &mut Cx<'_>,
         id: CallId,
-        how: PlaceEndKind,
+        outcome: PlaceOutcome,
         usage: Option<&Usage>,
     ) {
         let call = &self.calls[id];
@@ -207,11 +210,11 @@
 
         cx.out.push(ProgramAction::Vacate {
             call: id,
-            end: PlaceEnd {
-                how,
-                computed: usage.prompt_tokens.minus(usage.cached_tokens),
+            end: PlaceRelease {
+                outcome,
+                computed_prompt: usage.prompt_tokens.minus(usage.cached_tokens),
                 output: usage.output_tokens,
-                program_over: program.state == ProgramState::Ended,
+                program_ended: program.state == ProgramState::Ended,
             },
         });
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -42,7 +42,7 @@
 use self::shares::Weights;
 use self::targets::{Candidate, Targets};
 use self::waiting::{Waiter, Waiting};
-use crate::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
+use crate::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// What an engine says of its load; it lags.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -72,7 +72,7 @@
         /// Who asked for it.
         request_id: PlaceRequestId,
         /// How the place was used.
-        end: PlaceEnd,
+        end: PlaceRelease,
     },
     /// A host is gone with all that it asked for.
     HostGone(HostId),
@@ -357,14 +357,14 @@
         &mut self,
         now: Instant,
         request_id: PlaceRequestId,
-        end: PlaceEnd,
+        end: PlaceRelease,
         out: &mut Vec<QueueAction>,
     ) {
         let withdrawn = self.withdraw(request_id).map(|waiter| waiter.request);
         let freed = self.free(now, request_id, end).map(|place| place.request);
         let Some(request) = withdrawn.or(freed) else { return };
 
-        if end.program_over {
+        if end.program_ended {
             self.targets.forget(request.program);
         }
 
@@ -403,12 +403,17 @@
     }
 
     /// Takes a place back.
-    fn free(&mut self, now: Instant, request_id: PlaceRequestId, end: PlaceEnd) -> Option<Place> {
+    fn free(
+        &mut self,
+        now: Instant,
+        request_id: PlaceRequestId,
+        end: PlaceRelease,
+    ) -> Option<Place> {
         let place = self.places.remove(request_id)?;
         let PlaceRequest { pool, tenant, class, .. } = place.request;
-        let used = match end.how {
-            PlaceEndKind::NotSent => Tokens(0),
-            _ => CALL_TOKENS.plus(end.computed).plus(end.output),
+        let used = match end.outcome {
+            PlaceOutcome::NotSent => Tokens(0),
+            _ => CALL_TOKENS.plus(end.computed_prompt).plus(end.output),
         };
         let weight = self.weights.get(tenant);
 
@@ -419,9 +424,9 @@
             pool.shares.refund(tenant, weight, place.charged.minus(used));
             pool.shares.charge(tenant, weight, used.minus(place.charged));
 
-            if end.how == PlaceEndKind::Finished {
+            if end.outcome == PlaceOutcome::Finished {
                 let time = now.since(place.granted);
-                pool.estimates.served(class, end.computed, end.output, time);
+                pool.estimates.served(class, end.computed_prompt, end.output, time);
             }
         }
 
@@ -444,8 +449,8 @@
             }
 
             match pool.pick(now, id, &self.weights, &mut self.waiting, &mut self.targets) {
-                Pick::Grant(request_id, target, computed) => {
-                    self.grant(now, request_id, target, computed, out);
+                Pick::Grant(request_id, target, computed_prompt) => {
+                    self.grant(now, request_id, target, computed_prompt, out);
                 }
                 Pick::Nothing(look_again) => {
                     pool.look_again = look_again;
@@ -460,7 +465,7 @@
         now: Instant,
         request_id: PlaceRequestId,
         target: TargetId,
-        computed: Tokens,
+        computed_prompt: Tokens,
         out: &mut Vec<QueueAction>,
     ) {
         let Some(waiter) = self.waiting.get(request_id).copied() else { return };
@@ -469,9 +474,9 @@
 
         if let Some(pool) = self.pools.get_mut(&request.pool) {
             let output = pool.estimates.output(request.class, request.output);
-            let charged = CALL_TOKENS.plus(computed).plus(output);
+            let charged = CALL_TOKENS.plus(computed_prompt).plus(output);
             let deadline = waiter.deadline;
-            let place = Place { request, target, granted: now, computed, charged, deadline };
+            let place = Place { request, target, granted: now, computed_prompt, charged, deadline };
             let candidate = Candidate { request_id, request: &request, passed: None };
 
             let is_first = request.attained == Tokens(0);
@@ -490,11 +495,11 @@
 }
 
 /// The end of a place that nobody told about.
-const UNKNOWN_END: PlaceEnd = PlaceEnd {
-    how: PlaceEndKind::Failed,
-    computed: Tokens(0),
+const UNKNOWN_END: PlaceRelease = PlaceRelease {
+    outcome: PlaceOutcome::Failed,
+    computed_prompt: Tokens(0),
     output: Tokens(0),
-    program_over: false,
+    program_ended: false,
 };
 
 /// Returns whether two requests of one asker are the same question.
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -28,7 +28,7 @@
     /// When it was granted.
     pub granted: Instant,
     /// The prompt tokens that were expected to be computed.
-    pub computed: Tokens,
+    pub computed_prompt: Tokens,
     /// What its tenant was charged.
     pub charged: Tokens,
     /// Its call's deadline.
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -14,7 +14,7 @@
 use super::places::Place;
 use super::residents::{Resident, Residents};
 use super::window::Window;
-use crate::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
+use crate::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// A call waits no longer than this for the target that holds its prefix.
 const LONGEST_PREFIX_WAIT: Duration = Duration::from_secs(5);
@@ -367,21 +367,21 @@
     }
 
     /// Learns from how a call ended.
-    pub fn learn(&mut self, now: Instant, place: &Place, end: PlaceEnd) {
+    pub fn learn(&mut self, now: Instant, place: &Place, end: PlaceRelease) {
         let Some(state) = self.states.get_mut(&place.target) else { return };
         let prompt = place.request.prompt;
 
-        match end.how {
-            PlaceEndKind::NotSent => {
-                let before = prompt.minus(place.computed);
+        match end.outcome {
+            PlaceOutcome::NotSent => {
+                let before = prompt.minus(place.computed_prompt);
                 state.residents.hold(now, &place.request, before, false);
             }
-            PlaceEndKind::Finished => {
+            PlaceOutcome::Finished => {
                 state.health.worked();
                 state.residents.hold(now, &place.request, prompt.plus(end.output), false);
             }
-            PlaceEndKind::Failed => state.residents.hold(now, &place.request, prompt, false),
-            PlaceEndKind::Crashed => {
+            PlaceOutcome::Failed => state.residents.hold(now, &place.request, prompt, false),
+            PlaceOutcome::Crashed => {
                 state.health.crashed(now);
                 state.residents.clear();
             }
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -35,7 +35,7 @@
 use crate::membership::{Membership, MembershipOptions};
 use crate::programs::{ProgramOp, ProgramOptions, Programs};
 use crate::queue::{LoadReport, QueueOptions, Queues};
-use crate::shared_types::{AttemptEnd, CallId, Dispatch};
+use crate::shared_types::{AttemptOutcome, CallId, Dispatch};
 use crate::slices::{SliceOptions, Slices, TakeId};
 
 use self::asks::Asks;
@@ -102,7 +102,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// How.
-        end: AttemptEnd,
+        end: AttemptOutcome,
     },
     /// A target reported its load.
     Load {
--- a/crates/policy/src/scheduler/asks.rs
+++ b/crates/policy/src/scheduler/asks.rs
@@ -13,7 +13,7 @@
 use super::{Action, Scheduler};
 use crate::programs::ProgramEvent;
 use crate::queue::QueueEvent;
-use crate::shared_types::{CallId, PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
+use crate::shared_types::{CallId, PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// How long a question stays unanswered before it is sent once more: messages may be lost,
 /// and a repeated question is known by its number.
@@ -95,7 +95,7 @@
     }
 
     /// Gives a place back, or withdraws the question for one.
-    pub(super) fn vacate(&mut self, call: CallId, end: PlaceEnd, out: &mut Vec<Action>) {
+    pub(super) fn vacate(&mut self, call: CallId, end: PlaceRelease, out: &mut Vec<Action>) {
         let Some(number) = self.asks.numbers.remove(&call) else {
             return;
         };
@@ -258,37 +258,37 @@
     Action::Send { to, message }
 }
 
-fn not_sent() -> PlaceEnd {
-    PlaceEnd {
-        how: PlaceEndKind::NotSent,
-        computed: Tokens(0),
+fn not_sent() -> PlaceRelease {
+    PlaceRelease {
+        outcome: PlaceOutcome::NotSent,
+        computed_prompt: Tokens(0),
         output: Tokens(0),
-        program_over: false,
+        program_ended: false,
     }
 }
 
-/// The numbers that stand for [`PlaceEndKind`] in a message.
-const ENDS: [PlaceEndKind; 4] =
-    [PlaceEndKind::NotSent, PlaceEndKind::Finished, PlaceEndKind::Failed, PlaceEndKind::Crashed];
+/// The numbers that stand for [`PlaceOutcome`] in a message.
+const ENDS: [PlaceOutcome; 4] =
+    [PlaceOutcome::NotSent, PlaceOutcome::Finished, PlaceOutcome::Failed, PlaceOutcome::Crashed];
 
-fn done_message(number: u64, end: &PlaceEnd) -> Done {
-    let position = ENDS.iter().position(|how| *how == end.how).unwrap_or(0);
+fn done_message(number: u64, end: &PlaceRelease) -> Done {
+    let position = ENDS.iter().position(|outcome| *outcome == end.outcome).unwrap_or(0);
 
     Done {
         number,
         end: position as u32,
-        computed_tokens: end.computed.0,
+        computed_tokens: end.computed_prompt.0,
         output_tokens: end.output.0,
-        program_over: end.program_over,
+        program_over: end.program_ended,
     }
 }
 
-fn place_end(done: &Done) -> PlaceEnd {
-    PlaceEnd {
-        how: ENDS.get(done.end as usize).copied().unwrap_or(PlaceEndKind::Failed),
-        computed: Tokens(done.computed_tokens),
+fn place_end(done: &Done) -> PlaceRelease {
+    PlaceRelease {
+        outcome: ENDS.get(done.end as usize).copied().unwrap_or(PlaceOutcome::Failed),
+        computed_prompt: Tokens(done.computed_tokens),
         output: Tokens(done.output_tokens),
-        program_over: done.program_over,
+        program_ended: done.program_over,
     }
 }
 
--- a/crates/policy/src/shared_types.rs
+++ b/crates/policy/src/shared_types.rs
@@ -63,20 +63,20 @@
 
 /// How a place at a target was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PlaceEnd {
+pub struct PlaceRelease {
     /// How the attempt ended.
-    pub how: PlaceEndKind,
+    pub outcome: PlaceOutcome,
     /// Tokens of the prompt that were not in the engine's cache.
-    pub computed: Tokens,
+    pub computed_prompt: Tokens,
     /// Tokens generated.
     pub output: Tokens,
     /// Whether the program is over, so that its prefix is of no more use.
-    pub program_over: bool,
+    pub program_ended: bool,
 }
 
 /// How an attempt ended, as far as the queue minds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum PlaceEndKind {
+pub enum PlaceOutcome {
     /// Nothing was sent; also for a question that is withdrawn before its grant.
     NotSent,
     /// The target answered.
@@ -105,7 +105,7 @@
     /// The call's number in the program.
     pub number: u32,
     /// What to send.
-    pub work: Work,
+    pub payload: AttemptPayload,
     /// Where to stream to, if the caller asked for it.
     pub stream: Option<camphorwalk_core::ids::Ticket>,
     /// The time allowed for it.
@@ -114,7 +114,7 @@
 
 /// What an attempt sends.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Work {
+pub enum AttemptPayload {
     /// A model turn.
     Generate {
         /// The program's history and the new input, one part for each input and output.
@@ -135,7 +135,7 @@
 
 /// How an attempt ended at its target.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The whole answer arrived.
     Done {
         /// The output, as JSON text.
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -4,7 +4,7 @@
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::shared_types::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{
     BUDGET, Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, lost, open_child,
@@ -21,14 +21,14 @@
 }
 
 /// Returns the end of a turn that took this many tokens.
-fn took(prompt: u64, output: u64) -> AttemptEnd {
+fn took(prompt: u64, output: u64) -> AttemptOutcome {
     let usage = Usage {
         prompt_tokens: Tokens(prompt),
         cached_tokens: Tokens(0),
         output_tokens: Tokens(output),
     };
 
-    AttemptEnd::Done { output: "\"text\"".into(), usage }
+    AttemptOutcome::Done { output: "\"text\"".into(), usage }
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let mut home = Home::with_program(platform, 1);
 
     home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    home.finish(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 102);
 }
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
 use camphorwalk_core::ids::KeyId;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::shared_types::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{Home, PROGRAM, Platform, call, done};
 
@@ -16,7 +16,7 @@
 
     home.event(platform, ProgramEvent::CallerGone { ticket });
     let cancelled = home.cancelled;
-    home.finish(platform, AttemptEnd::Cancelled);
+    home.finish(platform, AttemptOutcome::Cancelled);
     let next = home.run(platform, call("model", "k2", 0), "\"text\"");
 
     assert_eq!(cancelled, 1);
@@ -48,7 +48,7 @@
     let running = home.ask_as(platform, ("inkwick", 5), call("model", "k1", 0));
 
     home.event(platform, ProgramEvent::KeyWithdrawn(KeyId(5)));
-    home.finish(platform, AttemptEnd::Cancelled);
+    home.finish(platform, AttemptOutcome::Cancelled);
     home.hold_places = true;
     let waiting = home.ask_as(platform, ("inkwick", 6), call("model", "k2", 0));
     home.event(platform, ProgramEvent::KeyWithdrawn(KeyId(6)));
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -20,7 +20,7 @@
 use camphorwalk_policy::programs::{
     ProgramAction, ProgramEvent, ProgramOp, ProgramOptions, Programs,
 };
-use camphorwalk_policy::shared_types::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
+use camphorwalk_policy::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRequest, Verdict};
 
 /// The partition that all programs of the stories are in.
 pub const PARTITION: PartitionId = PartitionId(0);
@@ -346,7 +346,7 @@
     }
 
     /// Ends the attempt that was sent last.
-    pub fn finish(&mut self, platform: &mut Platform, end: AttemptEnd) {
+    pub fn finish(&mut self, platform: &mut Platform, end: AttemptOutcome) {
         let attempt = self.sent.last().expect("an attempt was sent").attempt;
         self.event(platform, ProgramEvent::Ended { attempt, end });
         self.pass(platform, 10);
@@ -433,10 +433,10 @@
 }
 
 /// Returns the end of an attempt that was answered in full.
-pub fn done(output: &str) -> AttemptEnd {
+pub fn done(output: &str) -> AttemptOutcome {
     let usage = Usage { prompt_tokens: Tokens(10), output_tokens: Tokens(20), ..Usage::default() };
 
-    AttemptEnd::Done { output: output.into(), usage }
+    AttemptOutcome::Done { output: output.into(), usage }
 }
 
 /// Returns the opening of a sub-agent.
@@ -447,6 +447,6 @@
 }
 
 /// Returns the end of an attempt whose connection broke.
-pub fn lost(crashed: bool) -> AttemptEnd {
-    AttemptEnd::Lost { streamed: false, crashed }
+pub fn lost(crashed: bool) -> AttemptOutcome {
+    AttemptOutcome::Lost { streamed: false, crashed }
 }
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -2,7 +2,7 @@
 
 use camphorwalk_core::calls::{Code, Ran};
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::shared_types::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{Home, Mode, PARTITION, Platform, call, call_with_tail, done, lost};
 
@@ -123,7 +123,7 @@
     let mut home = Home::with_program(platform, 1);
 
     let first = home.ask(platform, call("deposit", "k1", 0));
-    home.finish(platform, AttemptEnd::NotSent);
+    home.finish(platform, AttemptOutcome::NotSent);
     let second = home.run(platform, call("deposit", "k1", 0), "\"paid\"");
     let mut new = Home::new(platform, 2);
 
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::shared_types::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{Home, PROGRAM, Platform, call, call_request, done, lost, open};
 
@@ -30,7 +30,7 @@
     let mut home = Home::with_program(platform, 1);
 
     let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    home.finish(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     let refusal = home.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
@@ -49,7 +49,7 @@
         let mut tries = home.sent.len();
 
         loop {
-            home.finish(platform, AttemptEnd::Failed { message: "no".into() });
+            home.finish(platform, AttemptOutcome::Failed { message: "no".into() });
 
             if home.sent.len() == tries {
                 break;
@@ -71,9 +71,9 @@
     let ticket = home.ask(platform, call("model", "k1", 0));
     home.finish(platform, lost(false));
 
-    home.finish(platform, AttemptEnd::Refused { message: "full".into() });
+    home.finish(platform, AttemptOutcome::Refused { message: "full".into() });
     while home.sent.len() > home.vacated.len() {
-        home.finish(platform, AttemptEnd::NotSent);
+        home.finish(platform, AttemptOutcome::NotSent);
     }
 
     let refusal = home.refusal(ticket);
--- a/crates/policy/tests/programs_home/targets.rs
+++ b/crates/policy/tests/programs_home/targets.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, Dispatch};
 
 /// What becomes of an attempt.
 #[derive(Clone, Copy, Debug)]
@@ -28,24 +28,24 @@
 
 /// Returns the tokens of a dispatch's prompt.
 pub fn prompt_tokens(dispatch: &Dispatch) -> u64 {
-    match &dispatch.work {
-        Work::Generate { prompt, .. } => {
+    match &dispatch.payload {
+        AttemptPayload::Generate { prompt, .. } => {
             prompt.iter().map(|part| (part.len() as u64).div_ceil(4)).sum()
         }
-        Work::Operation { .. } => 0,
+        AttemptPayload::Operation { .. } => 0,
     }
 }
 
 /// Returns the full answer to a dispatch.
-pub fn done(dispatch: &Dispatch, prompt: u64) -> AttemptEnd {
-    let (key, output) = match &dispatch.work {
-        Work::Generate { prompt, max_tokens } => {
+pub fn done(dispatch: &Dispatch, prompt: u64) -> AttemptOutcome {
+    let (key, output) = match &dispatch.payload {
+        AttemptPayload::Generate { prompt, max_tokens } => {
             (key_of(prompt.last().expect("a prompt has an input")), u64::from(*max_tokens))
         }
-        Work::Operation { key, .. } => (key.clone(), 0),
+        AttemptPayload::Operation { key, .. } => (key.clone(), 0),
     };
 
-    AttemptEnd::Done {
+    AttemptOutcome::Done {
         output: tag(dispatch.program, &format!("{key} {}", dispatch.attempt)),
         usage: Usage {
             prompt_tokens: Tokens(prompt),
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -11,7 +11,7 @@
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion, Transaction};
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::programs::{ProgramAction, ProgramEvent, ProgramOptions, Programs};
-use camphorwalk_policy::shared_types::{AttemptEnd, CallId, Dispatch, Verdict, Work};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, CallId, Dispatch, Verdict};
 
 use crate::fixture::{Mode, Platform, config, tenant};
 use crate::oracle::{self, Sent};
@@ -400,14 +400,16 @@
 
         let (host, session, dispatch) = self.air.remove(index % self.air.len());
         let end = match fate {
-            Fate::NotSent => AttemptEnd::NotSent,
-            Fate::Refused => AttemptEnd::Refused { message: "full".into() },
-            Fate::Failed => self.work(&dispatch, || AttemptEnd::Failed { message: "no".into() }),
+            Fate::NotSent => AttemptOutcome::NotSent,
+            Fate::Refused => AttemptOutcome::Refused { message: "full".into() },
+            Fate::Failed => {
+                self.work(&dispatch, || AttemptOutcome::Failed { message: "no".into() })
+            }
             Fate::Lost => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: false })
+                self.work(&dispatch, || AttemptOutcome::Lost { streamed: false, crashed: false })
             }
             Fate::Crashed => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: true })
+                self.work(&dispatch, || AttemptOutcome::Lost { streamed: false, crashed: true })
             }
             Fate::Done => {
                 let prompt = prompt_tokens(&dispatch);
@@ -422,12 +424,16 @@
     }
 
     /// The target runs an attempt.
-    fn work(&mut self, dispatch: &Dispatch, end: impl FnOnce() -> AttemptEnd) -> AttemptEnd {
+    fn work(
+        &mut self,
+        dispatch: &Dispatch,
+        end: impl FnOnce() -> AttemptOutcome,
+    ) -> AttemptOutcome {
         let program = dispatch.program;
 
-        match &dispatch.work {
-            Work::Operation { key, .. } => self.ledger.push((program, key.clone())),
-            Work::Generate { prompt, max_tokens } => {
+        match &dispatch.payload {
+            AttemptPayload::Operation { key, .. } => self.ledger.push((program, key.clone())),
+            AttemptPayload::Generate { prompt, max_tokens } => {
                 let own = program.to_string();
                 assert!(prompt.iter().all(|part| part.contains(&own)), "a prompt was mixed");
                 let tokens = prompt_tokens(dispatch) + u64::from(*max_tokens);
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -15,7 +15,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{QueueAction, QueueEvent};
-use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -58,7 +58,7 @@
     Repeat(prop::sample::Index),
     Vacate {
         which: prop::sample::Index,
-        how: PlaceEndKind,
+        outcome: PlaceOutcome,
         over: bool,
     },
     /// An end is told once more, or for a question that was refused.
@@ -91,11 +91,11 @@
 
     fn transitions(_: &()) -> BoxedStrategy<Transition> {
         let index = any::<prop::sample::Index>;
-        let how = prop_oneof![
-            1 => Just(PlaceEndKind::NotSent),
-            1 => Just(PlaceEndKind::Failed),
-            1 => Just(PlaceEndKind::Crashed),
-            6 => Just(PlaceEndKind::Finished),
+        let outcome = prop_oneof![
+            1 => Just(PlaceOutcome::NotSent),
+            1 => Just(PlaceOutcome::Failed),
+            1 => Just(PlaceOutcome::Crashed),
+            6 => Just(PlaceOutcome::Finished),
         ];
         let ask = (
             0..3_usize,
@@ -112,8 +112,8 @@
                 Transition::Ask { tenant, class, pool, program, size, seconds, suspect }
             }),
             2 => index().prop_map(Transition::Repeat),
-            16 => (index(), how, any::<bool>())
-                .prop_map(|(which, how, over)| Transition::Vacate { which, how, over }),
+            16 => (index(), outcome, any::<bool>())
+                .prop_map(|(which, outcome, over)| Transition::Vacate { which, outcome, over }),
             2 => index().prop_map(Transition::Stale),
             1 => (0..3_u8).prop_map(Transition::HostGone),
             1 => any::<[bool; 5]>().prop_map(Transition::Leaving),
@@ -261,9 +261,10 @@
         }
     }
 
-    fn end(&mut self, request_id: PlaceRequestId, how: PlaceEndKind, over: bool) {
-        let computed = self.questions[&request_id].request.prompt;
-        let end = PlaceEnd { how, computed, output: Tokens(50), program_over: over };
+    fn end(&mut self, request_id: PlaceRequestId, outcome: PlaceOutcome, over: bool) {
+        let computed_prompt = self.questions[&request_id].request.prompt;
+        let end =
+            PlaceRelease { outcome, computed_prompt, output: Tokens(50), program_ended: over };
 
         self.questions.get_mut(&request_id).unwrap().answer = Answer::Over;
         self.step(QueueEvent::Vacate { request_id, end });
@@ -353,8 +354,8 @@
                 state.ask(PlaceRequestId { host: HostId(number % 3), number }, request);
             }
             Transition::Repeat(which) if !asked.is_empty() => state.repeat(*which.get(&asked)),
-            Transition::Vacate { which, how, over } if !live.is_empty() => {
-                state.end(*which.get(&live), how, over);
+            Transition::Vacate { which, outcome, over } if !live.is_empty() => {
+                state.end(*which.get(&live), outcome, over);
             }
             Transition::Stale(which) if !asked.is_empty() => {
                 let request_id = *which.get(&asked);
@@ -398,11 +399,11 @@
     }
 }
 
-const STALE: PlaceEnd = PlaceEnd {
-    how: PlaceEndKind::Finished,
-    computed: Tokens(0),
+const STALE: PlaceRelease = PlaceRelease {
+    outcome: PlaceOutcome::Finished,
+    computed_prompt: Tokens(0),
     output: Tokens(0),
-    program_over: false,
+    program_ended: false,
 };
 
 fn fuzz() -> Config {
--- a/crates/policy/tests/queue_rules.rs
+++ b/crates/policy/tests/queue_rules.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::{QueueAction, QueueEvent};
-use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest};
 use queue_support::{Bench, end, grant, id, leaving, request, request_id, target};
 
 #[test]
@@ -146,7 +146,7 @@
     bench.ask(2, request("x", "arrival", 2));
     bench.ask(3, request("y", "chat", 3));
 
-    let used = PlaceEnd { computed: Tokens(50_000), ..end(PlaceEndKind::Finished) };
+    let used = PlaceRelease { computed_prompt: Tokens(50_000), ..end(PlaceOutcome::Finished) };
     let next = bench.vacate_with(1, used);
 
     assert_eq!(next, grant(3, "t"));
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -10,7 +10,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::{ConfigVersion, Tokens};
 use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent, QueueOptions, Queues};
-use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest, PlaceRequestId};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// The zone of the queues under test.
 pub const NEAR: &str = "a";
@@ -82,8 +82,13 @@
     PlaceRequestId { host: HostId(number / 100), number }
 }
 
-pub fn end(how: PlaceEndKind) -> PlaceEnd {
-    PlaceEnd { how, computed: Tokens(100), output: Tokens(100), program_over: false }
+pub fn end(outcome: PlaceOutcome) -> PlaceRelease {
+    PlaceRelease {
+        outcome,
+        computed_prompt: Tokens(100),
+        output: Tokens(100),
+        program_ended: false,
+    }
 }
 
 pub fn id(target: &str) -> TargetId {
@@ -125,10 +130,10 @@
     }
 
     pub fn vacate(&mut self, number: u64) -> Vec<QueueAction> {
-        self.vacate_with(number, end(PlaceEndKind::Finished))
+        self.vacate_with(number, end(PlaceOutcome::Finished))
     }
 
-    pub fn vacate_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueAction> {
+    pub fn vacate_with(&mut self, number: u64, end: PlaceRelease) -> Vec<QueueAction> {
         self.step(QueueEvent::Vacate { request_id: request_id(number), end })
     }
 
--- a/crates/policy/tests/queue_targets.rs
+++ b/crates/policy/tests/queue_targets.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::ids::{ClassId, ProgramId};
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::QueueEvent;
-use camphorwalk_policy::shared_types::{PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest};
 use queue_support::{Bench, end, grant, id, leaving, request, target};
 
 fn two() -> Bench {
@@ -107,10 +107,10 @@
 /// Lets the queues learn that computing a token takes a millisecond.
 fn learn_costs(bench: &mut Bench) {
     for n in 1_000..1_030 {
-        let computed = Tokens(100 * (n % 7));
+        let computed_prompt = Tokens(100 * (n % 7));
         bench.ask(n, request("x", "chat", n.into()));
-        bench.pass(Duration::from_millis(computed.0 + 10));
-        bench.vacate_with(n, PlaceEnd { computed, ..end(PlaceEndKind::Finished) });
+        bench.pass(Duration::from_millis(computed_prompt.0 + 10));
+        bench.vacate_with(n, PlaceRelease { computed_prompt, ..end(PlaceOutcome::Finished) });
     }
 }
 
@@ -157,7 +157,7 @@
     let check_in = PlaceRequest { class: ClassId::from_name("arrival"), ..new };
     let check_in = bench.ask(3, check_in);
     bench.vacate(3);
-    bench.vacate_with(1, PlaceEnd { program_over: true, ..end(PlaceEndKind::Finished) });
+    bench.vacate_with(1, PlaceRelease { program_ended: true, ..end(PlaceOutcome::Finished) });
     let after = bench.pass(Duration::from_secs(1));
 
     assert_eq!(held_back, []);
@@ -274,7 +274,7 @@
     bench.ask(2, PlaceRequest { suspect: true, ..request("x", "chat", 2) });
     bench.ask(3, request("y", "chat", 3));
 
-    let out = bench.vacate_with(2, end(PlaceEndKind::NotSent));
+    let out = bench.vacate_with(2, end(PlaceOutcome::NotSent));
 
     assert_eq!(out, grant(3, "t"));
 }
@@ -295,7 +295,7 @@
     let mut bench = Bench::new(vec![target("t", "a", 2)]);
     bench.ask(1, request("x", "chat", 1));
 
-    bench.vacate_with(1, end(PlaceEndKind::Crashed));
+    bench.vacate_with(1, end(PlaceOutcome::Crashed));
     let at_once = bench.ask(2, request("x", "chat", 2));
     bench.ask(3, request("x", "chat", 3));
     let probe = bench.pass(Duration::from_secs(1));
--- a/crates/scenario/src/world/targets.rs
+++ b/crates/scenario/src/world/targets.rs
@@ -9,7 +9,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::scheduler::Event;
-use camphorwalk_policy::shared_types::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, Dispatch};
 
 use super::{Item, World};
 use crate::record::Sent;
@@ -61,7 +61,7 @@
     host: usize,
     session: u64,
     target: usize,
-    end: AttemptEnd,
+    end: AttemptOutcome,
 }
 
 /// All targets and what runs at them.
@@ -110,7 +110,7 @@
                 && target.away_until <= self.now
         });
         if !reachable || !self.key_stands(host, dispatch.key) {
-            let event = Event::Ended { attempt: dispatch.attempt, end: AttemptEnd::NotSent };
+            let event = Event::Ended { attempt: dispatch.attempt, end: AttemptOutcome::NotSent };
             return self.add_event(self.now + WAY, host, event);
         }
 
@@ -137,7 +137,7 @@
             (target.kind, target.mode)
         };
         let time = if kind == TargetKind::Engine { ENGINE_TIME } else { SERVICE_TIME };
-        let lost = AttemptEnd::Lost { streamed: false, crashed: false };
+        let lost = AttemptOutcome::Lost { streamed: false, crashed: false };
         let (time, end) = match mode {
             Mode::Ok => (time, self.run(dispatch)),
             Mode::Slow(time) => (time, self.run(dispatch)),
@@ -146,7 +146,7 @@
                 self.run(dispatch);
                 (time, lost.clone())
             }
-            Mode::Refuse => (WAY, AttemptEnd::Refused { message: "busy".into() }),
+            Mode::Refuse => (WAY, AttemptOutcome::Refused { message: "busy".into() }),
         };
 
         // A caller of a target waits no longer than its timeout.
@@ -164,14 +164,14 @@
     }
 
     /// Runs an attempt: the ledger notes it, however often it comes.
-    fn run(&mut self, dispatch: &Dispatch) -> AttemptEnd {
+    fn run(&mut self, dispatch: &Dispatch) -> AttemptOutcome {
         let (program, number) = (dispatch.program, dispatch.number);
-        let (output, tokens) = match &dispatch.work {
-            Work::Generate { prompt, .. } => {
+        let (output, tokens) = match &dispatch.payload {
+            AttemptPayload::Generate { prompt, .. } => {
                 let last = prompt.last().map_or("", |text| text);
                 (format!("{program} {number} {}", last.replace('"', "")), prompt.len() as u64)
             }
-            Work::Operation { key, .. } => {
+            AttemptPayload::Operation { key, .. } => {
                 *self.record.ledger.entry((program, key.clone())).or_default() += 1;
                 (format!("{program} {number} {key}"), 0)
             }
@@ -183,7 +183,7 @@
         };
         let output = serde_json::to_string(&output).expect("text is plain data").into();
 
-        AttemptEnd::Done { output, usage }
+        AttemptOutcome::Done { output, usage }
     }
 
     pub(super) fn on_end(&mut self, _target: usize, number: u64) {
@@ -204,7 +204,7 @@
 
     pub(super) fn cancel(&mut self, attempt: AttemptId) {
         if let Some(mut running) = self.targets.running.remove(&attempt) {
-            running.end = AttemptEnd::Cancelled;
+            running.end = AttemptOutcome::Cancelled;
             self.tell_end(attempt, running);
         }
     }
@@ -218,7 +218,7 @@
 
         for attempt in attempts {
             if let Some(mut running) = self.targets.running.remove(&attempt) {
-                running.end = AttemptEnd::Lost { streamed: false, crashed: true };
+                running.end = AttemptOutcome::Lost { streamed: false, crashed: true };
                 self.tell_end(attempt, running);
             }
         }
@@ -226,8 +226,8 @@
 }
 
 fn poisoned(dispatch: &Dispatch) -> bool {
-    match &dispatch.work {
-        Work::Generate { prompt, .. } => prompt.iter().any(|text| text.contains(POISON)),
-        Work::Operation { .. } => false,
+    match &dispatch.payload {
+        AttemptPayload::Generate { prompt, .. } => prompt.iter().any(|text| text.contains(POISON)),
+        AttemptPayload::Operation { .. } => false,
     }
 }
