--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -45,8 +45,8 @@
     /// Takes in an event and appends what to do next to `out`.
     pub fn step(&mut self, event: &QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
-            QueueEvent::Ask { request_id, .. } => self.calls.push_back(*request_id),
-            QueueEvent::Vacate { request_id, .. } => self.vacate(*request_id),
+            QueueEvent::Request { request_id, .. } => self.calls.push_back(*request_id),
+            QueueEvent::Release { request_id, .. } => self.vacate(*request_id),
             _ => return,
         }
 
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -129,7 +129,7 @@
             suspect: false,
         };
 
-        self.step(QueueEvent::Ask {
+        self.step(QueueEvent::Request {
             request_id: PlaceRequestId { host: HostId(1), number },
             request,
         });
@@ -144,6 +144,6 @@
             program_ended: false,
         };
 
-        self.step(QueueEvent::Vacate { request_id, end });
+        self.step(QueueEvent::Release { request_id, end });
     }
 }
--- a/crates/bench/src/drive.rs
+++ b/crates/bench/src/drive.rs
@@ -262,7 +262,7 @@
         self.asked += 1;
         self.askers.insert(number, program);
         self.progress[program].asked = Some(number);
-        self.tell(QueueEvent::Ask { request_id: request_id(number), request });
+        self.tell(QueueEvent::Request { request_id: request_id(number), request });
     }
 
     /// Tells the scheduler, and does what it says.
@@ -372,7 +372,7 @@
             program_ended: outcome == PlaceOutcome::Failed || outcome == PlaceOutcome::NotSent,
         };
 
-        self.tell(QueueEvent::Vacate { request_id: request_id(number), end });
+        self.tell(QueueEvent::Release { request_id: request_id(number), end });
     }
 
     fn after_turn(&mut self, program: usize, turn: usize) {
--- a/crates/bench/src/limits/fleet.rs
+++ b/crates/bench/src/limits/fleet.rs
@@ -13,7 +13,8 @@
 use camphorwalk_core::messages::slices::SliceMessage;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::slices::{
-    ColumnId, SliceAction, SliceEvent, SliceHost, SliceOptions, SliceTimes, Slices, TakeId, columns,
+    ColumnId, SliceAction, SliceEvent, SliceHost, SliceOptions, SliceTimes, Slices, TakeId,
+    column_zones,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -162,7 +163,7 @@
             wakes: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
             queue: BTreeMap::new(),
-            columns: columns(&cfg).into_iter().map(column).collect(),
+            columns: column_zones(&cfg).into_iter().map(column).collect(),
             platform_at: 0,
             counter: 0,
             checks: Checks::new(cfg.clone()),
@@ -386,7 +387,7 @@
 
         let (column, until) = (ColumnId(column as u16), of_host);
         let event = match first {
-            true => SliceEvent::First { column, until },
+            true => SliceEvent::FirstOwned { column, until },
             false => SliceEvent::Owned { column, until, fresh },
         };
         self.step(host, event);
@@ -469,7 +470,7 @@
         for host in 0..self.nodes.len() {
             let Some(slices) = &self.nodes[host].slices else { continue };
 
-            for slice in slices.usable(self.clock(host)) {
+            for slice in slices.usable_slices(self.clock(host)) {
                 let other = users.insert(slice, host);
                 assert!(other.is_none(), "{slice:?} used by {other:?} and {host} at {}", self.now);
             }
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -68,7 +68,7 @@
     },
     /// A partition is about to be given back: what its families were granted and have not
     /// spent is to be journaled as free. It is busy until that is durable.
-    Settle {
+    ReleaseGrants {
         /// The partition.
         partition: PartitionId,
     },
@@ -162,7 +162,7 @@
     },
     /// Give a place back, or withdraw the question for one. Said once for each `Place`
     /// that was not answered by `Unplaced`.
-    Vacate {
+    ReleasePlace {
         /// The call.
         call: CallId,
         /// How the place was used.
@@ -183,7 +183,7 @@
         request: PlatformOp,
     },
     /// A program is over: what engines hold for it is to be freed.
-    Over {
+    ProgramEnded {
         /// The program.
         program: ProgramId,
     },
@@ -361,7 +361,7 @@
             ProgramEvent::Acquired { partition, epoch, lease } => {
                 self.acquired(cx, partition, epoch, lease);
             }
-            ProgramEvent::Settle { partition } => self.settle_partition(partition),
+            ProgramEvent::ReleaseGrants { partition } => self.settle_partition(partition),
             ProgramEvent::Lost { partition } => self.lost(cx, partition),
             ProgramEvent::Request { ticket, tenant, key, request } => {
                 self.request(cx, Asked { ticket, tenant, key, request });
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -70,7 +70,7 @@
             self.stop_call(cx, call, reason);
         }
 
-        cx.out.push(ProgramAction::Over { program: id });
+        cx.out.push(ProgramAction::ProgramEnded { program: id });
         self.append(key, Entry::Ended { program: id }, Waiter::End(key));
     }
 
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -208,7 +208,7 @@
         let program = &self.programs[call.program];
         let usage = usage.copied().unwrap_or_default();
 
-        cx.out.push(ProgramAction::Vacate {
+        cx.out.push(ProgramAction::ReleasePlace {
             call: id,
             end: PlaceRelease {
                 outcome,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -61,14 +61,14 @@
     /// This configuration is in force from now on.
     Config(Arc<Config>),
     /// A call asks for a place.
-    Ask {
+    Request {
         /// Who asks.
         request_id: PlaceRequestId,
         /// For what.
         request: PlaceRequest,
     },
     /// A place is free again, or a question is withdrawn.
-    Vacate {
+    Release {
         /// Who asked for it.
         request_id: PlaceRequestId,
         /// How the place was used.
@@ -162,7 +162,7 @@
     /// use camphorwalk_core::ids::ZoneId;
     /// use camphorwalk_policy::queue::{QueueOptions, Queues};
     /// let queues = Queues::new(QueueOptions { zone: ZoneId::from_name("a") });
-    /// assert_eq!((queues.waiting(), queues.placed(), queues.wake_at()), (0, 0, None));
+    /// assert_eq!((queues.waiting(), queues.granted_places(), queues.wake_at()), (0, 0, None));
     /// ```
     pub fn new(options: QueueOptions) -> Self {
         Self {
@@ -193,8 +193,8 @@
     pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
             QueueEvent::Config(config) => self.configure(now, &config, out),
-            QueueEvent::Ask { request_id, request } => self.ask(now, request_id, request, out),
-            QueueEvent::Vacate { request_id, end } => self.vacate(now, request_id, end, out),
+            QueueEvent::Request { request_id, request } => self.ask(now, request_id, request, out),
+            QueueEvent::Release { request_id, end } => self.vacate(now, request_id, end, out),
             QueueEvent::HostGone(host) => self.host_gone(now, host, out),
             QueueEvent::Load { target, report } => {
                 if let Some(pool) = self.targets.report(now, target, report) {
@@ -219,7 +219,7 @@
     }
 
     /// Returns how many places are granted and not given back.
-    pub fn placed(&self) -> usize {
+    pub fn granted_places(&self) -> usize {
         self.places.len()
     }
 
--- a/crates/policy/src/scheduler/asks.rs
+++ b/crates/policy/src/scheduler/asks.rs
@@ -87,7 +87,7 @@
         let Question { keeper, request, .. } = self.asks.questions[&number];
         if keeper == self.board.me {
             let request_id = PlaceRequestId { host: self.board.me, number };
-            self.work.push_back(Work::Queue(QueueEvent::Ask { request_id, request }));
+            self.work.push_back(Work::Queue(QueueEvent::Request { request_id, request }));
             return;
         }
 
@@ -105,7 +105,7 @@
 
         if question.keeper == self.board.me {
             let request_id = PlaceRequestId { host: self.board.me, number };
-            self.work.push_back(Work::Queue(QueueEvent::Vacate { request_id, end }));
+            self.work.push_back(Work::Queue(QueueEvent::Release { request_id, end }));
             return;
         }
         out.push(send(question.keeper, QueueBody::Done(done_message(number, &end))));
@@ -208,12 +208,12 @@
             Some(QueueBody::Ask(ask)) => {
                 let request_id = PlaceRequestId { host: from, number: ask.number };
                 let request = place_request(&ask);
-                self.work.push_back(Work::Queue(QueueEvent::Ask { request_id, request }));
+                self.work.push_back(Work::Queue(QueueEvent::Request { request_id, request }));
             }
             Some(QueueBody::Done(done)) => {
                 let request_id = PlaceRequestId { host: from, number: done.number };
                 let end = place_end(&done);
-                self.work.push_back(Work::Queue(QueueEvent::Vacate { request_id, end }));
+                self.work.push_back(Work::Queue(QueueEvent::Release { request_id, end }));
             }
             Some(QueueBody::Grant(grant)) => {
                 self.on_grant(from, grant.number, TargetId(grant.target), out);
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -156,7 +156,7 @@
             LeaseAction::Acquired { name: LeaseName::Column(column), epoch, .. } => {
                 let until = self.board.leases_until;
                 let event = if epoch == Epoch::FIRST {
-                    SliceEvent::First { column, until }
+                    SliceEvent::FirstOwned { column, until }
                 } else {
                     SliceEvent::Owned { column, until, fresh: true }
                 };
@@ -178,7 +178,7 @@
             }
             LeaseAction::Seen { routes, hosts } => self.on_tables(now, routes, hosts, out),
             LeaseAction::Settle { partition } => {
-                self.work.push_back(Work::Program(ProgramEvent::Settle { partition }));
+                self.work.push_back(Work::Program(ProgramEvent::ReleaseGrants { partition }));
             }
             LeaseAction::Left => out.push(Action::Left),
         }
@@ -243,13 +243,13 @@
                 self.work.push_back(Work::Slice(SliceEvent::Take { take, tenant }));
             }
             ProgramAction::Place { call, request } => self.ask(now, call, request, out),
-            ProgramAction::Vacate { call, end } => self.vacate(call, end, out),
+            ProgramAction::ReleasePlace { call, end } => self.vacate(call, end, out),
             ProgramAction::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
             ProgramAction::Cancel { attempt } => out.push(Action::Cancel(attempt)),
             ProgramAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Program(op), request });
             }
-            ProgramAction::Over { program } => out.push(Action::Free(program)),
+            ProgramAction::ProgramEnded { program } => out.push(Action::Free(program)),
             ProgramAction::Quarantine { digest } => self.quarantine(digest),
             // The tables say who holds it now; what is left is to look.
             ProgramAction::Fenced { .. } => self.work.push_back(Work::Lease(LeaseEvent::Suspect)),
@@ -343,7 +343,7 @@
 fn wanted(config: &Config) -> Vec<Wanted> {
     let partitions = (0..config.fleet.partitions)
         .map(|p| Wanted { name: LeaseName::Partition(PartitionId(p)), zone: None });
-    let columns = slices::columns(config)
+    let columns = slices::column_zones(config)
         .into_iter()
         .map(|(column, zone)| Wanted { name: LeaseName::Column(column), zone: Some(zone) });
 
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -24,7 +24,7 @@
 use takes::Takes;
 
 pub use bucket::{Bucket, Share, TOKEN, Taken, take};
-pub use split::{columns, rate_of, share, split};
+pub use split::{column_zones, rate_of, slice_share, split};
 
 /// A question whether a tenant may make one more call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -64,7 +64,7 @@
         fresh: bool,
     },
     /// This host owns a column that no host ever owned before: its slices begin full.
-    First {
+    FirstOwned {
         /// The column.
         column: ColumnId,
         /// Until when, as with `Owned`.
@@ -256,7 +256,7 @@
     }
 
     /// Returns the slices that this host may use at `now`, for status pages and checks.
-    pub fn usable(&self, now: Instant) -> Vec<(TenantId, ColumnId)> {
+    pub fn usable_slices(&self, now: Instant) -> Vec<(TenantId, ColumnId)> {
         let mut slices: Vec<_> = self.lender.usable_slices(now).collect();
 
         if !self.is_gap(now) {
@@ -298,7 +298,7 @@
                 self.borrower.forget_gone(&self.pools);
                 self.lender.hosts_changed(now);
             }
-            SliceEvent::First { column, until } => {
+            SliceEvent::FirstOwned { column, until } => {
                 self.lender.own_first(column, until, now);
                 self.configure(now);
                 self.take_over(now, column);
--- a/crates/policy/src/slices/lender.rs
+++ b/crates/policy/src/slices/lender.rs
@@ -69,7 +69,7 @@
         for tenant in &cfg.tenants {
             for column in self.columns.keys() {
                 let key = (TenantId::from_name(&tenant.name), *column);
-                shares.insert(key, split::share(tenant, cfg.fleet.slices, *column));
+                shares.insert(key, split::slice_share(tenant, cfg.fleet.slices, *column));
             }
         }
 
--- a/crates/policy/src/slices/split.rs
+++ b/crates/policy/src/slices/split.rs
@@ -13,7 +13,7 @@
 /// ```
 /// # use camphorwalk_core::config::{Config, Fleet, Zone};
 /// # use camphorwalk_core::ids::ZoneId;
-/// # use camphorwalk_policy::slices::{ColumnId, columns};
+/// # use camphorwalk_policy::slices::{ColumnId, column_zones};
 /// # let zone = |name: &str| Zone { name: name.into(), region: "midlands".into() };
 /// # let fleet = Fleet {
 /// #     name: "inkwick".into(), zones: vec![zone("b"), zone("a")], classes: vec![],
@@ -22,11 +22,11 @@
 /// # let cfg = Config {
 /// #     version: Default::default(), fleet, targets: vec![], templates: vec![], tenants: vec![],
 /// # };
-/// let zones: Vec<ZoneId> = columns(&cfg).into_iter().map(|(_, zone)| zone).collect();
+/// let zones: Vec<ZoneId> = column_zones(&cfg).into_iter().map(|(_, zone)| zone).collect();
 /// let (a, b) = (ZoneId::from_name("a"), ZoneId::from_name("b"));
 /// assert_eq!(zones, [a, b, a]);
 /// ```
-pub fn columns(cfg: &Config) -> Vec<(ColumnId, ZoneId)> {
+pub fn column_zones(cfg: &Config) -> Vec<(ColumnId, ZoneId)> {
     let mut names: Vec<&str> = cfg.fleet.zones.iter().map(|zone| &*zone.name).collect();
     names.sort_unstable();
 
@@ -56,7 +56,7 @@
 }
 
 /// Returns the share of `tenant` in `column`.
-pub fn share(tenant: &Tenant, slices: u16, column: ColumnId) -> Share {
+pub fn slice_share(tenant: &Tenant, slices: u16, column: ColumnId) -> Share {
     Share {
         rate: split(rate_of(tenant), slices, column),
         burst: split(u64::from(tenant.burst) * TOKEN, slices, column),
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -172,7 +172,7 @@
     old.finish(platform, took(3, 20));
 
     platform.mode = Mode::Hang;
-    old.event(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.event(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
     old.pass(platform, 100);
     let busy = old.programs.busy_partitions().len();
     platform.mode = Mode::Up;
@@ -195,7 +195,7 @@
     let mut old = Home::with_program(platform, 1);
     old.ask(platform, call("model", "k1", 0));
 
-    old.event(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.event(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
     old.pass(platform, 100);
     let mut new = Home::new(platform, 2);
 
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -294,10 +294,10 @@
             }
             ProgramAction::Dispatch(dispatch) => self.sent.push(dispatch),
             ProgramAction::Cancel { .. } => self.cancelled += 1,
-            ProgramAction::Over { program } => self.over.push(program),
+            ProgramAction::ProgramEnded { program } => self.over.push(program),
             ProgramAction::Quarantine { digest } => self.quarantined.push(digest),
             ProgramAction::Fenced { .. } => self.fenced += 1,
-            ProgramAction::Vacate { call, .. } => self.vacated.push(call),
+            ProgramAction::ReleasePlace { call, .. } => self.vacated.push(call),
             ProgramAction::Admit { .. } => {}
         }
 
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -173,7 +173,7 @@
     /// The holder of a partition is about to give it back.
     pub fn settle_grants(&mut self, partition: u16) {
         let (host, ..) = self.holders[usize::from(partition)];
-        let event = ProgramEvent::Settle { partition: PartitionId(partition) };
+        let event = ProgramEvent::ReleaseGrants { partition: PartitionId(partition) };
         self.hosts[host].mailbox.push_back(event);
     }
 
@@ -319,7 +319,7 @@
                 self.hosts[host].mailbox.push_back(ProgramEvent::Verdict { call, verdict });
             }
             ProgramAction::Place { call, .. } => self.place(host, call),
-            ProgramAction::Vacate { call, .. } => {
+            ProgramAction::ReleasePlace { call, .. } => {
                 assert!(self.hosts[host].places.remove(&call), "a place was vacated twice");
             }
             ProgramAction::Platform { op, request } => {
@@ -331,7 +331,7 @@
                 self.air.push((host, session, dispatch));
             }
             ProgramAction::Cancel { .. }
-            | ProgramAction::Over { .. }
+            | ProgramAction::ProgramEnded { .. }
             | ProgramAction::Quarantine { .. }
             | ProgramAction::Fenced { .. } => {}
         }
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -245,7 +245,7 @@
     fn ask(&mut self, request_id: PlaceRequestId, request: PlaceRequest) {
         let deadline = self.bench.now + request.deadline_left;
         self.questions.insert(request_id, Question { request, deadline, answer: Answer::Open });
-        self.step(QueueEvent::Ask { request_id, request });
+        self.step(QueueEvent::Request { request_id, request });
     }
 
     fn repeat(&mut self, request_id: PlaceRequestId) {
@@ -257,7 +257,9 @@
         // leak, so it is answered, or its place comes back, by the deadline.
         match answer {
             Answer::Refused | Answer::Over => self.ask(request_id, request),
-            Answer::Open | Answer::Granted(_) => self.step(QueueEvent::Ask { request_id, request }),
+            Answer::Open | Answer::Granted(_) => {
+                self.step(QueueEvent::Request { request_id, request })
+            }
         }
     }
 
@@ -267,7 +269,7 @@
             PlaceRelease { outcome, computed_prompt, output: Tokens(50), program_ended: over };
 
         self.questions.get_mut(&request_id).unwrap().answer = Answer::Over;
-        self.step(QueueEvent::Vacate { request_id, end });
+        self.step(QueueEvent::Release { request_id, end });
     }
 
     fn host_gone(&mut self, host: HostId) {
@@ -308,7 +310,7 @@
         let open = |question: &&Question| question.answer == Answer::Open;
         let queues = &self.bench.queues;
 
-        assert_eq!(queues.placed(), self.questions.values().filter(granted).count());
+        assert_eq!(queues.granted_places(), self.questions.values().filter(granted).count());
         assert_eq!(queues.waiting(), self.questions.values().filter(open).count());
 
         for (name, ..) in TARGETS {
@@ -361,7 +363,7 @@
                 let request_id = *which.get(&asked);
 
                 if !live.contains(&request_id) {
-                    state.step(QueueEvent::Vacate { request_id, end: STALE });
+                    state.step(QueueEvent::Release { request_id, end: STALE });
                 }
             }
             Transition::HostGone(host) => state.host_gone(HostId(host.into())),
@@ -394,7 +396,7 @@
     fn teardown(mut state: Self) {
         state.pass(Duration::from_secs(200));
 
-        assert_eq!((state.bench.queues.waiting(), state.bench.queues.placed()), (0, 0));
+        assert_eq!((state.bench.queues.waiting(), state.bench.queues.granted_places()), (0, 0));
         assert_eq!(state.live(), []);
     }
 }
--- a/crates/policy/tests/queue_rules.rs
+++ b/crates/policy/tests/queue_rules.rs
@@ -109,7 +109,7 @@
     let out = bench.step(QueueEvent::HostGone(HostId(0)));
 
     assert_eq!(out, grant(100, "t"));
-    assert_eq!((bench.queues.placed(), bench.queues.waiting()), (1, 0));
+    assert_eq!((bench.queues.granted_places(), bench.queues.waiting()), (1, 0));
 }
 
 #[test]
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -126,7 +126,7 @@
     }
 
     pub fn ask(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueAction> {
-        self.step(QueueEvent::Ask { request_id: request_id(number), request })
+        self.step(QueueEvent::Request { request_id: request_id(number), request })
     }
 
     pub fn vacate(&mut self, number: u64) -> Vec<QueueAction> {
@@ -134,7 +134,7 @@
     }
 
     pub fn vacate_with(&mut self, number: u64, end: PlaceRelease) -> Vec<QueueAction> {
-        self.step(QueueEvent::Vacate { request_id: request_id(number), end })
+        self.step(QueueEvent::Release { request_id: request_id(number), end })
     }
 
     pub fn load(&mut self, target: &str, waiting: u32) -> Vec<QueueAction> {
--- a/crates/policy/tests/slices_first.rs
+++ b/crates/policy/tests/slices_first.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::shared_types::Verdict;
 use camphorwalk_policy::slices::{
-    SliceAction, SliceEvent, SliceHost, SliceOptions, Slices, TakeId, columns,
+    SliceAction, SliceEvent, SliceHost, SliceOptions, Slices, TakeId, column_zones,
 };
 use serde_json::json;
 
@@ -62,8 +62,8 @@
     let mut slices = host();
     let until = Instant::from_millis(60_000);
 
-    for (column, _) in columns(&config()) {
-        slices.step(Instant(2), SliceEvent::First { column, until }, &mut Vec::new());
+    for (column, _) in column_zones(&config()) {
+        slices.step(Instant(2), SliceEvent::FirstOwned { column, until }, &mut Vec::new());
     }
     let count = admitted(&mut slices, Instant::from_millis(1_000));
 
@@ -77,7 +77,7 @@
     let mut slices = host();
     let until = Instant::from_millis(60_000);
 
-    for (column, _) in columns(&config()) {
+    for (column, _) in column_zones(&config()) {
         let event = SliceEvent::Owned { column, until, fresh: true };
         slices.step(Instant(2), event, &mut Vec::new());
     }
@@ -94,8 +94,8 @@
     let until = Instant::from_millis(60_000);
 
     for event in [true, false, true] {
-        for (column, _) in columns(&config()) {
-            let first = SliceEvent::First { column, until };
+        for (column, _) in column_zones(&config()) {
+            let first = SliceEvent::FirstOwned { column, until };
             let event = if event { first } else { SliceEvent::Lost { column } };
             slices.step(Instant(2), event, &mut Vec::new());
         }
--- a/crates/policy/tests/slices_rules.rs
+++ b/crates/policy/tests/slices_rules.rs
@@ -118,7 +118,7 @@
 /// Lends the slice to the pool host at [`READY`].
 fn lend(lender: &mut Slices, pool: &mut Slices) {
     renew(lender, pool, READY);
-    assert_eq!(pool.usable(Instant::from_millis(READY)).len(), 1);
+    assert_eq!(pool.usable_slices(Instant::from_millis(READY)).len(), 1);
 }
 
 fn takes(slices: &mut Slices, at: u64, calls: u64) -> Vec<Verdict> {
@@ -152,8 +152,8 @@
 
     deliver(&mut pool, READY + 2_400, ids().0, SliceBody::Grant(grant));
 
-    assert_eq!(pool.usable(Instant::from_millis(READY + 2_999)).len(), 1);
-    assert!(pool.usable(Instant::from_millis(READY + 3_000)).is_empty());
+    assert_eq!(pool.usable_slices(Instant::from_millis(READY + 2_999)).len(), 1);
+    assert!(pool.usable_slices(Instant::from_millis(READY + 3_000)).is_empty());
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let after = READY + 2_600;
     let sent = bodies(step(&mut pool, after, SliceEvent::Wake));
 
-    assert!(pool.usable(Instant::from_millis(after)).is_empty());
+    assert!(pool.usable_slices(Instant::from_millis(after)).is_empty());
     assert!(matches!(&sent[..], [SliceBody::Request(req)] if req.returns[0].level == 0));
 }
 
@@ -208,7 +208,7 @@
 
     assert!(req.lender == 1 && req.returns.is_empty() && next.lender == 3);
     assert!(grant.loans.is_empty());
-    assert!(lender.usable(Instant::from_millis(READY + 3_300)).is_empty());
+    assert!(lender.usable_slices(Instant::from_millis(READY + 3_300)).is_empty());
 }
 
 #[test]
@@ -232,7 +232,7 @@
     answer(&mut lender, READY + 400, ids().1, &again);
 
     assert_eq!(again.returns, back.returns);
-    assert!(lender.usable(Instant::from_millis(READY + 400)).is_empty(), "{loan:?} is out");
+    assert!(lender.usable_slices(Instant::from_millis(READY + 400)).is_empty(), "{loan:?} is out");
 }
 
 #[test]
@@ -298,13 +298,13 @@
 fn an_owner_past_its_lease_neither_lends_nor_uses() {
     let mut lender = host(ids().0, 1);
     step(&mut lender, 0, owned(READY, true));
-    let before = [READY - 1, READY].map(|at| lender.usable(Instant::from_millis(at)).len());
+    let before = [READY - 1, READY].map(|at| lender.usable_slices(Instant::from_millis(at)).len());
     let req = LoanRequest { session: 2, number: 1, ..LoanRequest::default() };
 
     let grant = answer(&mut lender, READY, ids().1, &req).expect("a grant");
 
     assert_eq!((before, grant.loans.len(), grant.columns.len()), ([1, 0], 0, 0));
-    assert!(lender.usable(Instant::from_millis(READY)).is_empty());
+    assert!(lender.usable_slices(Instant::from_millis(READY)).is_empty());
 }
 
 #[test]
@@ -318,7 +318,7 @@
     let grant = answer(&mut lender, READY + 600, ids().1, &after).expect("a grant");
 
     let at = Instant::from_millis(READY + 600);
-    assert_eq!((pool.usable(at).len(), lender.usable(at).len()), (0, 0));
+    assert_eq!((pool.usable_slices(at).len(), lender.usable_slices(at).len()), (0, 0));
     assert!(grant.loans.is_empty());
 }
 
@@ -363,7 +363,7 @@
     // What is lent is not lent again, whoever claims it.
     assert!(again.adoptions.is_empty());
     assert_eq!(takes(&mut pool, READY + 1_000, 4), [Verdict::Admitted; 4]);
-    assert_eq!(pool.usable(Instant::from_millis(READY + 3_500)).len(), 1);
+    assert_eq!(pool.usable_slices(Instant::from_millis(READY + 3_500)).len(), 1);
 }
 
 #[test]
@@ -386,9 +386,9 @@
     let [SliceBody::Request(req)] = &sent[..] else { panic!("no return in {sent:?}") };
     let grant = answer(&mut next[0], 300, ids().1, req).expect("a grant");
 
-    assert_eq!(pool.usable(Instant::from_millis(READY + 200)).len(), 1);
+    assert_eq!(pool.usable_slices(Instant::from_millis(READY + 200)).len(), 1);
     assert_eq!((req.returns[0].level, grant.loans.len()), (0, 0));
-    assert!(next[0].usable(Instant::from_millis(3_000)).is_empty());
+    assert!(next[0].usable_slices(Instant::from_millis(3_000)).is_empty());
 }
 
 #[test]
@@ -402,7 +402,7 @@
     step(&mut lender, 0, SliceEvent::Config(both));
     step(&mut lender, 2_000, SliceEvent::Wake);
     renew(&mut lender, &mut pool, READY);
-    let before = pool.usable(Instant::from_millis(READY)).len();
+    let before = pool.usable_slices(Instant::from_millis(READY)).len();
     step(&mut lender, READY, SliceEvent::Config(cfg(RATE, BURST)));
     step(&mut lender, READY, owned(100_000, true));
 
@@ -410,7 +410,7 @@
     let grant = answer(&mut lender, READY + 300, ids().1, &req).expect("a grant");
     deliver(&mut pool, READY + 300, ids().0, SliceBody::Grant(grant));
 
-    let after = pool.usable(Instant::from_millis(READY + 300));
+    let after = pool.usable_slices(Instant::from_millis(READY + 300));
     assert_eq!((before, after), (2, vec![(tenant(), ColumnId(0))]));
 }
 
@@ -422,7 +422,7 @@
     step(&mut pool, READY + 100, owned(100_000, true));
 
     assert_eq!(takes(&mut pool, READY + 100, 4), [Verdict::Admitted; 4]);
-    assert_eq!(pool.usable(Instant::from_millis(READY + 3_050)).len(), 1);
+    assert_eq!(pool.usable_slices(Instant::from_millis(READY + 3_050)).len(), 1);
 }
 
 #[test]
@@ -436,7 +436,7 @@
 
     deliver(&mut pool, READY + 310, ids().0, SliceBody::Grant(late));
 
-    assert!(pool.usable(Instant::from_millis(READY + 310)).is_empty());
+    assert!(pool.usable_slices(Instant::from_millis(READY + 310)).is_empty());
 }
 
 #[test]
@@ -453,6 +453,6 @@
 
     renew(&mut lender, &mut pool, READY + 900);
 
-    let lasts = |at| pool.usable(Instant::from_millis(READY + at)).len();
+    let lasts = |at| pool.usable_slices(Instant::from_millis(READY + at)).len();
     assert_eq!([2_900, 3_000, 3_300].map(lasts), [2, 1, 1]);
 }
