--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -146,7 +146,7 @@
     /// Returns how many of the other hosts a host counts as alive, in percent.
     pub fn alive_percent(&self) -> f64 {
         let pairs = self.hosts.len() * (self.hosts.len() - 1);
-        let alive: usize = self.hosts.iter().map(|host| host.board().alive.len()).sum();
+        let alive: usize = self.hosts.iter().map(|host| host.state().live_hosts.len()).sum();
 
         if pairs == 0 { 100.0 } else { alive as f64 / pairs as f64 * 100.0 }
     }
--- a/crates/policy/src/board.rs
+++ b/crates/policy/src/host_state.rs
@@ -13,7 +13,7 @@
 
 /// What the controllers of one host know together.
 #[derive(Debug)]
-pub struct Board {
+pub struct HostState {
     /// This host.
     pub me: HostId,
     /// This host's name.
@@ -25,24 +25,24 @@
     /// The configuration in force here.
     pub config: Option<Arc<Config>>,
     /// The zone of each other host that counts as alive and is not leaving.
-    pub alive: Map<HostId, ZoneId>,
+    pub live_hosts: Map<HostId, ZoneId>,
     /// Who holds each partition, as far as this host knows.
     pub routes: Map<PartitionId, Holder>,
     /// The partitions that this host holds.
-    pub homes: Set<PartitionId>,
+    pub held_partitions: Set<PartitionId>,
     /// The hosts with a session, as the platform showed them last.
     pub sessions: Vec<SessionRow>,
     /// The configuration version that each host was last heard to have in force.
     pub versions: Map<HostId, ConfigVersion>,
     /// Until when this host's leases surely hold.
-    pub leases_until: Instant,
+    pub leases_valid_until: Instant,
     /// Keys that an earlier configuration had and the one in force has not.
     pub removed_keys: Set<KeyId>,
     /// Whether this host is leaving.
     pub leaving: bool,
 }
 
-impl Board {
+impl HostState {
     /// Makes the blackboard of a host that knows of nothing yet.
     pub fn new(name: &str, zone: &str) -> Self {
         Self {
@@ -51,12 +51,12 @@
             zone: ZoneId::from_name(zone),
             zone_name: zone.into(),
             config: None,
-            alive: Map::default(),
+            live_hosts: Map::default(),
             routes: Map::default(),
-            homes: Set::default(),
+            held_partitions: Set::default(),
             sessions: Vec::new(),
             versions: Map::default(),
-            leases_until: Instant::default(),
+            leases_valid_until: Instant::default(),
             removed_keys: Set::default(),
             leaving: false,
         }
@@ -95,7 +95,7 @@
     /// window is granted twice: some more requests wait at the target, nothing is lost.
     pub fn keeper(&self, pool: PoolId) -> HostId {
         let zone = self.zone;
-        let others = self.alive.iter().filter(|(_, z)| **z == zone).map(|(host, _)| host.0);
+        let others = self.live_hosts.iter().filter(|(_, z)| **z == zone).map(|(host, _)| host.0);
         let all = others.chain((!self.leaving).then_some(self.me.0));
 
         rendezvous(pool.0, all).map_or(self.me, HostId)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,9 +7,9 @@
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
-pub mod board;
 pub mod configs;
 pub mod entry;
+pub mod host_state;
 pub mod leases;
 pub mod membership;
 pub mod programs;
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -29,8 +29,8 @@
 use camphorwalk_core::platform::{HostListing, PlatformOp, PlatformReply};
 use camphorwalk_core::time::Instant;
 
-use crate::board::Board;
 use crate::configs::{ConfigOp, ConfigOptions, Configs, OperatorId, ReadConfig, WriteConfig};
+use crate::host_state::HostState;
 use crate::leases::{LeaseOp, LeaseOptions, Leases};
 use crate::membership::{Membership, MembershipOptions};
 use crate::programs::{ProgramOp, ProgramOptions, Programs};
@@ -285,7 +285,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Scheduler {
-    board: Board,
+    state: HostState,
     leases: Leases,
     configs: Configs,
     membership: Membership,
@@ -345,7 +345,7 @@
         let zone = ZoneId::from_name(&options.zone);
 
         Self {
-            board: Board::new(&options.host, &options.zone),
+            state: HostState::new(&options.host, &options.zone),
             leases: Leases::new(LeaseOptions {
                 host: options.host.clone(),
                 zone: options.zone.clone(),
@@ -431,11 +431,11 @@
 
     /// Returns whether this host has a configuration and so can serve.
     pub fn is_ready(&self) -> bool {
-        self.board.config.is_some() && !self.board.leaving
+        self.state.config.is_some() && !self.state.leaving
     }
 
     /// Returns what the controllers know together.
-    pub fn board(&self) -> &Board {
-        &self.board
+    pub fn state(&self) -> &HostState {
+        &self.state
     }
 }
--- a/crates/policy/src/scheduler/asks.rs
+++ b/crates/policy/src/scheduler/asks.rs
@@ -65,7 +65,7 @@
     ) {
         self.asks.next += 1;
         let number = self.asks.next;
-        let keeper = self.board.keeper(request.pool);
+        let keeper = self.state.keeper(request.pool);
         let repeat_at = now + REPEAT_AFTER;
         let question = Question {
             call,
@@ -85,8 +85,8 @@
 
     fn send_question(&mut self, number: u64, out: &mut Vec<Action>) {
         let Question { keeper, request, .. } = self.asks.questions[&number];
-        if keeper == self.board.me {
-            let request_id = PlaceRequestId { host: self.board.me, number };
+        if keeper == self.state.me {
+            let request_id = PlaceRequestId { host: self.state.me, number };
             self.work.push_back(Work::Queue(QueueEvent::Request { request_id, request }));
             return;
         }
@@ -103,8 +103,8 @@
             return;
         };
 
-        if question.keeper == self.board.me {
-            let request_id = PlaceRequestId { host: self.board.me, number };
+        if question.keeper == self.state.me {
+            let request_id = PlaceRequestId { host: self.state.me, number };
             self.work.push_back(Work::Queue(QueueEvent::Release { request_id, end }));
             return;
         }
@@ -134,7 +134,7 @@
         due.sort_unstable();
         for number in due {
             let keeper = self.asks.questions[&number].keeper;
-            if keeper == self.board.me || self.membership.is_alive(keeper) {
+            if keeper == self.state.me || self.membership.is_alive(keeper) {
                 self.send_question(number, out);
             } else {
                 self.ask_elsewhere(now, number, out);
@@ -172,8 +172,8 @@
         target: TargetId,
         out: &mut Vec<Action>,
     ) {
-        if request_id.host == self.board.me {
-            self.on_grant(self.board.me, request_id.number, target, out);
+        if request_id.host == self.state.me {
+            self.on_grant(self.state.me, request_id.number, target, out);
             return;
         }
 
@@ -188,7 +188,7 @@
         retry_after: Duration,
         out: &mut Vec<Action>,
     ) {
-        if request_id.host == self.board.me {
+        if request_id.host == self.state.me {
             self.on_refused(request_id.number, retry_after);
             return;
         }
@@ -228,7 +228,7 @@
     fn on_grant(&mut self, from: HostId, number: u64, target: TargetId, out: &mut Vec<Action>) {
         let Some(question) = self.asks.questions.get_mut(&number) else {
             // Withdrawn meanwhile, or asked elsewhere: the place goes back at once.
-            if from != self.board.me {
+            if from != self.state.me {
                 out.push(send(from, QueueBody::Done(done_message(number, &not_sent()))));
             }
             return;
--- a/crates/policy/src/scheduler/entry.rs
+++ b/crates/policy/src/scheduler/entry.rs
@@ -39,9 +39,9 @@
     ) {
         let may_run = matches!(body, Request::Open(_) | Request::Call(_) | Request::End { .. });
         let is_call = matches!(body, Request::Call(_));
-        self.wait_for(request, Waiting { home: self.board.me, may_run, is_call });
+        self.wait_for(request, Waiting { home: self.state.me, may_run, is_call });
 
-        if self.board.config.is_none() {
+        if self.state.config.is_none() {
             let reply = no_home(is_call, "this host has no configuration yet", HOME_MOVES);
             return self.answer_here(request, reply, out);
         }
@@ -51,10 +51,10 @@
         }
         self.choose_program(&mut body);
 
-        let partition = body.program().partition(self.board.partitions());
+        let partition = body.program().partition(self.state.partitions());
         match self.home_of(partition) {
-            Some(home) if home == self.board.me => {
-                let ticket = Ticket { entry: self.board.me, request };
+            Some(home) if home == self.state.me => {
+                let ticket = Ticket { entry: self.state.me, request };
                 let event = ProgramEvent::Request { ticket, tenant, key, request: body };
                 self.work.push_back(Work::Program(event));
             }
@@ -77,7 +77,7 @@
     /// Such a zone cannot hear that a key was withdrawn. By default it serves all the same; a
     /// tenant for whom a withdrawn key is worse than a refusal declares otherwise.
     fn must_not_serve(&self, now: Instant, tenant: TenantId) -> bool {
-        let Some(config) = self.board.config.as_ref().filter(|_| self.is_cut_off(now)) else {
+        let Some(config) = self.state.config.as_ref().filter(|_| self.is_cut_off(now)) else {
             return false;
         };
         let declared = |t: &&Tenant| TenantId::from_name(&t.name) == tenant;
@@ -86,18 +86,18 @@
     }
 
     fn is_cut_off(&self, now: Instant) -> bool {
-        let lapsed = self.leases.is_failing() && now > self.board.leases_until;
+        let lapsed = self.leases.is_failing() && now > self.state.leases_valid_until;
 
-        lapsed && self.board.alive.values().all(|zone| *zone == self.board.zone)
+        lapsed && self.state.live_hosts.values().all(|zone| *zone == self.state.zone)
     }
 
     /// Returns the home of a partition, if it is known and can be reached.
     pub(super) fn home_of(&self, partition: PartitionId) -> Option<HostId> {
-        if self.board.homes.contains(&partition) {
-            return Some(self.board.me);
+        if self.state.held_partitions.contains(&partition) {
+            return Some(self.state.me);
         }
 
-        let holder = self.board.routes.get(&partition)?;
+        let holder = self.state.routes.get(&partition)?;
         self.membership.is_alive(holder.host).then_some(holder.host)
     }
 
@@ -112,7 +112,7 @@
             open.program = self.fresh_program();
         }
         if let Some(parent) = open.parent {
-            open.program = open.program.in_partition(parent.partition(self.board.partitions()));
+            open.program = open.program.in_partition(parent.partition(self.state.partitions()));
         }
     }
 
@@ -123,7 +123,7 @@
         let half = |salt: &[u8]| u128::from(stable_hash(&[salt, &parts[0], &parts[1]]));
         let program = ProgramId((half(b"high") << 64) | half(b"low"));
 
-        let mut homes: Vec<_> = self.board.homes.iter().copied().collect();
+        let mut homes: Vec<_> = self.state.held_partitions.iter().copied().collect();
         homes.sort_unstable();
         match homes.len() {
             0 => program,
@@ -137,8 +137,8 @@
             return;
         };
 
-        if waiting.home == self.board.me {
-            let ticket = Ticket { entry: self.board.me, request };
+        if waiting.home == self.state.me {
+            let ticket = Ticket { entry: self.state.me, request };
             self.work.push_back(Work::Program(ProgramEvent::CallerGone { ticket }));
         } else {
             let gone = CallerGone { request: request.0 };
@@ -202,7 +202,7 @@
         };
 
         // The entry host may not have heard of a withdrawal, or of a configuration, yet.
-        if self.configs.is_withdrawn(key) || self.board.removed_keys.contains(&key) {
+        if self.configs.is_withdrawn(key) || self.state.removed_keys.contains(&key) {
             let refusal = Refusal::not_run(Code::Unauthorized, "the key is not accepted");
             return self.answer(ticket, Reply::Refused(refusal), out);
         }
--- a/crates/policy/src/scheduler/extension.rs
+++ b/crates/policy/src/scheduler/extension.rs
@@ -55,7 +55,7 @@
         let Some(until) = self.extended_until(now) else {
             return;
         };
-        if until <= self.board.leases_until || until <= now {
+        if until <= self.state.leases_valid_until || until <= now {
             return;
         }
         for column in self.leases.columns() {
@@ -78,15 +78,15 @@
     /// Returns the other hosts of this zone, as the platform showed them last and as gossip
     /// shows them.
     fn zone_mates(&self) -> Set<HostId> {
-        let zone = self.board.zone;
+        let zone = self.state.zone;
         let listed = self
-            .board
+            .state
             .sessions
             .iter()
             .filter(|s| ZoneId::from_name(&s.zone) == zone)
             .map(|s| HostId::from_name(&s.host));
         let heard = self.membership.alive().into_iter().filter(|m| m.zone == zone).map(|m| m.host);
 
-        listed.chain(heard).filter(|host| *host != self.board.me).collect()
+        listed.chain(heard).filter(|host| *host != self.state.me).collect()
     }
 }
--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -63,12 +63,12 @@
     }
 
     fn own_homes(&self) -> Vec<PartitionNews> {
-        let mut homes: Vec<_> = self.board.homes.iter().copied().collect();
+        let mut homes: Vec<_> = self.state.held_partitions.iter().copied().collect();
         homes.sort_unstable();
 
         let news = |partition: PartitionId| {
             let epoch = self.leases.epoch(partition)?;
-            let holder = self.board.me.0;
+            let holder = self.state.me.0;
             Some(PartitionNews { partition: u32::from(partition.0), epoch: epoch.0, holder })
         };
         homes.into_iter().filter_map(news).collect()
@@ -92,7 +92,7 @@
         for news in &gossip.partitions {
             let partition = PartitionId(news.partition as u16);
             let holder = Holder { host: HostId(news.holder), epoch: Epoch(news.epoch) };
-            self.board.learn_route(partition, holder);
+            self.state.learn_route(partition, holder);
         }
         for bytes in &gossip.quarantined {
             if let Ok(digest) = Digest::try_from(bytes.as_slice()) {
@@ -122,7 +122,7 @@
         out: &mut Vec<Action>,
     ) {
         let version = ConfigVersion(version);
-        self.board.versions.insert(from, version);
+        self.state.versions.insert(from, version);
         let mine = self.configs.pointer().map_or(ConfigVersion(0), |p| p.version);
 
         if version > mine {
--- a/crates/policy/src/scheduler/operators.rs
+++ b/crates/policy/src/scheduler/operators.rs
@@ -99,7 +99,7 @@
     ) {
         let reply = match request {
             OperatorRequest::Status => OperatorReply::Status(self.status(now)),
-            OperatorRequest::Config => OperatorReply::Config(self.board.config.clone()),
+            OperatorRequest::Config => OperatorReply::Config(self.state.config.clone()),
             OperatorRequest::Publish { base, config } => {
                 let event = ConfigEvent::Publish { ask, base, config };
                 return self.work.push_back(Work::Config(event));
@@ -125,7 +125,7 @@
         let named = |cfg: &Arc<Config>| {
             cfg.tenants.iter().flat_map(|t| &t.keys).any(|key| &*key.id == name)
         };
-        if !self.board.config.as_ref().is_some_and(named) {
+        if !self.state.config.as_ref().is_some_and(named) {
             return OperatorReply::Unknown;
         }
 
@@ -137,7 +137,7 @@
 
     fn drain_host(&mut self, name: &str, out: &mut Vec<Action>) -> OperatorReply {
         let host = HostId::from_name(name);
-        if host == self.board.me {
+        if host == self.state.me {
             self.drain();
             return OperatorReply::Accepted;
         }
@@ -153,12 +153,12 @@
     fn status(&self, now: Instant) -> Status {
         let version = self.configs.pointer().map_or(ConfigVersion(0), |p| p.version);
         let mut hosts = vec![HostStatus {
-            name: self.board.name.clone(),
-            zone: self.board.zone_name.clone(),
+            name: self.state.name.clone(),
+            zone: self.state.zone_name.clone(),
             reachable: true,
-            leaving: self.board.leaving,
+            leaving: self.state.leaving,
             version,
-            partitions: self.partitions_of(self.board.me),
+            partitions: self.partitions_of(self.state.me),
         }];
 
         for member in self.membership.all() {
@@ -167,7 +167,7 @@
                 zone: member.zone_name.clone(),
                 reachable: self.membership.is_alive(member.host),
                 leaving: member.leaving,
-                version: self.board.versions.get(&member.host).copied().unwrap_or_default(),
+                version: self.state.versions.get(&member.host).copied().unwrap_or_default(),
                 partitions: self.partitions_of(member.host),
             });
         }
@@ -178,17 +178,17 @@
         quarantined.sort_unstable();
 
         Status {
-            host: self.board.name.clone(),
+            host: self.state.name.clone(),
             version,
             unstored_withdrawals: self.configs.unstored(),
-            leases_hold_ms: self.board.leases_until.since(now).as_millis() as u64,
+            leases_hold_ms: self.state.leases_valid_until.since(now).as_millis() as u64,
             hosts,
             quarantined,
         }
     }
 
     fn partitions_of(&self, host: HostId) -> Vec<(u16, u64)> {
-        let held = self.board.routes.iter().filter(|(_, holder)| holder.host == host);
+        let held = self.state.routes.iter().filter(|(_, holder)| holder.host == host);
         let mut all: Vec<_> = held.map(|(p, holder)| (p.0, holder.epoch.0)).collect();
         all.sort_unstable();
 
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -32,7 +32,7 @@
 
     /// Returns the engines of this zone whose pool's queue this host keeps.
     fn engines_kept_here(&self) -> Vec<TargetId> {
-        let Some(config) = &self.board.config else {
+        let Some(config) = &self.state.config else {
             return Vec::new();
         };
 
@@ -40,8 +40,8 @@
             .targets
             .iter()
             .filter(|t| t.kind == TargetKind::Engine)
-            .filter(|t| ZoneId::from_name(&t.zone) == self.board.zone)
-            .filter(|t| self.board.keeper(PoolId::from_name(&t.pool)) == self.board.me)
+            .filter(|t| ZoneId::from_name(&t.zone) == self.state.zone)
+            .filter(|t| self.state.keeper(PoolId::from_name(&t.pool)) == self.state.me)
             .map(|t| TargetId::from_name(&t.name))
             .collect()
     }
@@ -62,13 +62,13 @@
         // One message for each home; a home that is not known now is asked next time.
         let mut by_home = BTreeMap::<HostId, Vec<ProgramId>>::new();
         for program in asked {
-            let partition = program.partition(self.board.partitions());
+            let partition = program.partition(self.state.partitions());
             if let Some(home) = self.home_of(partition) {
                 by_home.entry(home).or_default().push(program);
             }
         }
         for (home, programs) in by_home {
-            if home == self.board.me {
+            if home == self.state.me {
                 let over = self.over_of(programs);
                 self.on_over(target, over, out);
             } else {
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -70,7 +70,7 @@
 
     /// Starts leaving.
     pub(super) fn drain(&mut self) {
-        self.board.leaving = true;
+        self.state.leaving = true;
         self.membership.leave();
         self.work.push_back(Work::Lease(LeaseEvent::Leave));
     }
@@ -148,13 +148,13 @@
                 out.push(Action::Platform { op: OpId::Lease(op), request });
             }
             LeaseAction::Acquired { name: LeaseName::Partition(partition), epoch, version } => {
-                self.board.homes.insert(partition);
+                self.state.held_partitions.insert(partition);
                 let event = ProgramEvent::Acquired { partition, epoch, lease: version };
                 self.work.push_back(Work::Program(event));
                 self.tell_homes(out);
             }
             LeaseAction::Acquired { name: LeaseName::Column(column), epoch, .. } => {
-                let until = self.board.leases_until;
+                let until = self.state.leases_valid_until;
                 let event = if epoch == Epoch::FIRST {
                     SliceEvent::FirstOwned { column, until }
                 } else {
@@ -163,14 +163,14 @@
                 self.work.push_back(Work::Slice(event));
             }
             LeaseAction::Lost { name: LeaseName::Partition(partition) } => {
-                self.board.homes.remove(&partition);
+                self.state.held_partitions.remove(&partition);
                 self.work.push_back(Work::Program(ProgramEvent::Lost { partition }));
             }
             LeaseAction::Lost { name: LeaseName::Column(column) } => {
                 self.work.push_back(Work::Slice(SliceEvent::Lost { column }));
             }
             LeaseAction::Renewed { until } => {
-                self.board.leases_until = until;
+                self.state.leases_valid_until = until;
                 for column in self.leases.columns() {
                     let event = SliceEvent::Owned { column, until, fresh: false };
                     self.work.push_back(Work::Slice(event));
@@ -193,7 +193,7 @@
     ) {
         for (name, holder) in routes {
             if let LeaseName::Partition(partition) = name {
-                self.board.learn_route(partition, holder);
+                self.state.learn_route(partition, holder);
             }
         }
 
@@ -202,7 +202,7 @@
             let (name, zone) = (&host.host, &host.zone);
             self.membership.learn(name, zone, host.peer_address, host.leaving, &mut next);
         }
-        self.board.sessions = hosts;
+        self.state.sessions = hosts;
         self.on_membership(now, next, out);
     }
 
@@ -215,7 +215,7 @@
                 self.adopted_at = now;
                 // A key that is taken out of the declarations is withdrawn like one that is named:
                 // what waits or streams under it ends.
-                for key in self.board.adopt(&config) {
+                for key in self.state.adopt(&config) {
                     self.work.push_back(Work::Program(ProgramEvent::KeyWithdrawn(key)));
                 }
                 self.work.push_back(Work::Lease(LeaseEvent::Wanted(wanted(&config))));
@@ -299,15 +299,15 @@
     fn on_alive_changed(&mut self, out: &mut Vec<Action>) {
         let stays = |m: &&&Member| !m.leaving;
         let alive = self.membership.alive();
-        self.board.alive = alive.iter().filter(stays).map(|m| (m.host, m.zone)).collect();
+        self.state.live_hosts = alive.iter().filter(stays).map(|m| (m.host, m.zone)).collect();
 
-        let me = SliceHost { host: self.board.me, zone: self.board.zone };
+        let me = SliceHost { host: self.state.me, zone: self.state.zone };
         // A leaving host pools no tenant: its slices are asked back, level included, while it
         // is still there to return them.
-        let others = self.board.alive.iter();
+        let others = self.state.live_hosts.iter();
         let mut hosts: Vec<_> =
             others.map(|(host, zone)| SliceHost { host: *host, zone: *zone }).collect();
-        hosts.extend((!self.board.leaving).then_some(me));
+        hosts.extend((!self.state.leaving).then_some(me));
         hosts.sort_unstable_by_key(|h| h.host);
         self.work.push_back(Work::Slice(SliceEvent::Hosts(hosts)));
         self.update_watched(out);
@@ -315,7 +315,7 @@
 
     /// Answers a request, on this host or through the host that it came from.
     pub(super) fn answer(&mut self, ticket: Ticket, reply: Reply, out: &mut Vec<Action>) {
-        if ticket.entry == self.board.me {
+        if ticket.entry == self.state.me {
             self.answer_here(ticket.request, reply, out);
             return;
         }
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -194,17 +194,17 @@
 
     /// Returns the configuration version in force at a host.
     pub fn version(&self, host: usize) -> u64 {
-        let board = self.hosts[host].scheduler.board();
+        let state = self.hosts[host].scheduler.state();
 
-        board.config.as_ref().map_or(0, |config| config.version.0)
+        state.config.as_ref().map_or(0, |config| config.version.0)
     }
 
     /// Returns the running host that holds a program's partition and was heard of last.
     pub fn home(&self, program: ProgramId) -> Option<usize> {
         let holds = |host: &&(usize, &Host)| {
-            let board = host.1.scheduler.board();
-            let partition: PartitionId = program.partition(board.partitions());
-            host.1.state != State::Down && board.homes.contains(&partition)
+            let state = host.1.scheduler.state();
+            let partition: PartitionId = program.partition(state.partitions());
+            host.1.state != State::Down && state.held_partitions.contains(&partition)
         };
         let hosts: Vec<_> = self.hosts.iter().enumerate().collect();
 
@@ -212,7 +212,7 @@
         hosts
             .iter()
             .filter(holds)
-            .max_by_key(|(_, host)| host.scheduler.board().leases_until)
+            .max_by_key(|(_, host)| host.scheduler.state().leases_valid_until)
             .map(|(index, _)| *index)
     }
 
