--- a/crates/camphorwalk/src/demo/fleet.rs
+++ b/crates/camphorwalk/src/demo/fleet.rs
@@ -183,7 +183,7 @@
             writes_per_second: 40.0,
         },
         limits: Limits::default(),
-        times: camphorwalk_policy::scheduler::Times::default(),
+        times: camphorwalk_policy::scheduler::SchedulerTimes::default(),
         drain_delay: Duration::from_millis(100),
         traffic_threads: 2,
         log: LogSettings::default(),
--- a/crates/camphorwalk/src/measure/control.rs
+++ b/crates/camphorwalk/src/measure/control.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::calls::{CallRequest, Reply, Request};
 use camphorwalk_core::ids::{ProgramId, RequestId};
-use camphorwalk_policy::scheduler::Times;
+use camphorwalk_policy::scheduler::SchedulerTimes;
 use serde::Serialize;
 
 use super::declared;
@@ -102,10 +102,10 @@
     }
 }
 
-fn stretched(by: u32) -> Times {
-    let times = Times::default();
+fn stretched(by: u32) -> SchedulerTimes {
+    let times = SchedulerTimes::default();
 
-    Times {
+    SchedulerTimes {
         session_lifetime: times.session_lifetime * by,
         session_renewal: times.session_renewal * by,
         lease_poll: times.lease_poll * by,
--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -12,9 +12,9 @@
 use camphorwalk_core::platform::{HostListing, ObjectName, PlatformOp, PlatformReply, Write};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::{ConfigVersion, Tokens};
-use camphorwalk_policy::configs::OperatorId;
+use camphorwalk_policy::configs::OperatorRequestId;
 use camphorwalk_policy::scheduler::{
-    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
+    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, SchedulerTimes,
 };
 use camphorwalk_policy::shared_types::AttemptOutcome;
 use camphorwalk_standin::Store;
@@ -70,7 +70,7 @@
 
 impl Driver {
     /// Starts hosts and publishes a configuration; returns once all hosts have it in force.
-    pub fn start(hosts: usize, times: Times, config: &Config) -> Self {
+    pub fn start(hosts: usize, times: SchedulerTimes, config: &Config) -> Self {
         let listings: Vec<_> = (0..hosts).map(listing).collect();
         let mut driver = Self {
             hosts: listings.iter().map(|l| Scheduler::new(options(l, times))).collect(),
@@ -91,11 +91,15 @@
         };
 
         for host in 0..hosts {
-            driver.add(Duration::ZERO, host, Event::Hosts(listings.clone()));
+            driver.add(Duration::ZERO, host, Event::HostList(listings.clone()));
         }
         let request =
             OperatorRequest::Publish { base: ConfigVersion(0), config: Box::new(config.clone()) };
-        driver.add(Duration::ZERO, 0, Event::Operator { ask: OperatorId(0), request });
+        driver.add(
+            Duration::ZERO,
+            0,
+            Event::Operator { request_id: OperatorRequestId(0), request },
+        );
         while !driver.hosts.iter().all(Scheduler::is_ready) {
             driver.run(Duration::from_millis(100));
         }
@@ -236,19 +240,23 @@
             }
             Action::Dispatch(dispatch) => {
                 let usage = Usage { output_tokens: Tokens(8), ..Usage::default() };
-                let end =
+                let outcome =
                     AttemptOutcome::Done { output: "\"some words of an answer\"".into(), usage };
-                self.add(TARGET_TIME, host, Event::Ended { attempt: dispatch.attempt, end });
+                self.add(
+                    TARGET_TIME,
+                    host,
+                    Event::AttemptEnded { attempt: dispatch.attempt, outcome },
+                );
             }
             Action::Cancel(_)
-            | Action::Address { .. }
-            | Action::Free(_)
-            | Action::FreeAt { .. }
-            | Action::Watch(_)
+            | Action::SetPeerAddress { .. }
+            | Action::FreeProgram(_)
+            | Action::FreeProgramAt { .. }
+            | Action::WatchEngines(_)
             | Action::Adopted(_)
             | Action::KeyWithdrawn(_)
             | Action::OperatorAnswer { .. }
-            | Action::Left => {}
+            | Action::ShutdownReady => {}
         }
     }
 
@@ -269,7 +277,7 @@
     }
 }
 
-fn options(listing: &HostListing, times: Times) -> SchedulerOptions {
+fn options(listing: &HostListing, times: SchedulerTimes) -> SchedulerOptions {
     SchedulerOptions {
         host: listing.name.clone(),
         zone: listing.zone.clone(),
--- a/crates/camphorwalk/src/measure/memory.rs
+++ b/crates/camphorwalk/src/measure/memory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::calls::{CallRequest, Reply, Request};
-use camphorwalk_policy::scheduler::Times;
+use camphorwalk_policy::scheduler::SchedulerTimes;
 use serde::Serialize;
 
 use super::declared;
@@ -30,7 +30,7 @@
 ///
 /// The fake platform keeps nothing of it, so what the process grows by is the host's.
 pub fn measure(programs: usize, calls: u32, input_bytes: usize) -> MemoryReport {
-    let mut driver = Driver::start(1, Times::default(), &declared::config(1, 64));
+    let mut driver = Driver::start(1, SchedulerTimes::default(), &declared::config(1, 64));
     driver.run(Duration::from_secs(5));
     driver.keep_no_journals();
     let before = resident_bytes();
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -86,5 +86,5 @@
 }
 
 fn sleep_time(scheduler: &Scheduler, now: Instant) -> Duration {
-    scheduler.wake_at().since(now).min(Scheduler::longest_sleep())
+    scheduler.wake_at().since(now).min(Scheduler::max_sleep())
 }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -9,7 +9,7 @@
 use camphorwalk_core::messages::forward::Chunk;
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_peer::{Inbound, PeerOptions, Peers, Secret};
-use camphorwalk_policy::configs::OperatorId;
+use camphorwalk_policy::configs::OperatorRequestId;
 use camphorwalk_policy::scheduler::{Action, Event, OperatorReply, SchedulerOptions};
 use camphorwalk_policy::shared_types::AttemptOutcome;
 use camphorwalk_store::{Client, ClientOptions};
@@ -65,7 +65,7 @@
     /// How far the host is.
     pub phase: watch::Sender<Phase>,
     /// Operators who wait for an answer.
-    pub operators: Mutex<Map<OperatorId, oneshot::Sender<OperatorReply>>>,
+    pub operators: Mutex<Map<OperatorRequestId, oneshot::Sender<OperatorReply>>>,
     /// Counts the requests and the operators' questions.
     pub counter: std::sync::atomic::AtomicU64,
 }
@@ -207,7 +207,7 @@
         match action {
             Action::Answer { request, reply } => self.shared.streams.answer(request, *reply),
             Action::Send { to, message } => self.send(to, message),
-            Action::Address { host, address } => self.peers.set_address(host, address),
+            Action::SetPeerAddress { host, address } => self.peers.set_address(host, address),
             Action::Platform { op, request } => {
                 let (platform, control) = (self.platform.clone(), self.shared.control.clone());
                 tokio::spawn(async move {
@@ -217,15 +217,15 @@
             }
             Action::Dispatch(dispatch) => self.dispatch(*dispatch),
             Action::Cancel(attempt) => self.targets.cancel(attempt),
-            Action::Free(program) => {
+            Action::FreeProgram(program) => {
                 let targets = self.targets.clone();
                 tokio::spawn(async move { targets.free(program).await });
             }
-            Action::FreeAt { target, program } => {
+            Action::FreeProgramAt { target, program } => {
                 let targets = self.targets.clone();
                 tokio::spawn(async move { targets.free_at(target, program).await });
             }
-            Action::Watch(engines) => {
+            Action::WatchEngines(engines) => {
                 self.watched.send_replace(engines);
             }
             Action::Adopted(config) => self.adopt(&config),
@@ -233,8 +233,10 @@
                 tracing::info!("config: key {key} withdrawn");
                 write(&self.shared.keys).withdraw(key);
             }
-            Action::OperatorAnswer { ask, reply } => self.answer_operator(ask, *reply),
-            Action::Left => {
+            Action::OperatorAnswer { request_id, reply } => {
+                self.answer_operator(request_id, *reply)
+            }
+            Action::ShutdownReady => {
                 tracing::info!("host: all is handed back");
                 self.shared.phase.send_replace(Phase::Left);
             }
@@ -250,7 +252,7 @@
         }
 
         if !self.peers.send(to, message.clone()) {
-            self.shared.control.send(Event::Unsent { to, message });
+            self.shared.control.send(Event::SendFailed { to, message });
         }
     }
 
@@ -262,13 +264,13 @@
             // The last look before anything is sent: a key withdrawn meanwhile has no effect
             // at any target.
             let stands = read(&shared.keys).stands(dispatch.key);
-            let end = if stands { targets.run(dispatch).await } else { key_withdrawn() };
+            let outcome = if stands { targets.run(dispatch).await } else { key_withdrawn() };
             // A cancelled attempt may be answered to nobody: what was counted for the answer goes.
-            if let (AttemptOutcome::Cancelled, Some(ticket)) = (&end, stream) {
+            if let (AttemptOutcome::Cancelled, Some(ticket)) = (&outcome, stream) {
                 shared.streams.take_sent(ticket);
             }
-            shared.metrics.attempts.with_label_values(&[end_label(&end)]).inc();
-            shared.control.send(Event::Ended { attempt, end });
+            shared.metrics.attempts.with_label_values(&[end_label(&outcome)]).inc();
+            shared.control.send(Event::AttemptEnded { attempt, outcome });
         });
     }
 
@@ -285,9 +287,13 @@
         });
     }
 
-    fn answer_operator(&self, ask: OperatorId, reply: OperatorReply) {
-        let waiting =
-            self.shared.operators.lock().unwrap_or_else(PoisonError::into_inner).remove(&ask);
+    fn answer_operator(&self, request_id: OperatorRequestId, reply: OperatorReply) {
+        let waiting = self
+            .shared
+            .operators
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&request_id);
 
         if let Some(waiting) = waiting {
             // An operator that went away has no use for the answer.
@@ -323,7 +329,7 @@
                 shared.control.send(Event::PeerDown(host));
             }
             Inbound::Unsent { to, message } => {
-                shared.control.send(Event::Unsent { to, message });
+                shared.control.send(Event::SendFailed { to, message });
             }
         }
     }
@@ -341,7 +347,7 @@
 async fn list_hosts(shared: Arc<Shared>, platform: Client) {
     loop {
         match platform.hosts().await {
-            Ok(hosts) => shared.control.send(Event::Hosts(hosts)),
+            Ok(hosts) => shared.control.send(Event::HostList(hosts)),
             Err(e) => tracing::debug!("platform: no list of hosts: {e}"),
         }
         tokio::time::sleep(HOST_LIST_PERIOD).await;
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -6,7 +6,7 @@
 
 use camphorwalk_core::config::Config;
 use camphorwalk_core::units::ConfigVersion;
-use camphorwalk_policy::configs::{OperatorId, Published};
+use camphorwalk_policy::configs::{OperatorRequestId, Published};
 use camphorwalk_policy::scheduler::{Event, OperatorReply, OperatorRequest, Status};
 use dropshot::{
     ApiDescription, ApiDescriptionRegisterError, Body, ConfigDropshot, ErrorStatusCode, HttpError,
@@ -300,15 +300,15 @@
 async fn ask(cx: &Context, request: OperatorRequest) -> Result<OperatorReply, HttpError> {
     authorize(cx)?;
     let shared = cx.context();
-    let ask = OperatorId(shared.number());
+    let request_id = OperatorRequestId(shared.number());
     let (tx, rx) = oneshot::channel();
-    shared.operators.lock().unwrap_or_else(PoisonError::into_inner).insert(ask, tx);
-    shared.control.send(Event::Operator { ask, request });
+    shared.operators.lock().unwrap_or_else(PoisonError::into_inner).insert(request_id, tx);
+    shared.control.send(Event::Operator { request_id, request });
 
     match tokio::time::timeout(ANSWER_TIMEOUT, rx).await {
         Ok(Ok(reply)) => Ok(reply),
         _ => {
-            shared.operators.lock().unwrap_or_else(PoisonError::into_inner).remove(&ask);
+            shared.operators.lock().unwrap_or_else(PoisonError::into_inner).remove(&request_id);
             Err(no_answer_in_time())
         }
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use camphorwalk_policy::scheduler::Times;
+use camphorwalk_policy::scheduler::SchedulerTimes;
 
 use self::reader::Reader;
 use crate::errors::{Error, Result, unreadable};
@@ -43,7 +43,7 @@
     /// What it takes on at most.
     pub limits: Limits,
     /// The times it works with.
-    pub times: Times,
+    pub times: SchedulerTimes,
     /// How long a host that is leaving goes on taking requests, so that the balancer in
     /// front has heard of it.
     pub drain_delay: Duration,
@@ -202,7 +202,7 @@
 ///
 /// It would then be refused what it needs to answer, and callers would be told that the
 /// platform is away while it is well.
-fn check_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &Times) {
+fn check_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &SchedulerTimes) {
     let writes = 1.0 / times.commit_interval.as_secs_f64();
 
     if writes > platform.writes_per_second * JOURNAL_SHARE {
@@ -221,10 +221,10 @@
     }
 }
 
-fn read_times(r: &mut Reader<'_>) -> Times {
-    let default = Times::default();
+fn read_times(r: &mut Reader<'_>) -> SchedulerTimes {
+    let default = SchedulerTimes::default();
 
-    Times {
+    SchedulerTimes {
         session_lifetime: r.duration_or("session_lifetime", default.session_lifetime),
         session_renewal: r.duration_or("session_renewal", default.session_renewal),
         lease_poll: r.duration_or("lease_poll", default.lease_poll),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -111,7 +111,7 @@
 
     let programs: Vec<ProgramId> =
         list.programs.iter().filter_map(|held| held.program.parse().ok()).collect();
-    shared.control.send(Event::Held { target, programs });
+    shared.control.send(Event::HeldPrograms { target, programs });
 }
 
 async fn read_events(shared: &Shared, targets: &Targets, target: TargetId, after: u64) -> u64 {
--- a/crates/policy/src/configs.rs
+++ b/crates/policy/src/configs.rs
@@ -45,7 +45,7 @@
 
 /// An operator's question, by a number that the answer carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct OperatorId(pub u64);
+pub struct OperatorRequestId(pub u64);
 
 /// Something that happened, as far as the configuration minds.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     /// An operator publishes a configuration that was made from version `base`.
     Publish {
         /// The question.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// The version that the operator read; 0 for the first.
         base: ConfigVersion,
         /// The new configuration.
@@ -98,7 +98,7 @@
     /// The answer to an operator who publishes.
     Published {
         /// The question.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// The answer.
         answer: Published,
     },
@@ -152,7 +152,7 @@
 /// A publication under way.
 #[derive(Clone, Debug)]
 struct Publication {
-    ask: OperatorId,
+    request_id: OperatorRequestId,
     base: ConfigVersion,
     config: Arc<Config>,
     object: Box<[u8]>,
@@ -251,7 +251,9 @@
                 keys.into_iter().for_each(|key| self.add_withdrawn(key, false, out));
             }
             ConfigEvent::Withdraw { key } => self.add_withdrawn(key, true, out),
-            ConfigEvent::Publish { ask, base, config } => self.publish(ask, base, *config, out),
+            ConfigEvent::Publish { request_id, base, config } => {
+                self.publish(request_id, base, *config, out)
+            }
             ConfigEvent::Wake => {}
         }
 
@@ -376,14 +378,14 @@
 
     fn publish(
         &mut self,
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         base: ConfigVersion,
         mut config: Config,
         out: &mut Vec<ConfigAction>,
     ) {
         config.version = ConfigVersion(base.0 + 1);
         let object = (self.options.write)(&config);
-        let publication = Publication { ask, base, config: Arc::new(config), object };
+        let publication = Publication { request_id, base, config: Arc::new(config), object };
         let request = PlatformOp::PutObject(publication.object.clone());
 
         self.start(Pending::Publish(Box::new(publication), PublishStep::Object), request, out);
@@ -396,7 +398,7 @@
         reply: PlatformReply,
         out: &mut Vec<ConfigAction>,
     ) {
-        let ask = publication.ask;
+        let request_id = publication.request_id;
         let answer = match (step, reply) {
             (PublishStep::Object, PlatformReply::Stored(_)) => {
                 let pending = Pending::Publish(publication, PublishStep::Read);
@@ -438,7 +440,7 @@
             _ => Published::Unavailable,
         };
 
-        out.push(ConfigAction::Published { ask, answer });
+        out.push(ConfigAction::Published { request_id, answer });
     }
 }
 
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -119,7 +119,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// How.
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
     /// The platform answered [`ProgramAction::Platform`].
     Platform {
@@ -372,7 +372,7 @@
             ProgramEvent::Unplaced { call, retry_after } => {
                 self.on_unplaced(cx, call, retry_after);
             }
-            ProgramEvent::Ended { attempt, end } => self.on_ended(cx, attempt, end),
+            ProgramEvent::Ended { attempt, outcome } => self.on_ended(cx, attempt, outcome),
             ProgramEvent::Platform { op, reply } => self.on_platform(cx, op, reply),
             ProgramEvent::KeyWithdrawn(key) => self.key_withdrawn(cx, key),
             ProgramEvent::Quarantined(digest) => self.suspects.quarantine(digest),
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -23,7 +23,12 @@
 
 impl Programs {
     /// An attempt ended.
-    pub(super) fn on_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptOutcome) {
+    pub(super) fn on_ended(
+        &mut self,
+        cx: &mut Cx<'_>,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+    ) {
         // Each attempt ends once; a late or crossed second end finds nothing.
         let Some(id) = self.attempts.remove(&attempt) else { return };
 
@@ -31,7 +36,7 @@
             return;
         }
 
-        match end {
+        match outcome {
             AttemptOutcome::Done { output, usage } => self.done(cx, id, output.into(), usage),
             // A target that refuses connections does so at once, and so always looks idle. Told
             // as a place that was not used, each call would be sent there first.
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -29,7 +29,9 @@
 use camphorwalk_core::platform::{HostListing, PlatformOp, PlatformReply};
 use camphorwalk_core::time::Instant;
 
-use crate::configs::{ConfigOp, ConfigOptions, Configs, OperatorId, ReadConfig, WriteConfig};
+use crate::configs::{
+    ConfigOp, ConfigOptions, Configs, OperatorRequestId, ReadConfig, WriteConfig,
+};
 use crate::host_state::HostState;
 use crate::leases::{LeaseOp, LeaseOptions, Leases};
 use crate::membership::{Membership, MembershipOptions};
@@ -80,7 +82,7 @@
         message: PeerMessage,
     },
     /// A message could not even be queued for sending.
-    Unsent {
+    SendFailed {
         /// The receiver.
         to: HostId,
         /// The message.
@@ -96,13 +98,13 @@
         reply: PlatformReply,
     },
     /// The platform's lagging list of hosts.
-    Hosts(Vec<HostListing>),
+    HostList(Vec<HostListing>),
     /// An attempt ended at its target.
-    Ended {
+    AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
         /// How.
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     },
     /// A target reported its load.
     Load {
@@ -119,7 +121,7 @@
         program: ProgramId,
     },
     /// A target said which programs it holds something for.
-    Held {
+    HeldPrograms {
         /// The target.
         target: TargetId,
         /// The programs.
@@ -128,7 +130,7 @@
     /// An operator asks something.
     Operator {
         /// The question.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// What is asked.
         request: OperatorRequest,
     },
@@ -156,7 +158,7 @@
         message: PeerMessage,
     },
     /// Another host is reached here from now on.
-    Address {
+    SetPeerAddress {
         /// The host.
         host: HostId,
         /// Where it listens for peers.
@@ -174,16 +176,16 @@
     /// Cancel an attempt; its end is still to be told.
     Cancel(AttemptId),
     /// Have engines free what they hold for a program that is over.
-    Free(ProgramId),
+    FreeProgram(ProgramId),
     /// Have one engine free what it holds for a program that is over.
-    FreeAt {
+    FreeProgramAt {
         /// The engine.
         target: TargetId,
         /// The program.
         program: ProgramId,
     },
     /// Watch the load and the cache of these engines, and of no others.
-    Watch(Vec<TargetId>),
+    WatchEngines(Vec<TargetId>),
     /// This configuration is in force from now on.
     Adopted(Arc<Config>),
     /// This key is withdrawn from now on.
@@ -191,12 +193,12 @@
     /// Answer an operator.
     OperatorAnswer {
         /// The question.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// The answer.
         reply: Box<OperatorReply>,
     },
     /// All is handed back; the process may exit.
-    Left,
+    ShutdownReady,
 }
 
 /// Settings of a [`Scheduler`].
@@ -214,7 +216,7 @@
     /// The fleet's secret that seals turns which are not stored yet.
     pub seal_key: [u8; 32],
     /// The times it works with.
-    pub times: Times,
+    pub times: SchedulerTimes,
     /// Reads and checks a configuration.
     pub read_config: ReadConfig,
     /// Writes a configuration.
@@ -223,7 +225,7 @@
 
 /// The times that a host works with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct SchedulerTimes {
     /// The lifetime of a session that is not renewed.
     pub session_lifetime: Duration,
     /// How often a session is renewed.
@@ -241,7 +243,7 @@
     pub commit_interval: Duration,
 }
 
-impl Default for Times {
+impl Default for SchedulerTimes {
     /// Returns times that suit a dozen hosts.
     fn default() -> Self {
         Self {
@@ -264,7 +266,7 @@
 /// ```
 /// use std::time::Duration;
 /// use camphorwalk_core::time::Instant;
-/// use camphorwalk_policy::scheduler::{Action, Event, Scheduler, SchedulerOptions, Times};
+/// use camphorwalk_policy::scheduler::{Action, Event, Scheduler, SchedulerOptions, SchedulerTimes};
 ///
 /// let mut scheduler = Scheduler::new(SchedulerOptions {
 ///     host: "a1".into(),
@@ -272,7 +274,7 @@
 ///     peer_address: "127.0.0.1:7000".parse().unwrap(),
 ///     session: 1,
 ///     seal_key: [0; 32],
-///     times: Times::default(),
+///     times: SchedulerTimes::default(),
 ///     read_config: |_| Err("no configuration in this example".into()),
 ///     write_config: |_| Box::default(),
 /// });
@@ -425,7 +427,7 @@
     }
 
     /// Returns the longest time that a runtime should sleep.
-    pub const fn longest_sleep() -> Duration {
+    pub const fn max_sleep() -> Duration {
         LONGEST_SLEEP
     }
 
--- a/crates/policy/src/scheduler/operators.rs
+++ b/crates/policy/src/scheduler/operators.rs
@@ -12,7 +12,7 @@
 
 use super::work::Work;
 use super::{Action, Scheduler};
-use crate::configs::{ConfigEvent, OperatorId, Published};
+use crate::configs::{ConfigEvent, OperatorRequestId, Published};
 
 /// What an operator asks.
 #[derive(Clone, Debug, PartialEq)]
@@ -93,7 +93,7 @@
     pub(super) fn on_operator(
         &mut self,
         now: Instant,
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         request: OperatorRequest,
         out: &mut Vec<Action>,
     ) {
@@ -101,24 +101,24 @@
             OperatorRequest::Status => OperatorReply::Status(self.status(now)),
             OperatorRequest::Config => OperatorReply::Config(self.state.config.clone()),
             OperatorRequest::Publish { base, config } => {
-                let event = ConfigEvent::Publish { ask, base, config };
+                let event = ConfigEvent::Publish { request_id, base, config };
                 return self.work.push_back(Work::Config(event));
             }
             OperatorRequest::Withdraw { key } => self.withdraw(&key),
             OperatorRequest::Drain { host } => self.drain_host(&host, out),
         };
 
-        out.push(Action::OperatorAnswer { ask, reply: Box::new(reply) });
+        out.push(Action::OperatorAnswer { request_id, reply: Box::new(reply) });
     }
 
     pub(super) fn on_published(
         &mut self,
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         answer: Published,
         out: &mut Vec<Action>,
     ) {
         let reply = Box::new(OperatorReply::Published(answer));
-        out.push(Action::OperatorAnswer { ask, reply });
+        out.push(Action::OperatorAnswer { request_id, reply });
     }
 
     fn withdraw(&mut self, name: &str) -> OperatorReply {
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -26,7 +26,7 @@
 
         if watched != self.watched {
             self.watched.clone_from(&watched);
-            out.push(Action::Watch(watched));
+            out.push(Action::WatchEngines(watched));
         }
     }
 
@@ -97,7 +97,7 @@
         programs: Vec<ProgramId>,
         out: &mut Vec<Action>,
     ) {
-        out.extend(programs.into_iter().map(|program| Action::FreeAt { target, program }));
+        out.extend(programs.into_iter().map(|program| Action::FreeProgramAt { target, program }));
     }
 
     /// Returns those of the programs that this host, as their home, knows to be over.
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -37,14 +37,14 @@
             }
             Event::CallerGone(request) => self.on_caller_gone(request, out),
             Event::Peer { from, message } => self.on_peer(now, from, message, out),
-            Event::Unsent { to, message } => self.on_unsent(now, to, message, out),
+            Event::SendFailed { to, message } => self.on_unsent(now, to, message, out),
             Event::PeerDown(host) => self.on_peer_down(host, out),
             Event::Platform { op, reply } => self.work.push_back(match op {
                 OpId::Lease(op) => Work::Lease(LeaseEvent::Platform { op, reply }),
                 OpId::Config(op) => Work::Config(ConfigEvent::Platform { op, reply }),
                 OpId::Program(op) => Work::Program(ProgramEvent::Platform { op, reply }),
             }),
-            Event::Hosts(hosts) => {
+            Event::HostList(hosts) => {
                 let mut next = Vec::new();
                 for host in hosts {
                     let (name, zone) = (&host.name, &host.zone);
@@ -52,8 +52,8 @@
                 }
                 self.on_membership(now, next, out);
             }
-            Event::Ended { attempt, end } => {
-                self.work.push_back(Work::Program(ProgramEvent::Ended { attempt, end }));
+            Event::AttemptEnded { attempt, outcome } => {
+                self.work.push_back(Work::Program(ProgramEvent::Ended { attempt, outcome }));
             }
             Event::Load { target, report } => {
                 self.work.push_back(Work::Queue(QueueEvent::Load { target, report }));
@@ -61,8 +61,10 @@
             Event::Evicted { target, program } => {
                 self.work.push_back(Work::Queue(QueueEvent::Evicted { target, program }));
             }
-            Event::Held { target, programs } => self.on_held(target, programs, out),
-            Event::Operator { ask, request } => self.on_operator(now, ask, request, out),
+            Event::HeldPrograms { target, programs } => self.on_held(target, programs, out),
+            Event::Operator { request_id, request } => {
+                self.on_operator(now, request_id, request, out)
+            }
             Event::Drain => self.drain(),
             Event::Wake => {}
         }
@@ -180,7 +182,7 @@
             LeaseAction::Settle { partition } => {
                 self.work.push_back(Work::Program(ProgramEvent::ReleaseGrants { partition }));
             }
-            LeaseAction::Left => out.push(Action::Left),
+            LeaseAction::Left => out.push(Action::ShutdownReady),
         }
     }
 
@@ -229,7 +231,9 @@
                 self.work.push_back(Work::Program(ProgramEvent::KeyWithdrawn(key)));
                 out.push(Action::KeyWithdrawn(key));
             }
-            ConfigAction::Published { ask, answer } => self.on_published(ask, answer, out),
+            ConfigAction::Published { request_id, answer } => {
+                self.on_published(request_id, answer, out)
+            }
         }
     }
 
@@ -249,7 +253,7 @@
             ProgramAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Program(op), request });
             }
-            ProgramAction::ProgramEnded { program } => out.push(Action::Free(program)),
+            ProgramAction::ProgramEnded { program } => out.push(Action::FreeProgram(program)),
             ProgramAction::Quarantine { digest } => self.quarantine(digest),
             // The tables say who holds it now; what is left is to look.
             ProgramAction::Fenced { .. } => self.work.push_back(Work::Lease(LeaseEvent::Suspect)),
@@ -287,7 +291,7 @@
         for item in next {
             match item {
                 MembershipAction::Address { host, address } => {
-                    out.push(Action::Address { host, address });
+                    out.push(Action::SetPeerAddress { host, address });
                 }
                 MembershipAction::Gossip { to, news } => self.gossip(now, to, news, out),
                 MembershipAction::Changed => self.on_alive_changed(out),
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -346,9 +346,9 @@
     }
 
     /// Ends the attempt that was sent last.
-    pub fn finish(&mut self, platform: &mut Platform, end: AttemptOutcome) {
+    pub fn finish(&mut self, platform: &mut Platform, outcome: AttemptOutcome) {
         let attempt = self.sent.last().expect("an attempt was sent").attempt;
-        self.event(platform, ProgramEvent::Ended { attempt, end });
+        self.event(platform, ProgramEvent::Ended { attempt, outcome });
         self.pass(platform, 10);
     }
 
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -399,7 +399,7 @@
         }
 
         let (host, session, dispatch) = self.air.remove(index % self.air.len());
-        let end = match fate {
+        let outcome = match fate {
             Fate::NotSent => AttemptOutcome::NotSent,
             Fate::Refused => AttemptOutcome::Refused { message: "full".into() },
             Fate::Failed => {
@@ -418,7 +418,7 @@
         };
 
         if self.hosts[host].session == session {
-            let event = ProgramEvent::Ended { attempt: dispatch.attempt, end };
+            let event = ProgramEvent::Ended { attempt: dispatch.attempt, outcome };
             self.hosts[host].mailbox.push_back(event);
         }
     }
--- a/crates/policy/tests/scheduler_late_answers.rs
+++ b/crates/policy/tests/scheduler_late_answers.rs
@@ -29,7 +29,7 @@
 fn an_answer_that_was_not_sent_is_sent_again() {
     let mut scheduler = scheduler();
     let to = HostId::from_name("b1");
-    let unsent = || Event::Unsent { to, message: answer(7) };
+    let unsent = || Event::SendFailed { to, message: answer(7) };
 
     let at_once = sent(&mut scheduler, 1_000, unsent(), 7);
     let wake = scheduler.wake_at();
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -17,9 +17,9 @@
 use camphorwalk_core::platform::HostListing;
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::ConfigVersion;
-use camphorwalk_policy::configs::OperatorId;
+use camphorwalk_policy::configs::OperatorRequestId;
 use camphorwalk_policy::scheduler::{
-    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
+    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, SchedulerTimes,
 };
 use camphorwalk_policy::shared_types::Dispatch;
 
@@ -301,7 +301,7 @@
         if let OperatorRequest::Withdraw { key } = &request {
             self.record.withdrawn.push((self.now, host, KeyId::from_name(key)));
         }
-        self.deliver(host, Event::Operator { ask: OperatorId(ask), request });
+        self.deliver(host, Event::Operator { request_id: OperatorRequestId(ask), request });
 
         ask
     }
@@ -406,12 +406,14 @@
                 self.hosts[host].withdrawn.insert(key);
                 self.record.heard_withdrawn.push((self.now, host, key));
             }
-            Action::OperatorAnswer { ask, reply } => {
-                self.record.operators.insert(ask.0, *reply);
-            }
-            Action::Left => self.hosts[host].left = true,
-            Action::Address { .. } | Action::Free(_) | Action::FreeAt { .. } | Action::Watch(_) => {
+            Action::OperatorAnswer { request_id, reply } => {
+                self.record.operators.insert(request_id.0, *reply);
             }
+            Action::ShutdownReady => self.hosts[host].left = true,
+            Action::SetPeerAddress { .. }
+            | Action::FreeProgram(_)
+            | Action::FreeProgramAt { .. }
+            | Action::WatchEngines(_) => {}
         }
     }
 
@@ -439,7 +441,7 @@
 
     fn tell_hosts(&mut self, host: usize) {
         let listings = self.hosts.iter().enumerate().map(|(i, h)| listing(i, &h.name, &h.zone));
-        let event = Event::Hosts(listings.collect());
+        let event = Event::HostList(listings.collect());
         self.add_event(self.now, host, event);
     }
 }
@@ -464,7 +466,7 @@
         peer_address: listing.peer_address,
         session,
         seal_key: [7; 32],
-        times: Times::default(),
+        times: SchedulerTimes::default(),
         read_config: |bytes| camphorwalk_declare::unbundle(bytes).map_err(|e| e.to_string().into()),
         write_config: camphorwalk_declare::bundle,
     })
--- a/crates/scenario/src/world/network.rs
+++ b/crates/scenario/src/world/network.rs
@@ -105,7 +105,7 @@
 
     pub(super) fn send(&mut self, from: usize, to: HostId, message: PeerMessage) {
         let Some(receiver) = self.by_id.get(&to).copied() else {
-            return self.add_event(self.now, from, Event::Unsent { to, message });
+            return self.add_event(self.now, from, Event::SendFailed { to, message });
         };
         let broken = self.network.broken.contains(&(from, receiver));
 
@@ -117,7 +117,7 @@
         };
 
         if broken || gone {
-            self.add_event(self.now, from, Event::Unsent { to, message });
+            self.add_event(self.now, from, Event::SendFailed { to, message });
         } else if self.network.hosts_reach(from, receiver) {
             self.pass_on(from, receiver, message);
         } else {
--- a/crates/scenario/src/world/targets.rs
+++ b/crates/scenario/src/world/targets.rs
@@ -110,7 +110,8 @@
                 && target.away_until <= self.now
         });
         if !reachable || !self.key_stands(host, dispatch.key) {
-            let event = Event::Ended { attempt: dispatch.attempt, end: AttemptOutcome::NotSent };
+            let event =
+                Event::AttemptEnded { attempt: dispatch.attempt, outcome: AttemptOutcome::NotSent };
             return self.add_event(self.now + WAY, host, event);
         }
 
@@ -197,7 +198,7 @@
 
     fn tell_end(&mut self, attempt: AttemptId, running: Running) {
         if self.hosts[running.host].session == running.session {
-            let event = Event::Ended { attempt, end: running.end };
+            let event = Event::AttemptEnded { attempt, outcome: running.end };
             self.add_event(self.now + WAY, running.host, event);
         }
     }
