--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -218,7 +218,7 @@
 
 /// Where a request entered the fleet, and so where its reply goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket {
+pub struct RequestOrigin {
     /// The host that the caller is connected to.
     pub entry: HostId,
     /// The request's number on that host.
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -48,10 +48,10 @@
     Drain(forward::Drain),
     /// Asking whether programs are still open.
     #[prost(message, tag = "9")]
-    AskLive(live::AskLive),
+    EndedQuery(live::EndedQuery),
     /// Programs that are over.
     #[prost(message, tag = "10")]
-    Over(live::Over),
+    EndedPrograms(live::EndedPrograms),
     /// What an entry host has under way.
     #[prost(message, tag = "11")]
     EntryStatus(entry::EntryStatus),
--- a/crates/core/src/messages/gossip.rs
+++ b/crates/core/src/messages/gossip.rs
@@ -5,7 +5,7 @@
 pub struct Gossip {
     /// Hosts, the sender first; a bounded number of others, the newest news first.
     #[prost(message, repeated, tag = "1")]
-    pub hosts: Vec<HostNews>,
+    pub hosts: Vec<HostInfo>,
     /// The configuration version in force at the sender.
     #[prost(uint64, tag = "2")]
     pub config_version: u64,
@@ -20,13 +20,13 @@
     pub quarantined: Vec<Vec<u8>>,
     /// The holders of partitions that the sender knows, epochs included.
     #[prost(message, repeated, tag = "6")]
-    pub partitions: Vec<PartitionNews>,
+    pub partitions: Vec<PartitionHolder>,
     /// The whole configuration, sent to a peer that is behind and cannot reach the platform.
     #[prost(bytes = "vec", tag = "7")]
     pub config: Vec<u8>,
     /// Hosts of which nothing but their heartbeat is new.
     #[prost(message, repeated, tag = "8")]
-    pub beats: Vec<HostBeat>,
+    pub beats: Vec<HostHeartbeat>,
     /// Whether the sender cannot renew its session and promises to end nobody else's for a
     /// while, counted from the sending of this message.
     #[prost(bool, tag = "9")]
@@ -42,7 +42,7 @@
 
 /// A heartbeat of a host that the receiver knows by now: a third of the bytes of its news.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct HostBeat {
+pub struct HostHeartbeat {
     /// The host's id.
     #[prost(fixed64, tag = "1")]
     pub host: u64,
@@ -56,7 +56,7 @@
 
 /// What is known of one host.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct HostNews {
+pub struct HostInfo {
     /// The host's name.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -79,7 +79,7 @@
 
 /// Who holds a partition.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct PartitionNews {
+pub struct PartitionHolder {
     /// The partition.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
--- a/crates/core/src/messages/live.rs
+++ b/crates/core/src/messages/live.rs
@@ -2,7 +2,7 @@
 
 /// Which of these programs, held at a target, are over?
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct AskLive {
+pub struct EndedQuery {
     /// The target that holds them.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
@@ -13,7 +13,7 @@
 
 /// These programs are over: the target may free what it holds for them.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Over {
+pub struct EndedPrograms {
     /// The target that holds them.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
--- a/crates/core/src/messages/queue.rs
+++ b/crates/core/src/messages/queue.rs
@@ -13,21 +13,21 @@
 pub enum QueueBody {
     /// A call asks for a place.
     #[prost(message, tag = "1")]
-    Ask(Ask),
+    RequestPlace(RequestPlace),
     /// The call may go to this target.
     #[prost(message, tag = "2")]
     Grant(Grant),
     /// The call cannot be served in time.
     #[prost(message, tag = "3")]
-    Refuse(Refuse),
+    RefusePlace(RefusePlace),
     /// The call is over, or is no longer wanted; its place is free.
     #[prost(message, tag = "4")]
-    Done(Done),
+    ReleasePlace(ReleasePlace),
 }
 
 /// A call asks for a place at a target of a pool.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ask {
+pub struct RequestPlace {
     /// The asking host's number for this question.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -79,7 +79,7 @@
 
 /// A call cannot be served in time.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Refuse {
+pub struct RefusePlace {
     /// The number of the question.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -90,7 +90,7 @@
 
 /// A call's place is free.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Done {
+pub struct ReleasePlace {
     /// The number of the question.
     #[prost(uint64, tag = "1")]
     pub number: u64,
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use camphorwalk_core::hash::Map;
-use camphorwalk_core::ids::{HostId, RequestId, Ticket};
+use camphorwalk_core::ids::{HostId, RequestId, RequestOrigin};
 use camphorwalk_core::messages::forward::Chunk;
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_peer::{Inbound, PeerOptions, Peers, Secret};
@@ -247,7 +247,7 @@
         // Only the traffic side knows how much was streamed before an answer. One that is sent
         // again has the number already.
         if let Some(Body::Answer(answer)) = &mut message.body {
-            let ticket = Ticket { entry: to, request: RequestId(answer.request) };
+            let ticket = RequestOrigin { entry: to, request: RequestId(answer.request) };
             answer.chunks = answer.chunks.max(self.shared.streams.take_sent(ticket));
         }
 
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::calls::Reply;
 use camphorwalk_core::hash::Map;
-use camphorwalk_core::ids::{RequestId, Ticket};
+use camphorwalk_core::ids::{RequestId, RequestOrigin};
 use tokio::sync::{mpsc, oneshot};
 
 /// How many parts of a stream wait for a slow caller before the target is read no further.
@@ -52,7 +52,7 @@
 pub struct Streams {
     open: Mutex<Map<RequestId, Answering>>,
     /// Parts sent towards callers of other hosts.
-    sent: Mutex<Map<Ticket, u32>>,
+    sent: Mutex<Map<RequestOrigin, u32>>,
 }
 
 impl Streams {
@@ -99,12 +99,12 @@
     }
 
     /// Notes how many parts were streamed towards a caller of another host.
-    pub fn note_sent(&self, ticket: Ticket, parts: u32) {
+    pub fn note_sent(&self, ticket: RequestOrigin, parts: u32) {
         lock(&self.sent).insert(ticket, parts);
     }
 
     /// Takes the number of parts that were streamed towards a caller of another host.
-    pub fn take_sent(&self, ticket: Ticket) -> u32 {
+    pub fn take_sent(&self, ticket: RequestOrigin) -> u32 {
         lock(&self.sent).remove(&ticket).unwrap_or(0)
     }
 }
--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use camphorwalk_core::config::{Config, Target, TargetKind};
 use camphorwalk_core::hash::{Map, Set};
-use camphorwalk_core::ids::{AttemptId, ProgramId, TargetId, Ticket};
+use camphorwalk_core::ids::{AttemptId, ProgramId, RequestOrigin, TargetId};
 use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, Dispatch};
 use futures::future::BoxFuture;
 use http::{Request, Uri};
@@ -38,7 +38,7 @@
 const LARGEST_ANSWER: usize = 16 << 20;
 
 /// Takes a part of a stream on towards its caller; returns whether it could.
-pub type SendPart = dyn Fn(Ticket, u32, String) -> BoxFuture<'static, bool> + Send + Sync;
+pub type SendPart = dyn Fn(RequestOrigin, u32, String) -> BoxFuture<'static, bool> + Send + Sync;
 
 /// Where a target is.
 #[derive(Clone, Copy, Debug)]
--- a/crates/node/src/targets/engine.rs
+++ b/crates/node/src/targets/engine.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use camphorwalk_core::calls::Usage;
-use camphorwalk_core::ids::{ProgramId, Ticket};
+use camphorwalk_core::ids::{ProgramId, RequestOrigin};
 use camphorwalk_policy::shared_types::{AttemptOutcome, Dispatch};
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
@@ -78,7 +78,7 @@
     async fn read_stream(
         &self,
         mut body: Incoming,
-        stream: Option<Ticket>,
+        stream: Option<RequestOrigin>,
         streamed: &AtomicBool,
     ) -> AttemptOutcome {
         let mut reader = StreamReader::default();
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -9,7 +9,7 @@
 
 use camphorwalk_core::hash::{Map, stable_hash};
 use camphorwalk_core::ids::{HostId, ZoneId};
-use camphorwalk_core::messages::gossip::{HostBeat, HostNews};
+use camphorwalk_core::messages::gossip::{HostHeartbeat, HostInfo};
 use camphorwalk_core::time::Instant;
 
 /// The fewest hosts that one message may tell of, the sender aside.
@@ -94,8 +94,8 @@
         self.told = 0;
     }
 
-    fn news(&self) -> HostNews {
-        HostNews {
+    fn news(&self) -> HostInfo {
+        HostInfo {
             name: self.name.to_string(),
             zone: self.zone_name.to_string(),
             peer_address: self.peer_address.to_string(),
@@ -133,9 +133,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct News {
     /// All that is known of some hosts, the sender first.
-    pub whole: Vec<HostNews>,
+    pub whole: Vec<HostInfo>,
     /// The heartbeats of others.
-    pub beats: Vec<HostBeat>,
+    pub beats: Vec<HostHeartbeat>,
 }
 
 /// The hosts that this host knows.
@@ -224,8 +224,8 @@
     pub fn heard(
         &mut self,
         now: Instant,
-        whole: &[HostNews],
-        beats: &[HostBeat],
+        whole: &[HostInfo],
+        beats: &[HostHeartbeat],
         out: &mut Vec<MembershipAction>,
     ) {
         whole.iter().for_each(|item| self.hear_whole(now, item, out));
@@ -234,7 +234,7 @@
         self.look(now, out);
     }
 
-    fn hear_whole(&mut self, now: Instant, item: &HostNews, out: &mut Vec<MembershipAction>) {
+    fn hear_whole(&mut self, now: Instant, item: &HostInfo, out: &mut Vec<MembershipAction>) {
         let Ok(address) = item.peer_address.parse() else {
             return;
         };
@@ -261,7 +261,7 @@
         }
     }
 
-    fn hear_beat(&mut self, now: Instant, beat: &HostBeat) {
+    fn hear_beat(&mut self, now: Instant, beat: &HostHeartbeat) {
         // A host not known yet is learnt from whole news, or from the platform.
         let Some(member) = self.members.get_mut(&HostId(beat.host)) else {
             return;
@@ -426,7 +426,7 @@
                 member.told_whole += 1;
                 news.whole.push(member.news());
             } else {
-                news.beats.push(HostBeat {
+                news.beats.push(HostHeartbeat {
                     host: member.host.0,
                     session: member.session,
                     heartbeat: member.heartbeat,
@@ -437,8 +437,8 @@
         news
     }
 
-    fn own_news(&self) -> HostNews {
-        HostNews {
+    fn own_news(&self) -> HostInfo {
+        HostInfo {
             name: self.options.name.to_string(),
             zone: self.options.zone.to_string(),
             peer_address: self.options.peer_address.to_string(),
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -32,7 +32,7 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::{Digest, Map, Set};
 use camphorwalk_core::ids::{
-    AttemptId, Epoch, HostId, KeyId, PartitionId, ProgramId, TargetId, TenantId, Ticket,
+    AttemptId, Epoch, HostId, KeyId, PartitionId, ProgramId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion};
 use camphorwalk_core::time::Instant;
@@ -80,7 +80,7 @@
     /// A request for a program whose home this host is.
     Request {
         /// Where the answer goes.
-        ticket: Ticket,
+        ticket: RequestOrigin,
         /// The tenant whose key came with it.
         tenant: TenantId,
         /// That key.
@@ -91,7 +91,7 @@
     /// The caller of a request is gone.
     CallerGone {
         /// The request.
-        ticket: Ticket,
+        ticket: RequestOrigin,
     },
     /// The answer to [`ProgramAction::Admit`].
     Verdict {
@@ -142,7 +142,7 @@
     /// Answer a request, once and for all.
     Answer {
         /// The request.
-        ticket: Ticket,
+        ticket: RequestOrigin,
         /// The answer.
         reply: Reply,
     },
@@ -249,7 +249,7 @@
     /// The call of each attempt that was sent.
     attempts: Map<AttemptId, CallId>,
     /// The call that each caller waits for.
-    tickets: Map<Ticket, CallId>,
+    tickets: Map<RequestOrigin, CallId>,
     /// Entries on their way to the platform.
     journal: Journal,
     /// What is due when.
@@ -329,11 +329,11 @@
     /// #     commit_interval: std::time::Duration::from_millis(10),
     /// # };
     /// use camphorwalk_core::calls::Request;
-    /// use camphorwalk_core::ids::{KeyId, ProgramId, RequestId, TenantId, Ticket};
+    /// use camphorwalk_core::ids::{KeyId, ProgramId, RequestId, TenantId, RequestOrigin};
     /// use camphorwalk_core::time::Instant;
     /// use camphorwalk_policy::programs::{ProgramEvent, ProgramAction};
     ///
-    /// let ticket = Ticket { entry: HostId::from_name("a1"), request: RequestId(1) };
+    /// let ticket = RequestOrigin { entry: HostId::from_name("a1"), request: RequestId(1) };
     /// let event = ProgramEvent::Request {
     ///     ticket,
     ///     tenant: TenantId::from_name("inkwick"),
@@ -456,13 +456,13 @@
     }
 
     /// Answers a request.
-    fn answer(&mut self, cx: &mut Cx<'_>, ticket: Ticket, reply: Reply) {
+    fn answer(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, reply: Reply) {
         self.tickets.remove(&ticket);
         cx.out.push(ProgramAction::Answer { ticket, reply });
     }
 
     /// Refuses a request.
-    fn refuse(&mut self, cx: &mut Cx<'_>, ticket: Ticket, refusal: Refusal) {
+    fn refuse(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, refusal: Refusal) {
         self.answer(cx, ticket, Reply::Refused(refusal));
     }
 
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -7,7 +7,7 @@
 
 use camphorwalk_core::calls::{CallRequest, Ran, Refusal};
 use camphorwalk_core::config::{Template, TemplateTarget};
-use camphorwalk_core::ids::{KeyId, PoolId, TenantId, Ticket};
+use camphorwalk_core::ids::{KeyId, PoolId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
 
 use super::entries::{CallText, Entry, OutcomeEntry};
@@ -33,7 +33,7 @@
     pub(super) fn call(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         key: KeyId,
         mut req: CallRequest,
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -1,7 +1,7 @@
 //! Callers that are gone, and keys that are withdrawn.
 
 use camphorwalk_core::calls::Ran;
-use camphorwalk_core::ids::{KeyId, Ticket};
+use camphorwalk_core::ids::{KeyId, RequestOrigin};
 
 use super::state::{Kind, Stage};
 use super::{Cx, Programs, answers};
@@ -9,7 +9,7 @@
 
 impl Programs {
     /// A caller is gone: nobody reads its answer.
-    pub(super) fn caller_gone(&mut self, cx: &mut Cx<'_>, ticket: Ticket) {
+    pub(super) fn caller_gone(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin) {
         for recovering in self.recovering.values_mut() {
             recovering.parked.retain(|parked| parked.ticket != ticket);
         }
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
-use camphorwalk_core::ids::{PartitionId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{PartitionId, ProgramId, RequestOrigin, TenantId};
 
 use super::entries::Entry;
 use super::journal::Waiter;
@@ -21,7 +21,7 @@
     pub(super) fn end(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         program: ProgramId,
     ) {
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -7,7 +7,7 @@
 
 use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
-use camphorwalk_core::ids::{ClassId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{ClassId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
@@ -35,7 +35,7 @@
     pub(super) fn open(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: OpenRequest,
     ) {
@@ -53,7 +53,7 @@
     fn reopen(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: &OpenRequest,
         known: ProgramKey,
@@ -173,7 +173,7 @@
     }
 
     /// Journals an opening.
-    fn start_opening(&mut self, cx: &mut Cx<'_>, ticket: Ticket, entry: OpenedEntry) {
+    fn start_opening(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, entry: OpenedEntry) {
         let key = self.insert_program(cx, &entry);
         let program = &mut self.programs[key];
         program.state = ProgramState::Opening;
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::calls::{
     CallOutcome, Called, HistoryCall, ProgramView, Refusal, Reply, Request, Usage,
 };
-use camphorwalk_core::ids::{KeyId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{KeyId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
 
 use super::entries::Recorded;
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(super) struct Asked {
     /// Where the answer goes.
-    pub ticket: Ticket,
+    pub ticket: RequestOrigin,
     /// The tenant.
     pub tenant: TenantId,
     /// The key.
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::calls::Request;
 use camphorwalk_core::hash::{Digest, digest};
 use camphorwalk_core::ids::{
-    AttemptId, ClassId, KeyId, PartitionId, PoolId, ProgramId, TargetId, TenantId, Ticket,
+    AttemptId, ClassId, KeyId, PartitionId, PoolId, ProgramId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::ObjectName;
 use camphorwalk_core::time::Instant;
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(super) struct Parked {
     /// Where the answer goes.
-    pub ticket: Ticket,
+    pub ticket: RequestOrigin,
     /// The tenant.
     pub tenant: TenantId,
     /// The key that came with it.
@@ -144,9 +144,9 @@
     /// Whether the partition was lost while a call ran: only that call's answer is left.
     pub orphan: bool,
     /// Who waits for the opening.
-    pub opening: Vec<Ticket>,
+    pub opening: Vec<RequestOrigin>,
     /// Who waits for the end.
-    pub ending: Vec<Ticket>,
+    pub ending: Vec<RequestOrigin>,
     /// Whether the platform holds that the program is over.
     pub end_stored: bool,
     /// When an ended program is forgotten.
@@ -305,7 +305,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Caller {
     /// Where the answer goes.
-    pub ticket: Ticket,
+    pub ticket: RequestOrigin,
     /// The key that came with the request.
     pub key: KeyId,
     /// Whether it wants the answer streamed.
--- a/crates/policy/src/scheduler/asks.rs
+++ b/crates/policy/src/scheduler/asks.rs
@@ -4,7 +4,9 @@
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
-use camphorwalk_core::messages::queue::{Ask, Done, Grant, QueueBody, QueueMessage, Refuse};
+use camphorwalk_core::messages::queue::{
+    Grant, QueueBody, QueueMessage, RefusePlace, ReleasePlace, RequestPlace,
+};
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
@@ -91,7 +93,7 @@
             return;
         }
 
-        out.push(send(keeper, QueueBody::Ask(ask_message(number, &request))));
+        out.push(send(keeper, QueueBody::RequestPlace(ask_message(number, &request))));
     }
 
     /// Gives a place back, or withdraws the question for one.
@@ -108,7 +110,7 @@
             self.work.push_back(Work::Queue(QueueEvent::Release { request_id, end }));
             return;
         }
-        out.push(send(question.keeper, QueueBody::Done(done_message(number, &end))));
+        out.push(send(question.keeper, QueueBody::ReleasePlace(done_message(number, &end))));
     }
 
     /// Repeats questions that were not answered for long, elsewhere if their host is gone.
@@ -194,8 +196,8 @@
         }
 
         let retry_after_ms = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
-        let refuse = Refuse { number: request_id.number, retry_after_ms };
-        out.push(send(request_id.host, QueueBody::Refuse(refuse)));
+        let refuse = RefusePlace { number: request_id.number, retry_after_ms };
+        out.push(send(request_id.host, QueueBody::RefusePlace(refuse)));
     }
 
     pub(super) fn on_queue_message(
@@ -205,12 +207,12 @@
         out: &mut Vec<Action>,
     ) {
         match message.body {
-            Some(QueueBody::Ask(ask)) => {
+            Some(QueueBody::RequestPlace(ask)) => {
                 let request_id = PlaceRequestId { host: from, number: ask.number };
                 let request = place_request(&ask);
                 self.work.push_back(Work::Queue(QueueEvent::Request { request_id, request }));
             }
-            Some(QueueBody::Done(done)) => {
+            Some(QueueBody::ReleasePlace(done)) => {
                 let request_id = PlaceRequestId { host: from, number: done.number };
                 let end = place_end(&done);
                 self.work.push_back(Work::Queue(QueueEvent::Release { request_id, end }));
@@ -218,7 +220,7 @@
             Some(QueueBody::Grant(grant)) => {
                 self.on_grant(from, grant.number, TargetId(grant.target), out);
             }
-            Some(QueueBody::Refuse(refuse)) => {
+            Some(QueueBody::RefusePlace(refuse)) => {
                 self.on_refused(refuse.number, Duration::from_millis(refuse.retry_after_ms));
             }
             None => {}
@@ -229,7 +231,7 @@
         let Some(question) = self.asks.questions.get_mut(&number) else {
             // Withdrawn meanwhile, or asked elsewhere: the place goes back at once.
             if from != self.state.me {
-                out.push(send(from, QueueBody::Done(done_message(number, &not_sent()))));
+                out.push(send(from, QueueBody::ReleasePlace(done_message(number, &not_sent()))));
             }
             return;
         };
@@ -271,10 +273,10 @@
 const ENDS: [PlaceOutcome; 4] =
     [PlaceOutcome::NotSent, PlaceOutcome::Finished, PlaceOutcome::Failed, PlaceOutcome::Crashed];
 
-fn done_message(number: u64, end: &PlaceRelease) -> Done {
+fn done_message(number: u64, end: &PlaceRelease) -> ReleasePlace {
     let position = ENDS.iter().position(|outcome| *outcome == end.outcome).unwrap_or(0);
 
-    Done {
+    ReleasePlace {
         number,
         end: position as u32,
         computed_tokens: end.computed_prompt.0,
@@ -283,7 +285,7 @@
     }
 }
 
-fn place_end(done: &Done) -> PlaceRelease {
+fn place_end(done: &ReleasePlace) -> PlaceRelease {
     PlaceRelease {
         outcome: ENDS.get(done.end as usize).copied().unwrap_or(PlaceOutcome::Failed),
         computed_prompt: Tokens(done.computed_tokens),
@@ -292,8 +294,8 @@
     }
 }
 
-fn ask_message(number: u64, request: &PlaceRequest) -> Ask {
-    Ask {
+fn ask_message(number: u64, request: &PlaceRequest) -> RequestPlace {
+    RequestPlace {
         number,
         pool: request.pool.0,
         tenant: request.tenant.0,
@@ -309,7 +311,7 @@
     }
 }
 
-fn place_request(ask: &Ask) -> PlaceRequest {
+fn place_request(ask: &RequestPlace) -> PlaceRequest {
     PlaceRequest {
         pool: PoolId(ask.pool),
         tenant: TenantId(ask.tenant),
--- a/crates/policy/src/scheduler/entry.rs
+++ b/crates/policy/src/scheduler/entry.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::config::Tenant;
 use camphorwalk_core::hash::stable_hash;
 use camphorwalk_core::ids::{
-    HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, TenantId, Ticket,
+    HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::messages::forward::{CallerGone, Forward};
 use camphorwalk_core::messages::{Body, PeerMessage};
@@ -54,7 +54,7 @@
         let partition = body.program().partition(self.state.partitions());
         match self.home_of(partition) {
             Some(home) if home == self.state.me => {
-                let ticket = Ticket { entry: self.state.me, request };
+                let ticket = RequestOrigin { entry: self.state.me, request };
                 let event = ProgramEvent::Request { ticket, tenant, key, request: body };
                 self.work.push_back(Work::Program(event));
             }
@@ -138,7 +138,7 @@
         };
 
         if waiting.home == self.state.me {
-            let ticket = Ticket { entry: self.state.me, request };
+            let ticket = RequestOrigin { entry: self.state.me, request };
             self.work.push_back(Work::Program(ProgramEvent::CallerGone { ticket }));
         } else {
             let gone = CallerGone { request: request.0 };
@@ -165,7 +165,7 @@
                 }
             }
             Some(Body::CallerGone(gone)) => {
-                let ticket = Ticket { entry: from, request: RequestId(gone.request) };
+                let ticket = RequestOrigin { entry: from, request: RequestId(gone.request) };
                 self.work.push_back(Work::Program(ProgramEvent::CallerGone { ticket }));
             }
             Some(Body::Gossip(gossip)) => self.on_gossip(now, from, gossip, out),
@@ -175,8 +175,8 @@
             }
             Some(Body::Queue(message)) => self.on_queue_message(from, message, out),
             Some(Body::Drain(_)) => self.drain(),
-            Some(Body::AskLive(ask)) => self.on_ask_live(from, &ask, out),
-            Some(Body::Over(over)) => {
+            Some(Body::EndedQuery(ask)) => self.on_ask_live(from, &ask, out),
+            Some(Body::EndedPrograms(over)) => {
                 let programs = super::sweep::from_bytes(&over.programs);
                 self.on_over(TargetId(over.target), programs, out);
             }
@@ -194,7 +194,7 @@
     }
 
     fn on_forward(&mut self, from: HostId, forward: &Forward, out: &mut Vec<Action>) {
-        let ticket = Ticket { entry: from, request: RequestId(forward.request) };
+        let ticket = RequestOrigin { entry: from, request: RequestId(forward.request) };
         let key = KeyId(forward.key);
         let Ok(request) = serde_json::from_slice::<Request>(&forward.body) else {
             let refusal = Refusal::not_run(Code::BadRequest, "the request cannot be read here");
--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -4,7 +4,7 @@
 
 use camphorwalk_core::hash::Digest;
 use camphorwalk_core::ids::{Epoch, HostId, KeyId, PartitionId};
-use camphorwalk_core::messages::gossip::{Gossip, PartitionNews};
+use camphorwalk_core::messages::gossip::{Gossip, PartitionHolder};
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::platform::ObjectName;
 use camphorwalk_core::time::Instant;
@@ -62,14 +62,14 @@
         }
     }
 
-    fn own_homes(&self) -> Vec<PartitionNews> {
+    fn own_homes(&self) -> Vec<PartitionHolder> {
         let mut homes: Vec<_> = self.state.held_partitions.iter().copied().collect();
         homes.sort_unstable();
 
         let news = |partition: PartitionId| {
             let epoch = self.leases.epoch(partition)?;
             let holder = self.state.me.0;
-            Some(PartitionNews { partition: u32::from(partition.0), epoch: epoch.0, holder })
+            Some(PartitionHolder { partition: u32::from(partition.0), epoch: epoch.0, holder })
         };
         homes.into_iter().filter_map(news).collect()
     }
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -10,7 +10,7 @@
 
 use camphorwalk_core::config::TargetKind;
 use camphorwalk_core::ids::{HostId, PoolId, ProgramId, TargetId, ZoneId};
-use camphorwalk_core::messages::live::{AskLive, Over};
+use camphorwalk_core::messages::live::{EndedPrograms, EndedQuery};
 use camphorwalk_core::messages::{Body, PeerMessage};
 
 use super::{Action, Scheduler};
@@ -72,21 +72,21 @@
                 let over = self.over_of(programs);
                 self.on_over(target, over, out);
             } else {
-                let ask = AskLive { target: target.0, programs: to_bytes(&programs) };
-                out.push(Action::Send { to: home, message: Body::AskLive(ask).into() });
+                let ask = EndedQuery { target: target.0, programs: to_bytes(&programs) };
+                out.push(Action::Send { to: home, message: Body::EndedQuery(ask).into() });
             }
         }
     }
 
     /// Another host asks which programs are over.
-    pub(super) fn on_ask_live(&mut self, from: HostId, ask: &AskLive, out: &mut Vec<Action>) {
+    pub(super) fn on_ask_live(&mut self, from: HostId, ask: &EndedQuery, out: &mut Vec<Action>) {
         let over = self.over_of(from_bytes(&ask.programs));
         if over.is_empty() {
             return;
         }
 
-        let over = Over { target: ask.target, programs: to_bytes(&over) };
-        let message: PeerMessage = Body::Over(over).into();
+        let over = EndedPrograms { target: ask.target, programs: to_bytes(&over) };
+        let message: PeerMessage = Body::EndedPrograms(over).into();
         out.push(Action::Send { to: from, message });
     }
 
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -4,7 +4,7 @@
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
 use camphorwalk_core::config::Config;
-use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, Ticket};
+use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, RequestOrigin};
 use camphorwalk_core::messages::forward::Answer;
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
@@ -318,7 +318,7 @@
     }
 
     /// Answers a request, on this host or through the host that it came from.
-    pub(super) fn answer(&mut self, ticket: Ticket, reply: Reply, out: &mut Vec<Action>) {
+    pub(super) fn answer(&mut self, ticket: RequestOrigin, reply: Reply, out: &mut Vec<Action>) {
         if ticket.entry == self.state.me {
             self.answer_here(ticket.request, reply, out);
             return;
--- a/crates/policy/src/shared_types.rs
+++ b/crates/policy/src/shared_types.rs
@@ -107,7 +107,7 @@
     /// What to send.
     pub payload: AttemptPayload,
     /// Where to stream to, if the caller asked for it.
-    pub stream: Option<camphorwalk_core::ids::Ticket>,
+    pub stream: Option<camphorwalk_core::ids::RequestOrigin>,
     /// The time allowed for it.
     pub timeout: Duration,
 }
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -10,7 +10,7 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, TenantId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::{
     ObjectName, PlatformOp, PlatformReply, Row, RowKey, RowVersion, Transaction,
@@ -187,7 +187,7 @@
 pub struct Home {
     pub programs: Programs,
     pub now: Instant,
-    pub answers: Vec<(Ticket, Reply)>,
+    pub answers: Vec<(RequestOrigin, Reply)>,
     pub sent: Vec<Dispatch>,
     pub cancelled: usize,
     pub over: Vec<ProgramId>,
@@ -330,9 +330,9 @@
         platform: &mut Platform,
         who: (&str, u64),
         request: Request,
-    ) -> Ticket {
+    ) -> RequestOrigin {
         self.tickets += 1;
-        let ticket = Ticket { entry: self.host, request: RequestId(self.tickets) };
+        let ticket = RequestOrigin { entry: self.host, request: RequestId(self.tickets) };
         let (tenant, key) = (tenant(who.0), KeyId(who.1));
         self.event(platform, ProgramEvent::Request { ticket, tenant, key, request });
         self.pass(platform, 10);
@@ -341,7 +341,7 @@
     }
 
     /// Sends a request of the usual tenant and returns its ticket.
-    pub fn ask(&mut self, platform: &mut Platform, request: Request) -> Ticket {
+    pub fn ask(&mut self, platform: &mut Platform, request: Request) -> RequestOrigin {
         self.ask_as(platform, ("inkwick", 1), request)
     }
 
@@ -361,7 +361,7 @@
     }
 
     /// Returns the answer to a request.
-    pub fn reply(&self, ticket: Ticket) -> &Reply {
+    pub fn reply(&self, ticket: RequestOrigin) -> &Reply {
         let mut replies = self.answers.iter().filter(|(to, _)| *to == ticket);
         let (_, reply) = replies.next().expect("the request was answered");
         assert!(replies.next().is_none(), "the request was answered twice");
@@ -370,7 +370,7 @@
     }
 
     /// Returns the refusal of a request.
-    pub fn refusal(&self, ticket: Ticket) -> Refusal {
+    pub fn refusal(&self, ticket: RequestOrigin) -> Refusal {
         match self.reply(ticket) {
             Reply::Refused(refusal) => refusal.clone(),
             reply => panic!("the request was answered {reply:?}"),
@@ -378,7 +378,7 @@
     }
 
     /// Returns the answer to a call that ran.
-    pub fn called(&self, ticket: Ticket) -> Called {
+    pub fn called(&self, ticket: RequestOrigin) -> Called {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
             reply => panic!("the call was answered {reply:?}"),
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::calls::{CallRequest, HistoryCall, OpenRequest, Reply, Request};
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId,
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion, Transaction};
 use camphorwalk_core::time::Instant;
@@ -197,7 +197,7 @@
             Request::Call(call) => Some(call.key.clone()),
             _ => None,
         };
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let event = ProgramEvent::Request {
             ticket,
             tenant: tenant("inzira"),
@@ -253,7 +253,7 @@
         }
 
         let number = *open[index % open.len()].0;
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let Some(sent) = self.sent.get_mut(&number) else { return };
         sent.gone = true;
         let host = &mut self.hosts[sent.host];
