--- a/crates/bench/src/limits/checks.rs
+++ b/crates/bench/src/limits/checks.rs
@@ -29,7 +29,7 @@
     tenant: TenantId,
 }
 
-/// A question on its way to a pool host: session and number.
+/// A take request on its way to an admission host: session and number.
 type Question = (u64, u64);
 
 /// The oracle: one exact bucket for each tenant, and one answer for each question.
@@ -44,7 +44,7 @@
     asked: BTreeMap<TakeId, Asked>,
     answered: BTreeSet<TakeId>,
     questions: BTreeMap<Question, (TakeId, TenantId)>,
-    /// Questions for which a pool host took a token.
+    /// Take requests for which an admission host took a token.
     granted: BTreeSet<Question>,
     oracles: BTreeMap<TenantId, ExactBucket>,
     /// When tokens were taken.
@@ -135,7 +135,7 @@
         assert!(self.answered.insert(take), "{take:?} was answered twice");
         let tenant = asked?.tenant;
 
-        // The pool host's answer brings a token that was counted there.
+        // The admission host's answer brings a token that was counted there.
         let granted = granted_by(event).and_then(|question| self.questions.get(&question));
 
         if admitted && granted.is_none_or(|(granted, _)| *granted != take) {
--- a/crates/core/src/messages/slices.rs
+++ b/crates/core/src/messages/slices.rs
@@ -24,10 +24,10 @@
     /// The answer to a request.
     #[prost(message, tag = "3")]
     Grant(LoanGrant),
-    /// A tenant's call wants a token from its pool host.
+    /// A tenant's call wants a token from its admission host.
     #[prost(message, tag = "4")]
     Take(TakeRequest),
-    /// The answer of the pool host.
+    /// The answer of the admission host.
     #[prost(message, tag = "5")]
     Answer(TakeAnswer),
 }
@@ -209,7 +209,7 @@
     /// The session of the asking host's process.
     #[prost(fixed64, tag = "1")]
     pub session: u64,
-    /// The question's number, the same when it is repeated.
+    /// The number of the take request, the same when it is repeated.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// The tenant.
@@ -223,7 +223,7 @@
     /// The session of the asking host's process.
     #[prost(fixed64, tag = "1")]
     pub session: u64,
-    /// The question's number.
+    /// The number of the take request.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// Whether the token is taken.
