--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -9,7 +9,7 @@
 
 use camphorwalk_core::hash::{Map, stable_hash};
 use camphorwalk_core::ids::{HostId, ZoneId};
-use camphorwalk_core::messages::gossip::{HostBeat, HostNews};
+use camphorwalk_core::messages::gossip::{HostHeartbeat, HostInfo};
 use camphorwalk_core::time::Instant;
 
 /// The fewest hosts that one message may tell of, the sender aside.
@@ -94,8 +94,8 @@
         self.told = 0;
     }
 
-    fn news(&self) -> HostNews {
-        HostNews {
+    fn news(&self) -> HostInfo {
+        HostInfo {
             name: self.name.to_string(),
             zone: self.zone_name.to_string(),
             peer_address: self.peer_address.to_string(),
@@ -108,7 +108,7 @@
 
 /// What to do next for membership.
 #[derive(Clone, Debug, PartialEq)]
-pub enum MembershipNext {
+pub enum MembershipAction {
     /// Send this news to a host.
     Gossip {
         /// The receiver.
@@ -133,9 +133,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct News {
     /// All that is known of some hosts, the sender first.
-    pub whole: Vec<HostNews>,
+    pub whole: Vec<HostInfo>,
     /// The heartbeats of others.
-    pub beats: Vec<HostBeat>,
+    pub beats: Vec<HostHeartbeat>,
 }
 
 /// The hosts that this host knows.
@@ -185,7 +185,7 @@
         zone: &str,
         peer_address: SocketAddr,
         leaving: bool,
-        out: &mut Vec<MembershipNext>,
+        out: &mut Vec<MembershipAction>,
     ) {
         let host = HostId::from_name(name);
         if host == self.me {
@@ -213,7 +213,7 @@
             let moved = member.peer_address != peer_address;
             member.peer_address = peer_address;
             if is_new || moved {
-                out.push(MembershipNext::Address { host, address: peer_address });
+                out.push(MembershipAction::Address { host, address: peer_address });
             }
         }
         self.leaving_changed |= leaving && !member.leaving;
@@ -224,9 +224,9 @@
     pub fn heard(
         &mut self,
         now: Instant,
-        whole: &[HostNews],
-        beats: &[HostBeat],
-        out: &mut Vec<MembershipNext>,
+        whole: &[HostInfo],
+        beats: &[HostHeartbeat],
+        out: &mut Vec<MembershipAction>,
     ) {
         whole.iter().for_each(|item| self.hear_whole(now, item, out));
         beats.iter().for_each(|beat| self.hear_beat(now, beat));
@@ -234,7 +234,7 @@
         self.look(now, out);
     }
 
-    fn hear_whole(&mut self, now: Instant, item: &HostNews, out: &mut Vec<MembershipNext>) {
+    fn hear_whole(&mut self, now: Instant, item: &HostInfo, out: &mut Vec<MembershipAction>) {
         let Ok(address) = item.peer_address.parse() else {
             return;
         };
@@ -247,7 +247,7 @@
         }
 
         if member.peer_address != address {
-            out.push(MembershipNext::Address { host: member.host, address });
+            out.push(MembershipAction::Address { host: member.host, address });
         }
         let same = member.session == item.session
             && member.peer_address == address
@@ -261,7 +261,7 @@
         }
     }
 
-    fn hear_beat(&mut self, now: Instant, beat: &HostBeat) {
+    fn hear_beat(&mut self, now: Instant, beat: &HostHeartbeat) {
         // A host not known yet is learnt from whole news, or from the platform.
         let Some(member) = self.members.get_mut(&HostId(beat.host)) else {
             return;
@@ -273,7 +273,7 @@
     }
 
     /// Gossips, if it is time, and looks who has gone silent.
-    pub fn wake(&mut self, now: Instant, out: &mut Vec<MembershipNext>) {
+    pub fn wake(&mut self, now: Instant, out: &mut Vec<MembershipAction>) {
         if now > self.next_look || self.leaving_changed {
             self.look(now, out);
         }
@@ -289,7 +289,7 @@
         }
         for to in self.receivers() {
             let news = self.news_for(to);
-            out.push(MembershipNext::Gossip { to, news });
+            out.push(MembershipAction::Gossip { to, news });
         }
     }
 
@@ -333,7 +333,7 @@
     }
 
     /// Finds out whose state changed since the last look.
-    fn look(&mut self, now: Instant, out: &mut Vec<MembershipNext>) {
+    fn look(&mut self, now: Instant, out: &mut Vec<MembershipAction>) {
         let suspect_after = self.options.suspect_after;
         // A host that begins to leave stays alive, yet others must stop choosing it.
         let mut changed = std::mem::take(&mut self.leaving_changed);
@@ -357,9 +357,9 @@
         // What a gone host left undone is asked of another at once, so the choice among those
         // alive comes first: else the gone host would be asked again, and never answer.
         if changed {
-            out.push(MembershipNext::Changed);
+            out.push(MembershipAction::Changed);
         }
-        out.extend(gone.into_iter().map(MembershipNext::Gone));
+        out.extend(gone.into_iter().map(MembershipAction::Gone));
     }
 
     /// Picks whom to tell: one host of this zone, so that a zone that is cut off still hears
@@ -426,7 +426,7 @@
                 member.told_whole += 1;
                 news.whole.push(member.news());
             } else {
-                news.beats.push(HostBeat {
+                news.beats.push(HostHeartbeat {
                     host: member.host.0,
                     session: member.session,
                     heartbeat: member.heartbeat,
@@ -437,8 +437,8 @@
         news
     }
 
-    fn own_news(&self) -> HostNews {
-        HostNews {
+    fn own_news(&self) -> HostInfo {
+        HostInfo {
             name: self.options.name.to_string(),
             zone: self.options.zone.to_string(),
             peer_address: self.options.peer_address.to_string(),
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -32,7 +32,7 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::{Digest, Map, Set};
 use camphorwalk_core::ids::{
-    AttemptId, Epoch, HostId, KeyId, PartitionId, ProgramId, TargetId, TenantId, Ticket,
+    AttemptId, Epoch, HostId, KeyId, PartitionId, ProgramId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion};
 use camphorwalk_core::time::Instant;
@@ -46,7 +46,7 @@
 use self::retry::{RetryBudget, Suspects};
 use self::state::{Call, Program, ProgramKey, ProgramState, Recovering};
 use self::timers::{Timer, Timers};
-use crate::wire::{AttemptEnd, CallId, Dispatch, PlaceEnd, PlaceRequest, Verdict};
+use crate::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRelease, PlaceRequest, Verdict};
 
 /// A platform operation that the programs wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -68,7 +68,7 @@
     },
     /// A partition is about to be given back: what its families were granted and have not
     /// spent is to be journaled as free. It is busy until that is durable.
-    Settle {
+    ReleaseGrants {
         /// The partition.
         partition: PartitionId,
     },
@@ -80,7 +80,7 @@
     /// A request for a program whose home this host is.
     Request {
         /// Where the answer goes.
-        ticket: Ticket,
+        ticket: RequestOrigin,
         /// The tenant whose key came with it.
         tenant: TenantId,
         /// That key.
@@ -91,23 +91,23 @@
     /// The caller of a request is gone.
     CallerGone {
         /// The request.
-        ticket: Ticket,
+        ticket: RequestOrigin,
     },
-    /// The answer to [`ProgramNext::Admit`].
+    /// The answer to [`ProgramAction::Admit`].
     Verdict {
         /// The call.
         call: CallId,
         /// The answer.
         verdict: Verdict,
     },
-    /// The answer to [`ProgramNext::Place`]: the call may go to this target.
+    /// The answer to [`ProgramAction::Place`]: the call may go to this target.
     Placed {
         /// The call.
         call: CallId,
         /// The target.
         target: TargetId,
     },
-    /// The answer to [`ProgramNext::Place`]: it cannot be served in time.
+    /// The answer to [`ProgramAction::Place`]: it cannot be served in time.
     Unplaced {
         /// The call.
         call: CallId,
@@ -119,9 +119,9 @@
         /// The attempt.
         attempt: AttemptId,
         /// How.
-        end: AttemptEnd,
+        outcome: AttemptOutcome,
     },
-    /// The platform answered [`ProgramNext::Platform`].
+    /// The platform answered [`ProgramAction::Platform`].
     Platform {
         /// The operation.
         op: ProgramOp,
@@ -138,11 +138,11 @@
 
 /// What to do next for a program.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ProgramNext {
+pub enum ProgramAction {
     /// Answer a request, once and for all.
     Answer {
         /// The request.
-        ticket: Ticket,
+        ticket: RequestOrigin,
         /// The answer.
         reply: Reply,
     },
@@ -162,11 +162,11 @@
     },
     /// Give a place back, or withdraw the question for one. Said once for each `Place`
     /// that was not answered by `Unplaced`.
-    Vacate {
+    ReleasePlace {
         /// The call.
         call: CallId,
         /// How the place was used.
-        end: PlaceEnd,
+        end: PlaceRelease,
     },
     /// Send an attempt to a target.
     Dispatch(Dispatch),
@@ -183,7 +183,7 @@
         request: PlatformOp,
     },
     /// A program is over: what engines hold for it is to be freed.
-    Over {
+    ProgramEnded {
         /// The program.
         program: ProgramId,
     },
@@ -249,7 +249,7 @@
     /// The call of each attempt that was sent.
     attempts: Map<AttemptId, CallId>,
     /// The call that each caller waits for.
-    tickets: Map<Ticket, CallId>,
+    tickets: Map<RequestOrigin, CallId>,
     /// Entries on their way to the platform.
     journal: Journal,
     /// What is due when.
@@ -271,7 +271,7 @@
     /// The time of the step.
     now: Instant,
     /// What to do next.
-    out: &'a mut Vec<ProgramNext>,
+    out: &'a mut Vec<ProgramAction>,
 }
 
 impl Programs {
@@ -329,11 +329,11 @@
     /// #     commit_interval: std::time::Duration::from_millis(10),
     /// # };
     /// use camphorwalk_core::calls::Request;
-    /// use camphorwalk_core::ids::{KeyId, ProgramId, RequestId, TenantId, Ticket};
+    /// use camphorwalk_core::ids::{KeyId, ProgramId, RequestId, TenantId, RequestOrigin};
     /// use camphorwalk_core::time::Instant;
-    /// use camphorwalk_policy::programs::{ProgramEvent, ProgramNext};
+    /// use camphorwalk_policy::programs::{ProgramEvent, ProgramAction};
     ///
-    /// let ticket = Ticket { entry: HostId::from_name("a1"), request: RequestId(1) };
+    /// let ticket = RequestOrigin { entry: HostId::from_name("a1"), request: RequestId(1) };
     /// let event = ProgramEvent::Request {
     ///     ticket,
     ///     tenant: TenantId::from_name("inkwick"),
@@ -344,9 +344,9 @@
     /// Programs::new(options).step(Instant::from_millis(5), event, &mut out);
     ///
     /// // This host is home of nothing yet.
-    /// assert!(matches!(out[..], [ProgramNext::Answer { .. }]));
+    /// assert!(matches!(out[..], [ProgramAction::Answer { .. }]));
     /// ```
-    pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramNext>) {
+    pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramAction>) {
         let cx = &mut Cx { now, out };
 
         // First: a host that was paused past a deadline must not act on an older event as if
@@ -361,7 +361,7 @@
             ProgramEvent::Acquired { partition, epoch, lease } => {
                 self.acquired(cx, partition, epoch, lease);
             }
-            ProgramEvent::Settle { partition } => self.settle_partition(partition),
+            ProgramEvent::ReleaseGrants { partition } => self.settle_partition(partition),
             ProgramEvent::Lost { partition } => self.lost(cx, partition),
             ProgramEvent::Request { ticket, tenant, key, request } => {
                 self.request(cx, Asked { ticket, tenant, key, request });
@@ -372,7 +372,7 @@
             ProgramEvent::Unplaced { call, retry_after } => {
                 self.on_unplaced(cx, call, retry_after);
             }
-            ProgramEvent::Ended { attempt, end } => self.on_ended(cx, attempt, end),
+            ProgramEvent::Ended { attempt, outcome } => self.on_ended(cx, attempt, outcome),
             ProgramEvent::Platform { op, reply } => self.on_platform(cx, op, reply),
             ProgramEvent::KeyWithdrawn(key) => self.key_withdrawn(cx, key),
             ProgramEvent::Quarantined(digest) => self.suspects.quarantine(digest),
@@ -456,13 +456,13 @@
     }
 
     /// Answers a request.
-    fn answer(&mut self, cx: &mut Cx<'_>, ticket: Ticket, reply: Reply) {
+    fn answer(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, reply: Reply) {
         self.tickets.remove(&ticket);
-        cx.out.push(ProgramNext::Answer { ticket, reply });
+        cx.out.push(ProgramAction::Answer { ticket, reply });
     }
 
     /// Refuses a request.
-    fn refuse(&mut self, cx: &mut Cx<'_>, ticket: Ticket, refusal: Refusal) {
+    fn refuse(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, refusal: Refusal) {
         self.answer(cx, ticket, Reply::Refused(refusal));
     }
 
@@ -470,7 +470,7 @@
     fn platform(&mut self, cx: &mut Cx<'_>, request: PlatformOp) -> ProgramOp {
         self.last_op += 1;
         let op = ProgramOp(self.last_op);
-        cx.out.push(ProgramNext::Platform { op, request });
+        cx.out.push(ProgramAction::Platform { op, request });
 
         op
     }
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -7,8 +7,8 @@
 use super::entries::{Entry, OutcomeEntry};
 use super::journal::{Fate, Pending, Waiter};
 use super::state::{ProgramKey, Stage};
-use super::{Cx, ProgramNext, ProgramOp, Programs, answers};
-use crate::wire::CallId;
+use super::{Cx, ProgramAction, ProgramOp, Programs, answers};
+use crate::shared_types::CallId;
 
 impl Programs {
     /// Adds an entry to a program's journal.
@@ -67,7 +67,7 @@
         }
 
         for (partition, epoch) in resolved.fenced {
-            cx.out.push(ProgramNext::Fenced { partition, epoch });
+            cx.out.push(ProgramAction::Fenced { partition, epoch });
             self.lost(cx, partition);
         }
 
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
-use camphorwalk_core::ids::{PartitionId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{PartitionId, ProgramId, RequestOrigin, TenantId};
 
 use super::entries::Entry;
 use super::journal::Waiter;
 use super::state::{Kind, ProgramKey, ProgramState, Stage};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
-use crate::wire::CallId;
+use super::{Cx, ProgramAction, Programs, answers};
+use crate::shared_types::CallId;
 
 /// How long an ended program is remembered, for repeats. After that it looks like none.
 pub(super) const REMEMBERED: Duration = Duration::from_secs(60);
@@ -21,7 +21,7 @@
     pub(super) fn end(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         program: ProgramId,
     ) {
@@ -70,7 +70,7 @@
             self.stop_call(cx, call, reason);
         }
 
-        cx.out.push(ProgramNext::Over { program: id });
+        cx.out.push(ProgramAction::ProgramEnded { program: id });
         self.append(key, Entry::Ended { program: id }, Waiter::End(key));
     }
 
@@ -91,7 +91,7 @@
         let call = &self.calls[id];
 
         if let (Kind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
-            cx.out.push(ProgramNext::Cancel { attempt });
+            cx.out.push(ProgramAction::Cancel { attempt });
         }
     }
 
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -10,8 +10,10 @@
 use super::journal::Waiter;
 use super::state::{Kind, ProgramState, Stage};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
-use crate::wire::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
+use super::{Cx, ProgramAction, Programs, answers};
+use crate::shared_types::{
+    AttemptPayload, CallId, Dispatch, PlaceOutcome, PlaceRelease, PlaceRequest, Verdict,
+};
 
 /// How long a call waits for the platform to take its intent or grant.
 const ASK_WAIT: Duration = Duration::from_secs(1);
@@ -61,7 +63,7 @@
         let call = &self.calls[id];
         let program = &self.programs[call.program];
 
-        cx.out.push(ProgramNext::Place {
+        cx.out.push(ProgramAction::Place {
             call: id,
             request: PlaceRequest {
                 pool: call.pool,
@@ -138,18 +140,19 @@
         let program = &self.programs[call.program];
         let (Some(attempt), Some(target)) = (call.attempt, call.target) else { return };
 
-        let work = match &call.kind {
-            Kind::Turn { max_tokens } => {
-                Work::Generate { prompt: program.prompt(&call.text.input), max_tokens: *max_tokens }
-            }
-            Kind::Repeatable(operation) | Kind::Once(operation) => Work::Operation {
+        let payload = match &call.kind {
+            Kind::Turn { max_tokens } => AttemptPayload::Generate {
+                prompt: program.prompt(&call.text.input),
+                max_tokens: *max_tokens,
+            },
+            Kind::Repeatable(operation) | Kind::Once(operation) => AttemptPayload::Operation {
                 operation: operation.clone(),
                 key: call.text.key.clone(),
                 input: Box::from(&*call.text.input),
             },
         };
 
-        cx.out.push(ProgramNext::Dispatch(Dispatch {
+        cx.out.push(ProgramAction::Dispatch(Dispatch {
             attempt,
             call: id,
             target,
@@ -157,7 +160,7 @@
             key: call.key,
             program: program.id,
             number: call.number,
-            work,
+            payload,
             stream: call.callers.iter().find(|caller| caller.stream).map(|c| c.ticket),
             timeout: program.left(cx.now),
         }));
@@ -186,7 +189,7 @@
         }
 
         if matches!(self.calls[id].stage, Stage::Placing | Stage::Intending) {
-            self.vacate(cx, id, PlaceEndKind::NotSent, None);
+            self.vacate(cx, id, PlaceOutcome::NotSent, None);
         }
 
         self.answer_callers(cx, id, &refusal);
@@ -198,20 +201,20 @@
         &mut self,
         cx: &mut Cx<'_>,
         id: CallId,
-        how: PlaceEndKind,
+        outcome: PlaceOutcome,
         usage: Option<&Usage>,
     ) {
         let call = &self.calls[id];
         let program = &self.programs[call.program];
         let usage = usage.copied().unwrap_or_default();
 
-        cx.out.push(ProgramNext::Vacate {
+        cx.out.push(ProgramAction::ReleasePlace {
             call: id,
-            end: PlaceEnd {
-                how,
-                computed: usage.prompt_tokens.minus(usage.cached_tokens),
+            end: PlaceRelease {
+                outcome,
+                computed_prompt: usage.prompt_tokens.minus(usage.cached_tokens),
                 output: usage.output_tokens,
-                program_over: program.state == ProgramState::Ended,
+                program_ended: program.state == ProgramState::Ended,
             },
         });
     }
