--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,26 +1,31 @@
-//! The queues of the pools that this host keeps: which call next, and at which target.
+//! Queues for the target pools that this host is responsible for. They decide which call is
+//! served next, and at which target.
 //!
-//! [`Queues`] moves calls from `waiting` to `places`. A `pool` says which call is next, in the
-//! order of its `lanes` (class rank, then fair `shares` between tenants, then the program's
-//! service and deadline), while its `demand` leaves room in the caches. `targets` say where
-//! it may go, by `window`, `health` and the prefixes that are `residents` there; `estimates`
-//! are learned on the way.
+//! [`Queues`] moves calls from `waiting` to `places`. A place is the right to have one call in
+//! flight at a target. Each `pool` selects the next call in the order of its `lanes`: class rank,
+//! then fair `shares` between tenants, then the program's attained service and deadline. Its
+//! cache `demand` limits how many programs run at once. `targets` selects the target by `window`,
+//! `health` and the prompt prefixes that are likely in its cache (`cached_prefixes`). `estimates`
+//! are updated from finished calls.
 //!
-//! # Targets of other zones
+//! A program is new until its first call has been served, and started from then on.
 //!
-//! They get calls only while no target of this zone has a place for the call. Each zone's
-//! queue knows its own grants alone, so a target of another zone is used up to half its
-//! window divided by the number of other zones (at least one call), and not at all
-//! while it reports waiting calls. All zones together then add at most half a window to what
-//! the target's own zone sends; its reports make that zone narrow its window.
-
+//! # Targets in other zones
+//!
+//! A target in another zone is used only while no target of this zone has a free place for the
+//! call. Each zone's queue knows only the places it granted itself. It therefore sends a target
+//! in another zone at most half of that target's window, divided by the number of other zones (at
+//! least one call), and nothing while the target reports waiting calls. All zones together then
+//! add at most half a window to what the target's own zone sends. The target's load reports make
+//! its own zone reduce the window.
+
+mod cached_prefixes;
 mod demand;
 mod estimates;
 mod health;
 mod lanes;
 mod places;
 mod pool;
-mod residents;
 mod shares;
 mod targets;
 mod waiting;
@@ -38,77 +43,78 @@
 
 use self::lanes::LaneId;
 use self::places::{Place, Places};
-use self::pool::{Pick, Pool, retry_after};
+use self::pool::{Pick, Pool, bounded_retry_after};
 use self::shares::Weights;
 use self::targets::{Candidate, Targets};
-use self::waiting::{Waiter, Waiting};
+use self::waiting::{WaitingCall, WaitingCalls};
 use crate::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
 
-/// What an engine says of its load; it lags.
+/// An engine's report of its load. Reports arrive with a delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests in its batch.
+    /// Requests in the running batch.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Requests that wait at the engine.
     pub waiting: u32,
-    /// Tokens held in its cache.
+    /// Tokens held in the engine's cache.
     pub held: Tokens,
 }
 
-/// Something that happened, as far as queues mind.
+/// An input event for [`Queues`].
 #[derive(Clone, Debug)]
 pub enum QueueEvent {
-    /// This configuration is in force from now on.
+    /// A new configuration is in force.
     Config(Arc<Config>),
-    /// A call asks for a place.
+    /// A call requests a place.
     Ask {
-        /// Who asks.
+        /// Identifies the place request.
         asker: Asker,
-        /// For what.
+        /// The requirements of the call.
         request: PlaceRequest,
     },
-    /// A place is free again, or a question is withdrawn.
+    /// A place is released, or a place request is withdrawn.
     Vacate {
-        /// Who asked for it.
+        /// Identifies the place request.
         asker: Asker,
         /// How the place was used.
         end: PlaceEnd,
     },
-    /// A host is gone with all that it asked for.
+    /// A host is gone: its requests are withdrawn and its places released.
     HostGone(HostId),
     /// An engine reported its load.
     Load {
-        /// The target.
+        /// The target that sent the report.
         target: TargetId,
-        /// Its report.
+        /// The report.
         report: LoadReport,
     },
-    /// An engine says, late and with gaps, that it dropped a program's prefix.
+    /// An engine evicted a program's prefix from its cache. These events are delayed, and some
+    /// are lost.
     Evicted {
-        /// The target.
+        /// The target that evicted it.
         target: TargetId,
-        /// The program.
+        /// The program whose prefix was evicted.
         program: ProgramId,
     },
-    /// Time has passed; see [`Queues::wake_at`].
+    /// Time has passed; due at [`Queues::wake_at`].
     Wake,
 }
 
-/// What to do next for a call that waits.
+/// The decision about a waiting call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueNext {
-    /// It may go to this target.
+    /// The call may be sent to this target.
     Grant {
-        /// Who asked.
+        /// Identifies the place request.
         asker: Asker,
-        /// The target.
+        /// The target to use.
         target: TargetId,
     },
-    /// It cannot be served in time: it is told so at once.
+    /// The call cannot be served before its deadline, or no target can serve it.
     Refuse {
-        /// Who asked.
+        /// Identifies the place request.
         asker: Asker,
-        /// When a later try can help.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
 }
@@ -116,70 +122,71 @@
 /// Settings of [`Queues`].
 #[derive(Clone, Debug)]
 pub struct QueueOptions {
-    /// The availability zone of this host: it places calls at this zone's targets first.
+    /// The availability zone of this host. Targets in this zone are preferred.
     pub zone: ZoneId,
 }
 
-/// When to come back after a refusal for want of any target.
-const RETRY_NO_TARGET: Duration = Duration::from_secs(5);
+/// Time until a retry is useful if no target can serve a call.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The most calls of one tenant that wait here.
-const MOST_OF_TENANT: usize = 4_096;
+/// Maximum number of waiting calls of one tenant.
+const MAX_WAITING_PER_TENANT: usize = 4_096;
 
-/// The most calls that wait here.
-const MOST_WAITING: usize = 16_384;
+/// Maximum number of waiting calls of all tenants together.
+const MAX_WAITING: usize = 16_384;
 
-/// What each call is charged besides its tokens.
+/// Service that each call is charged in addition to its tokens.
 ///
-/// Plain services know no tokens: without it no tenant's account would ever move there.
-const CALL_TOKENS: Tokens = Tokens(32);
+/// Calls to plain services have no tokens. Without this charge, fair sharing between tenants
+/// would have no effect there.
+const CALL_OVERHEAD: Tokens = Tokens(32);
 
-/// What becomes of a question.
+/// The admission decision for a place request.
 enum Admission {
-    /// It waits.
-    Wait(Waiter),
-    /// It is refused; a later try can help after this time.
+    /// The call is queued.
+    Wait(WaitingCall),
+    /// The call is refused; a retry is useful after this time.
     Refuse(Duration),
 }
 
-/// The queues that this host keeps.
+/// The queues of all pools that this host is responsible for.
 #[derive(Debug)]
 pub struct Queues {
     options: QueueOptions,
-    ranks: Map<ClassId, u8>,
+    class_ranks: Map<ClassId, u8>,
     weights: Weights,
     targets: Targets,
     pools: BTreeMap<PoolId, Pool>,
-    waiting: Waiting,
+    waiting: WaitingCalls,
     places: Places,
     arrivals: u64,
 }
 
 impl Queues {
-    /// Makes empty queues.
+    /// Creates empty queues.
     ///
     /// ```
     /// use camphorwalk_core::ids::ZoneId;
     /// use camphorwalk_policy::queue::{QueueOptions, Queues};
     /// let queues = Queues::new(QueueOptions { zone: ZoneId::from_name("a") });
-    /// assert_eq!((queues.waiting(), queues.placed(), queues.wake_at()), (0, 0, None));
+    /// assert_eq!((queues.waiting(), queues.granted_places(), queues.wake_at()), (0, 0, None));
     /// ```
     pub fn new(options: QueueOptions) -> Self {
         Self {
             options,
-            ranks: Map::default(),
+            class_ranks: Map::default(),
             weights: Weights::default(),
             targets: Targets::default(),
             pools: BTreeMap::new(),
-            waiting: Waiting::default(),
+            waiting: WaitingCalls::default(),
             places: Places::default(),
             arrivals: 0,
         }
     }
 
-    /// Takes in an event and appends what to do next to `out`.
+    /// Processes an event and appends the resulting decisions to `out`.
     ///
-    /// An event that concerns nobody is harmless.
+    /// Events about unknown requests, hosts or targets are ignored.
     ///
     /// ```
     /// use camphorwalk_core::ids::{HostId, ZoneId};
@@ -193,114 +200,125 @@
     pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueNext>) {
         match event {
             QueueEvent::Config(config) => self.configure(now, &config, out),
-            QueueEvent::Ask { asker, request } => self.ask(now, asker, request, out),
-            QueueEvent::Vacate { asker, end } => self.vacate(now, asker, end, out),
-            QueueEvent::HostGone(host) => self.host_gone(now, host, out),
+            QueueEvent::Ask { asker, request } => self.handle_request(now, asker, request, out),
+            QueueEvent::Vacate { asker, end } => self.handle_release(now, asker, end, out),
+            QueueEvent::HostGone(host) => self.handle_host_gone(now, host, out),
             QueueEvent::Load { target, report } => {
-                if let Some(pool) = self.targets.report(now, target, report) {
+                if let Some(pool) = self.targets.apply_load(now, target, report) {
                     self.serve(now, pool, out);
                 }
             }
-            QueueEvent::Evicted { target, program } => self.targets.evicted(now, target, program),
-            QueueEvent::Wake => self.wake(now, out),
+            QueueEvent::Evicted { target, program } => {
+                self.targets.apply_eviction(now, target, program)
+            }
+            QueueEvent::Wake => self.handle_wake(now, out),
         }
     }
 
-    /// Returns when [`QueueEvent::Wake`] is due.
+    /// Returns when the next [`QueueEvent::Wake`] is due.
     pub fn wake_at(&self) -> Option<Instant> {
-        let pools = self.pools.values().filter_map(|pool| pool.look_again);
+        let pools = self.pools.values().filter_map(|pool| pool.recheck_at);
 
         pools.chain(self.places.next_expiry()).chain(self.waiting.next_refusal()).min()
     }
 
-    /// Returns how many calls wait.
+    /// Returns the number of waiting calls.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns how many places are granted and not given back.
-    pub fn placed(&self) -> usize {
+    /// Returns the number of places that are granted and not yet released.
+    pub fn granted_places(&self) -> usize {
         self.places.len()
     }
 
-    /// Returns how many calls this host has in flight at a target.
+    /// Returns the number of calls that this host has in flight at a target.
     pub fn in_flight(&self, target: TargetId) -> u32 {
         self.targets.get(target).map_or(0, |target| target.in_flight())
     }
 
     fn configure(&mut self, now: Instant, config: &Config, out: &mut Vec<QueueNext>) {
         let classes = config.fleet.classes.iter();
-        self.ranks = classes.map(|class| (ClassId::from_name(&class.name), class.rank)).collect();
+        self.class_ranks =
+            classes.map(|class| (ClassId::from_name(&class.name), class.rank)).collect();
 
-        self.weights = Weights::of(config);
+        self.weights = Weights::from_config(config);
         self.targets.configure(config, self.options.zone);
 
-        for asker in self.waiting.matching(|waiter| !self.targets.can_serve(&waiter.request)) {
+        for asker in self.waiting.matching(|call| !self.targets.can_serve(&call.request)) {
             self.withdraw(asker);
-            out.push(QueueNext::Refuse { asker, retry_after: RETRY_NO_TARGET });
+            out.push(QueueNext::Refuse { asker, retry_after: NO_TARGET_RETRY_AFTER });
         }
 
         self.serve_all(now, out);
     }
 
-    fn ask(&mut self, now: Instant, asker: Asker, request: PlaceRequest, out: &mut Vec<QueueNext>) {
-        // A question sent again after a reconnect must not take a second place: its first
-        // grant may be under way, and nobody would ever give that place back.
+    fn handle_request(
+        &mut self,
+        now: Instant,
+        asker: Asker,
+        request: PlaceRequest,
+        out: &mut Vec<QueueNext>,
+    ) {
+        // A request that is sent again after a reconnect must not be granted a second place. The
+        // first grant may still be on its way to the requester, and nobody would release the
+        // second place.
         if let Some(place) =
-            self.places.get(asker).filter(|place| is_same(&place.request, &request))
+            self.places.get(asker).filter(|place| is_same_request(&place.request, &request))
         {
             out.push(QueueNext::Grant { asker, target: place.target });
             return;
         }
 
-        if self.waiting.get(asker).is_some_and(|waiter| is_same(&waiter.request, &request)) {
+        if self.waiting.get(asker).is_some_and(|call| is_same_request(&call.request, &request)) {
             return;
         }
 
-        // Another question of that number is one of the host's old process.
-        self.vacate(now, asker, UNKNOWN_END, out);
+        // A different request with the same number means that the host has restarted. The old
+        // process's request is dropped.
+        self.handle_release(now, asker, UNKNOWN_END, out);
 
         match self.admit(now, asker, request) {
-            Admission::Wait(waiter) => {
-                self.enqueue(asker, waiter);
+            Admission::Wait(call) => {
+                self.enqueue(asker, call);
                 self.serve(now, request.pool, out);
             }
             Admission::Refuse(retry_after) => out.push(QueueNext::Refuse { asker, retry_after }),
         }
     }
 
-    /// Returns the call as it is to wait, or when to come back if it cannot be served.
+    /// Decides whether a call is queued, or refused because it cannot be served in time.
     fn admit(&mut self, now: Instant, asker: Asker, request: PlaceRequest) -> Admission {
         if !self.targets.can_serve(&request) {
-            return Admission::Refuse(RETRY_NO_TARGET);
+            return Admission::Refuse(NO_TARGET_RETRY_AFTER);
         }
 
         self.arrivals += 1;
 
-        let rank = self.ranks.get(&request.class).copied().unwrap_or(u8::MAX);
+        let rank = self.class_ranks.get(&request.class).copied().unwrap_or(u8::MAX);
         let lane = LaneId { rank, tenant: request.tenant };
         let deadline = now + request.deadline_left;
         let position = Pool::position(&request, asker, deadline, self.arrivals);
-        let pause = self.targets.idle(now, request.pool, request.program);
-        let room = self.targets.room(now, request.pool);
+        let pause = self.targets.time_since_use(now, request.pool, request.program);
+        let limit = self.targets.local_limit(now, request.pool);
         let pool = self.pools.entry(request.pool).or_default();
 
-        pool.estimates.asked(request.class, request.attained == Tokens(0), pause);
+        pool.estimates.record_request(request.class, request.attained == Tokens(0), pause);
 
-        let wait = pool.wait(lane, &position, room, &self.weights);
+        let wait = pool.expected_wait(lane, &position, limit, &self.weights);
         let refuse_at = pool.refuse_at(&request, lane, deadline);
-        let is_full = self.waiting.len() >= MOST_WAITING
-            || self.waiting.of_tenant(request.tenant) >= MOST_OF_TENANT;
+        let is_full = self.waiting.len() >= MAX_WAITING
+            || self.waiting.count_of_tenant(request.tenant) >= MAX_WAITING_PER_TENANT;
 
         if is_full || now + wait >= refuse_at {
-            return Admission::Refuse(retry_after(wait));
+            return Admission::Refuse(bounded_retry_after(wait));
         }
 
-        let since = now;
-        Admission::Wait(Waiter {
+        let waiting_since = now;
+        Admission::Wait(WaitingCall {
             request,
-            since,
-            passed: None,
+            waiting_since,
+            passed_over_since: None,
             deadline,
             refuse_at,
             lane,
@@ -308,101 +326,108 @@
         })
     }
 
-    fn enqueue(&mut self, asker: Asker, waiter: Waiter) {
-        let pool = self.pools.entry(waiter.request.pool).or_default();
+    fn enqueue(&mut self, asker: Asker, call: WaitingCall) {
+        let pool = self.pools.entry(call.request.pool).or_default();
 
-        pool.shares.enter(waiter.request.tenant);
-        pool.lanes.insert(waiter.lane, waiter.position);
-        pool.demand.wait(waiter.request.tenant, awaited(&waiter.request));
-        self.targets.set_awaited(&waiter.request, true);
-        self.waiting.insert(asker, waiter);
+        pool.shares.add_waiting(call.request.tenant);
+        pool.lanes.insert(call.lane, call.position);
+        pool.demand.add_waiting(call.request.tenant, prefix_demand(&call.request));
+        self.targets.set_waiting_call(&call.request, true);
+        self.waiting.insert(asker, call);
     }
 
-    /// Takes a call out of the queue.
-    fn dequeue(&mut self, asker: Asker) -> Option<Waiter> {
-        let waiter = self.waiting.remove(asker)?;
-        self.targets.set_awaited(&waiter.request, false);
+    /// Removes a call from the queue.
+    fn dequeue(&mut self, asker: Asker) -> Option<WaitingCall> {
+        let call = self.waiting.remove(asker)?;
+        self.targets.set_waiting_call(&call.request, false);
 
-        if let Some(pool) = self.pools.get_mut(&waiter.request.pool) {
-            pool.lanes.remove(waiter.lane, &waiter.position);
-            pool.demand.end_wait(waiter.request.tenant, awaited(&waiter.request));
-            pool.shares.leave(waiter.request.tenant);
+        if let Some(pool) = self.pools.get_mut(&call.request.pool) {
+            pool.lanes.remove(call.lane, &call.position);
+            pool.demand.remove_waiting(call.request.tenant, prefix_demand(&call.request));
+            pool.shares.remove_waiting(call.request.tenant);
         }
 
-        Some(waiter)
+        Some(call)
     }
 
-    /// Takes a call that will not be served out of the queue.
-    fn withdraw(&mut self, asker: Asker) -> Option<Waiter> {
-        let waiter = self.dequeue(asker)?;
-        self.targets.unreserve(waiter.request.pool, asker);
+    /// Removes a call that will not be served from the queue.
+    fn withdraw(&mut self, asker: Asker) -> Option<WaitingCall> {
+        let call = self.dequeue(asker)?;
+        self.targets.unreserve(call.request.pool, asker);
 
-        Some(waiter)
+        Some(call)
     }
 
-    fn vacate(&mut self, now: Instant, asker: Asker, end: PlaceEnd, out: &mut Vec<QueueNext>) {
-        let withdrawn = self.withdraw(asker).map(|waiter| waiter.request);
-        let freed = self.free(now, asker, end).map(|place| place.request);
+    fn handle_release(
+        &mut self,
+        now: Instant,
+        asker: Asker,
+        end: PlaceEnd,
+        out: &mut Vec<QueueNext>,
+    ) {
+        let withdrawn = self.withdraw(asker).map(|call| call.request);
+        let freed = self.release_place(now, asker, end).map(|place| place.request);
         let Some(request) = withdrawn.or(freed) else { return };
 
         if end.program_over {
-            self.targets.forget(request.program);
+            self.targets.remove_program(request.program);
         }
 
         self.serve(now, request.pool, out);
     }
 
-    fn host_gone(&mut self, now: Instant, host: HostId, out: &mut Vec<QueueNext>) {
-        for asker in self.waiting.of_host(host) {
+    fn handle_host_gone(&mut self, now: Instant, host: HostId, out: &mut Vec<QueueNext>) {
+        for asker in self.waiting.requests_of_host(host) {
             self.withdraw(asker);
         }
 
-        for asker in self.places.of_host(host) {
-            self.free(now, asker, UNKNOWN_END);
+        for asker in self.places.requests_of_host(host) {
+            self.release_place(now, asker, UNKNOWN_END);
         }
 
         self.serve_all(now, out);
     }
 
-    fn wake(&mut self, now: Instant, out: &mut Vec<QueueNext>) {
-        while let Some(asker) = self.waiting.overdue(now) {
+    fn handle_wake(&mut self, now: Instant, out: &mut Vec<QueueNext>) {
+        while let Some(asker) = self.waiting.due_refusal(now) {
             self.refuse(asker, out);
         }
 
         while let Some(asker) = self.places.expired(now) {
-            self.free(now, asker, UNKNOWN_END);
+            self.release_place(now, asker, UNKNOWN_END);
         }
 
         self.serve_all(now, out);
     }
 
     fn refuse(&mut self, asker: Asker, out: &mut Vec<QueueNext>) {
-        let Some(waiter) = self.withdraw(asker) else { return };
-        let retry_after = retry_after(Duration::from_micros(waiter.refuse_at.0 - waiter.since.0));
+        let Some(call) = self.withdraw(asker) else { return };
+        let retry_after =
+            bounded_retry_after(Duration::from_micros(call.refuse_at.0 - call.waiting_since.0));
 
         out.push(QueueNext::Refuse { asker, retry_after });
     }
 
-    /// Takes a place back.
-    fn free(&mut self, now: Instant, asker: Asker, end: PlaceEnd) -> Option<Place> {
+    /// Releases a place, and corrects the tenant's account by what the call really used.
+    fn release_place(&mut self, now: Instant, asker: Asker, end: PlaceEnd) -> Option<Place> {
         let place = self.places.remove(asker)?;
         let PlaceRequest { pool, tenant, class, .. } = place.request;
         let used = match end.how {
             PlaceEndKind::NotSent => Tokens(0),
-            _ => CALL_TOKENS.plus(end.computed).plus(end.output),
+            _ => CALL_OVERHEAD.plus(end.computed).plus(end.output),
         };
         let weight = self.weights.get(tenant);
 
-        self.targets.learn(now, &place, end);
-        self.targets.leave(place.target, asker);
+        self.targets.record_end(now, &place, end);
+        self.targets.end_call(place.target, asker);
 
         if let Some(pool) = self.pools.get_mut(&pool) {
             pool.shares.refund(tenant, weight, place.charged.minus(used));
             pool.shares.charge(tenant, weight, used.minus(place.charged));
 
             if end.how == PlaceEndKind::Finished {
-                let time = now.since(place.granted);
-                pool.estimates.served(class, end.computed, end.output, time);
+                let time = now.since(place.granted_at);
+                pool.estimates.record_finished(class, end.computed, end.output, time);
             }
         }
 
@@ -415,21 +440,21 @@
         pools.into_iter().for_each(|pool| self.serve(now, pool, out));
     }
 
-    /// Grants places of a pool for as long as one is free and a call can take it.
+    /// Grants places in a pool until no waiting call can be placed.
     fn serve(&mut self, now: Instant, id: PoolId, out: &mut Vec<QueueNext>) {
         while let Some(pool) = self.pools.get_mut(&id) {
-            pool.look_again = None;
+            pool.recheck_at = None;
 
             if pool.lanes.is_empty() {
                 return;
             }
 
             match pool.pick(now, id, &self.weights, &mut self.waiting, &mut self.targets) {
-                Pick::Grant(asker, target, computed) => {
-                    self.grant(now, asker, target, computed, out);
+                Pick::Grant(asker, target, expected_computed) => {
+                    self.grant(now, asker, target, expected_computed, out);
                 }
-                Pick::Nothing(look_again) => {
-                    pool.look_again = look_again;
+                Pick::Nothing(recheck_at) => {
+                    pool.recheck_at = recheck_at;
                     return;
                 }
             }
@@ -441,27 +466,28 @@
         now: Instant,
         asker: Asker,
         target: TargetId,
-        computed: Tokens,
+        expected_computed: Tokens,
         out: &mut Vec<QueueNext>,
     ) {
-        let Some(waiter) = self.waiting.get(asker).copied() else { return };
-        let request = waiter.request;
+        let Some(call) = self.waiting.get(asker).copied() else { return };
+        let request = call.request;
         let weight = self.weights.get(request.tenant);
 
         if let Some(pool) = self.pools.get_mut(&request.pool) {
-            let output = pool.estimates.output(request.class, request.output);
-            let charged = CALL_TOKENS.plus(computed).plus(output);
-            let deadline = waiter.deadline;
-            let place = Place { request, target, granted: now, computed, charged, deadline };
-            let candidate = Candidate { asker, request: &request, passed: None };
+            let output = pool.estimates.expected_output(request.class, request.output);
+            let charged = CALL_OVERHEAD.plus(expected_computed).plus(output);
+            let deadline = call.deadline;
+            let place =
+                Place { request, target, granted_at: now, expected_computed, charged, deadline };
+            let candidate = Candidate { asker, request: &request, passed_over_since: None };
 
             let is_first = request.attained == Tokens(0);
-            pool.estimates.granted(now, waiter.lane, is_first, waiter.since);
-            pool.lanes.granted(waiter.lane);
-            pool.shares.advance();
-            pool.demand.place(request.tenant, request.prompt.plus(output));
+            pool.estimates.record_grant(now, call.lane, is_first, call.waiting_since);
+            pool.lanes.record_grant(call.lane);
+            pool.shares.raise_floor();
+            pool.demand.add_placed(request.tenant, request.prompt.plus(output));
             pool.shares.charge(request.tenant, weight, charged);
-            self.targets.enter(now, target, candidate, output);
+            self.targets.start_call(now, target, candidate, output);
             self.places.insert(asker, place);
         }
 
@@ -470,7 +496,7 @@
     }
 }
 
-/// The end of a place that nobody told about.
+/// The end that is assumed for a place whose use was not reported.
 const UNKNOWN_END: PlaceEnd = PlaceEnd {
     how: PlaceEndKind::Failed,
     computed: Tokens(0),
@@ -478,15 +504,17 @@
     program_over: false,
 };
 
-/// Returns whether two requests of one asker are the same question.
+/// Returns whether two place requests with the same host and number are the same request.
 ///
-/// A host that was restarted counts its questions from the start again. If its old process's
-/// place were taken for the answer, a call would go to a target of another pool.
-fn is_same(a: &PlaceRequest, b: &PlaceRequest) -> bool {
+/// A host that was restarted numbers its requests from the start again. Without this check, its
+/// new request would get the place of an old one, and the call could go to a target of another
+/// pool.
+fn is_same_request(a: &PlaceRequest, b: &PlaceRequest) -> bool {
     (a.pool, a.tenant, a.program, a.prompt) == (b.pool, b.tenant, b.program, b.prompt)
 }
 
-/// Returns the tokens that a waiting call's program has in a cache, or will need there again.
-fn awaited(request: &PlaceRequest) -> Tokens {
+/// Returns the cache space that a waiting call's prefix occupies or will need: its prompt, or
+/// zero for the first call of a program.
+fn prefix_demand(request: &PlaceRequest) -> Tokens {
     if request.attained == Tokens(0) { Tokens(0) } else { request.prompt }
 }
--- a/crates/policy/src/queue/demand.rs
+++ b/crates/policy/src/queue/demand.rs
@@ -1,4 +1,5 @@
-//! How much of a pool's caches the programs under way need, and whether one more may start.
+//! Estimates how much of a pool's caches the started programs need, and whether another program
+//! may start.
 
 use std::time::Duration;
 
@@ -7,88 +8,94 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
-/// How often the use of caches is looked at.
-pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the use of the caches is computed anew.
+pub const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The part of the caches that programs under way may fill.
+/// The fraction of the cache capacity that started programs may fill.
 ///
-/// Running calls take room too, and the rest is not laid out evenly over the targets.
-const USED_PART: f64 = 0.65;
+/// The rest is left for calls that are in flight, and because prefixes are not spread evenly over
+/// the targets.
+const MAX_FILL_FRACTION: f64 = 0.65;
 
-/// The demand for room in a pool's caches, in tokens.
+/// The demand for cache space in a pool, in tokens.
 ///
-/// When more programs are under way than the caches hold, each pushes out another's prefix
-/// just before it comes back, and most of the work is computing prefixes anew. So a new
-/// program starts only while there is room for it, or while its tenant uses less than its own
-/// part. Without the latter a tenant far over its rate would hold back all others.
+/// When more programs run than the caches hold, each evicts another one's prefix just before it
+/// is needed again, and most of the work is spent on computing prefixes anew. A new program is
+/// therefore started only while there is space for it, or while its tenant uses less than its own
+/// share. Without the second condition, a tenant far over its rate would hold back all other
+/// tenants.
 #[derive(Debug, Default)]
-pub struct Demand {
-    awaited: Sums,
-    held: Sums,
-    looked: Option<Instant>,
+pub struct CacheDemand {
+    waiting: TokensByTenant,
+    cached: TokensByTenant,
+    updated_at: Option<Instant>,
 }
 
-/// Tokens by tenant, and their sum.
+/// Tokens of each tenant, and their total.
 #[derive(Debug, Default)]
-struct Sums {
-    all: f64,
+struct TokensByTenant {
+    total: f64,
     tenants: Map<TenantId, f64>,
 }
 
-impl Sums {
+impl TokensByTenant {
     fn add(&mut self, tenant: TenantId, tokens: f64) {
-        self.all += tokens;
+        self.total += tokens;
         *self.tenants.entry(tenant).or_default() += tokens;
     }
 
-    fn of(&self, tenant: TenantId) -> f64 {
+    fn get(&self, tenant: TenantId) -> f64 {
         self.tenants.get(&tenant).copied().unwrap_or_default()
     }
 }
 
-impl Demand {
-    /// Counts in the prompt of a waiting call, of a program under way.
-    pub fn wait(&mut self, tenant: TenantId, prompt: Tokens) {
-        self.awaited.add(tenant, prompt.0 as f64);
+impl CacheDemand {
+    /// Adds the prompt of a waiting call whose program has already started.
+    pub fn add_waiting(&mut self, tenant: TenantId, prompt: Tokens) {
+        self.waiting.add(tenant, prompt.0 as f64);
     }
 
-    /// Counts out what [`Demand::wait`] counted in.
-    pub fn end_wait(&mut self, tenant: TenantId, prompt: Tokens) {
-        self.awaited.add(tenant, -(prompt.0 as f64));
+    /// Removes what [`CacheDemand::add_waiting`] added.
+    pub fn remove_waiting(&mut self, tenant: TenantId, prompt: Tokens) {
+        self.waiting.add(tenant, -(prompt.0 as f64));
 
-        // Whole numbers of tokens cancel out exactly.
-        if self.awaited.of(tenant) <= 0.0 {
-            self.awaited.tenants.remove(&tenant);
+        // The sums are whole numbers of tokens, so they cancel out exactly.
+        if self.waiting.get(tenant) <= 0.0 {
+            self.waiting.tenants.remove(&tenant);
         }
     }
 
-    /// Counts in a call that is placed, until the caches are looked at again.
-    pub fn place(&mut self, tenant: TenantId, tokens: Tokens) {
-        self.held.add(tenant, tokens.0 as f64);
+    /// Adds a call that was granted a place. It counts until the next [`CacheDemand::update`].
+    pub fn add_placed(&mut self, tenant: TenantId, tokens: Tokens) {
+        self.cached.add(tenant, tokens.0 as f64);
     }
 
-    /// Returns whether the caches are to be looked at again.
+    /// Returns whether the use of the caches must be computed anew.
     pub fn is_due(&self, now: Instant) -> bool {
-        self.looked.is_none_or(|at| now.since(at) >= CHECK_INTERVAL)
+        self.updated_at.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL)
     }
 
-    /// Takes over what caches hold that will be used again, calls that wait left out.
-    pub fn look(&mut self, now: Instant, held: impl Iterator<Item = (TenantId, f64)>) {
-        self.looked = Some(now);
-        self.held = Sums::default();
-        held.for_each(|(tenant, tokens)| self.held.add(tenant, tokens));
+    /// Replaces the cached tokens that are expected to be used again. Prefixes of waiting calls
+    /// are not included.
+    pub fn update(&mut self, now: Instant, cached: impl Iterator<Item = (TenantId, f64)>) {
+        self.updated_at = Some(now);
+        self.cached = TokensByTenant::default();
+        cached.for_each(|(tenant, tokens)| self.cached.add(tenant, tokens));
     }
 
-    /// Returns whether a new program of this size may start before caches of this size, of a
-    /// tenant whose part of the weights is `share`.
-    pub fn has_room(&self, tenant: TenantId, share: f64, size: Tokens, cache: Tokens) -> bool {
-        let room = cache.0 as f64 * USED_PART;
-        let own = self.held.of(tenant) + self.awaited.of(tenant);
-        let all = self.held.all + self.awaited.all;
+    /// Returns whether a new program of `size` tokens may start, given the total cache capacity
+    /// and `share`, its tenant's fraction of all weights.
+    pub fn has_room(&self, tenant: TenantId, share: f64, size: Tokens, capacity: Tokens) -> bool {
+        let available = capacity.0 as f64 * MAX_FILL_FRACTION;
+        let own = self.cached.get(tenant) + self.waiting.get(tenant);
+        let total = self.cached.total + self.waiting.total;
         let size = size.0 as f64;
 
-        // A tenant with nothing under way is never held back: a program larger than the room
-        // would else wait for ever, also for empty caches.
-        room == 0.0 || own == 0.0 || all + size <= room || own + size <= room * share
+        // A tenant with nothing cached or waiting is never held back. Otherwise a program that is
+        // larger than the allowed space would wait forever, even with empty caches.
+        available == 0.0
+            || own == 0.0
+            || total + size <= available
+            || own + size <= available * share
     }
 }
--- a/crates/policy/src/queue/estimates.rs
+++ b/crates/policy/src/queue/estimates.rs
@@ -1,5 +1,5 @@
-//! What a pool has learned of its calls: how long they hold a place, and whether programs
-//! come back.
+//! Statistics of a pool's calls: how long they occupy a place, and how likely a program is to
+//! send another call.
 
 use std::time::Duration;
 
@@ -10,25 +10,27 @@
 
 use super::lanes::LaneId;
 
-/// The weight of a new sample in a moving average.
-const NEW_WEIGHT: f64 = 0.02;
+/// Weight of a new sample in a moving average.
+const SAMPLE_WEIGHT: f64 = 0.02;
 
-/// The weight of a new sample in a lane's averages, which follow the load.
-const LANE_WEIGHT: f64 = 0.1;
+/// Weight of a new sample in a lane's averages. It is higher because these follow the current
+/// load.
+const LANE_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How much of the sums of the fit is kept at each sample.
-const KEPT: f64 = 0.995;
+/// Factor by which the sums of the fit decay with each sample.
+const FIT_DECAY: f64 = 0.995;
 
-/// The fewest samples before a fit is used.
-const FEWEST_SAMPLES: u64 = 20;
+/// Minimum number of samples before the fit is used.
+const MIN_FIT_SAMPLES: u64 = 20;
 
-/// The most turns that a program is expected to have.
-const MOST_TURNS: f64 = 50.0;
+/// Upper bound of the expected number of turns of a program.
+const MAX_TURNS: f64 = 50.0;
 
-/// A fit of the time that a call holds its place: so much a computed token and so much a
-/// generated one (least squares over recent calls, old ones fading).
+/// A linear fit of the time that a call occupies its place: a time for each computed prompt token
+/// and one for each generated token. It is a least-squares fit over recent calls in which old
+/// samples decay.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HoldFit {
+pub struct HoldTimeFit {
     samples: u64,
     computed_computed: f64,
     computed_output: f64,
@@ -37,26 +39,26 @@
     output_time: f64,
 }
 
-impl HoldFit {
-    /// Takes in one call.
+impl HoldTimeFit {
+    /// Adds a finished call.
     pub fn add(&mut self, computed: Tokens, output: Tokens, held: Duration) {
         let (computed, output, time) = (computed.0 as f64, output.0 as f64, held.as_secs_f64());
 
         self.samples += 1;
-        self.computed_computed = self.computed_computed * KEPT + computed * computed;
-        self.computed_output = self.computed_output * KEPT + computed * output;
-        self.output_output = self.output_output * KEPT + output * output;
-        self.computed_time = self.computed_time * KEPT + computed * time;
-        self.output_time = self.output_time * KEPT + output * time;
+        self.computed_computed = self.computed_computed * FIT_DECAY + computed * computed;
+        self.computed_output = self.computed_output * FIT_DECAY + computed * output;
+        self.output_output = self.output_output * FIT_DECAY + output * output;
+        self.computed_time = self.computed_time * FIT_DECAY + computed * time;
+        self.output_time = self.output_time * FIT_DECAY + output * time;
     }
 
-    /// Returns the seconds of a computed token and of a generated one; zeros until enough is
-    /// known.
-    pub fn seconds(&self) -> (f64, f64) {
+    /// Returns the seconds for each computed prompt token and for each generated token, or zeros
+    /// until there are enough samples.
+    pub fn seconds_per_token(&self) -> (f64, f64) {
         let determinant = self.computed_computed * self.output_output
             - self.computed_output * self.computed_output;
 
-        if self.samples < FEWEST_SAMPLES || determinant <= f64::EPSILON {
+        if self.samples < MIN_FIT_SAMPLES || determinant <= f64::EPSILON {
             return (0.0, 0.0);
         }
 
@@ -69,147 +71,163 @@
     }
 }
 
-/// What is known of one class.
+/// Statistics of the calls of one class.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassEstimate {
     samples: u64,
-    output: f64,
-    /// The part of calls that are not the first of their program.
-    later: f64,
-    /// The mean time a call holds its place, in seconds.
-    hold: f64,
+    mean_output: f64,
+    /// The fraction of calls that are not the first of their program.
+    followup_fraction: f64,
+    /// The mean time that a call occupies its place, in seconds.
+    mean_hold: f64,
     /// The mean time between two calls of a program, in seconds.
-    pause: f64,
+    mean_pause: f64,
 }
 
-/// What is known of one lane.
+/// Statistics of one lane.
 #[derive(Clone, Copy, Debug, Default)]
 struct LaneEstimate {
-    /// The mean wait of calls of programs under way, in seconds.
-    wait: f64,
-    /// The mean time that the first waiting new program takes to be started, in seconds.
-    start: f64,
+    /// The mean waiting time of calls of started programs, in seconds.
+    mean_wait: f64,
+    /// The mean time from when a new program is first in the lane until it is started, in
+    /// seconds.
+    mean_start: f64,
     /// When the last new program was started.
-    started: Instant,
+    last_start: Instant,
 }
 
-/// The estimates of one pool.
+/// The statistics of one pool.
 #[derive(Debug, Default)]
 pub struct Estimates {
     lanes: Map<LaneId, LaneEstimate>,
-    fit: HoldFit,
-    hold: f64,
+    fit: HoldTimeFit,
+    mean_hold: f64,
     samples: u64,
     classes: Map<ClassId, ClassEstimate>,
 }
 
 impl Estimates {
-    /// Takes in that a call came; `pause` is the time since the program's last one.
-    pub fn asked(&mut self, class: ClassId, is_first: bool, pause: Option<Duration>) {
+    /// Records a place request. `pause` is the time since the program's last call.
+    pub fn record_request(&mut self, class: ClassId, is_first: bool, pause: Option<Duration>) {
         let estimate = self.classes.entry(class).or_default();
-        average(&mut estimate.later, f64::from(u8::from(!is_first)));
+        update_mean(&mut estimate.followup_fraction, f64::from(u8::from(!is_first)));
 
         if let Some(pause) = pause {
-            average(&mut estimate.pause, pause.as_secs_f64());
+            update_mean(&mut estimate.mean_pause, pause.as_secs_f64());
         }
     }
 
-    /// Takes in that a call was granted a place which had waited since `since`.
-    pub fn granted(&mut self, now: Instant, lane: LaneId, is_first: bool, since: Instant) {
+    /// Records that a call which has waited since `since` was granted a place.
+    pub fn record_grant(&mut self, now: Instant, lane: LaneId, is_first: bool, since: Instant) {
         let estimate = self.lanes.entry(lane).or_default();
 
         if is_first {
-            let head_since = since.max(estimate.started);
-            estimate.start += LANE_WEIGHT * (now.since(head_since).as_secs_f64() - estimate.start);
-            estimate.started = now;
+            let head_since = since.max(estimate.last_start);
+            estimate.mean_start +=
+                LANE_SAMPLE_WEIGHT * (now.since(head_since).as_secs_f64() - estimate.mean_start);
+            estimate.last_start = now;
         } else {
-            estimate.wait += LANE_WEIGHT * (now.since(since).as_secs_f64() - estimate.wait);
+            estimate.mean_wait +=
+                LANE_SAMPLE_WEIGHT * (now.since(since).as_secs_f64() - estimate.mean_wait);
         }
     }
 
-    /// Returns how long a new program waits to be started behind so many others of its lane.
-    pub fn start(&self, lane: LaneId, ahead: usize) -> Duration {
-        let start = self.lanes.get(&lane).map_or(0.0, |estimate| estimate.start);
+    /// Returns the expected time until a new program is started, with `ahead` others before it in
+    /// its lane.
+    pub fn expected_start(&self, lane: LaneId, ahead: usize) -> Duration {
+        let start = self.lanes.get(&lane).map_or(0.0, |estimate| estimate.mean_start);
 
-        seconds(start * (ahead + 1) as f64)
+        duration_from_secs(start * (ahead + 1) as f64)
     }
 
-    /// Takes in that a call was served.
-    pub fn served(&mut self, class: ClassId, computed: Tokens, output: Tokens, held: Duration) {
+    /// Records a finished call.
+    pub fn record_finished(
+        &mut self,
+        class: ClassId,
+        computed: Tokens,
+        output: Tokens,
+        held: Duration,
+    ) {
         let estimate = self.classes.entry(class).or_default();
 
         self.samples += 1;
         self.fit.add(computed, output, held);
-        start_or_average(&mut self.hold, self.samples, held.as_secs_f64());
+        update_mean_with_count(&mut self.mean_hold, self.samples, held.as_secs_f64());
 
         estimate.samples += 1;
-        start_or_average(&mut estimate.output, estimate.samples, output.0 as f64);
-        start_or_average(&mut estimate.hold, estimate.samples, held.as_secs_f64());
+        update_mean_with_count(&mut estimate.mean_output, estimate.samples, output.0 as f64);
+        update_mean_with_count(&mut estimate.mean_hold, estimate.samples, held.as_secs_f64());
     }
 
-    /// Returns the tokens that a call of the class is expected to generate.
-    pub fn output(&self, class: ClassId, most: Tokens) -> Tokens {
-        let known = self.classes.get(&class).filter(|estimate| estimate.samples > 0);
+    /// Returns the number of tokens that a call of the class is expected to generate, at most
+    /// `max`.
+    pub fn expected_output(&self, class: ClassId, max: Tokens) -> Tokens {
+        let estimate = self.classes.get(&class).filter(|estimate| estimate.samples > 0);
 
-        known.map_or(most, |estimate| Tokens(estimate.output as u64).min(most))
+        estimate.map_or(max, |estimate| Tokens(estimate.mean_output as u64).min(max))
     }
 
-    /// Returns the seconds that computing a prompt token takes; zero if not yet known.
-    pub fn seconds_per_computed(&self) -> f64 {
-        self.fit.seconds().0
+    /// Returns the seconds needed to compute a prompt token, or zero if that is not yet known.
+    pub fn seconds_per_prompt_token(&self) -> f64 {
+        self.fit.seconds_per_token().0
     }
 
-    /// Returns how long a call is expected to hold its place.
-    pub fn hold(&self, computed: Tokens, output: Tokens) -> Duration {
-        let (per_computed, per_output) = self.fit.seconds();
+    /// Returns how long a call is expected to occupy its place.
+    pub fn expected_hold(&self, computed: Tokens, output: Tokens) -> Duration {
+        let (per_computed, per_output) = self.fit.seconds_per_token();
 
-        seconds(computed.0 as f64 * per_computed + output.0 as f64 * per_output)
+        duration_from_secs(computed.0 as f64 * per_computed + output.0 as f64 * per_output)
     }
 
-    /// Returns how long a call holds its place on average, in seconds; zero if not yet known.
+    /// Returns the mean time that a call occupies its place in seconds, or zero if it is not yet
+    /// known.
     pub fn mean_hold(&self) -> f64 {
-        self.hold
+        self.mean_hold
     }
 
-    /// Returns the chance that a program of the class comes back, after it has paused for
-    /// `idle`: it falls as the pause grows beyond what is usual.
-    pub fn returns(&self, class: ClassId, idle: Duration) -> f64 {
+    /// Returns the probability that a program of the class sends another call after it has been
+    /// idle for `idle`. It decays as the idle time exceeds the usual pause.
+    pub fn followup_probability(&self, class: ClassId, idle: Duration) -> f64 {
         let Some(estimate) = self.classes.get(&class) else { return 0.0 };
-        let usual = estimate.pause.max(f64::MIN_POSITIVE);
+        let usual_pause = estimate.mean_pause.max(f64::MIN_POSITIVE);
 
-        estimate.later * (-idle.as_secs_f64() / (USUAL_PAUSES * usual)).exp()
+        estimate.followup_fraction
+            * (-idle.as_secs_f64() / (REUSE_DECAY_PAUSES * usual_pause)).exp()
     }
 
-    /// Returns how many turns a program of the class is expected to have.
-    pub fn turns(&self, class: ClassId) -> f64 {
-        let later = self.classes.get(&class).map_or(0.0, |estimate| estimate.later);
+    /// Returns the expected number of turns of a program of the class.
+    pub fn expected_turns(&self, class: ClassId) -> f64 {
+        let followup_fraction =
+            self.classes.get(&class).map_or(0.0, |estimate| estimate.followup_fraction);
 
-        (1.0 / (1.0 - later).max(f64::EPSILON)).min(MOST_TURNS)
+        (1.0 / (1.0 - followup_fraction).max(f64::EPSILON)).min(MAX_TURNS)
     }
 
-    /// Returns how long a whole program is expected to take from its first grant.
-    pub fn span(&self, class: ClassId, lane: LaneId) -> Duration {
+    /// Returns the expected time from a program's first grant to its end.
+    pub fn expected_program_time(&self, class: ClassId, lane: LaneId) -> Duration {
         let Some(estimate) = self.classes.get(&class) else { return Duration::ZERO };
-        let wait = self.lanes.get(&lane).map_or(0.0, |estimate| estimate.wait);
-        let turns = self.turns(class);
+        let wait = self.lanes.get(&lane).map_or(0.0, |estimate| estimate.mean_wait);
+        let turns = self.expected_turns(class);
 
-        seconds(turns * estimate.hold + (turns - 1.0) * (estimate.pause + wait))
+        duration_from_secs(
+            turns * estimate.mean_hold + (turns - 1.0) * (estimate.mean_pause + wait),
+        )
     }
 }
 
-/// A prefix loses worth as its pause passes this many usual pauses.
-const USUAL_PAUSES: f64 = 4.0;
+/// The probability of reuse decays by a factor of e for each period of this many mean pauses.
+const REUSE_DECAY_PAUSES: f64 = 4.0;
 
-fn average(value: &mut f64, sample: f64) {
-    *value += NEW_WEIGHT * (sample - *value);
+fn update_mean(value: &mut f64, sample: f64) {
+    *value += SAMPLE_WEIGHT * (sample - *value);
 }
 
-fn start_or_average(value: &mut f64, samples: u64, sample: f64) {
-    let weight = NEW_WEIGHT.max(1.0 / samples as f64);
+fn update_mean_with_count(value: &mut f64, samples: u64, sample: f64) {
+    let weight = SAMPLE_WEIGHT.max(1.0 / samples as f64);
     *value += weight * (sample - *value);
 }
 
-/// Returns a duration; out of range becomes the nearest one.
-fn seconds(value: f64) -> Duration {
+/// Converts seconds to a duration; values out of range are clamped.
+fn duration_from_secs(value: f64) -> Duration {
     Duration::try_from_secs_f64(value.max(0.0)).unwrap_or(Duration::MAX)
 }
--- a/crates/policy/src/queue/health.rs
+++ b/crates/policy/src/queue/health.rs
@@ -1,47 +1,48 @@
-//! Whether a target that went away is tried again.
+//! Backoff for targets that crashed.
 
 use std::time::Duration;
 
 use camphorwalk_core::time::Instant;
 
-/// How long a target is left alone after it went away for the first time.
+/// Backoff after the first crash.
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The longest time that a target is left alone.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(30);
+/// Maximum backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
 /// The health of one target.
 ///
-/// A dead target fails its calls at once and so always looks the least loaded: without a
-/// backoff it would draw in and fail every call. After the backoff one call at a time tries
-/// it, until one is answered.
+/// A dead target fails its calls at once and therefore always looks the least loaded. Without a
+/// backoff it would attract every call and fail it. After the backoff, one call at a time is sent
+/// to it until one is answered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    /// The crashes since it last answered.
+    /// Number of crashes since the last answer.
     crashes: u32,
-    /// When it is tried again.
+    /// When calls are sent to the target again.
     retry_at: Instant,
 }
 
 impl Health {
-    /// Takes in that the target answered.
-    pub fn worked(&mut self) {
+    /// Records that the target answered a call.
+    pub fn record_answer(&mut self) {
         self.crashes = 0;
     }
 
-    /// Takes in that the target went away under a call.
-    pub fn crashed(&mut self, now: Instant) {
-        // The calls that were in flight together tell of one crash, not of many.
+    /// Records that the target crashed with a call in flight.
+    pub fn record_crash(&mut self, now: Instant) {
+        // Calls that were in flight together report the same crash; it is counted once.
         if self.crashes > 0 && now < self.retry_at {
             return;
         }
 
         let backoff = FIRST_BACKOFF * 2_u32.pow(self.crashes.min(5));
         self.crashes += 1;
-        self.retry_at = now + backoff.min(LONGEST_BACKOFF);
+        self.retry_at = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// Returns the most calls in flight, with this window if all is well.
+    /// Returns the maximum number of calls in flight, where `window` is the limit of a healthy
+    /// target.
     pub fn limit(&self, now: Instant, window: u32) -> u32 {
         match self.crashes {
             0 => window,
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Returns when it is tried again, if that lies ahead.
-    pub fn probe_at(&self, now: Instant) -> Option<Instant> {
+    /// Returns when the backoff ends, or `None` if the target is not in backoff.
+    pub fn backoff_ends_at(&self, now: Instant) -> Option<Instant> {
         (self.crashes > 0 && now < self.retry_at).then_some(self.retry_at)
     }
 }
--- a/crates/policy/src/queue/lanes.rs
+++ b/crates/policy/src/queue/lanes.rs
@@ -1,4 +1,4 @@
-//! The order among the calls that wait for one pool.
+//! The order of the calls that wait for one pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,86 +8,88 @@
 use super::shares::Shares;
 use crate::wire::Asker;
 
-/// One in so many grants goes to the lane that has waited longest for one.
+/// One grant in this many goes to the lane that has waited longest for one.
 ///
-/// Strict ranks and shares alone can starve: a class below a busy one, or a tenant whose one
-/// huge call put its account far ahead. With this, each lane that has a call which can be
-/// placed gets a grant within `AGED_TURN` times the number of lanes grants of its pool.
-pub const AGED_TURN: u32 = 8;
-
-/// How far a tenant's service may be ahead of the least served one's before its class counts
-/// for nothing, in units of [`Shares::service`].
+/// With strict ranks and shares alone, a lane can starve: a class below a busy one, or a tenant
+/// whose account is far ahead after a single huge call. With this rule, each lane that has a call
+/// which can be placed receives at least one of the next `AGED_GRANT_INTERVAL` times the number
+/// of lanes grants in its pool.
+pub const AGED_GRANT_INTERVAL: u32 = 8;
+
+/// How far a tenant's service may exceed that of the least served tenant before its class rank is
+/// ignored, in units of [`Shares::service`].
 ///
-/// Else a tenant could send all its work in the first class and be served before the others
-/// whatever it had already got.
-const CLASS_CREDIT: u64 = 4_000_000;
+/// Without this limit, a tenant could send all its work in the first class and be served first,
+/// however much service it has already received.
+const MAX_SERVICE_LEAD: u64 = 4_000_000;
 
-/// The calls of one tenant in one class.
+/// The waiting calls of one tenant in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LaneId {
-    /// The rank of the class.
+    /// The rank of the class; lower ranks go first.
     pub rank: u8,
     /// The tenant.
     pub tenant: TenantId,
 }
 
-/// A call's place within its lane: lower goes first.
+/// The sort key of a call within its lane; lower keys go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The level of service that its program has attained.
+    /// The level of service that the program has attained; 0 for a new program.
     pub level: u8,
-    /// Its program's deadline.
+    /// The program's deadline.
     pub deadline: Instant,
-    /// The number of its arrival.
+    /// The sequence number of the request's arrival.
     pub arrival: u64,
-    /// Who asked.
+    /// Identifies the place request.
     pub asker: Asker,
 }
 
-/// The least position of a program under way: level 0 is for new programs.
-const FIRST_UNDER_WAY: Position = Position {
+/// The lowest position of a started program; level 0 is for new programs.
+const MIN_STARTED_POSITION: Position = Position {
     level: 1,
     deadline: Instant(0),
     arrival: 0,
     asker: Asker { host: HostId(0), number: 0 },
 };
 
-/// How many calls of new programs in a lane are looked at for one that can be placed.
-const LOOK_AT_NEW: usize = 2;
+/// How many calls of new programs are considered in each lane.
+const MAX_NEW_CANDIDATES: usize = 2;
 
-/// How many calls of programs under way in a lane are looked at for one that can be placed.
-const LOOK_AT_UNDER_WAY: usize = 4;
+/// How many calls of started programs are considered in each lane.
+const MAX_STARTED_CANDIDATES: usize = 4;
 
 #[derive(Debug)]
 struct Lane {
     calls: BTreeSet<Position>,
-    /// The number of the grant, or of the arrival into the empty lane, since which it waits.
-    since: u64,
+    /// The logical clock at the lane's last grant, or when its first call was inserted.
+    waiting_since: u64,
 }
 
 /// The lanes of one pool.
 #[derive(Debug, Default)]
 pub struct Lanes {
     lanes: BTreeMap<LaneId, Lane>,
-    /// Counts grants and lanes that begin to wait.
-    clock: u64,
+    /// Incremented with each grant and each insertion.
+    logical_clock: u64,
     grants_since_aged: u32,
 }
 
-/// The place of a lane in the order: lower goes first.
+/// The sort key of a lane; lower keys go first.
 pub type LaneOrder = (u64, u64, LaneId);
 
 impl Lanes {
-    /// Adds a call.
+    /// Adds a waiting call.
     pub fn insert(&mut self, id: LaneId, position: Position) {
-        self.clock += 1;
-        let since = self.clock;
-        let lane = self.lanes.entry(id).or_insert_with(|| Lane { calls: BTreeSet::new(), since });
+        self.logical_clock += 1;
+        let waiting_since = self.logical_clock;
+        let lane =
+            self.lanes.entry(id).or_insert_with(|| Lane { calls: BTreeSet::new(), waiting_since });
 
         lane.calls.insert(position);
     }
 
-    /// Removes a call.
+    /// Removes a waiting call.
     pub fn remove(&mut self, id: LaneId, position: &Position) {
         let Some(lane) = self.lanes.get_mut(&id) else { return };
         lane.calls.remove(position);
@@ -97,74 +99,74 @@
         }
     }
 
-    /// Notes that a call of this lane was granted a place.
-    pub fn granted(&mut self, id: LaneId) {
-        let was_aged = self.oldest().is_none_or(|oldest| oldest == id);
-        self.grants_since_aged = if was_aged { 0 } else { self.grants_since_aged + 1 };
-        self.clock += 1;
+    /// Records that a call of this lane was granted a place.
+    pub fn record_grant(&mut self, id: LaneId) {
+        let is_longest_waiting = self.longest_waiting().is_none_or(|oldest| oldest == id);
+        self.grants_since_aged = if is_longest_waiting { 0 } else { self.grants_since_aged + 1 };
+        self.logical_clock += 1;
 
         if let Some(lane) = self.lanes.get_mut(&id) {
-            lane.since = self.clock;
+            lane.waiting_since = self.logical_clock;
         }
     }
 
     /// Returns whether the next grant goes to the lane that has waited longest.
-    pub fn is_aged_turn(&self) -> bool {
-        self.grants_since_aged + 1 >= AGED_TURN
+    pub fn is_aged_grant_next(&self) -> bool {
+        self.grants_since_aged + 1 >= AGED_GRANT_INTERVAL
     }
 
-    fn oldest(&self) -> Option<LaneId> {
-        self.lanes.iter().min_by_key(|(_, lane)| lane.since).map(|(id, _)| *id)
+    fn longest_waiting(&self) -> Option<LaneId> {
+        self.lanes.iter().min_by_key(|(_, lane)| lane.waiting_since).map(|(id, _)| *id)
     }
 
-    /// Returns whether no call waits.
+    /// Returns whether no call is waiting.
     pub fn is_empty(&self) -> bool {
         self.lanes.is_empty()
     }
 
-    /// Returns the lane that comes next after `last` in the order, from the first if `None`.
-    pub fn after(&self, last: Option<LaneOrder>, shares: &Shares) -> Option<LaneOrder> {
-        let least = shares.least();
-        let orders = self.lanes.iter().map(|(id, lane)| self.order(*id, lane, shares, least));
+    /// Returns the lane that follows `last` in the order, or the first lane if `last` is `None`.
+    pub fn next_after(&self, last: Option<LaneOrder>, shares: &Shares) -> Option<LaneOrder> {
+        let min_service = shares.min_service();
+        let orders = self.lanes.iter().map(|(id, lane)| self.order(*id, lane, shares, min_service));
 
         orders.filter(|order| last.is_none_or(|last| *order > last)).min()
     }
 
-    fn order(&self, id: LaneId, lane: &Lane, shares: &Shares, least: u64) -> LaneOrder {
-        if self.is_aged_turn() {
-            return (lane.since, 0, id);
+    fn order(&self, id: LaneId, lane: &Lane, shares: &Shares, min_service: u64) -> LaneOrder {
+        if self.is_aged_grant_next() {
+            return (lane.waiting_since, 0, id);
         }
 
         let service = shares.service(id.tenant);
-        let in_credit = service <= least.saturating_add(CLASS_CREDIT);
-        let rank = if in_credit { u64::from(id.rank) } else { u64::from(u8::MAX) };
+        let is_within_lead = service <= min_service.saturating_add(MAX_SERVICE_LEAD);
+        let rank = if is_within_lead { u64::from(id.rank) } else { u64::from(u8::MAX) };
 
         (rank, service, id)
     }
 
-    /// Returns the calls of a lane that come into question: the first of new programs, then
-    /// the first of programs under way.
+    /// Returns the calls of a lane that are considered for the next grant: first those of new
+    /// programs, then those of started programs.
     ///
-    /// Both are looked at, since new programs may be held back.
-    pub fn first(&self, id: LaneId) -> impl Iterator<Item = Asker> + '_ {
+    /// Both kinds are included because new programs may be held back.
+    pub fn candidates(&self, id: LaneId) -> impl Iterator<Item = Asker> + '_ {
         let calls = self.lanes.get(&id).map(|lane| &lane.calls);
-        let new = calls.into_iter().flat_map(|calls| calls.range(..FIRST_UNDER_WAY));
-        let under_way = calls.into_iter().flat_map(|calls| calls.range(FIRST_UNDER_WAY..));
+        let new = calls.into_iter().flat_map(|calls| calls.range(..MIN_STARTED_POSITION));
+        let started = calls.into_iter().flat_map(|calls| calls.range(MIN_STARTED_POSITION..));
 
-        new.take(LOOK_AT_NEW)
-            .chain(under_way.take(LOOK_AT_UNDER_WAY))
+        new.take(MAX_NEW_CANDIDATES)
+            .chain(started.take(MAX_STARTED_CANDIDATES))
             .map(|position| position.asker)
     }
 
-    /// Returns whether a program under way waits in a lane.
-    pub fn has_under_way(&self, id: LaneId) -> bool {
+    /// Returns whether a call of a started program waits in the lane.
+    pub fn has_started_program(&self, id: LaneId) -> bool {
         let last = self.lanes.get(&id).and_then(|lane| lane.calls.last());
 
-        last.is_some_and(|position| *position >= FIRST_UNDER_WAY)
+        last.is_some_and(|position| *position >= MIN_STARTED_POSITION)
     }
 
-    /// Returns how many calls of a lane go before this one.
-    pub fn ahead(&self, id: LaneId, position: &Position) -> usize {
+    /// Returns the number of calls in the lane that go before this position.
+    pub fn count_ahead(&self, id: LaneId, position: &Position) -> usize {
         self.lanes.get(&id).map_or(0, |lane| lane.calls.range(..position).count())
     }
 }
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -1,4 +1,4 @@
-//! The places that are granted and not yet given back.
+//! The places that are granted and not yet released.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,39 +10,39 @@
 
 use crate::wire::{Asker, PlaceRequest};
 
-/// How long after its call's deadline a place is taken back.
+/// How long after its call's deadline a place is released automatically.
 ///
-/// The message that gives a place back can be lost with its connection, and a question can
-/// arrive after its own withdrawal on another connection. Either would keep a place for ever
-/// and shrink the window for good. No attempt runs past its deadline, so a place this much
-/// older is certainly free.
-const GRACE: Duration = Duration::from_secs(5);
+/// A release message can be lost with its connection, and a request can arrive after its own
+/// withdrawal on another connection. Either would occupy a place forever and reduce the target's
+/// window permanently. No attempt runs past its deadline, so a place that is this much older is
+/// certainly unused.
+const RELEASE_GRACE: Duration = Duration::from_secs(5);
 
 /// A place that a call holds at a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
-    /// What was asked.
+    /// The request that was granted.
     pub request: PlaceRequest,
     /// The target.
     pub target: TargetId,
-    /// When it was granted.
-    pub granted: Instant,
-    /// The prompt tokens that were expected to be computed.
-    pub computed: Tokens,
-    /// What its tenant was charged.
+    /// When the place was granted.
+    pub granted_at: Instant,
+    /// The number of prompt tokens that the target was expected to compute.
+    pub expected_computed: Tokens,
+    /// The service that the tenant was charged.
     pub charged: Tokens,
-    /// Its call's deadline.
+    /// The deadline of the call's program.
     pub deadline: Instant,
 }
 
 impl Place {
-    /// Returns when it is taken back, if nobody gives it back before.
+    /// Returns when the place is released automatically.
     fn expiry(&self) -> Instant {
-        self.deadline + GRACE
+        self.deadline + RELEASE_GRACE
     }
 }
 
-/// All places.
+/// All granted places, by request.
 #[derive(Debug, Default)]
 pub struct Places {
     places: Map<Asker, Place>,
@@ -50,17 +50,17 @@
 }
 
 impl Places {
-    /// Returns how many places are held.
+    /// Returns the number of granted places.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Returns the place of an asker.
+    /// Returns the place granted to a request.
     pub fn get(&self, asker: Asker) -> Option<&Place> {
         self.places.get(&asker)
     }
 
-    /// Adds a place.
+    /// Adds a granted place.
     pub fn insert(&mut self, asker: Asker, place: Place) {
         self.places.insert(asker, place);
         self.expiries.insert((place.expiry(), asker));
@@ -74,8 +74,8 @@
         Some(place)
     }
 
-    /// Returns the askers of a host, in order.
-    pub fn of_host(&self, host: HostId) -> Vec<Asker> {
+    /// Returns the granted requests of a host, sorted.
+    pub fn requests_of_host(&self, host: HostId) -> Vec<Asker> {
         let mut askers: Vec<Asker> =
             self.places.keys().copied().filter(|asker| asker.host == host).collect();
         askers.sort_unstable();
@@ -83,12 +83,12 @@
         askers
     }
 
-    /// Returns a place that is to be taken back by now.
+    /// Returns a request whose place has expired.
     pub fn expired(&self, now: Instant) -> Option<Asker> {
         self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, asker)| *asker)
     }
 
-    /// Returns when the next place is to be taken back.
+    /// Returns when the next place expires.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.expiries.first().map(|(at, _)| *at)
     }
--- a/crates/policy/src/queue/pool.rs
+++ b/crates/policy/src/queue/pool.rs
@@ -1,4 +1,4 @@
-//! One pool's order, accounts and estimates, and the search for the call that is next.
+//! The queue of one pool, and the selection of the next call to place.
 
 use std::time::Duration;
 
@@ -6,108 +6,110 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
-use super::demand::{CHECK_INTERVAL, Demand};
+use super::demand::{CacheDemand, UPDATE_INTERVAL};
 use super::estimates::Estimates;
 use super::lanes::{LaneId, Lanes, Position};
 use super::shares::{Shares, Weights};
 use super::targets::{Candidate, Choice, Targets};
-use super::waiting::{Waiter, Waiting};
+use super::waiting::{WaitingCall, WaitingCalls};
 use crate::wire::{Asker, PlaceRequest};
 
-/// How many calls of a pool are looked at for one that can be placed.
-const LOOK_AHEAD: usize = 32;
+/// How many calls of a pool are considered in one selection.
+const MAX_CANDIDATES: usize = 32;
 
-/// The least and the most time after which a refused call is told to come back.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
+/// Bounds of the retry time that is sent with a refusal.
+const RETRY_AFTER_BOUNDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 
-/// A program has not yet attained more than this many tokens at level 1, four times as many at
-/// the next, and so on.
-const FIRST_LEVEL: u64 = 4_096;
+/// The maximum number of attained tokens at level 1. Each further level allows four times as many
+/// as the one before.
+const FIRST_LEVEL_TOKENS: u64 = 4_096;
 
-/// Calls of this rank are never held back.
+/// Calls of this class rank are never held back.
 const FIRST_RANK: u8 = 0;
 
-/// The number of levels for programs under way.
+/// The number of levels for started programs.
 const LEVELS: u8 = 4;
 
 /// The queue of one pool.
 #[derive(Debug, Default)]
 pub struct Pool {
-    /// The order of the calls that wait.
+    /// The waiting calls, in order.
     pub lanes: Lanes,
-    /// The tenants' accounts.
+    /// The service accounts of the tenants.
     pub shares: Shares,
-    /// What is known of calls.
+    /// Statistics of the pool's calls.
     pub estimates: Estimates,
-    /// The need for room in the caches.
-    pub demand: Demand,
-    /// When to look again although nothing has changed.
-    pub look_again: Option<Instant>,
+    /// The demand for cache space.
+    pub demand: CacheDemand,
+    /// When to select again even if no event occurs.
+    pub recheck_at: Option<Instant>,
 }
 
-/// What comes next in a pool.
+/// The result of a selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pick {
-    /// This call may go to this target, and so many prompt tokens will be computed.
+    /// The request, the target to grant, and the number of prompt tokens that it will compute.
     Grant(Asker, TargetId, Tokens),
-    /// No call can be placed before this instant, unless something changes.
+    /// No call can be placed before this time unless an event occurs.
     Nothing(Option<Instant>),
 }
 
 impl Pool {
-    /// Returns the next call to be placed, and keeps a target empty for a suspect whose turn
-    /// has come.
+    /// Selects the next call to place. Reserves a target for a suspect call that is considered but
+    /// finds no empty target.
     pub fn pick(
         &mut self,
         now: Instant,
         id: PoolId,
         weights: &Weights,
-        waiting: &mut Waiting,
+        waiting: &mut WaitingCalls,
         targets: &mut Targets,
     ) -> Pick {
-        // An empty target that is kept for a suspect would stand idle if the suspect were
-        // only looked for in the order.
+        // A suspect call is placed as soon as its reserved target is empty. The target would stay
+        // idle if the call had to come first in the order again.
         if let Some((asker, target)) = targets.ready_suspect(id, now)
-            && let Some(waiter) = waiting.get(asker)
+            && let Some(call) = waiting.get(asker)
         {
-            return Pick::Grant(asker, target, waiter.request.prompt);
+            return Pick::Grant(asker, target, call.request.prompt);
         }
 
-        let mut look_again = targets.next_probe(now, id);
+        let mut recheck_at = targets.next_backoff_end(now, id);
 
-        if !targets.has_room(now, id) {
-            return Pick::Nothing(look_again);
+        if !targets.has_free_place(now, id) {
+            return Pick::Nothing(recheck_at);
         }
 
         if self.demand.is_due(now) {
-            self.demand.look(now, targets.cache_in_use(now, id, &self.estimates));
+            self.demand.update(now, targets.expected_reuse(now, id, &self.estimates));
         }
 
-        let cache = targets.cache(id);
+        let capacity = targets.local_capacity(id);
         let mut last = None;
-        let mut looked = 0;
+        let mut considered = 0;
 
-        while let Some(order) = self.lanes.after(last, &self.shares).filter(|_| looked < LOOK_AHEAD)
+        while let Some(order) =
+            self.lanes.next_after(last, &self.shares).filter(|_| considered < MAX_CANDIDATES)
         {
-            for asker in self.lanes.first(order.2) {
-                let Some(waiter) = waiting.get(asker) else { continue };
-                let request = &waiter.request;
-                let candidate = Candidate { asker, request, passed: waiter.passed };
-                looked += 1;
-
-                if self.holds_back(waiter, weights, cache) {
-                    look_again = look_again.into_iter().chain([now + CHECK_INTERVAL]).min();
+            for asker in self.lanes.candidates(order.2) {
+                let Some(call) = waiting.get(asker) else { continue };
+                let request = &call.request;
+                let candidate =
+                    Candidate { asker, request, passed_over_since: call.passed_over_since };
+                considered += 1;
+
+                if self.is_held_back(call, weights, capacity) {
+                    recheck_at = recheck_at.into_iter().chain([now + UPDATE_INTERVAL]).min();
                     continue;
                 }
 
                 match targets.choose(now, candidate, &self.estimates) {
-                    Choice::Take(target, computed) => return Pick::Grant(asker, target, computed),
+                    Choice::Place(target, computed) => return Pick::Grant(asker, target, computed),
                     Choice::Wait(until) => {
-                        look_again = look_again.into_iter().chain(until).min();
+                        recheck_at = recheck_at.into_iter().chain(until).min();
                         targets.reserve(now, asker, request);
 
                         if until.is_some() {
-                            waiting.pass(now, asker);
+                            waiting.mark_passed_over(now, asker);
                         }
                     }
                 }
@@ -116,94 +118,102 @@
             last = Some(order);
         }
 
-        Pick::Nothing(look_again)
+        Pick::Nothing(recheck_at)
     }
 
-    /// Returns whether a call of a new program is held back, so that programs under way keep
-    /// their prefixes; see [`Demand`].
+    /// Returns whether a call is held back because it would start a new program and the started
+    /// ones need the caches; see [`CacheDemand`].
     ///
-    /// Not in the first class, whose programs are short, and not in a lane's aged turn if it
-    /// has nothing else: no lane waits for ever.
-    fn holds_back(&self, waiter: &Waiter, weights: &Weights, cache: Tokens) -> bool {
-        let Waiter { request, lane, .. } = waiter;
-        let is_last_resort = self.lanes.is_aged_turn() && !self.lanes.has_under_way(*lane);
-
-        if request.attained > Tokens(0) || lane.rank == FIRST_RANK || is_last_resort {
+    /// Calls of the first class are exempt because their programs are short. A lane that contains
+    /// only new programs is exempt when it is granted for having waited longest, so that no lane
+    /// waits forever.
+    fn is_held_back(&self, call: &WaitingCall, weights: &Weights, capacity: Tokens) -> bool {
+        let WaitingCall { request, lane, .. } = call;
+        let is_exempt_lane =
+            self.lanes.is_aged_grant_next() && !self.lanes.has_started_program(*lane);
+
+        if request.attained > Tokens(0) || lane.rank == FIRST_RANK || is_exempt_lane {
             return false;
         }
 
-        let size = request.prompt.plus(self.estimates.output(request.class, request.output));
+        let size =
+            request.prompt.plus(self.estimates.expected_output(request.class, request.output));
 
-        !self.demand.has_room(request.tenant, weights.part(request.tenant), size, cache)
+        !self.demand.has_room(request.tenant, weights.fraction(request.tenant), size, capacity)
     }
 
-    /// Returns the place of a new call in its lane.
+    /// Returns the sort key of a new call in its lane.
     pub fn position(
         request: &PlaceRequest,
         asker: Asker,
         deadline: Instant,
         arrival: u64,
     ) -> Position {
-        Position { level: level(request), deadline, arrival, asker }
+        Position { level: attained_level(request), deadline, arrival, asker }
     }
 
-    /// Returns from when a call can no longer be served in time.
+    /// Returns the time from which a call can no longer be served before its deadline.
     ///
-    /// It is too late for a call once even half the time that such a call takes is more
-    /// than is left, and for a new program once that holds for the whole of it: what is given
-    /// to a program that cannot finish is lost to those that can.
+    /// A call is too late when the time left is less than half of its expected duration. The
+    /// first call of a program is too late when the time left is less than half of the whole
+    /// program's expected duration. Service that is spent on a program that cannot finish is lost
+    /// to those that can.
     pub fn refuse_at(&self, request: &PlaceRequest, lane: LaneId, deadline: Instant) -> Instant {
-        let output = self.estimates.output(request.class, request.output);
-        let call = self.estimates.hold(Tokens(1), output) / 2;
+        let output = self.estimates.expected_output(request.class, request.output);
+        let call = self.estimates.expected_hold(Tokens(1), output) / 2;
         let is_first = request.attained == Tokens(0);
-        let program = if is_first { self.estimates.span(request.class, lane) / 2 } else { call };
+        let program = if is_first {
+            self.estimates.expected_program_time(request.class, lane) / 2
+        } else {
+            call
+        };
         let needed = u64::try_from(program.max(call).as_micros()).unwrap_or(u64::MAX);
 
         Instant(deadline.0.saturating_sub(needed))
     }
 
-    /// Returns how long a call will wait, by what waits before it in its lane.
+    /// Estimates how long a call will wait, from the number of calls before it in its lane.
     ///
-    /// New programs start as fast as they did of late. Others are served by the lane's share
-    /// of the pool.
-    pub fn wait(
+    /// For new programs the estimate uses the recent rate of program starts. For other calls it
+    /// uses the lane's fair share of the pool.
+    pub fn expected_wait(
         &self,
         lane: LaneId,
         position: &Position,
-        room: u32,
+        limit: u32,
         weights: &Weights,
     ) -> Duration {
-        let ahead = self.lanes.ahead(lane, position);
+        let ahead = self.lanes.count_ahead(lane, position);
 
         if position.level == 0 {
-            return self.estimates.start(lane, ahead);
+            return self.estimates.expected_start(lane, ahead);
         }
 
         let weight = |tenant: TenantId| f64::from(weights.get(tenant));
-        let others = self.shares.waiting().filter(|tenant| *tenant != lane.tenant);
+        let others = self.shares.waiting_tenants().filter(|tenant| *tenant != lane.tenant);
         let others: f64 = others.map(weight).sum();
         let share = weight(lane.tenant) / (weight(lane.tenant) + others);
-        let places = f64::from(room.max(1)) * share;
+        let places = f64::from(limit.max(1)) * share;
         let seconds = ahead as f64 * self.estimates.mean_hold() / places;
 
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 }
 
-/// Returns a time to come back after, within reason.
-pub fn retry_after(wait: Duration) -> Duration {
-    wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1)
+/// Clamps a retry time to its bounds.
+pub fn bounded_retry_after(wait: Duration) -> Duration {
+    wait.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1)
 }
 
-/// Returns the level of service that a call's program has attained: 0 for a new program.
-fn level(request: &PlaceRequest) -> u8 {
+/// Returns the level of service that the call's program has attained, or 0 for a new program.
+fn attained_level(request: &PlaceRequest) -> u8 {
     let Tokens(attained) = request.attained;
 
     if attained == 0 {
         return 0;
     }
 
-    let mut bound = FIRST_LEVEL;
+    let mut bound = FIRST_LEVEL_TOKENS;
     let mut level = 1;
 
     while attained > bound && level < LEVELS {
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -1,4 +1,7 @@
-//! The targets of each pool: who may get a call, and which is the best place for it.
+//! The targets of each pool, and the selection of the best target for a call.
+//!
+//! A suspect call was in flight when a target crashed, and may have caused the crash. It has to run
+//! alone at its target, so a target is reserved for it and receives no other calls until then.
 
 use std::time::Duration;
 
@@ -9,79 +12,79 @@
 use camphorwalk_core::units::Tokens;
 
 use super::LoadReport;
+use super::cached_prefixes::{CachedPrefix, CachedPrefixes};
 use super::estimates::Estimates;
 use super::health::Health;
 use super::places::Place;
-use super::residents::{Resident, Residents};
 use super::window::Window;
 use crate::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
 
-/// A call waits no longer than this for the target that holds its prefix.
-const LONGEST_PREFIX_WAIT: Duration = Duration::from_secs(5);
+/// Maximum time that a call waits for a busy target that has its prefix cached.
+const MAX_PREFIX_WAIT: Duration = Duration::from_secs(5);
 
-/// An eviction told this soon after a use may be older than the use.
-const EVENT_LAG: Duration = Duration::from_secs(3);
+/// Eviction events are delayed by up to this time. One that arrives sooner after a use may
+/// describe the state before that use.
+const MAX_EVENT_LAG: Duration = Duration::from_secs(3);
 
-/// What a call in flight at a target counts for when targets are compared, in tokens to be
-/// computed.
-const LOAD_TOKENS: f64 = 400.0;
+/// The cost of each call in flight when targets are compared, in prompt tokens to compute.
+const IN_FLIGHT_COST: f64 = 400.0;
 
-/// A target as its queue sees it.
+/// The state of one target.
 #[derive(Debug)]
 pub struct TargetState {
     pool: PoolId,
-    /// Whether it stands in the zone of this host.
-    near: bool,
-    /// Whether it is leaving, and gets nothing new.
+    /// Whether the target is in this host's zone.
+    is_local: bool,
+    /// Whether the target is being drained and receives no new calls.
     leaving: bool,
-    /// The most calls in flight if it stands in another zone.
-    far_cap: u32,
+    /// Maximum number of calls in flight from this zone if the target is in another zone.
+    remote_cap: u32,
     window: Window,
     in_flight: u32,
-    /// The suspect that runs alone here.
-    alone: Option<Asker>,
-    /// The suspect that the target is kept empty for.
-    reserved: Option<Asker>,
+    /// The suspect call that currently has this target for itself.
+    exclusive_to: Option<Asker>,
+    /// The suspect call that this target is being emptied for.
+    reserved_for: Option<Asker>,
     health: Health,
     report: LoadReport,
-    residents: Residents,
+    prefixes: CachedPrefixes,
 }
 
 impl TargetState {
-    /// Returns the calls in flight.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns the most calls that may be in flight now.
+    /// Returns the current maximum number of calls in flight.
     pub fn limit(&self, now: Instant) -> u32 {
-        let window = if self.near { self.window.size() } else { self.far_limit() };
+        let window = if self.is_local { self.window.size() } else { self.remote_limit() };
 
         self.health.limit(now, window)
     }
 
-    /// Returns how many more calls another zone's target may get.
+    /// Returns the maximum number of calls in flight at a target in another zone.
     ///
-    /// Its own zone's queue knows nothing of what is sent from here. So little is sent, and
-    /// nothing while it says that calls wait there.
-    fn far_limit(&self) -> u32 {
-        if self.report.waiting > 0 { 0 } else { self.far_cap.min(self.window.size()) }
+    /// The queue in the target's own zone does not know about calls sent from here. Few calls are
+    /// sent therefore, and none while the target reports waiting calls.
+    fn remote_limit(&self) -> u32 {
+        if self.report.waiting > 0 { 0 } else { self.remote_cap.min(self.window.size()) }
     }
 
-    /// Returns whether a suspect has it for itself, or will have.
-    fn is_kept(&self) -> bool {
-        self.alone.is_some() || self.reserved.is_some()
+    /// Returns whether the target is used by, or reserved for, a suspect call.
+    fn has_suspect(&self) -> bool {
+        self.exclusive_to.is_some() || self.reserved_for.is_some()
     }
 
-    /// Returns whether the call could ever go here.
-    fn suits(&self, id: TargetId, request: &PlaceRequest) -> bool {
-        !self.leaving && self.window.declared() > 0 && request.avoid != Some(id)
+    /// Returns whether the target may serve the call at any time.
+    fn is_eligible(&self, id: TargetId, request: &PlaceRequest) -> bool {
+        !self.leaving && self.window.configured() > 0 && request.avoid != Some(id)
     }
 
-    /// Returns whether the call can go here now.
-    fn is_free(&self, now: Instant, asker: Asker, request: &PlaceRequest) -> bool {
-        match self.reserved {
-            _ if self.alone.is_some() => false,
+    /// Returns whether the call can be placed here now.
+    fn has_room_for(&self, now: Instant, asker: Asker, request: &PlaceRequest) -> bool {
+        match self.reserved_for {
+            _ if self.exclusive_to.is_some() => false,
             Some(reserved) if reserved != asker => false,
             _ if request.suspect => self.in_flight == 0 && self.limit(now) > 0,
             _ => self.in_flight < self.limit(now),
@@ -89,27 +92,27 @@
     }
 }
 
-/// What to do with a call that is first in the order.
+/// The decision for the call that is first in the order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
-    /// Place it here; so many prompt tokens will be computed.
-    Take(TargetId, Tokens),
-    /// Let it wait, and look again at this instant if nothing changes before.
+    /// Place the call at this target, which will compute this number of prompt tokens.
+    Place(TargetId, Tokens),
+    /// Leave the call waiting, and decide again at this time if no event occurs before.
     Wait(Option<Instant>),
 }
 
-/// A call for which a target is sought.
+/// A call that a target is being selected for.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Who asked.
+    /// Identifies the place request.
     pub asker: Asker,
-    /// For what.
+    /// The requirements of the call.
     pub request: &'a PlaceRequest,
-    /// Since when it is passed over because a full target holds its prefix, if it is.
-    pub passed: Option<Instant>,
+    /// Since when the call has been passed over to wait for a busy target that has its prefix.
+    pub passed_over_since: Option<Instant>,
 }
 
-/// All targets.
+/// All targets, and their pools.
 #[derive(Debug, Default)]
 pub struct Targets {
     states: Map<TargetId, TargetState>,
@@ -117,9 +120,10 @@
 }
 
 impl Targets {
-    /// Takes over the declared targets.
+    /// Applies the configured targets.
     ///
-    /// A target that is no longer declared stays known, as leaving, until its calls end.
+    /// A target that was removed from the configuration is kept as leaving until its calls have
+    /// ended.
     pub fn configure(&mut self, config: &Config, zone: ZoneId) {
         let other_zones = config.fleet.zones.len().saturating_sub(1).max(1) as u32;
         self.states.values_mut().for_each(|state| state.leaving = true);
@@ -128,51 +132,56 @@
             let id = TargetId::from_name(&target.name);
             let state = self.states.entry(id).or_insert_with(|| TargetState {
                 pool: PoolId::from_name(&target.pool),
-                near: true,
+                is_local: true,
                 leaving: false,
-                far_cap: 0,
+                remote_cap: 0,
                 window: Window::new(target.window),
                 in_flight: 0,
-                alone: None,
-                reserved: None,
+                exclusive_to: None,
+                reserved_for: None,
                 health: Health::default(),
                 report: LoadReport::default(),
-                residents: Residents::default(),
+                prefixes: CachedPrefixes::default(),
             });
 
             state.pool = PoolId::from_name(&target.pool);
-            state.near = ZoneId::from_name(&target.zone) == zone;
+            state.is_local = ZoneId::from_name(&target.zone) == zone;
             state.leaving = target.leaving;
-            state.far_cap = (target.window / (2 * other_zones)).max(1);
-            state.window.declare(target.window);
-            state.residents.resize(target.cache_tokens);
+            state.remote_cap = (target.window / (2 * other_zones)).max(1);
+            state.window.set_configured(target.window);
+            state.prefixes.set_capacity(target.cache_tokens);
         }
 
         self.states.retain(|_, state| !state.leaving || state.in_flight > 0);
         self.states
             .values_mut()
             .filter(|state| state.leaving)
-            .for_each(|state| state.reserved = None);
-        self.index();
+            .for_each(|state| state.reserved_for = None);
+        self.rebuild_index();
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.pools.clear();
 
         for (id, state) in &self.states {
             self.pools.entry(state.pool).or_default().push(*id);
         }
 
-        self.pools.values_mut().for_each(|members| members.sort_unstable());
+        self.pools.values_mut().for_each(|ids| ids.sort_unstable());
     }
 
-    /// Returns a target.
+    /// Returns the state of a target.
     pub fn get(&self, target: TargetId) -> Option<&TargetState> {
         self.states.get(&target)
     }
 
-    /// Takes in a load report, and returns the target's pool.
-    pub fn report(&mut self, now: Instant, target: TargetId, report: LoadReport) -> Option<PoolId> {
+    /// Applies a load report, and returns the target's pool.
+    pub fn apply_load(
+        &mut self,
+        now: Instant,
+        target: TargetId,
+        report: LoadReport,
+    ) -> Option<PoolId> {
         let state = self.states.get_mut(&target)?;
         state.report = report;
         state.window.adapt(now, report);
@@ -180,97 +189,104 @@
         Some(state.pool)
     }
 
-    /// Takes in that a target dropped a prefix, unless that may be older than its last use.
-    pub fn evicted(&mut self, now: Instant, target: TargetId, program: ProgramId) {
+    /// Applies an eviction event, unless it may be older than the last use of the prefix.
+    pub fn apply_eviction(&mut self, now: Instant, target: TargetId, program: ProgramId) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        let Some(resident) = state.residents.get(program) else { return };
+        let Some(prefix) = state.prefixes.get(program) else { return };
 
-        if !resident.in_flight && now.since(resident.used) > EVENT_LAG {
-            state.residents.drop(program);
+        if !prefix.in_flight && now.since(prefix.last_used) > MAX_EVENT_LAG {
+            state.prefixes.remove(program);
         }
     }
 
-    /// Returns whether any target of the pool could ever take the call.
+    /// Returns whether any target of the pool may serve the call at any time.
     pub fn can_serve(&self, request: &PlaceRequest) -> bool {
-        self.members(request.pool).any(|(id, state)| state.suits(id, request))
+        self.pool_targets(request.pool).any(|(id, state)| state.is_eligible(id, request))
     }
 
-    /// Returns whether any target of the pool has a place now.
-    pub fn has_room(&self, now: Instant, pool: PoolId) -> bool {
-        self.members(pool).any(|(_, state)| !state.leaving && state.in_flight < state.limit(now))
+    /// Returns whether any target of the pool has a free place.
+    pub fn has_free_place(&self, now: Instant, pool: PoolId) -> bool {
+        self.pool_targets(pool)
+            .any(|(_, state)| !state.leaving && state.in_flight < state.limit(now))
     }
 
-    /// Returns the calls that the pool's targets of this zone can have in flight together.
-    pub fn room(&self, now: Instant, pool: PoolId) -> u32 {
-        let limits = self.members(pool).filter(|(_, state)| state.near && !state.leaving);
+    /// Returns the total number of calls that the pool's targets in this zone may have in flight.
+    pub fn local_limit(&self, now: Instant, pool: PoolId) -> u32 {
+        let limits = self.pool_targets(pool).filter(|(_, state)| state.is_local && !state.leaving);
 
         limits.map(|(_, state)| state.limit(now)).sum()
     }
 
-    /// Returns when a target of the pool that went away is tried again.
-    pub fn next_probe(&self, now: Instant, pool: PoolId) -> Option<Instant> {
-        let probes = self.members(pool).filter(|(_, state)| !state.leaving);
+    /// Returns when the next backoff of a crashed target in the pool ends.
+    pub fn next_backoff_end(&self, now: Instant, pool: PoolId) -> Option<Instant> {
+        let targets = self.pool_targets(pool).filter(|(_, state)| !state.leaving);
 
-        probes.filter_map(|(_, state)| state.health.probe_at(now)).min()
+        targets.filter_map(|(_, state)| state.health.backoff_ends_at(now)).min()
     }
 
-    /// Returns how long ago a program was last served in the pool.
-    pub fn idle(&self, now: Instant, pool: PoolId, program: ProgramId) -> Option<Duration> {
-        let uses = self.members(pool).filter_map(|(_, state)| state.residents.get(program));
+    /// Returns the time since a program was last served in the pool.
+    pub fn time_since_use(
+        &self,
+        now: Instant,
+        pool: PoolId,
+        program: ProgramId,
+    ) -> Option<Duration> {
+        let uses = self.pool_targets(pool).filter_map(|(_, state)| state.prefixes.get(program));
 
-        uses.map(|resident| now.since(resident.used)).min()
+        uses.map(|prefix| now.since(prefix.last_used)).min()
     }
 
-    /// Returns the tokens that the caches of the pool's targets of this zone hold.
-    pub fn cache(&self, pool: PoolId) -> Tokens {
-        let near = self.members(pool).filter(|(_, state)| state.near && !state.leaving);
+    /// Returns the total cache capacity of the pool's targets in this zone.
+    pub fn local_capacity(&self, pool: PoolId) -> Tokens {
+        let local = self.pool_targets(pool).filter(|(_, state)| state.is_local && !state.leaving);
 
-        near.map(|(_, state)| state.residents.capacity()).fold(Tokens(0), Tokens::plus)
+        local.map(|(_, state)| state.prefixes.capacity()).fold(Tokens(0), Tokens::plus)
     }
 
-    /// Returns how many tokens of those caches will be used again, as expected now, prefix by
-    /// prefix with its tenant.
+    /// Returns, for each prefix in those caches, its tenant and the number of its tokens that are
+    /// expected to be used again.
     ///
-    /// Prefixes of calls that wait are left out.
-    pub fn cache_in_use<'a>(
+    /// Prefixes of waiting calls are left out.
+    pub fn expected_reuse<'a>(
         &'a self,
         now: Instant,
         pool: PoolId,
         estimates: &'a Estimates,
     ) -> impl Iterator<Item = (TenantId, f64)> + 'a {
-        let near = self.members(pool).filter(|(_, state)| state.near && !state.leaving);
-        let residents = near.flat_map(|(_, state)| state.residents.iter());
-        let others = residents.filter(|resident| !resident.awaited);
+        let local = self.pool_targets(pool).filter(|(_, state)| state.is_local && !state.leaving);
+        let prefixes = local.flat_map(|(_, state)| state.prefixes.iter());
+        let others = prefixes.filter(|prefix| !prefix.has_waiting_call);
 
-        others.map(move |resident| {
-            (resident.tenant, resident.tokens.0 as f64 * worth(now, resident, estimates))
+        others.map(move |prefix| {
+            (prefix.tenant, prefix.tokens.0 as f64 * reuse_probability(now, prefix, estimates))
         })
     }
 
-    /// Returns the best place for a call.
+    /// Returns the best target for a call, or whether it should wait.
     pub fn choose(&self, now: Instant, call: Candidate<'_>, estimates: &Estimates) -> Choice {
         let request = call.request;
 
-        let free = self.members(request.pool).filter(|(id, state)| {
-            state.suits(*id, request) && state.is_free(now, call.asker, request)
+        let free = self.pool_targets(request.pool).filter(|(id, state)| {
+            state.is_eligible(*id, request) && state.has_room_for(now, call.asker, request)
         });
-        let worth = |resident: &Resident| worth(now, resident, estimates);
+        let reuse = |prefix: &CachedPrefix| reuse_probability(now, prefix, estimates);
         let best = free
-            .map(|(id, state)| (!state.near, cost(state, request, worth), id))
+            .map(|(id, state)| (!state.is_local, placement_cost(state, request, reuse), id))
             .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
 
         let Some((_, _, target)) = best else { return Choice::Wait(None) };
 
-        match self.better_soon(now, call, target, estimates) {
+        match self.wait_for_prefix(now, call, target, estimates) {
             Some(until) => Choice::Wait(Some(until)),
-            None => Choice::Take(target, missing(&self.states[&target], request)),
+            None => Choice::Place(target, uncached(&self.states[&target], request)),
         }
     }
 
-    /// Returns until when the call had better wait for a full target that holds its prefix.
+    /// Returns until when the call should wait for a busy target that has its prefix cached, if
+    /// that is better than computing the prefix at `target`.
     ///
-    /// Waiting is worth less than the time that computing the prefix anew would take.
-    fn better_soon(
+    /// The wait is limited to the time that computing the prefix would take.
+    fn wait_for_prefix(
         &self,
         now: Instant,
         call: Candidate<'_>,
@@ -278,156 +294,172 @@
         estimates: &Estimates,
     ) -> Option<Instant> {
         let request = call.request;
-        let here = missing(&self.states[&target], request);
+        let here = uncached(&self.states[&target], request);
         let (_, state) = self
-            .members(request.pool)
-            .filter(|(id, state)| state.near && state.suits(*id, request) && !request.suspect)
-            .filter(|(_, state)| state.health.limit(now, 1) > 0 && !state.is_kept())
-            .min_by_key(|(id, state)| (missing(state, request), *id))?;
-
-        // Every call in the batch stands still while a prompt is computed.
+            .pool_targets(request.pool)
+            .filter(|(id, state)| {
+                state.is_local && state.is_eligible(*id, request) && !request.suspect
+            })
+            .filter(|(_, state)| state.health.limit(now, 1) > 0 && !state.has_suspect())
+            .min_by_key(|(id, state)| (uncached(state, request), *id))?;
+
+        // All calls in a batch are stalled while a prompt is computed.
         let batch = f64::from(1 + self.states[&target].in_flight);
-        let saved =
-            here.minus(missing(state, request)).0 as f64 * estimates.seconds_per_computed() * batch;
+        let saved = here.minus(uncached(state, request)).0 as f64
+            * estimates.seconds_per_prompt_token()
+            * batch;
         let next_place = estimates.mean_hold() / f64::from(state.in_flight.max(1));
-        let worth = Duration::try_from_secs_f64(saved).unwrap_or_default();
-        let until = call.passed.unwrap_or(now) + worth.min(LONGEST_PREFIX_WAIT);
+        let max_wait = Duration::try_from_secs_f64(saved).unwrap_or_default();
+        let until = call.passed_over_since.unwrap_or(now) + max_wait.min(MAX_PREFIX_WAIT);
 
         (saved > next_place && until > now).then_some(until)
     }
 
-    /// Keeps a target of this zone empty for a suspect, unless one is kept already.
+    /// Reserves a target for a suspect call, preferably one in this zone. Does nothing if the
+    /// pool already has a reserved target.
     pub fn reserve(&mut self, now: Instant, asker: Asker, request: &PlaceRequest) {
-        let kept = self.members(request.pool).any(|(_, state)| state.is_kept());
+        let has_suspect_target =
+            self.pool_targets(request.pool).any(|(_, state)| state.has_suspect());
 
-        if kept || !request.suspect {
+        if has_suspect_target || !request.suspect {
             return;
         }
 
         let target = self
-            .members(request.pool)
-            .filter(|(id, state)| state.suits(*id, request) && state.limit(now) > 0)
-            .min_by_key(|(id, state)| (!state.near, state.in_flight, *id))
+            .pool_targets(request.pool)
+            .filter(|(id, state)| state.is_eligible(*id, request) && state.limit(now) > 0)
+            .min_by_key(|(id, state)| (!state.is_local, state.in_flight, *id))
             .map(|(id, _)| id);
 
         if let Some(state) = target.and_then(|target| self.states.get_mut(&target)) {
-            state.reserved = Some(asker);
+            state.reserved_for = Some(asker);
         }
     }
 
-    /// Returns a suspect and the empty target that is kept for it.
+    /// Returns a suspect call and the empty target that is reserved for it.
     pub fn ready_suspect(&self, pool: PoolId, now: Instant) -> Option<(Asker, TargetId)> {
         let empty = self
-            .members(pool)
+            .pool_targets(pool)
             .filter(|(_, state)| !state.leaving && state.in_flight == 0 && state.limit(now) > 0);
 
-        empty.filter_map(|(id, state)| Some((state.reserved?, id))).next()
+        empty.filter_map(|(id, state)| Some((state.reserved_for?, id))).next()
     }
 
-    /// Keeps no target empty any more for a suspect that is withdrawn.
+    /// Removes the reservation of a suspect call.
     pub fn unreserve(&mut self, pool: PoolId, asker: Asker) {
         for id in self.pools.get(&pool).into_iter().flatten() {
             if let Some(state) =
-                self.states.get_mut(id).filter(|state| state.reserved == Some(asker))
+                self.states.get_mut(id).filter(|state| state.reserved_for == Some(asker))
             {
-                state.reserved = None;
+                state.reserved_for = None;
             }
         }
     }
 
-    /// Counts a call in.
-    pub fn enter(&mut self, now: Instant, target: TargetId, call: Candidate<'_>, output: Tokens) {
+    /// Records that a call was placed at a target.
+    pub fn start_call(
+        &mut self,
+        now: Instant,
+        target: TargetId,
+        call: Candidate<'_>,
+        output: Tokens,
+    ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         let PlaceRequest { pool, prompt, suspect, .. } = *call.request;
 
         state.in_flight += 1;
-        state.residents.hold(now, call.request, prompt.plus(output), true);
+        state.prefixes.record(now, call.request, prompt.plus(output), true);
 
         if suspect {
-            // Another target may have been kept empty for it meanwhile.
+            // Another target may have been reserved for the call before this one became free.
             self.unreserve(pool, call.asker);
-            self.states.entry(target).and_modify(|state| state.alone = Some(call.asker));
+            self.states.entry(target).and_modify(|state| state.exclusive_to = Some(call.asker));
         }
     }
 
-    /// Counts a call out.
-    pub fn leave(&mut self, target: TargetId, asker: Asker) {
+    /// Records that a call is no longer in flight at a target.
+    pub fn end_call(&mut self, target: TargetId, asker: Asker) {
         let Some(state) = self.states.get_mut(&target) else { return };
 
         state.in_flight = state.in_flight.saturating_sub(1);
 
-        if state.alone == Some(asker) {
-            state.alone = None;
+        if state.exclusive_to == Some(asker) {
+            state.exclusive_to = None;
         }
 
         if state.leaving && state.in_flight == 0 {
             self.states.remove(&target);
-            self.index();
+            self.rebuild_index();
         }
     }
 
-    /// Learns from how a call ended.
-    pub fn learn(&mut self, now: Instant, place: &Place, end: PlaceEnd) {
+    /// Updates the target's health and cached prefixes from the end of a call.
+    pub fn record_end(&mut self, now: Instant, place: &Place, end: PlaceEnd) {
         let Some(state) = self.states.get_mut(&place.target) else { return };
         let prompt = place.request.prompt;
 
         match end.how {
             PlaceEndKind::NotSent => {
-                let before = prompt.minus(place.computed);
-                state.residents.hold(now, &place.request, before, false);
+                let before = prompt.minus(place.expected_computed);
+                state.prefixes.record(now, &place.request, before, false);
             }
             PlaceEndKind::Finished => {
-                state.health.worked();
-                state.residents.hold(now, &place.request, prompt.plus(end.output), false);
+                state.health.record_answer();
+                state.prefixes.record(now, &place.request, prompt.plus(end.output), false);
             }
-            PlaceEndKind::Failed => state.residents.hold(now, &place.request, prompt, false),
+            PlaceEndKind::Failed => state.prefixes.record(now, &place.request, prompt, false),
             PlaceEndKind::Crashed => {
-                state.health.crashed(now);
-                state.residents.clear();
+                state.health.record_crash(now);
+                state.prefixes.clear();
             }
         }
     }
 
-    /// Notes whether a call of a program waits.
-    pub fn set_awaited(&mut self, request: &PlaceRequest, awaited: bool) {
+    /// Records whether a call of the program is waiting.
+    pub fn set_waiting_call(&mut self, request: &PlaceRequest, has_waiting_call: bool) {
         for id in self.pools.get(&request.pool).into_iter().flatten() {
             if let Some(state) = self.states.get_mut(id) {
-                state.residents.set_awaited(request.program, awaited);
+                state.prefixes.set_waiting_call(request.program, has_waiting_call);
             }
         }
     }
 
-    /// Forgets a program that is over.
-    pub fn forget(&mut self, program: ProgramId) {
-        self.states.values_mut().for_each(|state| state.residents.drop(program));
+    /// Removes all prefixes of a program that has ended.
+    pub fn remove_program(&mut self, program: ProgramId) {
+        self.states.values_mut().for_each(|state| state.prefixes.remove(program));
     }
 
-    fn members(&self, pool: PoolId) -> impl Iterator<Item = (TargetId, &TargetState)> {
+    fn pool_targets(&self, pool: PoolId) -> impl Iterator<Item = (TargetId, &TargetState)> {
         let ids = self.pools.get(&pool).map_or(&[][..], Vec::as_slice);
 
         ids.iter().filter_map(|id| Some((*id, self.states.get(id)?)))
     }
 }
 
-/// Returns the prompt tokens that a target would have to compute.
-fn missing(state: &TargetState, request: &PlaceRequest) -> Tokens {
-    request.prompt.minus(state.residents.cached(request.program, request.prompt))
+/// Returns the number of prompt tokens that the target would have to compute.
+fn uncached(state: &TargetState, request: &PlaceRequest) -> Tokens {
+    request.prompt.minus(state.prefixes.cached_tokens(request.program, request.prompt))
 }
 
-/// Returns the chance that a prefix is used again.
-fn worth(now: Instant, resident: &Resident, estimates: &Estimates) -> f64 {
-    if resident.in_flight || resident.awaited {
+/// Returns the probability that a prefix is used again.
+fn reuse_probability(now: Instant, prefix: &CachedPrefix, estimates: &Estimates) -> f64 {
+    if prefix.in_flight || prefix.has_waiting_call {
         return 1.0;
     }
 
-    estimates.returns(resident.class, now.since(resident.used))
+    estimates.followup_probability(prefix.class, now.since(prefix.last_used))
 }
 
-/// Returns what placing a call here costs, in tokens to be computed: those of its own prompt,
-/// those of prefixes that have to go and may come back, and the slowdown by a fuller batch.
-fn cost(state: &TargetState, request: &PlaceRequest, worth: impl Fn(&Resident) -> f64) -> f64 {
-    let missing = missing(state, request);
-    let room = state.residents.cost_of_room(missing.plus(request.output), worth);
-
-    missing.0 as f64 + room + LOAD_TOKENS * f64::from(state.in_flight)
+/// Returns the cost of placing a call at a target, in tokens to compute: the uncached part of its
+/// prompt, the prefixes that would be evicted and may be needed again, and the slowdown by the
+/// calls already in the batch.
+fn placement_cost(
+    state: &TargetState,
+    request: &PlaceRequest,
+    reuse: impl Fn(&CachedPrefix) -> f64,
+) -> f64 {
+    let uncached = uncached(state, request);
+    let eviction = state.prefixes.eviction_cost(uncached.plus(request.output), reuse);
+
+    uncached.0 as f64 + eviction + IN_FLIGHT_COST * f64::from(state.in_flight)
 }
--- a/crates/policy/src/queue/waiting.rs
+++ b/crates/policy/src/queue/waiting.rs
@@ -1,4 +1,4 @@
-//! The calls that wait, and until when each can still be served in time.
+//! The waiting calls, and the times at which they are refused.
 
 use std::collections::BTreeSet;
 
@@ -9,99 +9,99 @@
 use super::lanes::{LaneId, Position};
 use crate::wire::{Asker, PlaceRequest};
 
-/// A call that waits.
+/// A waiting call.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiter {
-    /// What was asked.
+pub struct WaitingCall {
+    /// The requirements of the call.
     pub request: PlaceRequest,
-    /// Since when it waits.
-    pub since: Instant,
-    /// Since when it is passed over because a full target holds its prefix, if it is.
-    pub passed: Option<Instant>,
-    /// Its program's deadline.
+    /// When the call started to wait.
+    pub waiting_since: Instant,
+    /// Since when the call has been passed over to wait for a busy target that has its prefix.
+    pub passed_over_since: Option<Instant>,
+    /// The deadline of the call's program.
     pub deadline: Instant,
-    /// From when it can no longer be served in time, and is refused.
+    /// When the call is refused because it can no longer be served in time.
     pub refuse_at: Instant,
-    /// Its lane.
+    /// The lane of the call.
     pub lane: LaneId,
-    /// Its place in the lane.
+    /// The sort key within the lane.
     pub position: Position,
 }
 
-/// All calls that wait.
+/// All waiting calls.
 #[derive(Debug, Default)]
-pub struct Waiting {
-    calls: Map<Asker, Waiter>,
+pub struct WaitingCalls {
+    calls: Map<Asker, WaitingCall>,
     refusals: BTreeSet<(Instant, Asker)>,
-    tenants: Map<TenantId, usize>,
+    tenant_counts: Map<TenantId, usize>,
 }
 
-impl Waiting {
-    /// Returns how many calls wait.
+impl WaitingCalls {
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Returns how many calls of a tenant wait.
-    pub fn of_tenant(&self, tenant: TenantId) -> usize {
-        self.tenants.get(&tenant).copied().unwrap_or_default()
+    /// Returns the number of waiting calls of a tenant.
+    pub fn count_of_tenant(&self, tenant: TenantId) -> usize {
+        self.tenant_counts.get(&tenant).copied().unwrap_or_default()
     }
 
-    /// Returns a call.
-    pub fn get(&self, asker: Asker) -> Option<&Waiter> {
+    /// Returns a waiting call.
+    pub fn get(&self, asker: Asker) -> Option<&WaitingCall> {
         self.calls.get(&asker)
     }
 
-    /// Notes that a call is passed over because a full target holds its prefix.
-    pub fn pass(&mut self, now: Instant, asker: Asker) {
-        if let Some(waiter) = self.calls.get_mut(&asker) {
-            waiter.passed.get_or_insert(now);
+    /// Records that a call is passed over to wait for a busy target that has its prefix.
+    pub fn mark_passed_over(&mut self, now: Instant, asker: Asker) {
+        if let Some(call) = self.calls.get_mut(&asker) {
+            call.passed_over_since.get_or_insert(now);
         }
     }
 
-    /// Adds a call.
-    pub fn insert(&mut self, asker: Asker, waiter: Waiter) {
-        *self.tenants.entry(waiter.request.tenant).or_default() += 1;
-        self.refusals.insert((waiter.refuse_at, asker));
-        self.calls.insert(asker, waiter);
+    /// Adds a waiting call.
+    pub fn insert(&mut self, asker: Asker, call: WaitingCall) {
+        *self.tenant_counts.entry(call.request.tenant).or_default() += 1;
+        self.refusals.insert((call.refuse_at, asker));
+        self.calls.insert(asker, call);
     }
 
-    /// Removes a call.
-    pub fn remove(&mut self, asker: Asker) -> Option<Waiter> {
-        let waiter = self.calls.remove(&asker)?;
-        self.refusals.remove(&(waiter.refuse_at, asker));
+    /// Removes a waiting call.
+    pub fn remove(&mut self, asker: Asker) -> Option<WaitingCall> {
+        let call = self.calls.remove(&asker)?;
+        self.refusals.remove(&(call.refuse_at, asker));
 
-        if let Some(count) = self.tenants.get_mut(&waiter.request.tenant) {
+        if let Some(count) = self.tenant_counts.get_mut(&call.request.tenant) {
             *count -= 1;
 
             if *count == 0 {
-                self.tenants.remove(&waiter.request.tenant);
+                self.tenant_counts.remove(&call.request.tenant);
             }
         }
 
-        Some(waiter)
+        Some(call)
     }
 
-    /// Returns the askers of a host, in order.
-    pub fn of_host(&self, host: HostId) -> Vec<Asker> {
-        self.matching(|waiter| waiter.position.asker.host == host)
+    /// Returns the waiting requests of a host, sorted.
+    pub fn requests_of_host(&self, host: HostId) -> Vec<Asker> {
+        self.matching(|call| call.position.asker.host == host)
     }
 
-    /// Returns the askers of the calls that `which` picks, in order.
-    pub fn matching(&self, which: impl Fn(&Waiter) -> bool) -> Vec<Asker> {
-        let calls = self.calls.iter().filter(|(_, waiter)| which(waiter));
+    /// Returns the waiting requests that match `predicate`, sorted.
+    pub fn matching(&self, predicate: impl Fn(&WaitingCall) -> bool) -> Vec<Asker> {
+        let calls = self.calls.iter().filter(|(_, call)| predicate(call));
         let mut askers: Vec<Asker> = calls.map(|(asker, _)| *asker).collect();
         askers.sort_unstable();
 
         askers
     }
 
-    /// Returns a call that is to be refused by now.
-    pub fn overdue(&self, now: Instant) -> Option<Asker> {
+    /// Returns a call that is due to be refused.
+    pub fn due_refusal(&self, now: Instant) -> Option<Asker> {
         self.refusals.first().filter(|(at, _)| *at <= now).map(|(_, asker)| *asker)
     }
 
-    /// Returns when the next call is to be refused.
+    /// Returns when the next call is due to be refused.
     pub fn next_refusal(&self) -> Option<Instant> {
         self.refusals.first().map(|(at, _)| *at)
     }
--- a/crates/policy/src/queue/window.rs
+++ b/crates/policy/src/queue/window.rs
@@ -1,4 +1,4 @@
-//! The number of calls that may be in flight at one target.
+//! The limit of calls in flight at one target.
 
 use std::time::Duration;
 
@@ -6,56 +6,57 @@
 
 use super::LoadReport;
 
-/// After a cut, reports this young still tell of the time before it.
-const CUT_INTERVAL: Duration = Duration::from_secs(2);
+/// Load reports that arrive this soon after a reduction may describe the load before it.
+const MIN_REDUCTION_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A bounded window, adapted to load reports.
+/// A limit of calls in flight that adapts to load reports.
 ///
-/// Engines admit whatever they are sent, so calls that wait there escape the order kept
-/// here. A report of waiting calls cuts the window by a quarter, at most once in
-/// [`CUT_INTERVAL`], since reports lag; one without widens it by one, up to the declared size.
+/// Engines accept every request they receive, so calls that wait at an engine bypass the order of
+/// this queue. A report of waiting calls reduces the window by a quarter, at most once in
+/// [`MIN_REDUCTION_INTERVAL`] because reports are delayed. A report without waiting calls raises
+/// it by one, up to the configured size.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    declared: u32,
+    configured: u32,
     size: u32,
-    last_cut: Option<Instant>,
+    last_reduction: Option<Instant>,
 }
 
 impl Window {
-    /// Makes a window of the declared size.
-    pub fn new(declared: u32) -> Self {
-        Self { declared, size: declared, last_cut: None }
+    /// Creates a window of the configured size.
+    pub fn new(configured: u32) -> Self {
+        Self { configured, size: configured, last_reduction: None }
     }
 
-    /// Returns its size now: at least 1, unless none is declared.
+    /// Returns the current size. It is at least 1, unless the configured size is 0.
     pub fn size(&self) -> u32 {
         self.size
     }
 
-    /// Returns its declared size.
-    pub fn declared(&self) -> u32 {
-        self.declared
+    /// Returns the configured size.
+    pub fn configured(&self) -> u32 {
+        self.configured
     }
 
-    /// Takes over a newly declared size.
-    pub fn declare(&mut self, declared: u32) {
-        if declared != self.declared {
-            *self = Self::new(declared);
+    /// Sets a new configured size.
+    pub fn set_configured(&mut self, configured: u32) {
+        if configured != self.configured {
+            *self = Self::new(configured);
         }
     }
 
-    /// Takes in a report that arrived now.
+    /// Adapts the size to a load report that arrived now.
     pub fn adapt(&mut self, now: Instant, report: LoadReport) {
         if report.waiting == 0 {
-            self.size = (self.size + 1).min(self.declared);
+            self.size = (self.size + 1).min(self.configured);
             return;
         }
 
-        if self.last_cut.is_some_and(|at| now.since(at) < CUT_INTERVAL) {
+        if self.last_reduction.is_some_and(|at| now.since(at) < MIN_REDUCTION_INTERVAL) {
             return;
         }
 
-        self.size = (self.size - self.size.div_ceil(4)).max(1).min(self.declared);
-        self.last_cut = Some(now);
+        self.size = (self.size - self.size.div_ceil(4)).max(1).min(self.configured);
+        self.last_reduction = Some(now);
     }
 }
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -1,9 +1,9 @@
-//! Random questions, ends and faults against a simple oracle.
+//! Runs random requests, releases and faults against a simple model of the queues.
 //!
-//! The oracle knows who has asked, what was answered and which places are out; it checks
-//! after each step that windows hold (an end may be lost, late or told twice), that each question is answered once, that leaving
-//! targets get nothing, that no place is lost and that no tenant is passed over for ever.
-//! `CAMPHORWALK_FUZZ_CASES` sets how many sequences are tried.
+//! The model records all requests, the answers to them and the granted places. After each step it
+//! checks that no window is exceeded (a release may be lost, late or repeated), that each request
+//! is answered once, that leaving targets receive no calls, that no place is lost and that no
+//! lane starves. `CAMPHORWALK_FUZZ_CASES` sets the number of sequences.
 
 mod queue_support;
 
@@ -19,9 +19,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use queue_support::{Bench, request, target};
+use queue_support::{Fixture, request, target};
 
-/// The targets: name, zone, window and pool. The pool `s` is of plain services.
+/// The targets: name, zone, window and pool. Pool `s` consists of plain services.
 const TARGETS: [(&str, &str, u32, &str); 5] = [
     ("t1", "a", 3, "m"),
     ("t2", "a", 2, "m"),
@@ -30,22 +30,22 @@
     ("service", "a", 2, "s"),
 ];
 
-/// How many calls of this zone may be at the target of the other zone.
-const FAR_CAP: u32 = 2;
+/// Maximum number of calls that this zone may have in flight at the target in the other zone.
+const REMOTE_CAP: u32 = 2;
 
 const TENANTS: [&str; 3] = ["x", "y", "z"];
 const CLASSES: [&str; 2] = ["arrival", "chat"];
 
-/// The most time that a place outlives its call's deadline.
-const GRACE: Duration = Duration::from_secs(5);
+/// How long after its call's deadline a place may stay granted.
+const RELEASE_GRACE: Duration = Duration::from_secs(5);
 
-/// A lane is granted a place within one grant in eight for each of the six lanes, if it has a
-/// call that can be placed; twice that leaves room for calls that wait for a prefix.
-const STARVED: u32 = 2 * 8 * 6;
+/// Each of the six lanes with a call that can be placed receives a grant within 8 grants for each
+/// lane. The factor 2 allows for calls that wait for a busy target with their prefix.
+const STARVATION_LIMIT: u32 = 2 * 8 * 6;
 
 #[derive(Clone, Debug)]
 enum Transition {
-    Ask {
+    Request {
         tenant: usize,
         class: usize,
         pool: &'static str,
@@ -54,17 +54,17 @@
         seconds: u8,
         suspect: bool,
     },
-    /// Sends a question once more, perhaps long after it was answered or withdrawn.
-    Repeat(prop::sample::Index),
-    Vacate {
-        which: prop::sample::Index,
+    /// Sends a request again, possibly long after it was answered or withdrawn.
+    Resend(prop::sample::Index),
+    Release {
+        index: prop::sample::Index,
         how: PlaceEndKind,
-        over: bool,
+        program_ended: bool,
     },
-    /// An end is told once more, or for a question that was refused.
-    Stale(prop::sample::Index),
+    /// Releases a place again, or releases for a request that was refused.
+    RepeatRelease(prop::sample::Index),
     HostGone(u8),
-    /// Which targets are leaving.
+    /// Sets which targets are leaving.
     Leaving([bool; 5]),
     Load {
         target: usize,
@@ -74,14 +74,14 @@
         target: usize,
         program: u8,
     },
-    Pass(u16),
+    Advance(u16),
 }
 
-/// Transitions need no model to be made: any of them may come at any time.
+/// The transitions do not depend on a reference state: any of them may occur at any time.
 #[derive(Clone, Debug)]
-struct Anything;
+struct AnyTransition;
 
-impl ReferenceStateMachine for Anything {
+impl ReferenceStateMachine for AnyTransition {
     type State = ();
     type Transition = Transition;
 
@@ -109,19 +109,19 @@
 
         prop_oneof![
             20 => ask.prop_map(|(tenant, class, pool, program, size, seconds, suspect)| {
-                Transition::Ask { tenant, class, pool, program, size, seconds, suspect }
+                Transition::Request { tenant, class, pool, program, size, seconds, suspect }
             }),
-            2 => index().prop_map(Transition::Repeat),
+            2 => index().prop_map(Transition::Resend),
             16 => (index(), how, any::<bool>())
-                .prop_map(|(which, how, over)| Transition::Vacate { which, how, over }),
-            2 => index().prop_map(Transition::Stale),
+                .prop_map(|(index, how, program_ended)| Transition::Release { index, how, program_ended }),
+            2 => index().prop_map(Transition::RepeatRelease),
             1 => (0..3_u8).prop_map(Transition::HostGone),
             1 => any::<[bool; 5]>().prop_map(Transition::Leaving),
             1 => (0..5_usize, 0..3_u32)
                 .prop_map(|(target, waiting)| Transition::Load { target, waiting }),
             1 => (0..5_usize, 0..20_u8)
                 .prop_map(|(target, program)| Transition::Evicted { target, program }),
-            3 => (1..3_000_u16).prop_map(Transition::Pass),
+            3 => (1..3_000_u16).prop_map(Transition::Advance),
         ]
         .boxed()
     }
@@ -129,9 +129,9 @@
     fn apply(_: (), _: &Transition) {}
 }
 
-/// A question as the oracle sees it.
+/// A place request in the model.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct RequestRecord {
     request: PlaceRequest,
     deadline: Instant,
     answer: Answer,
@@ -139,24 +139,24 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Answer {
-    Open,
+    Waiting,
     Granted(TargetId),
     Refused,
-    /// Withdrawn, given back, or lost with its host.
-    Over,
+    /// Withdrawn, released, or lost with its host.
+    Ended,
 }
 
-/// The queues and the oracle beside them.
-struct Checked {
-    bench: Bench,
-    questions: BTreeMap<Asker, Question>,
+/// The queues under test and the model.
+struct CheckedQueues {
+    fixture: Fixture,
+    requests: BTreeMap<Asker, RequestRecord>,
     leaving: [bool; 5],
-    /// For each lane that waits, the grants to others since its last one.
+    /// For each waiting lane, the number of grants to other lanes since its last one.
     passed_over: BTreeMap<LaneKey, u32>,
 }
 
-impl Checked {
-    fn targets(leaves: [bool; 5]) -> Vec<Target> {
+impl CheckedQueues {
+    fn targets(leaving: [bool; 5]) -> Vec<Target> {
         let make = |((name, zone, window, pool), leaving): ((_, _, _, &str), bool)| Target {
             pool: pool.into(),
             leaving,
@@ -164,16 +164,16 @@
             ..target(name, zone, window)
         };
 
-        TARGETS.into_iter().zip(leaves).map(make).collect()
+        TARGETS.into_iter().zip(leaving).map(make).collect()
     }
 
     fn step(&mut self, event: QueueEvent) {
-        let out = self.bench.step(event);
-        self.take(out);
+        let out = self.fixture.step(event);
+        self.apply_decisions(out);
     }
 
-    /// Takes in the answers, one by one.
-    fn take(&mut self, out: Vec<QueueNext>) {
+    /// Applies the decisions of the queues to the model.
+    fn apply_decisions(&mut self, out: Vec<QueueNext>) {
         for next in out {
             match next {
                 QueueNext::Grant { asker, target } => self.granted(asker, target),
@@ -186,27 +186,31 @@
     }
 
     fn answer(&mut self, asker: Asker, answer: Answer) {
-        let question = self.questions.get_mut(&asker).expect("nobody asked");
-        assert_eq!(question.answer, Answer::Open, "answered twice: {asker:?}");
-        question.answer = answer;
+        let record =
+            self.requests.get_mut(&asker).expect("answer to a request that was never sent");
+        assert_eq!(record.answer, Answer::Waiting, "answered twice: {asker:?}");
+        record.answer = answer;
     }
 
     fn granted(&mut self, asker: Asker, target: TargetId) {
-        // A question that was sent again gets the same answer again.
-        if self.questions[&asker].answer == Answer::Granted(target) {
+        // A request that was sent again may get the same grant again.
+        if self.requests[&asker].answer == Answer::Granted(target) {
             return;
         }
 
         let at = TARGETS.iter().position(|known| TargetId::from_name(known.0) == target).unwrap();
-        assert!(!self.leaving[at], "a leaving target got a call");
+        assert!(!self.leaving[at], "a leaving target received a call");
         let pool = PoolId::from_name(TARGETS[at].3);
-        assert_eq!(self.questions[&asker].request.pool, pool, "a target of another pool");
-
-        let beside: Vec<&Question> = self.at(target).collect();
-        let cap = if TARGETS[at].1 == "a" { TARGETS[at].2 } else { FAR_CAP };
-        assert!(beside.len() < cap as usize, "a window is passed at {}", TARGETS[at].0);
-        assert!(beside.iter().all(|question| !question.request.suspect), "beside a suspect");
-        let suspect = self.questions[&asker].request.suspect;
+        assert_eq!(self.requests[&asker].request.pool, pool, "placed at a target of another pool");
+
+        let beside: Vec<&RequestRecord> = self.placed_at(target).collect();
+        let limit = if TARGETS[at].1 == "a" { TARGETS[at].2 } else { REMOTE_CAP };
+        assert!(beside.len() < limit as usize, "window exceeded at {}", TARGETS[at].0);
+        assert!(
+            beside.iter().all(|record| !record.request.suspect),
+            "placed beside a suspect call"
+        );
+        let suspect = self.requests[&asker].request.suspect;
         assert!(!suspect || beside.is_empty(), "a suspect does not run alone");
 
         self.answer(asker, Answer::Granted(target));
@@ -214,105 +218,109 @@
     }
 
     fn count_grant(&mut self, asker: Asker) {
-        let granted = lane(&self.questions[&asker]);
-        let open = self.questions.values().filter(|question| question.answer == Answer::Open);
-        let open: BTreeSet<LaneKey> = open.map(lane).collect();
+        let granted = lane(&self.requests[&asker]);
+        let waiting = self.requests.values().filter(|record| record.answer == Answer::Waiting);
+        let waiting: BTreeSet<LaneKey> = waiting.map(lane).collect();
 
-        self.passed_over.retain(|lane, _| open.contains(lane));
+        self.passed_over.retain(|lane, _| waiting.contains(lane));
         self.passed_over.remove(&granted);
 
-        for lane in open.into_iter().filter(|lane| lane.0 == granted.0) {
+        for lane in waiting.into_iter().filter(|lane| lane.0 == granted.0) {
             let count = self.passed_over.entry(lane).or_default();
             *count += 1;
-            assert!(*count <= STARVED, "lane {lane:?} is starved");
+            assert!(*count <= STARVATION_LIMIT, "lane {lane:?} is starved");
         }
     }
 
-    fn at(&self, target: TargetId) -> impl Iterator<Item = &Question> {
-        self.questions.values().filter(move |question| question.answer == Answer::Granted(target))
+    fn placed_at(&self, target: TargetId) -> impl Iterator<Item = &RequestRecord> {
+        self.requests.values().filter(move |record| record.answer == Answer::Granted(target))
     }
 
-    /// Returns the askers whose question is open or whose place is out.
-    fn live(&self) -> Vec<Asker> {
-        let live = self
-            .questions
+    /// Returns the requests that are waiting or hold a place.
+    fn active(&self) -> Vec<Asker> {
+        let active = self
+            .requests
             .iter()
-            .filter(|(_, question)| matches!(question.answer, Answer::Open | Answer::Granted(_)));
+            .filter(|(_, record)| matches!(record.answer, Answer::Waiting | Answer::Granted(_)));
 
-        live.map(|(asker, _)| *asker).collect()
+        active.map(|(asker, _)| *asker).collect()
     }
 
-    fn ask(&mut self, asker: Asker, request: PlaceRequest) {
-        let deadline = self.bench.now + request.deadline_left;
-        self.questions.insert(asker, Question { request, deadline, answer: Answer::Open });
+    fn request_place(&mut self, asker: Asker, request: PlaceRequest) {
+        let deadline = self.fixture.now + request.deadline_left;
+        self.requests.insert(asker, RequestRecord { request, deadline, answer: Answer::Waiting });
         self.step(QueueEvent::Ask { asker, request });
     }
 
-    fn repeat(&mut self, asker: Asker) {
-        let Question { request, deadline, answer } = self.questions[&asker];
-        let deadline_left = deadline.since(self.bench.now);
+    fn resend(&mut self, asker: Asker) {
+        let RequestRecord { request, deadline, answer } = self.requests[&asker];
+        let deadline_left = deadline.since(self.fixture.now);
         let request = PlaceRequest { deadline_left, ..request };
 
-        // One that was answered or withdrawn is a new question to the queues: it must not
-        // leak, so it is answered, or its place comes back, by the deadline.
+        // The queues treat a request that was already answered or withdrawn as a new one. It must
+        // not leak: it is answered, or its place is released by the deadline.
         match answer {
-            Answer::Refused | Answer::Over => self.ask(asker, request),
-            Answer::Open | Answer::Granted(_) => self.step(QueueEvent::Ask { asker, request }),
+            Answer::Refused | Answer::Ended => self.request_place(asker, request),
+            Answer::Waiting | Answer::Granted(_) => self.step(QueueEvent::Ask { asker, request }),
         }
     }
 
-    fn end(&mut self, asker: Asker, how: PlaceEndKind, over: bool) {
-        let computed = self.questions[&asker].request.prompt;
-        let end = PlaceEnd { how, computed, output: Tokens(50), program_over: over };
+    fn release(&mut self, asker: Asker, how: PlaceEndKind, program_ended: bool) {
+        let computed = self.requests[&asker].request.prompt;
+        let end = PlaceEnd { how, computed, output: Tokens(50), program_over: program_ended };
 
-        self.questions.get_mut(&asker).unwrap().answer = Answer::Over;
+        self.requests.get_mut(&asker).unwrap().answer = Answer::Ended;
         self.step(QueueEvent::Vacate { asker, end });
     }
 
     fn host_gone(&mut self, host: HostId) {
-        let gone = self.questions.iter_mut().filter(|(asker, question)| {
-            asker.host == host && matches!(question.answer, Answer::Open | Answer::Granted(_))
+        let gone = self.requests.iter_mut().filter(|(asker, record)| {
+            asker.host == host && matches!(record.answer, Answer::Waiting | Answer::Granted(_))
         });
 
-        gone.for_each(|(_, question)| question.answer = Answer::Over);
+        gone.for_each(|(_, record)| record.answer = Answer::Ended);
         self.step(QueueEvent::HostGone(host));
     }
 
-    /// Moves the clock from wake-up to wake-up.
-    fn pass(&mut self, time: Duration) {
-        let until = self.bench.now + time;
+    /// Advances the clock from one wake-up to the next.
+    fn advance(&mut self, time: Duration) {
+        let until = self.fixture.now + time;
 
-        while let Some(at) = self.bench.queues.wake_at().filter(|at| *at <= until) {
-            assert!(at > self.bench.now, "a wake-up that changes nothing");
-            self.bench.now = at;
-            self.expire();
+        while let Some(at) = self.fixture.queues.wake_at().filter(|at| *at <= until) {
+            assert!(at > self.fixture.now, "the next wake-up is not in the future");
+            self.fixture.now = at;
+            self.release_expired();
             self.step(QueueEvent::Wake);
         }
 
-        self.bench.now = until;
+        self.fixture.now = until;
     }
 
-    /// Gives up the places that nobody gave back, as the queues do.
-    fn expire(&mut self) {
-        let now = self.bench.now;
-        let expired = self.questions.values_mut().filter(|question| {
-            matches!(question.answer, Answer::Granted(_)) && question.deadline + GRACE <= now
+    /// Removes the places that were not released in time, as the queues do.
+    fn release_expired(&mut self) {
+        let now = self.fixture.now;
+        let expired = self.requests.values_mut().filter(|record| {
+            matches!(record.answer, Answer::Granted(_)) && record.deadline + RELEASE_GRACE <= now
         });
 
-        expired.for_each(|question| question.answer = Answer::Over);
+        expired.for_each(|record| record.answer = Answer::Ended);
     }
 
     fn check(&self) {
-        let granted = |question: &&Question| matches!(question.answer, Answer::Granted(_));
-        let open = |question: &&Question| question.answer == Answer::Open;
-        let queues = &self.bench.queues;
+        let granted = |record: &&RequestRecord| matches!(record.answer, Answer::Granted(_));
+        let waiting = |record: &&RequestRecord| record.answer == Answer::Waiting;
+        let queues = &self.fixture.queues;
 
-        assert_eq!(queues.placed(), self.questions.values().filter(granted).count());
-        assert_eq!(queues.waiting(), self.questions.values().filter(open).count());
+        assert_eq!(queues.granted_places(), self.requests.values().filter(granted).count());
+        assert_eq!(queues.waiting(), self.requests.values().filter(waiting).count());
 
         for (name, ..) in TARGETS {
             let id = TargetId::from_name(name);
-            assert_eq!(queues.in_flight(id) as usize, self.at(id).count(), "places at {name}");
+            assert_eq!(
+                queues.in_flight(id) as usize,
+                self.placed_at(id).count(),
+                "calls in flight at {name}"
+            );
         }
     }
 }
@@ -320,27 +328,27 @@
 /// A pool, a tenant and a class.
 type LaneKey = (PoolId, TenantId, ClassId);
 
-fn lane(question: &Question) -> LaneKey {
-    (question.request.pool, question.request.tenant, question.request.class)
+fn lane(record: &RequestRecord) -> LaneKey {
+    (record.request.pool, record.request.tenant, record.request.class)
 }
 
-impl StateMachineTest for Checked {
+impl StateMachineTest for CheckedQueues {
     type SystemUnderTest = Self;
-    type Reference = Anything;
+    type Reference = AnyTransition;
 
     fn init_test(_: &()) -> Self {
         let leaving = [false; 5];
-        let bench = Bench::new(Self::targets(leaving));
+        let fixture = Fixture::new(Self::targets(leaving));
 
-        Self { bench, questions: BTreeMap::new(), leaving, passed_over: BTreeMap::new() }
+        Self { fixture, requests: BTreeMap::new(), leaving, passed_over: BTreeMap::new() }
     }
 
     fn apply(mut state: Self, _: &(), transition: Transition) -> Self {
-        let asked: Vec<Asker> = state.questions.keys().copied().collect();
-        let live = state.live();
+        let asked: Vec<Asker> = state.requests.keys().copied().collect();
+        let active = state.active();
 
         match transition {
-            Transition::Ask { tenant, class, pool, program, size, seconds, suspect } => {
+            Transition::Request { tenant, class, pool, program, size, seconds, suspect } => {
                 let number = asked.len() as u64;
                 let request = PlaceRequest {
                     pool: PoolId::from_name(pool),
@@ -350,36 +358,36 @@
                     suspect,
                     ..request(TENANTS[tenant], CLASSES[class], program.into())
                 };
-                state.ask(Asker { host: HostId(number % 3), number }, request);
+                state.request_place(Asker { host: HostId(number % 3), number }, request);
             }
-            Transition::Repeat(which) if !asked.is_empty() => state.repeat(*which.get(&asked)),
-            Transition::Vacate { which, how, over } if !live.is_empty() => {
-                state.end(*which.get(&live), how, over);
+            Transition::Resend(index) if !asked.is_empty() => state.resend(*index.get(&asked)),
+            Transition::Release { index, how, program_ended } if !active.is_empty() => {
+                state.release(*index.get(&active), how, program_ended);
             }
-            Transition::Stale(which) if !asked.is_empty() => {
-                let asker = *which.get(&asked);
+            Transition::RepeatRelease(index) if !asked.is_empty() => {
+                let asker = *index.get(&asked);
 
-                if !live.contains(&asker) {
-                    state.step(QueueEvent::Vacate { asker, end: STALE });
+                if !active.contains(&asker) {
+                    state.step(QueueEvent::Vacate { asker, end: REPEATED_RELEASE });
                 }
             }
             Transition::HostGone(host) => state.host_gone(HostId(host.into())),
             Transition::Leaving(leaving) => {
                 state.leaving = leaving;
-                let out = state.bench.configure(Self::targets(leaving));
-                state.take(out);
+                let out = state.fixture.configure(Self::targets(leaving));
+                state.apply_decisions(out);
             }
             Transition::Load { target, waiting } => {
-                let out = state.bench.load(TARGETS[target].0, waiting);
-                state.take(out);
+                let out = state.fixture.report_load(TARGETS[target].0, waiting);
+                state.apply_decisions(out);
             }
             Transition::Evicted { target, program } => {
                 let target = TargetId::from_name(TARGETS[target].0);
                 state.step(QueueEvent::Evicted { target, program: ProgramId(program.into()) });
             }
-            Transition::Pass(millis) => state.pass(Duration::from_millis(millis.into())),
-            // There is no question yet.
-            Transition::Repeat(_) | Transition::Vacate { .. } | Transition::Stale(_) => {}
+            Transition::Advance(millis) => state.advance(Duration::from_millis(millis.into())),
+            // There is no request to choose from yet.
+            Transition::Resend(_) | Transition::Release { .. } | Transition::RepeatRelease(_) => {}
         }
 
         state
@@ -389,23 +397,23 @@
         state.check();
     }
 
-    /// When time has passed, every question has its answer and every place is back.
+    /// After enough time has passed, every request is answered and every place is released.
     fn teardown(mut state: Self) {
-        state.pass(Duration::from_secs(200));
+        state.advance(Duration::from_secs(200));
 
-        assert_eq!((state.bench.queues.waiting(), state.bench.queues.placed()), (0, 0));
-        assert_eq!(state.live(), []);
+        assert_eq!((state.fixture.queues.waiting(), state.fixture.queues.granted_places()), (0, 0));
+        assert_eq!(state.active(), []);
     }
 }
 
-const STALE: PlaceEnd = PlaceEnd {
+const REPEATED_RELEASE: PlaceEnd = PlaceEnd {
     how: PlaceEndKind::Finished,
     computed: Tokens(0),
     output: Tokens(0),
     program_over: false,
 };
 
-fn fuzz() -> Config {
+fn fuzz_config() -> Config {
     let cases = std::env::var("CAMPHORWALK_FUZZ_CASES").ok().and_then(|text| text.parse().ok());
 
     Config {
@@ -419,8 +427,8 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(fuzz())]
+    #![proptest_config(fuzz_config())]
 
     #[test]
-    fn queues_keep_their_promises(sequential 1..300 => Checked);
+    fn queues_keep_their_invariants_under_random_faults(sequential 1..300 => CheckedQueues);
 }
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the queues' tests.
+//! Shared fixtures of the queue tests.
 
 #![allow(dead_code, reason = "each test file uses a part of the fixtures")]
 
@@ -13,10 +13,10 @@
 use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
 
 /// The zone of the queues under test.
-pub const NEAR: &str = "a";
+pub const LOCAL_ZONE: &str = "a";
 
-/// Another zone.
-pub const FAR: &str = "b";
+/// A zone other than that of the queues under test.
+pub const REMOTE_ZONE: &str = "b";
 
 pub fn target(name: &str, zone: &str, window: u32) -> Target {
     Target {
@@ -36,12 +36,13 @@
     Target { leaving: true, ..target(name, zone, window) }
 }
 
-/// Two zones, two classes (`arrival` before `chat`), tenants `x`, `y` and `z` of weight 1.
+/// A configuration with two zones, two classes (`arrival` goes before `chat`), and the tenants
+/// `x`, `y` and `z` of weight 1.
 pub fn config(targets: Vec<Target>) -> Config {
     let zone = |name: &str| Zone { name: name.into(), region: "r".into() };
     let class = |name: &str, rank| Class { name: name.into(), rank };
     let classes = vec![class("arrival", 0), class("chat", 1)];
-    let zones = vec![zone(NEAR), zone(FAR)];
+    let zones = vec![zone(LOCAL_ZONE), zone(REMOTE_ZONE)];
     let fleet = Fleet { name: "f".into(), zones, classes, partitions: 64, slices: 16 };
     let tenants = ["x", "y", "z"].map(tenant).into();
 
@@ -61,7 +62,7 @@
     }
 }
 
-/// A call of 100 prompt tokens of a program that goes on, due in 100 s.
+/// A call with 100 prompt tokens whose program has already started, with a deadline in 100 s.
 pub fn request(tenant: &str, class: &str, program: u128) -> PlaceRequest {
     PlaceRequest {
         pool: PoolId::from_name("m"),
@@ -77,7 +78,7 @@
     }
 }
 
-/// The asker with this number; each hundred is another host.
+/// The identifier of a place request; each hundred numbers belong to another host.
 pub fn asker(number: u64) -> Asker {
     Asker { host: HostId(number / 100), number }
 }
@@ -95,18 +96,18 @@
 }
 
 /// Queues with a clock that the test moves.
-pub struct Bench {
+pub struct Fixture {
     pub queues: Queues,
     pub now: Instant,
 }
 
-impl Bench {
+impl Fixture {
     pub fn new(targets: Vec<Target>) -> Self {
-        let options = QueueOptions { zone: ZoneId::from_name(NEAR) };
-        let mut bench = Self { queues: Queues::new(options), now: Instant(0) };
-        bench.configure(targets);
+        let options = QueueOptions { zone: ZoneId::from_name(LOCAL_ZONE) };
+        let mut fixture = Self { queues: Queues::new(options), now: Instant(0) };
+        fixture.configure(targets);
 
-        bench
+        fixture
     }
 
     pub fn step(&mut self, event: QueueEvent) -> Vec<QueueNext> {
@@ -120,26 +121,26 @@
         self.step(QueueEvent::Config(Arc::new(config(targets))))
     }
 
-    pub fn ask(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueNext> {
+    pub fn request_place(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueNext> {
         self.step(QueueEvent::Ask { asker: asker(number), request })
     }
 
-    pub fn vacate(&mut self, number: u64) -> Vec<QueueNext> {
-        self.vacate_with(number, end(PlaceEndKind::Finished))
+    pub fn release(&mut self, number: u64) -> Vec<QueueNext> {
+        self.release_with(number, end(PlaceEndKind::Finished))
     }
 
-    pub fn vacate_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueNext> {
+    pub fn release_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueNext> {
         self.step(QueueEvent::Vacate { asker: asker(number), end })
     }
 
-    pub fn load(&mut self, target: &str, waiting: u32) -> Vec<QueueNext> {
+    pub fn report_load(&mut self, target: &str, waiting: u32) -> Vec<QueueNext> {
         let report = LoadReport { running: 1, waiting, held: Tokens(0) };
 
         self.step(QueueEvent::Load { target: id(target), report })
     }
 
-    /// Moves the clock, waking the queues whenever they ask for it.
-    pub fn pass(&mut self, time: Duration) -> Vec<QueueNext> {
+    /// Advances the clock, and wakes the queues whenever that is due.
+    pub fn advance(&mut self, time: Duration) -> Vec<QueueNext> {
         let until = self.now + time;
         let mut out = Vec::new();
 
