--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -1,9 +1,13 @@
-//! Rates and bursts over the whole fleet, cut into slices that one host at a time uses.
+//! Fleet-wide rate limits. Each tenant's rate and burst are split into slices, and each slice is
+//! used by one host at a time.
+//!
+//! An owner of slices lends them to the tenant's admission host, which decides on the tenant's
+//! calls. Other hosts send it a take request for each call.
 
+mod admission_hosts;
 mod borrower;
 mod bucket;
 mod lender;
-mod pools;
 mod slice;
 mod split;
 mod takes;
@@ -18,56 +22,56 @@
 
 use crate::wire::Verdict;
 
+use admission_hosts::AdmissionHosts;
 use borrower::Borrower;
 use lender::Lender;
-use pools::Pools;
-use takes::Takes;
+use takes::TakeRequests;
 
-pub use bucket::{Bucket, Share, TOKEN, Taken, take};
-pub use split::{columns, rate_of, share, split};
+pub use bucket::{Bucket, MILLIONTHS_PER_TOKEN, Share, TakeOutcome, take_token};
+pub use split::{columns, rate_in_millionths, share, split};
 
-/// A question whether a tenant may make one more call.
+/// Identifies a request for one token, which admits one call of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TakeId(pub u64);
 
-/// A column: the slice with this number of every tenant. The unit of ownership.
+/// A column consists of the slice with this number of every tenant. Hosts own whole columns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ColumnId(pub u16);
 
-/// A host as slices see it.
+/// A host that takes part in rate limiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SliceHost {
     /// The host.
     pub host: HostId,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: ZoneId,
 }
 
-/// Something that happened, as far as slices mind.
+/// An input event for [`Slices`].
 #[derive(Clone, Debug)]
 pub enum SliceEvent {
-    /// This configuration is in force from now on.
+    /// A new configuration is in force.
     Config(Arc<Config>),
-    /// These hosts, this one included, are alive and can be reached, as far as it is known.
+    /// The hosts that are known to be alive and reachable, including this one.
     Hosts(Vec<SliceHost>),
-    /// This host owns a column until an instant of its own clock, unless renewed.
+    /// This host owns a column until a time on its own clock, unless the ownership is renewed.
     ///
-    /// The instant already leaves out the margin for drifting clocks. `fresh` says that the
-    /// column came from another owner (or this host's own past): its slices begin at level
-    /// zero and may still be lent out by the former owner for one more loan's lifetime.
+    /// The margin for clock drift is already subtracted from that time. `fresh` says that the
+    /// column came from another owner or from an earlier process of this host. Its slices then
+    /// start empty, and may still be on loan from the former owner for up to one loan lifetime.
     Owned {
         /// The column.
         column: ColumnId,
-        /// Until when.
+        /// When the ownership ends.
         until: Instant,
-        /// Whether ownership is new, not a renewal.
+        /// Whether the ownership is new rather than renewed.
         fresh: bool,
     },
-    /// This host owns a column that no host ever owned before: its slices begin full.
+    /// This host owns a column that no host has owned before, so its slices start full.
     First {
         /// The column.
         column: ColumnId,
-        /// Until when, as with `Owned`.
+        /// When the ownership ends, as for `Owned`.
         until: Instant,
     },
     /// This host no longer owns a column.
@@ -75,40 +79,40 @@
         /// The column.
         column: ColumnId,
     },
-    /// A call wants one token of its tenant.
+    /// A call needs a token of its tenant.
     Take {
-        /// The question.
+        /// Identifies the request in [`SliceNext::Verdict`].
         take: TakeId,
         /// The tenant.
         tenant: TenantId,
     },
-    /// A message from the same part of another host.
+    /// A message from the rate limiter of another host.
     Message {
         /// The sender.
         from: HostId,
-        /// What it says.
+        /// The content.
         message: SliceMessage,
     },
-    /// Time has passed; see [`Slices::wake_at`].
+    /// Time has passed; due at [`Slices::wake_at`].
     Wake,
 }
 
-/// What to do next for slices.
+/// An action that [`Slices::step`] requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SliceNext {
-    /// The answer to a question. Each question is answered once, also when the tenant's
-    /// pool host is silent.
+    /// The answer to a [`SliceEvent::Take`]. Each one is answered exactly once, even if the
+    /// tenant's admission host does not respond.
     Verdict {
-        /// The question.
+        /// Identifies the request.
         take: TakeId,
-        /// The answer.
+        /// Whether the call is admitted.
         verdict: Verdict,
     },
-    /// Send a message to the same part of another host; it may be lost.
+    /// Send a message to the rate limiter of another host. The message may be lost.
     Send {
         /// The receiver.
         to: HostId,
-        /// What to say.
+        /// The content.
         message: SliceMessage,
     },
 }
@@ -116,79 +120,80 @@
 /// Settings of [`Slices`].
 #[derive(Clone, Debug)]
 pub struct SliceOptions {
-    /// The host this runs on.
+    /// The host that this process runs on.
     pub host: HostId,
-    /// Its availability zone.
+    /// The host's availability zone.
     pub zone: ZoneId,
-    /// A random number of this run of its process, as in gossip.
+    /// A random number that identifies this run of the process, as in gossip.
     pub session: u64,
-    /// How long things last; the same on all hosts of a fleet.
+    /// Durations of loans and requests; must be the same on all hosts of a fleet.
     pub times: SliceTimes,
 }
 
-/// How long loans and questions last. The same on all hosts of a fleet: the owner of a
-/// column waits out the loans that its former owner made.
+/// Durations of loans and requests. They must be the same on all hosts of a fleet, because a
+/// column's new owner waits until the loans made by the former owner have expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SliceTimes {
-    /// The time from one renewal of a borrower's loans to the next.
-    pub renewal: Duration,
-    /// How long a loan lasts, from the sending of the request that it answers.
-    pub lifetime: Duration,
-    /// What a lender adds to the lifetime, for clocks that run at different speeds.
+    /// The interval at which a borrower renews its loans.
+    pub renewal_interval: Duration,
+    /// How long a loan lasts, counted from when the borrower sent the request for it.
+    pub loan_lifetime: Duration,
+    /// Added to the lifetime by the lender, because clocks run at different speeds.
     pub drift_margin: Duration,
-    /// The time after which a message without an answer is sent again.
-    pub retry: Duration,
-    /// The longest time between two events in a process that runs; a longer one is a pause.
-    pub longest_gap: Duration,
-    /// How long to wait for the pool host's answer.
+    /// Time after which an unanswered message is sent again.
+    pub resend_after: Duration,
+    /// The maximum time between two events in a running process. After a longer gap the process
+    /// is assumed to have been paused.
+    pub max_step_gap: Duration,
+    /// How long to wait for the answer of an admission host.
     pub take_timeout: Duration,
-    /// The time after which a question to the pool host is sent once more.
-    pub take_repeat: Duration,
+    /// Time after which an unanswered take request is sent a second time.
+    pub take_resend_after: Duration,
 }
 
 impl Default for SliceTimes {
     fn default() -> Self {
         Self {
-            renewal: Duration::from_secs(1),
-            lifetime: Duration::from_secs(3),
+            renewal_interval: Duration::from_secs(1),
+            loan_lifetime: Duration::from_secs(3),
             drift_margin: Duration::from_millis(100),
-            retry: Duration::from_millis(250),
-            longest_gap: Duration::from_millis(2_500),
+            resend_after: Duration::from_millis(250),
+            max_step_gap: Duration::from_millis(2_500),
             take_timeout: Duration::from_millis(250),
-            take_repeat: Duration::from_millis(100),
+            take_resend_after: Duration::from_millis(100),
         }
     }
 }
 
 impl SliceTimes {
-    /// Returns how long a lender counts a loan from its own sending.
+    /// Returns how long a lender regards a slice as lent, counted from when it sent the grant.
     ///
     /// ```
     /// use camphorwalk_policy::slices::SliceTimes;
     /// let times = SliceTimes::default();
-    /// assert!(times.lent_for() > times.lifetime);
+    /// assert!(times.lender_lifetime() > times.loan_lifetime);
     /// ```
-    pub fn lent_for(&self) -> Duration {
-        self.lifetime + self.drift_margin
+    pub fn lender_lifetime(&self) -> Duration {
+        self.loan_lifetime + self.drift_margin
     }
 }
 
 /// The slices that this host owns or has borrowed.
 ///
-/// What may be admitted: each slice is one token bucket with one user at any instant, and
-/// all slices of a tenant together are exactly its rate R and burst B. So no more than
-/// B + R t calls of the tenant are admitted in any time t, over all hosts. While hosts go
-/// over from one R and B to another, each slice has its old or its new share; shares never
-/// shrink when R or B grows, so the larger R and the larger B bound the sum.
+/// **Bound.** Each slice is a token bucket with one user at a time, and all slices of a tenant
+/// add up to exactly its rate R and burst B. All hosts together therefore admit at most B + R t
+/// calls of the tenant in any period of length t. While hosts change to a new R and B, each slice
+/// has either its old or its new share. Shares never shrink when R or B grows, so the larger R
+/// and the larger B bound the sum.
 ///
-/// Level zero: a slice begins empty whenever it is not known what was taken from it: after
-/// a loan that was not returned, and after a change of owner, unless a running loan of the
-/// former owner goes on. The other choice, full slices, would let a tenant take its burst
-/// once more whenever hosts are replaced. Only columns that no host ever owned begin full.
+/// **Start level.** A slice starts empty whenever it is unknown how many tokens were taken from
+/// it: after a loan that was not returned, and after a change of owner, unless a running loan of
+/// the former owner is continued. If slices started full instead, a tenant could use its burst
+/// again whenever hosts are replaced. Only columns that no host has owned before start full.
 ///
-/// A zone cut off from the others goes on with the slices of its own columns. If these
-/// hold less than one token together (a burst below `slices / columns of the zone`), it
-/// admits no call of that tenant.
+/// **Network partitions.** A zone that is partitioned from the others continues with the slices
+/// of its own columns. If their bursts add up to less than one token (the tenant's burst is below
+/// `slices / columns of the zone`), the zone admits no calls of that tenant.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -209,53 +214,53 @@
 /// ```
 #[derive(Debug)]
 pub struct Slices {
-    me: HostId,
+    local_host: HostId,
     times: SliceTimes,
-    cfg: Option<Arc<Config>>,
-    pools: Pools,
+    config: Option<Arc<Config>>,
+    admission_hosts: AdmissionHosts,
     lender: Lender,
     borrower: Borrower,
-    takes: Takes,
-    /// When the last step was.
-    last: Option<Instant>,
+    takes: TakeRequests,
+    /// The time of the last step.
+    last_step: Option<Instant>,
 }
 
 impl Slices {
-    /// Makes a host with no slices.
+    /// Creates the state of a host without any slices.
     pub fn new(options: SliceOptions) -> Self {
         let SliceOptions { host, session, times, .. } = options;
 
         Self {
-            me: host,
+            local_host: host,
             times,
-            cfg: None,
-            pools: Pools::new(host),
+            config: None,
+            admission_hosts: AdmissionHosts::new(host),
             lender: Lender::new(session, times),
             borrower: Borrower::new(session, times),
-            takes: Takes::new(session, times),
-            last: None,
+            takes: TakeRequests::new(session, times),
+            last_step: None,
         }
     }
 
-    /// Takes in an event and appends what to do next to `out`.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceNext>) {
-        let now = self.notice_pause(now);
+        let now = self.end_loans_after_pause(now);
 
         self.lender.expire(now);
         self.borrower.expire(now);
-        self.handle(now, event, out);
-        self.end_takes(now, out);
+        self.handle_event(now, event, out);
+        self.process_pending_takes(now, out);
         self.send_loan_messages(now, out);
     }
 
-    /// Returns when [`SliceEvent::Wake`] is due.
+    /// Returns when the next [`SliceEvent::Wake`] is due.
     pub fn wake_at(&self) -> Option<Instant> {
         let parts = [self.lender.wake_at(), self.borrower.wake_at(), self.takes.wake_at()];
 
         parts.into_iter().flatten().min()
     }
 
-    /// Returns the slices that this host may use at `now`, for status pages and checks.
+    /// Returns the slices that this host may use at `now`, for status pages and tests.
     pub fn usable(&self, now: Instant) -> Vec<(TenantId, ColumnId)> {
         let mut slices: Vec<_> = self.lender.usable_slices(now).collect();
 
@@ -267,69 +272,73 @@
         slices
     }
 
-    /// Returns whether so much time passed since the last step that this process was paused.
+    /// Returns whether the time since the last step is so long that this process must have been
+    /// paused.
     fn is_gap(&self, now: Instant) -> bool {
-        self.last.is_some_and(|last| self.times.longest_gap < now.since(last))
+        self.last_step.is_some_and(|last| self.times.max_step_gap < now.since(last))
     }
 
-    /// Ends all borrowed loans if this process was paused; returns the time to go by.
+    /// Ends all borrowed loans if this process was paused. Returns the time to use for the step,
+    /// which never goes backwards.
     ///
-    /// What a paused process believes to hold may be in use elsewhere. Loans are over by the
-    /// clock as well; the gap also covers a clock that stood still for a part of the pause.
-    fn notice_pause(&mut self, now: Instant) -> Instant {
-        let now = now.max(self.last.unwrap_or(now));
+    /// A slice that this process held before a pause may now be used by another host. Loans also
+    /// expire by the clock, but the clock may have stood still for a part of the pause. Ending
+    /// all loans after a gap covers that case.
+    fn end_loans_after_pause(&mut self, now: Instant) -> Instant {
+        let now = now.max(self.last_step.unwrap_or(now));
 
         if self.is_gap(now) {
-            self.borrower.drop_all();
+            self.borrower.end_all_loans();
         }
 
-        self.last = Some(now);
+        self.last_step = Some(now);
         now
     }
 
-    fn handle(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceNext>) {
+    fn handle_event(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceNext>) {
         match event {
-            SliceEvent::Config(cfg) => {
-                self.cfg = Some(cfg);
+            SliceEvent::Config(config) => {
+                self.config = Some(config);
                 self.configure(now);
             }
             SliceEvent::Hosts(hosts) => {
-                self.pools.set_hosts(hosts.into_iter().map(|host| host.host).collect());
-                self.borrower.forget_gone(&self.pools);
+                self.admission_hosts.set_hosts(hosts.into_iter().map(|host| host.host).collect());
+                self.borrower.remove_gone_lenders(&self.admission_hosts);
                 self.lender.hosts_changed(now);
             }
             SliceEvent::First { column, until } => {
-                self.lender.own_first(column, until, now);
+                self.lender.acquire_first(column, until, now);
                 self.configure(now);
-                self.take_over(now, column);
+                self.adopt_own_loans(now, column);
             }
             SliceEvent::Owned { column, until, fresh } => {
-                if self.lender.own(column, until, fresh, now) {
+                if self.lender.acquire(column, until, fresh, now) {
                     self.configure(now);
-                    self.take_over(now, column);
+                    self.adopt_own_loans(now, column);
                 }
             }
-            SliceEvent::Lost { column } => self.lender.lose(column),
-            SliceEvent::Take { take, tenant } => self.take(now, take, tenant, out),
-            SliceEvent::Message { from, message } => self.message(now, from, message, out),
+            SliceEvent::Lost { column } => self.lender.remove_column(column),
+            SliceEvent::Take { take, tenant } => self.handle_take(now, take, tenant, out),
+            SliceEvent::Message { from, message } => self.handle_message(now, from, message, out),
             SliceEvent::Wake => {}
         }
     }
 
-    /// Goes on with slices of a new column that this host has from its former owner.
-    fn take_over(&mut self, now: Instant, column: ColumnId) {
+    /// Continues to use slices of a newly owned column that this host had borrowed from the
+    /// former owner.
+    fn adopt_own_loans(&mut self, now: Instant, column: ColumnId) {
         for (key, bucket) in self.borrower.release_column(column) {
-            self.lender.adopt_here(key, bucket, now);
+            self.lender.adopt_own_loan(key, bucket, now);
         }
     }
 
     fn configure(&mut self, now: Instant) {
-        if let Some(cfg) = &self.cfg {
-            self.lender.configure(cfg, now);
+        if let Some(config) = &self.config {
+            self.lender.configure(config, now);
         }
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         now: Instant,
         from: HostId,
@@ -337,73 +346,89 @@
         out: &mut Vec<SliceNext>,
     ) {
         match message.body {
-            Some(SliceBody::Offer(offer)) => self.borrower.offer(from, &offer),
-            Some(SliceBody::Request(req)) => {
-                let grant = self.lender.request(from, &req, &mut self.pools, now);
+            Some(SliceBody::Offer(offer)) => self.borrower.handle_offer(from, &offer),
+            Some(SliceBody::Request(request)) => {
+                let grant =
+                    self.lender.handle_request(from, &request, &mut self.admission_hosts, now);
                 out.extend(grant.map(|grant| send(from, SliceBody::Grant(grant))));
             }
-            Some(SliceBody::Grant(grant)) => self.borrower.grant(from, &grant, now),
-            Some(SliceBody::Take(req)) => {
-                let answer = self.takes.answered(from, &req);
-                let answer = answer.unwrap_or_else(|| self.answer(now, from, &req));
+            Some(SliceBody::Grant(grant)) => self.borrower.handle_grant(from, &grant, now),
+            Some(SliceBody::Take(request)) => {
+                let answer = self.takes.previous_answer(from, &request);
+                let answer = answer.unwrap_or_else(|| self.answer_take(now, from, &request));
                 out.push(send(from, SliceBody::Answer(answer)));
             }
             Some(SliceBody::Answer(answer)) => {
-                if let Some(asked) = self.takes.take_answer(from, &answer) {
+                if let Some(pending) = self.takes.accept_answer(from, &answer) {
                     let verdict = match verdict_of(&answer) {
                         Verdict::Admitted => Verdict::Admitted,
-                        refused => self.fall_back(now, asked.tenant, refused),
+                        refused => {
+                            self.take_local_token_after_refusal(now, pending.tenant, refused)
+                        }
                     };
-                    out.push(SliceNext::Verdict { take: asked.take, verdict });
+                    out.push(SliceNext::Verdict { take: pending.take, verdict });
                 }
             }
             None => {}
         }
     }
 
-    /// Decides a question of this host, or asks the tenant's pool host.
-    fn take(&mut self, now: Instant, take: TakeId, tenant: TenantId, out: &mut Vec<SliceNext>) {
-        let pool = self.pools.of(tenant);
+    /// Decides a take request of this host if it is the tenant's admission host, and otherwise
+    /// sends the request there.
+    fn handle_take(
+        &mut self,
+        now: Instant,
+        take: TakeId,
+        tenant: TenantId,
+        out: &mut Vec<SliceNext>,
+    ) {
+        let admission_host = self.admission_hosts.get(tenant);
 
-        if pool == self.me {
-            let verdict = self.decide(now, tenant);
+        if admission_host == self.local_host {
+            let verdict = self.take_local_token(now, tenant);
             out.push(SliceNext::Verdict { take, verdict });
             return;
         }
 
-        let req = self.takes.ask(now, take, tenant, pool);
-        out.push(send(pool, SliceBody::Take(req)));
+        let request = self.takes.start(now, take, tenant, admission_host);
+        out.push(send(admission_host, SliceBody::Take(request)));
     }
 
-    /// Answers another host's question.
-    fn answer(&mut self, now: Instant, from: HostId, req: &TakeRequest) -> TakeAnswer {
-        let verdict = self.decide(now, TenantId(req.tenant));
+    /// Answers a take request of another host.
+    fn answer_take(&mut self, now: Instant, from: HostId, request: &TakeRequest) -> TakeAnswer {
+        let verdict = self.take_local_token(now, TenantId(request.tenant));
 
-        self.takes.remember(now, from, req, verdict)
+        self.takes.record_answer(now, from, request, verdict)
     }
 
     /// Takes a token from the slices that this host may use.
-    fn decide(&mut self, now: Instant, tenant: TenantId) -> Verdict {
-        let usable_in = self.lender.usable_in(now);
-        let lent = self.borrower.usable(tenant);
-        let mut buckets: Vec<&mut Bucket> = self.lender.usable(tenant, now).chain(lent).collect();
-
-        match take(&mut buckets, now) {
-            Taken::Token => Verdict::Admitted,
-            Taken::Nothing(Some(wait)) => Verdict::Refused { retry_after: wait },
-
-            // Slices come with the end of a former owner's loans, or with a change of hosts,
-            // and both take about a loan's lifetime.
-            Taken::Nothing(None) => {
-                Verdict::Refused { retry_after: usable_in.unwrap_or(self.times.lifetime) }
-            }
+    fn take_local_token(&mut self, now: Instant, tenant: TenantId) -> Verdict {
+        let time_until_usable = self.lender.time_until_usable(now);
+        let borrowed = self.borrower.usable_buckets(tenant);
+        let mut buckets: Vec<&mut Bucket> =
+            self.lender.usable_buckets(tenant, now).chain(borrowed).collect();
+
+        match take_token(&mut buckets, now) {
+            TakeOutcome::Taken => Verdict::Admitted,
+            TakeOutcome::Insufficient(Some(wait)) => Verdict::Refused { retry_after: wait },
+
+            // This host has no slices yet. They become usable when the loans of a former owner
+            // expire or after a change of hosts; both take about one loan lifetime.
+            TakeOutcome::Insufficient(None) => Verdict::Refused {
+                retry_after: time_until_usable.unwrap_or(self.times.loan_lifetime),
+            },
         }
     }
 
-    /// Takes a token from slices that are here although the tenant's pool host is another,
-    /// or gives the sooner of two times to come back.
-    fn fall_back(&mut self, now: Instant, tenant: TenantId, refused: Verdict) -> Verdict {
-        match (self.decide(now, tenant), refused) {
+    /// After a refusal by the admission host, tries the slices that this host holds itself. If
+    /// these have no token either, returns the shorter of the two retry times.
+    fn take_local_token_after_refusal(
+        &mut self,
+        now: Instant,
+        tenant: TenantId,
+        refused: Verdict,
+    ) -> Verdict {
+        match (self.take_local_token(now, tenant), refused) {
             (Verdict::Refused { retry_after: here }, Verdict::Refused { retry_after: there }) => {
                 Verdict::Refused { retry_after: here.min(there) }
             }
@@ -411,25 +436,27 @@
         }
     }
 
-    /// Ends questions that the pool host does not answer, and repeats the younger ones.
-    fn end_takes(&mut self, now: Instant, out: &mut Vec<SliceNext>) {
-        for asked in self.takes.expire(now) {
-            let verdict = self.decide(now, asked.tenant);
-            out.push(SliceNext::Verdict { take: asked.take, verdict });
+    /// Decides the take requests that timed out locally, and sends the others again if they are
+    /// due.
+    fn process_pending_takes(&mut self, now: Instant, out: &mut Vec<SliceNext>) {
+        for pending in self.takes.expire(now) {
+            let verdict = self.take_local_token(now, pending.tenant);
+            out.push(SliceNext::Verdict { take: pending.take, verdict });
         }
 
-        for (to, req) in self.takes.repeats(now) {
-            out.push(send(to, SliceBody::Take(req)));
+        for (to, request) in self.takes.due_resends(now) {
+            out.push(send(to, SliceBody::Take(request)));
         }
     }
 
     fn send_loan_messages(&mut self, now: Instant, out: &mut Vec<SliceNext>) {
-        for (host, offer) in self.lender.offers(self.me, &mut self.pools, now) {
+        for (host, offer) in self.lender.due_offers(self.local_host, &mut self.admission_hosts, now)
+        {
             out.push(send(host, SliceBody::Offer(offer)));
         }
 
-        for (host, req) in self.borrower.requests(now) {
-            out.push(send(host, SliceBody::Request(req)));
+        for (host, request) in self.borrower.due_requests(now) {
+            out.push(send(host, SliceBody::Request(request)));
         }
     }
 }
--- a/crates/policy/src/slices/borrower.rs
+++ b/crates/policy/src/slices/borrower.rs
@@ -1,4 +1,4 @@
-//! The slices that this host borrowed.
+//! The slices that this host has borrowed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,83 +9,86 @@
 };
 use camphorwalk_core::time::Instant;
 
+use super::admission_hosts::AdmissionHosts;
 use super::bucket::{Bucket, Share};
-use super::pools::Pools;
 use super::{ColumnId, SliceTimes};
 
-/// A slice: of a tenant, in a column.
+/// Identifies a slice by its tenant and column.
 pub(super) type SliceKey = (TenantId, ColumnId);
 
-/// A request under way.
+/// A request that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
-struct Outstanding {
+struct PendingRequest {
     number: u64,
-    sent: Instant,
-    /// The number of returns it lists.
+    sent_at: Instant,
+    /// The number of returns in the request.
     returns: usize,
 }
 
-/// What is between this host and one lender.
+/// The loans from one lender.
 #[derive(Debug, Default)]
-struct Account {
-    /// The session of the lender.
-    lender: u64,
-    /// The last grant that was taken in.
-    acknowledged: u64,
-    /// The slices that it lends to this host.
-    held: BTreeMap<SliceKey, Bucket>,
-    /// The same by the loan's number.
+struct LenderAccount {
+    /// The session of the lender's process.
+    lender_session: u64,
+    /// The number of the last grant that was applied.
+    acknowledged_grant: u64,
+    /// The buckets of the borrowed slices.
+    buckets: BTreeMap<SliceKey, Bucket>,
+    /// The borrowed slices by loan number.
     loans: BTreeMap<u64, SliceKey>,
-    /// When the loans of each column are over.
-    until: BTreeMap<ColumnId, Instant>,
-    /// Columns that came to the lender from another owner: running loans are claimed.
-    claim: BTreeSet<ColumnId>,
-    /// Loans not used any more that the lender may not know of yet.
-    returns: Vec<LoanReturn>,
-    outstanding: Option<Outstanding>,
-    /// Whether there is something to say, or to hear, at once.
-    urgent: bool,
-    next_request: Instant,
-    /// Without news of the lender, requests stop here.
-    give_up: Instant,
+    /// When the loans of each column expire.
+    expiries: BTreeMap<ColumnId, Instant>,
+    /// Columns that the lender took over from another owner. Running loans in them are claimed in
+    /// the next request.
+    columns_to_claim: BTreeSet<ColumnId>,
+    /// Returned loans that the lender may not know about yet.
+    pending_returns: Vec<LoanReturn>,
+    pending_request: Option<PendingRequest>,
+    /// Whether a request must be sent without waiting for the next renewal.
+    send_now: bool,
+    next_request_at: Instant,
+    /// When to stop sending requests if the lender sends no grant.
+    give_up_at: Instant,
 }
 
-/// The slices that are borrowed, and from whom.
+/// All borrowed slices, by lender.
 #[derive(Debug)]
 pub(super) struct Borrower {
     session: u64,
     times: SliceTimes,
-    accounts: BTreeMap<HostId, Account>,
-    /// The last number given to a request.
-    number: u64,
+    accounts: BTreeMap<HostId, LenderAccount>,
+    /// The number of the last request.
+    last_request: u64,
 }
 
 impl Borrower {
     pub(super) fn new(session: u64, times: SliceTimes) -> Self {
-        Self { session, times, accounts: BTreeMap::new(), number: 0 }
+        Self { session, times, accounts: BTreeMap::new(), last_request: 0 }
     }
 
-    /// Takes in that a lender has something to say.
-    pub(super) fn offer(&mut self, lender: HostId, offer: &LoanOffer) {
+    /// Handles an offer: the lender asks for a request soon.
+    pub(super) fn handle_offer(&mut self, lender: HostId, offer: &LoanOffer) {
         let account = self.accounts.entry(lender).or_default();
 
-        account.urgent = true;
-        account.claim.extend(offer.columns.iter().map(|column| column_of(*column)));
+        account.send_now = true;
+        account.columns_to_claim.extend(offer.columns.iter().map(|column| column_of(*column)));
     }
 
-    /// Takes in a lender's grant, if it answers the latest request.
-    pub(super) fn grant(&mut self, lender: HostId, grant: &LoanGrant, now: Instant) {
+    /// Applies a lender's grant if it answers the latest request.
+    pub(super) fn handle_grant(&mut self, lender: HostId, grant: &LoanGrant, now: Instant) {
         let Some(account) = self.accounts.get_mut(&lender) else { return };
-        let Some(request) = account.outstanding else { return };
+        let Some(request) = account.pending_request else { return };
 
-        // The lender counts a loan as not taken in once a later request does not
-        // acknowledge it. A grant for an earlier request must not be taken in after that.
+        // The lender takes back loans that a later request does not acknowledge. A grant for an
+        // earlier request must therefore not be applied any more, or the slice would have two
+        // users.
         if grant.session != self.session || grant.request != request.number {
             return;
         }
 
-        // The lender counts the lifetime from its sending, which was later.
-        let until = request.sent + Duration::from_millis(u64::from(grant.lifetime_ms));
+        // The lifetime starts when the request was sent. The lender starts it later, when it
+        // sends the grant, so the loan ends here first.
+        let until = request.sent_at + Duration::from_millis(u64::from(grant.lifetime_ms));
 
         if until <= now {
             return;
@@ -94,29 +97,29 @@
         let adopted = self.release_claimed(&grant.adoptions);
         let account = self.accounts.entry(lender).or_default();
 
-        account.outstanding = None;
-        account.claim.clear();
-        account.returns.drain(..request.returns);
-        account.give_up = now + self.times.lifetime * 2;
+        account.pending_request = None;
+        account.columns_to_claim.clear();
+        account.pending_returns.drain(..request.returns);
+        account.give_up_at = now + self.times.loan_lifetime * 2;
 
-        if account.lender != grant.lender {
-            account.forget();
-            account.lender = grant.lender;
+        if account.lender_session != grant.lender {
+            account.clear();
+            account.lender_session = grant.lender;
         }
 
-        account.acknowledged = grant.number;
-        account.renew(grant, until);
-        account.change(grant, now);
-        account.recall(grant, now);
-        account.borrow(grant, now);
-        account.adopt(&grant.adoptions, adopted, now);
+        account.acknowledged_grant = grant.number;
+        account.renew_columns(grant, until);
+        account.apply_share_changes(grant, now);
+        account.return_recalled(grant, now);
+        account.add_loans(grant, now);
+        account.add_adopted_loans(&grant.adoptions, adopted, now);
     }
 
-    /// Takes claimed loans out of their former lenders' accounts.
+    /// Removes claimed loans from the accounts of their former lenders.
     ///
-    /// A claim may be overtaken: the loan ended, or another owner has taken it on. It is
-    /// taken out only where it was when it was claimed, else two owners would believe that
-    /// it is theirs.
+    /// A claim can be outdated because the loan has ended or another owner has already adopted
+    /// it. The loan is removed only if it is still where it was when it was claimed. Otherwise
+    /// two owners would regard it as their own loan.
     fn release_claimed(&mut self, adoptions: &[LoanAdoption]) -> Vec<Option<Bucket>> {
         let mut release = |claim: &LoanClaim| {
             let key = (TenantId(claim.tenant), column_of(claim.column));
@@ -127,25 +130,26 @@
             }
 
             account.loans.remove(&claim.loan);
-            account.held.remove(&key)
+            account.buckets.remove(&key)
         };
 
         adoptions.iter().map(|adoption| release(&adoption.claim)).collect()
     }
 
-    /// Takes all slices of a column out of their lenders' accounts: this host owns it now.
+    /// Removes all slices of a column from their lenders' accounts, because this host owns the
+    /// column now.
     pub(super) fn release_column(&mut self, column: ColumnId) -> Vec<(SliceKey, Bucket)> {
         let mut released = Vec::new();
 
         for account in self.accounts.values_mut() {
             account.loans.retain(|_, key| key.1 != column);
-            released.extend(account.held.extract_if(.., |key, _| key.1 == column));
+            released.extend(account.buckets.extract_if(.., |key, _| key.1 == column));
         }
 
         released
     }
 
-    /// Returns the claims of all running loans in some columns.
+    /// Returns claims for all running loans in the given columns.
     fn claims(&self, columns: &BTreeSet<ColumnId>) -> Vec<LoanClaim> {
         let mut claims = Vec::new();
 
@@ -165,209 +169,223 @@
         claims
     }
 
-    /// Ends loans whose time is over.
+    /// Ends expired loans.
     pub(super) fn expire(&mut self, now: Instant) {
         for account in self.accounts.values_mut() {
-            if account.until.values().all(|until| now < *until) {
+            if account.expiries.values().all(|until| now < *until) {
                 continue;
             }
 
-            account.until.retain(|_, until| now < *until);
-            let columns = std::mem::take(&mut account.until);
-            account.drop_loans(|_, column| !columns.contains_key(&column));
-            account.until = columns;
+            account.expiries.retain(|_, until| now < *until);
+            let columns = std::mem::take(&mut account.expiries);
+            account.end_loans(|_, column| !columns.contains_key(&column));
+            account.expiries = columns;
         }
     }
 
-    /// Ends all loans, after a pause of this process.
-    pub(super) fn drop_all(&mut self) {
+    /// Ends all loans after a pause of this process.
+    pub(super) fn end_all_loans(&mut self) {
         for account in self.accounts.values_mut() {
-            account.until.clear();
-            account.drop_loans(|_, _| true);
-            account.urgent = true;
+            account.expiries.clear();
+            account.end_loans(|_, _| true);
+            account.send_now = true;
         }
     }
 
-    /// Returns the requests to be sent now, each with its lender.
-    pub(super) fn requests(&mut self, now: Instant) -> Vec<(HostId, LoanRequest)> {
-        let due = |account: &Account| account.request_at(&self.times).is_some_and(|at| at <= now);
+    /// Returns the requests that are due, each with its lender.
+    pub(super) fn due_requests(&mut self, now: Instant) -> Vec<(HostId, LoanRequest)> {
+        let due = |account: &LenderAccount| {
+            account.next_request_time(&self.times).is_some_and(|at| at <= now)
+        };
         let accounts = self.accounts.iter().filter(|(_, account)| due(account));
-        let lenders: Vec<(HostId, Vec<LoanClaim>)> =
-            accounts.map(|(lender, account)| (*lender, self.claims(&account.claim))).collect();
+        let lenders: Vec<(HostId, Vec<LoanClaim>)> = accounts
+            .map(|(lender, account)| (*lender, self.claims(&account.columns_to_claim)))
+            .collect();
         let mut requests = Vec::new();
 
         for (lender, claims) in lenders {
             let Some(account) = self.accounts.get_mut(&lender) else { continue };
 
-            self.number += 1;
-            let req = account.request(self.session, self.number, &self.times, now);
-            requests.push((lender, LoanRequest { claims, ..req }));
+            self.last_request += 1;
+            let request = account.build_request(self.session, self.last_request, &self.times, now);
+            requests.push((lender, LoanRequest { claims, ..request }));
         }
 
         requests
     }
 
-    /// Forgets lenders that are gone and have nothing out.
-    pub(super) fn forget_gone(&mut self, pools: &Pools) {
+    /// Removes unreachable lenders that have neither loans nor pending returns.
+    pub(super) fn remove_gone_lenders(&mut self, admission_hosts: &AdmissionHosts) {
         self.accounts.retain(|lender, account| {
-            pools.reaches(*lender) || !account.loans.is_empty() || !account.returns.is_empty()
+            admission_hosts.is_reachable(*lender)
+                || !account.loans.is_empty()
+                || !account.pending_returns.is_empty()
         });
     }
 
     /// Returns the borrowed buckets of a tenant.
-    pub(super) fn usable(&mut self, tenant: TenantId) -> impl Iterator<Item = &mut Bucket> {
+    pub(super) fn usable_buckets(&mut self, tenant: TenantId) -> impl Iterator<Item = &mut Bucket> {
         let all = (tenant, ColumnId(0))..=(tenant, ColumnId(u16::MAX));
 
         self.accounts
             .values_mut()
-            .flat_map(move |account| account.held.range_mut(all.clone()))
+            .flat_map(move |account| account.buckets.range_mut(all.clone()))
             .map(|(_, bucket)| bucket)
     }
 
-    /// Returns the borrowed slices.
+    /// Returns the borrowed slices that have not expired.
     pub(super) fn usable_slices(&self, now: Instant) -> impl Iterator<Item = SliceKey> {
         self.accounts.values().flat_map(move |account| {
-            let keys = account.held.keys().copied();
+            let keys = account.buckets.keys().copied();
 
-            keys.filter(move |(_, column)| account.until.get(column).is_some_and(|u| now < *u))
+            keys.filter(move |(_, column)| account.expiries.get(column).is_some_and(|u| now < *u))
         })
     }
 
-    /// Returns when something is due.
+    /// Returns when the next request or expiry is due.
     pub(super) fn wake_at(&self) -> Option<Instant> {
-        let requests = self.accounts.values().filter_map(|a| a.request_at(&self.times));
-        let ends = self.accounts.values().flat_map(|account| account.until.values().copied());
+        let requests = self.accounts.values().filter_map(|a| a.next_request_time(&self.times));
+        let ends = self.accounts.values().flat_map(|account| account.expiries.values().copied());
 
         requests.chain(ends).min()
     }
 }
 
-impl Account {
+impl LenderAccount {
     /// Returns when the next request is due.
-    fn request_at(&self, times: &SliceTimes) -> Option<Instant> {
-        let idle = self.loans.is_empty() && self.returns.is_empty();
+    fn next_request_time(&self, times: &SliceTimes) -> Option<Instant> {
+        let idle = self.loans.is_empty() && self.pending_returns.is_empty();
 
-        // A lender that is gone gets no requests for good; one that is back sends an offer.
-        let gone = self.loans.is_empty() && self.give_up <= self.next_request;
+        // Requests to a lender that does not answer stop at some point. A lender that comes back
+        // sends an offer.
+        let gave_up = self.loans.is_empty() && self.give_up_at <= self.next_request_at;
 
-        let at = match (self.urgent, self.outstanding) {
-            (false, _) if idle || gone => return None,
+        let at = match (self.send_now, self.pending_request) {
+            (false, _) if idle || gave_up => return None,
             (true, None) => Instant(0),
-            (false, None) => self.next_request,
-            (_, Some(request)) => request.sent + times.retry,
+            (false, None) => self.next_request_at,
+            (_, Some(request)) => request.sent_at + times.resend_after,
         };
 
         Some(at)
     }
 
-    /// Makes a request.
-    fn request(
+    /// Builds a request.
+    fn build_request(
         &mut self,
         session: u64,
         number: u64,
         times: &SliceTimes,
         now: Instant,
     ) -> LoanRequest {
-        self.urgent = false;
-        self.next_request = now + times.renewal;
-        self.outstanding = Some(Outstanding { number, sent: now, returns: self.returns.len() });
+        self.send_now = false;
+        self.next_request_at = now + times.renewal_interval;
+        self.pending_request =
+            Some(PendingRequest { number, sent_at: now, returns: self.pending_returns.len() });
 
         LoanRequest {
             session,
             number,
-            lender: self.lender,
-            acknowledged: self.acknowledged,
-            returns: self.returns.clone(),
+            lender: self.lender_session,
+            acknowledged: self.acknowledged_grant,
+            returns: self.pending_returns.clone(),
             claims: Vec::new(),
         }
     }
 
-    /// Forgets all loans: they were a former run's of the lender, which knows of none now.
-    fn forget(&mut self) {
-        self.until.clear();
-        self.drop_loans(|_, _| true);
-        self.returns.clear();
+    /// Ends all loans without returning them. They were made by an earlier run of the lender's
+    /// process, and the current run does not know about them.
+    fn clear(&mut self) {
+        self.expiries.clear();
+        self.end_loans(|_, _| true);
+        self.pending_returns.clear();
     }
 
-    /// Renews the columns that the grant names. The others end when they would have: the
-    /// lender owns them no more. Loans of a former ownership of the lender end at once.
-    fn renew(&mut self, grant: &LoanGrant, until: Instant) {
+    /// Renews the loans in the columns that the grant lists. Loans in other columns keep their
+    /// expiry, because the lender no longer owns these columns. Loans from the lender's former
+    /// ownership of a column end at once.
+    fn renew_columns(&mut self, grant: &LoanGrant, until: Instant) {
         for (column, since) in grant.columns.iter().zip(&grant.since) {
-            self.drop_loans(|loan, other| other == column_of(*column) && loan < *since);
+            self.end_loans(|loan, other| other == column_of(*column) && loan < *since);
         }
 
         for column in &grant.columns {
-            self.until.insert(column_of(*column), until);
+            self.expiries.insert(column_of(*column), until);
         }
     }
 
-    /// Takes in new shares.
-    fn change(&mut self, grant: &LoanGrant, now: Instant) {
+    /// Applies changed shares.
+    fn apply_share_changes(&mut self, grant: &LoanGrant, now: Instant) {
         for change in &grant.changes {
             let Some(key) = self.loans.get(&change.loan) else { continue };
-            let Some(bucket) = self.held.get_mut(key) else { continue };
+            let Some(bucket) = self.buckets.get_mut(key) else { continue };
 
-            bucket.change(Share { rate: change.rate, burst: change.burst }, now);
+            bucket.set_share(Share { rate: change.rate, burst: change.burst }, now);
         }
     }
 
-    /// Returns the loans that the grant asks back.
-    fn recall(&mut self, grant: &LoanGrant, now: Instant) {
+    /// Returns the loans that the grant recalls.
+    fn return_recalled(&mut self, grant: &LoanGrant, now: Instant) {
         for loan in &grant.recalls {
             let Some(key) = self.loans.remove(loan) else { continue };
-            let Some(mut bucket) = self.held.remove(&key) else { continue };
+            let Some(mut bucket) = self.buckets.remove(&key) else { continue };
 
             let level = bucket.level(now);
-            self.returns.push(LoanReturn { loan: *loan, level });
-            self.urgent = true;
+            self.pending_returns.push(LoanReturn { loan: *loan, level });
+            self.send_now = true;
         }
     }
 
-    /// Takes up new loans.
-    fn borrow(&mut self, grant: &LoanGrant, now: Instant) {
+    /// Adds the new loans in the grant.
+    fn add_loans(&mut self, grant: &LoanGrant, now: Instant) {
         for loan in &grant.loans {
             let key = (TenantId(loan.tenant), column_of(loan.column));
             let share = Share { rate: loan.rate, burst: loan.burst };
             let bucket = Bucket::new(share, loan.level, now);
 
-            self.held.insert(key, bucket);
+            self.buckets.insert(key, bucket);
             self.loans.insert(loan.loan, key);
         }
     }
 
-    /// Takes up claimed loans as the lender's own, with the buckets as they were. Those that
-    /// are no longer here are returned.
-    fn adopt(&mut self, adoptions: &[LoanAdoption], adopted: Vec<Option<Bucket>>, now: Instant) {
+    /// Adds claimed loans as loans of this lender and keeps their buckets. Loans that this host
+    /// no longer has are returned.
+    fn add_adopted_loans(
+        &mut self,
+        adoptions: &[LoanAdoption],
+        adopted: Vec<Option<Bucket>>,
+        now: Instant,
+    ) {
         for (adoption, bucket) in adoptions.iter().zip(adopted) {
             let LoanAdoption { claim, loan, rate, burst } = *adoption;
 
             let Some(mut bucket) = bucket else {
-                self.returns.push(LoanReturn { loan, level: 0 });
-                self.urgent = true;
+                self.pending_returns.push(LoanReturn { loan, level: 0 });
+                self.send_now = true;
                 continue;
             };
 
             let key = (TenantId(claim.tenant), column_of(claim.column));
-            bucket.change(Share { rate, burst }, now);
-            self.held.insert(key, bucket);
+            bucket.set_share(Share { rate, burst }, now);
+            self.buckets.insert(key, bucket);
             self.loans.insert(loan, key);
         }
     }
 
-    /// Ends some loans. What was left in them is lost.
-    fn drop_loans(&mut self, over: impl Fn(u64, ColumnId) -> bool) {
-        let Self { held, loans, returns, .. } = self;
+    /// Ends the loans that match `predicate`. Their remaining tokens are lost.
+    fn end_loans(&mut self, predicate: impl Fn(u64, ColumnId) -> bool) {
+        let Self { buckets, loans, pending_returns, .. } = self;
 
         loans.retain(|loan, key| {
-            if !over(*loan, key.1) {
+            if !predicate(*loan, key.1) {
                 return true;
             }
 
-            held.remove(key);
+            buckets.remove(key);
 
-            // The lender may have renewed it in a grant that was lost; told that it is over,
-            // it need not wait.
-            returns.push(LoanReturn { loan: *loan, level: 0 });
+            // The lender may have renewed the loan in a grant that was lost. The return tells it
+            // that the loan has ended, so it need not wait for the expiry.
+            pending_returns.push(LoanReturn { loan: *loan, level: 0 });
             false
         });
     }
--- a/crates/policy/src/slices/bucket.rs
+++ b/crates/policy/src/slices/bucket.rs
@@ -1,25 +1,25 @@
-//! One token bucket, and taking a token from several together.
+//! A token bucket, and taking one token from several buckets together.
 
 use std::time::Duration;
 
 use camphorwalk_core::time::Instant;
 
-/// One token, in the millionths that rates, bursts and levels are counted in.
-pub const TOKEN: u64 = 1_000_000;
+/// Rates, bursts and levels are counted in millionths of a token.
+pub const MILLIONTHS_PER_TOKEN: u64 = 1_000_000;
 
-/// The parts of a millionth of a token that a bucket counts: a rate of one millionth a
-/// second gives one part each microsecond, so refills are exact.
-const PARTS: u128 = 1_000_000;
+/// Subunits in a millionth of a token. At a rate of one millionth per second, a bucket gains one
+/// subunit per microsecond, so refills are exact.
+const SUBUNITS_PER_MILLIONTH: u128 = 1_000_000;
 
-/// One token in parts.
-const TOKEN_PARTS: u128 = TOKEN as u128 * PARTS;
+/// One token in subunits.
+const TOKEN_SUBUNITS: u128 = MILLIONTHS_PER_TOKEN as u128 * SUBUNITS_PER_MILLIONTH;
 
 /// A slice's share of its tenant's rate and burst, in millionths of a token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
-    /// The refill a second.
+    /// The refill per second.
     pub rate: u64,
-    /// The most that the slice holds.
+    /// The maximum level.
     pub burst: u64,
 }
 
@@ -27,13 +27,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bucket {
     share: Share,
-    /// The level at `at`, in parts.
+    /// The level at time `at`, in subunits.
     level: u128,
     at: Instant,
 }
 
 impl Bucket {
-    /// Makes a bucket with `level` millionths of a token in it at `at`.
+    /// Creates a bucket that contains `level` millionths of a token at time `at`.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
@@ -44,12 +44,12 @@
     /// assert_eq!(bucket.level(Instant::from_millis(9_000)), 2_000_000);
     /// ```
     pub fn new(share: Share, level: u64, at: Instant) -> Self {
-        let level = u128::from(level.min(share.burst)) * PARTS;
+        let level = u128::from(level.min(share.burst)) * SUBUNITS_PER_MILLIONTH;
 
         Self { share, level, at }
     }
 
-    /// Returns the share that it refills by.
+    /// Returns the bucket's share of its tenant's rate and burst.
     pub fn share(&self) -> Share {
         self.share
     }
@@ -58,82 +58,86 @@
     pub fn level(&mut self, now: Instant) -> u64 {
         self.refill(now);
 
-        (self.level / PARTS) as u64
+        (self.level / SUBUNITS_PER_MILLIONTH) as u64
     }
 
-    /// Refills by the old share until `now`, and goes on with `share`.
+    /// Refills the bucket at the old rate until `now`, and uses the new share from then on.
     ///
-    /// The next refill cuts the level to the new burst, so that from here on no more is
-    /// admitted than a bucket of the new share would.
-    pub fn change(&mut self, share: Share, now: Instant) {
+    /// The next refill limits the level to the new burst, so that no more is admitted from then
+    /// on than a bucket with the new share would admit.
+    pub fn set_share(&mut self, share: Share, now: Instant) {
         self.refill(now);
         self.share = share;
     }
 
-    fn burst_parts(&self) -> u128 {
-        u128::from(self.share.burst) * PARTS
+    fn burst_subunits(&self) -> u128 {
+        u128::from(self.share.burst) * SUBUNITS_PER_MILLIONTH
     }
 
-    /// Adds what flowed in until `now`, up to the burst. Time that goes backwards adds nothing.
+    /// Adds the refill until `now`, up to the burst. Nothing is added if the clock goes
+    /// backwards.
     fn refill(&mut self, now: Instant) {
         let micros = u128::from(now.0.saturating_sub(self.at.0));
-        let full = self.burst_parts();
+        let burst = self.burst_subunits();
 
-        self.level = (self.level + micros * u128::from(self.share.rate)).min(full);
+        self.level = (self.level + micros * u128::from(self.share.rate)).min(burst);
         self.at = self.at.max(now);
     }
 }
 
-/// The outcome of [`take`].
+/// The result of [`take_token`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// One token is taken.
-    Token,
-    /// There is not one token; there may be after this time. None if there never will be.
-    Nothing(Option<Duration>),
+pub enum TakeOutcome {
+    /// A token was taken.
+    Taken,
+    /// The buckets contain less than one token. They will contain one after this time, or never
+    /// if it is `None`.
+    Insufficient(Option<Duration>),
 }
 
-/// Takes one token from `buckets` together, leaving their levels as even as can be.
+/// Takes one token from `buckets` together, and leaves their levels as even as possible.
 ///
-/// A bucket that is full loses its refill. Draining one after another leaves the others
-/// full, and the tenant is refused within its rate. Draining the fullest down to a common
-/// level keeps buckets of one size filling together, as one bucket of their sum would.
+/// A full bucket loses its refill. If buckets were drained one after another, the others would
+/// stay full and the tenant would be refused although it is within its rate. Draining the fullest
+/// buckets to a common level makes buckets of equal size behave like a single bucket of their
+/// total size.
 ///
 /// ```
 /// use camphorwalk_core::time::Instant;
-/// use camphorwalk_policy::slices::{Bucket, Share, Taken, take};
+/// use camphorwalk_policy::slices::{Bucket, Share, TakeOutcome, take_token};
 /// let share = Share { rate: 1_000_000, burst: 500_000 };
 /// let mut a = Bucket::new(share, 500_000, Instant(0));
 /// let mut b = Bucket::new(share, 500_000, Instant(0));
-/// assert_eq!(take(&mut [&mut a, &mut b], Instant(0)), Taken::Token);
-/// assert!(matches!(take(&mut [&mut a, &mut b], Instant(0)), Taken::Nothing(Some(_))));
+/// assert_eq!(take_token(&mut [&mut a, &mut b], Instant(0)), TakeOutcome::Taken);
+/// let again = take_token(&mut [&mut a, &mut b], Instant(0));
+/// assert!(matches!(again, TakeOutcome::Insufficient(Some(_))));
 /// ```
-pub fn take(buckets: &mut [&mut Bucket], now: Instant) -> Taken {
+pub fn take_token(buckets: &mut [&mut Bucket], now: Instant) -> TakeOutcome {
     for bucket in buckets.iter_mut() {
         bucket.refill(now);
     }
 
     let sum: u128 = buckets.iter().map(|b| b.level).sum();
 
-    if sum < TOKEN_PARTS {
-        return Taken::Nothing(time_to_token(buckets, sum));
+    if sum < TOKEN_SUBUNITS {
+        return TakeOutcome::Insufficient(time_to_token(buckets, sum));
     }
 
-    drain(buckets, TOKEN_PARTS);
-    Taken::Token
+    drain_evenly(buckets, TOKEN_SUBUNITS);
+    TakeOutcome::Taken
 }
 
-/// Takes `parts` from the fullest buckets down to a common level.
-fn drain(buckets: &mut [&mut Bucket], mut parts: u128) {
+/// Takes `subunits` from the fullest buckets, down to a common level.
+fn drain_evenly(buckets: &mut [&mut Bucket], mut subunits: u128) {
     buckets.sort_by_key(|b| std::cmp::Reverse(b.level));
 
-    // The first `n` buckets are cut to one level; `n` grows until that level is not below
-    // the next bucket's.
+    // The first `n` buckets are drained to a common level. `n` grows until that level is not
+    // below the level of the next bucket.
     let mut n = 0;
     let mut sum = 0;
 
     for (i, bucket) in buckets.iter().enumerate() {
-        if n > 0 && sum - parts.min(sum) >= bucket.level * n && sum >= parts {
+        if n > 0 && sum - subunits.min(sum) >= bucket.level * n && sum >= subunits {
             break;
         }
 
@@ -141,25 +145,25 @@
         n = (i + 1) as u128;
     }
 
-    let line = sum.saturating_sub(parts) / n.max(1);
+    let common_level = sum.saturating_sub(subunits) / n.max(1);
 
     for bucket in buckets.iter_mut().take(n as usize) {
-        let cut = bucket.level.saturating_sub(line).min(parts);
-        bucket.level -= cut;
-        parts -= cut;
+        let drained = bucket.level.saturating_sub(common_level).min(subunits);
+        bucket.level -= drained;
+        subunits -= drained;
     }
 }
 
-/// Returns when the sum of `buckets` reaches one token, if nothing is taken meanwhile.
+/// Returns the time until `buckets` together contain one token if nothing is taken from them.
 fn time_to_token(buckets: &[&mut Bucket], sum: u128) -> Option<Duration> {
     let rate: u128 = buckets.iter().map(|b| u128::from(b.share.rate)).sum();
-    let burst: u128 = buckets.iter().map(|b| b.burst_parts()).sum();
+    let burst: u128 = buckets.iter().map(|b| b.burst_subunits()).sum();
 
-    if rate == 0 || burst < TOKEN_PARTS {
+    if rate == 0 || burst < TOKEN_SUBUNITS {
         return None;
     }
 
-    let micros = (TOKEN_PARTS - sum).div_ceil(rate);
+    let micros = (TOKEN_SUBUNITS - sum).div_ceil(rate);
 
     Some(Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX)))
 }
--- a/crates/policy/src/slices/lender.rs
+++ b/crates/policy/src/slices/lender.rs
@@ -1,9 +1,9 @@
-//! The slices of the columns that this host owns, and whom it lent them to.
+//! The slices of the columns that this host owns, and their loans.
 //!
-//! A slice has one user at any instant: this host, or the one borrower it is lent to. What
-//! a borrower holds is known exactly whenever a request of it arrives: it takes in a grant
-//! only as the answer to its latest request, so a loan in a grant that the request does not
-//! acknowledge was not taken in and never will be.
+//! A slice has one user at a time: this host, or the borrower it is lent to. Each request of a
+//! borrower shows exactly which loans it holds. A borrower applies a grant only if it answers its
+//! latest request. A loan in a grant that the request does not acknowledge was therefore never
+//! applied, and never will be.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,36 +15,36 @@
 };
 use camphorwalk_core::time::Instant;
 
+use super::admission_hosts::AdmissionHosts;
 use super::bucket::{Bucket, Share};
-use super::pools::Pools;
-use super::slice::{Borrower, Column, Place, Slice};
+use super::slice::{BorrowerRun, OwnedColumn, Slice, SliceHolder};
 use super::{ColumnId, SliceTimes, split};
 
-/// What is lent to one borrower.
+/// The loans to one borrower.
 #[derive(Debug, Default)]
-struct Account {
-    /// The highest request that was answered.
-    request: u64,
-    /// When all its loans are over, unless renewed.
-    until: Instant,
-    /// Its loans.
+struct BorrowerAccount {
+    /// The number of the latest request that was answered.
+    last_request: u64,
+    /// When all loans expire unless they are renewed.
+    expires_at: Instant,
+    /// The lent slices by loan number.
     loans: BTreeMap<u64, (TenantId, ColumnId)>,
 }
 
-/// The slices of owned columns.
+/// The slices of all owned columns.
 #[derive(Debug)]
 pub(super) struct Lender {
     session: u64,
     times: SliceTimes,
-    columns: BTreeMap<ColumnId, Column>,
-    /// Columns that this process has owned.
-    known: BTreeSet<ColumnId>,
+    columns: BTreeMap<ColumnId, OwnedColumn>,
+    /// Columns that this process owns or has owned.
+    previously_owned: BTreeSet<ColumnId>,
     slices: BTreeMap<(TenantId, ColumnId), Slice>,
-    accounts: BTreeMap<Borrower, Account>,
-    offered: BTreeMap<HostId, Instant>,
-    next_offers: Instant,
-    /// The last number given to a grant or a loan.
-    number: u64,
+    accounts: BTreeMap<BorrowerRun, BorrowerAccount>,
+    next_offer_to: BTreeMap<HostId, Instant>,
+    next_offers_at: Instant,
+    /// The last number given to a grant, loan or ownership.
+    last_number: u64,
 }
 
 impl Lender {
@@ -53,23 +53,23 @@
             session,
             times,
             columns: BTreeMap::new(),
-            known: BTreeSet::new(),
+            previously_owned: BTreeSet::new(),
             slices: BTreeMap::new(),
             accounts: BTreeMap::new(),
-            offered: BTreeMap::new(),
-            next_offers: Instant(0),
-            number: 0,
+            next_offer_to: BTreeMap::new(),
+            next_offers_at: Instant(0),
+            last_number: 0,
         }
     }
 
-    /// Gives each owned slice the share that `cfg` says.
-    pub(super) fn configure(&mut self, cfg: &Config, now: Instant) {
+    /// Sets the share of each owned slice according to `cfg`.
+    pub(super) fn configure(&mut self, config: &Config, now: Instant) {
         let mut shares = BTreeMap::new();
 
-        for tenant in &cfg.tenants {
+        for tenant in &config.tenants {
             for column in self.columns.keys() {
                 let key = (TenantId::from_name(&tenant.name), *column);
-                shares.insert(key, split::share(tenant, cfg.fleet.slices, *column));
+                shares.insert(key, split::share(tenant, config.fleet.slices, *column));
             }
         }
 
@@ -77,21 +77,21 @@
             slice.set_share(shares.remove(key).unwrap_or_default(), now);
         }
 
-        // A tenant that is new here may be one that was withdrawn a moment ago and used its
-        // burst: slices begin at level zero.
+        // A tenant that is new here may have been withdrawn a moment ago, after it had used its
+        // burst. Its slices therefore start empty.
         for (key, share) in shares {
             let column = self.columns[&key.1];
-            let level = if column.begins_full { share.burst } else { 0 };
+            let level = if column.starts_full { share.burst } else { 0 };
             let from = column.usable_from.max(now);
             self.slices.insert(key, Slice::new(share, level, from));
         }
-        self.columns.values_mut().for_each(|column| column.begins_full = false);
+        self.columns.values_mut().for_each(|column| column.starts_full = false);
 
-        self.next_offers = now;
+        self.next_offers_at = now;
     }
 
-    /// Takes in ownership of a column, new or renewed. Returns whether it is new.
-    pub(super) fn own(
+    /// Records a new or renewed ownership of a column. Returns whether it is new.
+    pub(super) fn acquire(
         &mut self,
         column: ColumnId,
         until: Instant,
@@ -105,41 +105,45 @@
             return false;
         }
 
-        // A former owner may have lent slices just before it stopped; until those loans are
-        // over, a slice used or lent here would have two users.
-        let usable_from = now + self.times.lent_for();
+        // The former owner may have lent slices just before it stopped. Until those loans have
+        // expired, a slice that is used or lent here could have two users.
+        let usable_from = now + self.times.lender_lifetime();
 
-        self.lose(column);
-        self.insert(column, Column { until, since: 0, usable_from, begins_full: false }, now);
+        self.remove_column(column);
+        self.insert(
+            column,
+            OwnedColumn { until, acquired_number: 0, usable_from, starts_full: false },
+            now,
+        );
         true
     }
 
-    /// Takes in ownership of a column that no host ever owned.
+    /// Records the ownership of a column that no host has owned before.
     ///
-    /// Nobody can have used or been lent its slices, so they begin full and at once. Without
-    /// this a new fleet refuses for seconds what its tenants send within their rate.
-    pub(super) fn own_first(&mut self, column: ColumnId, until: Instant, now: Instant) {
-        // The first epoch lasts until another host takes the column. This one may give it up
-        // and get it back before that, and must not fill the slices once more.
-        if self.known.contains(&column) {
-            self.own(column, until, true, now);
+    /// Nobody can have used or borrowed its slices, so they start full and are usable at once.
+    /// Otherwise a new fleet would refuse calls within the tenants' rates for several seconds.
+    pub(super) fn acquire_first(&mut self, column: ColumnId, until: Instant, now: Instant) {
+        // A column is reported as first owned until another host takes it. This host may lose it
+        // and get it back before that, and must not fill the slices a second time.
+        if self.previously_owned.contains(&column) {
+            self.acquire(column, until, true, now);
             return;
         }
 
-        let first = Column { until, since: 0, usable_from: now, begins_full: true };
+        let first = OwnedColumn { until, acquired_number: 0, usable_from: now, starts_full: true };
 
         self.insert(column, first, now);
     }
 
-    fn insert(&mut self, column: ColumnId, owned: Column, now: Instant) {
-        self.number += 1;
-        self.known.insert(column);
-        self.columns.insert(column, Column { since: self.number, ..owned });
-        self.next_offers = now;
+    fn insert(&mut self, column: ColumnId, owned: OwnedColumn, now: Instant) {
+        self.last_number += 1;
+        self.previously_owned.insert(column);
+        self.columns.insert(column, OwnedColumn { acquired_number: self.last_number, ..owned });
+        self.next_offers_at = now;
     }
 
-    /// Forgets a column. Loans of it are renewed no more, and end by themselves.
-    pub(super) fn lose(&mut self, column: ColumnId) {
+    /// Removes a column. Its loans are not renewed any more and expire.
+    pub(super) fn remove_column(&mut self, column: ColumnId) {
         self.columns.remove(&column);
         self.slices.retain(|(_, other), _| *other != column);
 
@@ -148,186 +152,195 @@
         }
     }
 
-    /// Looks again at who should have which slice.
+    /// Makes the next [`Lender::due_offers`] examine all slices, because the set of reachable
+    /// hosts changed.
     pub(super) fn hosts_changed(&mut self, now: Instant) {
-        self.next_offers = now;
+        self.next_offers_at = now;
     }
 
-    /// Ends ownership and loans whose time is over.
+    /// Ends ownerships and loans that have expired.
     pub(super) fn expire(&mut self, now: Instant) {
-        let over: Vec<ColumnId> =
+        let expired: Vec<ColumnId> =
             self.columns.iter().filter(|(_, c)| c.until <= now).map(|(id, _)| *id).collect();
 
-        for column in over {
-            self.lose(column);
+        for column in expired {
+            self.remove_column(column);
         }
 
         let slices = &mut self.slices;
-        let next_offers = &mut self.next_offers;
+        let next_offers_at = &mut self.next_offers_at;
 
         self.accounts.retain(|_, account| {
-            if now < account.until {
+            if now < account.expires_at {
                 return true;
             }
 
-            // What the borrower took until then is unknown: the slices go on from zero.
+            // It is unknown how many tokens the borrower took before the expiry, so the slices
+            // restart empty.
             for key in account.loans.values() {
                 if let Some(slice) = slices.get_mut(key) {
-                    slice.take_back(0, account.until);
+                    slice.accept_return(0, account.expires_at);
                 }
             }
 
-            *next_offers = now;
+            *next_offers_at = now;
             false
         });
     }
 
-    /// Answers a borrower's request. None for one that was overtaken by a later one.
-    pub(super) fn request(
+    /// Answers a borrower's request, or returns `None` if a later request was already answered.
+    pub(super) fn handle_request(
         &mut self,
         from: HostId,
-        req: &LoanRequest,
-        pools: &mut Pools,
+        request: &LoanRequest,
+        admission_hosts: &mut AdmissionHosts,
         now: Instant,
     ) -> Option<LoanGrant> {
-        let borrower = Borrower { host: from, session: req.session };
+        let borrower = BorrowerRun { host: from, session: request.session };
         let account = self.accounts.entry(borrower).or_default();
 
-        if req.number <= account.request {
+        if request.number <= account.last_request {
             return None;
         }
 
-        account.request = req.number;
-        account.until = now + self.times.lent_for();
+        account.last_request = request.number;
+        account.expires_at = now + self.times.lender_lifetime();
 
-        // What it says of a former run of this process means nothing here.
-        let ours = req.lender == self.session;
-        let acknowledged = if ours { req.acknowledged } else { 0 };
-        let returns = if ours { &*req.returns } else { &[] };
+        // Acknowledgements and returns that refer to an earlier run of this process are ignored.
+        let is_current_run = request.lender == self.session;
+        let acknowledged = if is_current_run { request.acknowledged } else { 0 };
+        let returns = if is_current_run { &*request.returns } else { &[] };
 
-        self.take_back(borrower, returns, now);
-        self.undo_lost(borrower, acknowledged);
+        self.accept_returns(borrower, returns, now);
+        self.revert_unacknowledged(borrower, acknowledged);
 
-        Some(self.grant(borrower, req, acknowledged, pools, now))
+        Some(self.build_grant(borrower, request, acknowledged, admission_hosts, now))
     }
 
-    /// Takes back what the borrower returns.
-    fn take_back(&mut self, borrower: Borrower, returns: &[LoanReturn], now: Instant) {
+    /// Accepts the loans that the borrower returns.
+    fn accept_returns(&mut self, borrower: BorrowerRun, returns: &[LoanReturn], now: Instant) {
         let Some(account) = self.accounts.get_mut(&borrower) else { return };
 
-        for back in returns {
-            // A return is repeated until it is answered; the loan's number tells a repeat
-            // from the return of a later loan.
-            let Some(key) = account.loans.remove(&back.loan) else { continue };
+        for returned in returns {
+            // A return is repeated until it is answered. The loan number distinguishes a repeated
+            // return from the return of a later loan.
+            let Some(key) = account.loans.remove(&returned.loan) else { continue };
             let Some(slice) = self.slices.get_mut(&key) else { continue };
 
-            slice.take_back(back.level, now);
-            self.next_offers = now;
+            slice.accept_return(returned.level, now);
+            self.next_offers_at = now;
         }
     }
 
-    /// Takes back loans in grants that the borrower never took in.
+    /// Takes back loans in grants that the borrower never applied.
     ///
-    /// Without this a lost grant would leave its loans with a borrower that does not know of
-    /// them, renewed for good.
-    fn undo_lost(&mut self, borrower: Borrower, acknowledged: u64) {
+    /// Otherwise the loans of a lost grant would be renewed forever for a borrower that does not
+    /// know about them.
+    fn revert_unacknowledged(&mut self, borrower: BorrowerRun, acknowledged: u64) {
         let Some(account) = self.accounts.get_mut(&borrower) else { return };
         let slices = &mut self.slices;
 
         account.loans.retain(|_, key| {
             let Some(slice) = slices.get_mut(key) else { return false };
-            let Place::Lent(lent) = &slice.place else { return false };
+            let SliceHolder::Borrower(lent) = &slice.holder else { return false };
 
             if lent.grant <= acknowledged {
                 return true;
             }
 
-            slice.place = Place::Here(lent.bucket);
+            slice.holder = SliceHolder::Owner(lent.bucket);
             false
         });
     }
 
-    /// Makes the grant that answers a request.
-    fn grant(
+    /// Builds the grant that answers a request.
+    fn build_grant(
         &mut self,
-        borrower: Borrower,
-        req: &LoanRequest,
+        borrower: BorrowerRun,
+        request: &LoanRequest,
         acknowledged: u64,
-        pools: &mut Pools,
+        admission_hosts: &mut AdmissionHosts,
         now: Instant,
     ) -> LoanGrant {
-        self.number += 1;
+        self.last_number += 1;
 
         let mut grant = LoanGrant {
             session: borrower.session,
-            request: req.number,
+            request: request.number,
             lender: self.session,
-            number: self.number,
-            lifetime_ms: u32::try_from(self.times.lifetime.as_millis()).unwrap_or(u32::MAX),
+            number: self.last_number,
+            lifetime_ms: u32::try_from(self.times.loan_lifetime.as_millis()).unwrap_or(u32::MAX),
             ..LoanGrant::default()
         };
 
-        self.review(borrower, acknowledged, pools, &mut grant);
-        self.lend(borrower, pools, now, &mut grant);
-        self.adopt(borrower, &req.claims, now, &mut grant);
+        self.add_recalls_and_changes(borrower, acknowledged, admission_hosts, &mut grant);
+        self.add_loans(borrower, admission_hosts, now, &mut grant);
+        self.add_adoptions(borrower, &request.claims, now, &mut grant);
 
-        self.renew(borrower, now, &mut grant);
+        self.renew_loans(borrower, now, &mut grant);
 
         grant
     }
 
-    /// Renews the columns of the borrower's loans.
-    fn renew(&self, borrower: Borrower, now: Instant, grant: &mut LoanGrant) {
+    /// Renews the loans in all columns that the borrower has loans in.
+    fn renew_loans(&self, borrower: BorrowerRun, now: Instant, grant: &mut LoanGrant) {
         let Some(account) = self.accounts.get(&borrower) else { return };
         let columns: BTreeSet<ColumnId> = account.loans.values().map(|(_, id)| *id).collect();
         let owned = |id: &ColumnId| self.columns[id];
 
         grant.columns = columns.iter().map(|id| u32::from(id.0)).collect();
 
-        // Loans that this host made before it lost a column and got it again are not known
-        // here. Renewed with the column, they would run on beside its new loans.
+        // This host does not know the loans that it made before it lost a column and got it
+        // again. The borrower ends loans with numbers below `since`. Otherwise they would be
+        // renewed with the column and continue beside the new loans.
         if columns.iter().any(|id| now < owned(id).usable_from) {
-            grant.since = columns.iter().map(|id| owned(id).since).collect();
+            grant.since = columns.iter().map(|id| owned(id).acquired_number).collect();
         }
     }
 
-    /// Asks back loans that belong with another host now, and tells of changed shares.
-    fn review(
+    /// Recalls loans that belong to another host now, and reports changed shares.
+    fn add_recalls_and_changes(
         &mut self,
-        borrower: Borrower,
+        borrower: BorrowerRun,
         acknowledged: u64,
-        pools: &mut Pools,
+        admission_hosts: &mut AdmissionHosts,
         grant: &mut LoanGrant,
     ) {
         let Some(account) = self.accounts.get(&borrower) else { return };
 
         for (loan, key) in &account.loans {
             let Some(slice) = self.slices.get_mut(key) else { continue };
-            let withdrawn = slice.is_withdrawn();
-            let Place::Lent(lent) = &mut slice.place else { continue };
+            let is_withdrawn = slice.is_withdrawn();
+            let SliceHolder::Borrower(lent) = &mut slice.holder else { continue };
 
-            if pools.of(key.0) != borrower.host || withdrawn {
+            if admission_hosts.get(key.0) != borrower.host || is_withdrawn {
                 grant.recalls.push(*loan);
                 continue;
             }
 
-            if lent.told == slice.share && lent.told_by <= acknowledged {
+            if lent.reported_share == slice.share && lent.reported_in <= acknowledged {
                 continue;
             }
 
             let Share { rate, burst } = slice.share;
-            lent.told = slice.share;
-            lent.told_by = grant.number;
+            lent.reported_share = slice.share;
+            lent.reported_in = grant.number;
             grant.changes.push(LoanChange { loan: *loan, rate, burst });
         }
     }
 
-    /// Lends what the borrower pools, as far as it is here.
-    fn lend(&mut self, borrower: Borrower, pools: &mut Pools, now: Instant, grant: &mut LoanGrant) {
+    /// Lends the borrower the slices held here of tenants whose admission host it is.
+    fn add_loans(
+        &mut self,
+        borrower: BorrowerRun,
+        admission_hosts: &mut AdmissionHosts,
+        now: Instant,
+        grant: &mut LoanGrant,
+    ) {
         let Some(account) = self.accounts.get_mut(&borrower) else { return };
 
         for ((tenant, column), slice) in &mut self.slices {
-            if pools.of(*tenant) != borrower.host || slice.is_withdrawn() {
+            if admission_hosts.get(*tenant) != borrower.host || slice.is_withdrawn() {
                 continue;
             }
 
@@ -335,8 +348,8 @@
                 continue;
             };
 
-            self.number += 1;
-            let loan = self.number;
+            self.last_number += 1;
+            let loan = self.last_number;
             let level = bucket.level(now);
             let Share { rate, burst } = slice.share;
             let (tenant_id, column_number) = (tenant.0, u32::from(column.0));
@@ -354,14 +367,15 @@
         }
     }
 
-    /// Lets claimed loans of a former owner go on as this host's, level included.
+    /// Continues claimed loans of the former owner as loans of this host, with their current
+    /// level.
     ///
-    /// The former owner lends no more, so whoever has a running loan now is the only user.
-    /// That is checked where the loan is, once more: a claim may be older than this
-    /// ownership.
-    fn adopt(
+    /// The former owner makes no more loans, so a host with a running loan is the only user of
+    /// the slice. The borrower checks this again when it applies the grant, because a claim can
+    /// be older than this ownership.
+    fn add_adoptions(
         &mut self,
-        borrower: Borrower,
+        borrower: BorrowerRun,
         claims: &[LoanClaim],
         now: Instant,
         grant: &mut LoanGrant,
@@ -377,50 +391,59 @@
                 continue;
             }
 
-            self.number += 1;
-            let loan = self.number;
+            self.last_number += 1;
+            let loan = self.last_number;
             let Share { rate, burst } = slice.share;
 
             grant.adoptions.push(LoanAdoption { claim: *claim, loan, rate, burst });
             account.loans.insert(loan, key);
 
-            // Nothing is taken back if the grant is lost: the loan ends as the former owner's.
+            // If the grant is lost, no tokens are taken back: the loan expires as one of the
+            // former owner.
             let bucket = Bucket::new(slice.share, 0, slice.usable_from);
             slice.lend(borrower, bucket, grant.number);
         }
     }
 
-    /// Takes over a loan that this host itself has from a former owner.
-    pub(super) fn adopt_here(&mut self, key: (TenantId, ColumnId), bucket: Bucket, now: Instant) {
+    /// Continues to use a slice that this host had borrowed from the former owner.
+    pub(super) fn adopt_own_loan(
+        &mut self,
+        key: (TenantId, ColumnId),
+        bucket: Bucket,
+        now: Instant,
+    ) {
         if let Some(slice) = self.slices.get_mut(&key) {
-            slice.place = Place::Here(bucket);
+            slice.holder = SliceHolder::Owner(bucket);
             slice.usable_from = now;
             slice.set_share(slice.share, now);
         }
     }
 
-    /// Returns what to tell hosts that should send a request soon: slices here belong with
-    /// them, loans with them are to be changed or returned, or they may have loans of a
-    /// former owner.
-    pub(super) fn offers(
+    /// Returns offers for the hosts that should send a request soon: those that slices should be
+    /// lent to, those with loans to change or recall, and those that may have loans from a former
+    /// owner.
+    pub(super) fn due_offers(
         &mut self,
-        me: HostId,
-        pools: &mut Pools,
+        local_host: HostId,
+        admission_hosts: &mut AdmissionHosts,
         now: Instant,
     ) -> Vec<(HostId, LoanOffer)> {
-        if now < self.next_offers {
+        if now < self.next_offers_at {
             return Vec::new();
         }
 
-        self.next_offers = now + self.times.retry;
-        self.slices.retain(|_, slice| !slice.is_over());
-        self.offered.retain(|_, again| now < *again);
+        self.next_offers_at = now + self.times.resend_after;
+        self.slices.retain(|_, slice| !slice.is_removable());
+        self.next_offer_to.retain(|_, again| now < *again);
         let mut offers: BTreeMap<HostId, LoanOffer> = BTreeMap::new();
 
         for ((tenant, column), slice) in &self.slices {
-            let Some(host) = slice.waits_for(pools.of(*tenant)) else { continue };
+            let Some(host) = slice.pending_host(admission_hosts.get(*tenant)) else { continue };
 
-            if host == me || !pools.reaches(host) || self.offered.contains_key(&host) {
+            if host == local_host
+                || !admission_hosts.is_reachable(host)
+                || self.next_offer_to.contains_key(&host)
+            {
                 continue;
             }
 
@@ -433,16 +456,21 @@
         }
 
         for (host, offer) in &offers {
-            // Who has no loan of a former owner need not be asked again soon.
-            let wait = if offer.columns.is_empty() { self.times.retry } else { self.times.renewal };
-            self.offered.insert(*host, now + wait);
+            // A host that does not claim a former owner's loan has none, so it is not asked again
+            // for a while.
+            let wait = if offer.columns.is_empty() {
+                self.times.resend_after
+            } else {
+                self.times.renewal_interval
+            };
+            self.next_offer_to.insert(*host, now + wait);
         }
 
         offers.into_iter().collect()
     }
 
     /// Returns the buckets of a tenant that this host may use itself.
-    pub(super) fn usable(
+    pub(super) fn usable_buckets(
         &mut self,
         tenant: TenantId,
         now: Instant,
@@ -453,9 +481,9 @@
         self.slices.range_mut(all).filter_map(move |((_, column), slice)| {
             slice.usable(&columns[column], now)?;
 
-            match &mut slice.place {
-                Place::Here(bucket) => Some(bucket),
-                Place::Lent(_) => None,
+            match &mut slice.holder {
+                SliceHolder::Owner(bucket) => Some(bucket),
+                SliceHolder::Borrower(_) => None,
             }
         })
     }
@@ -469,22 +497,22 @@
             .map(|(key, _)| *key)
     }
 
-    /// Returns how long it takes until the first column is usable that is not yet.
-    pub(super) fn usable_in(&self, now: Instant) -> Option<Duration> {
+    /// Returns the time until the next column becomes usable, if any is not usable yet.
+    pub(super) fn time_until_usable(&self, now: Instant) -> Option<Duration> {
         let waiting = self.columns.values().filter(|column| now < column.usable_from);
 
         waiting.map(|column| column.usable_from - now).min()
     }
 
-    /// Returns when something is due.
+    /// Returns when the next expiry or offer is due.
     pub(super) fn wake_at(&self) -> Option<Instant> {
         if self.columns.is_empty() && self.accounts.is_empty() {
             return None;
         }
 
         let columns = self.columns.values().map(|column| column.until);
-        let accounts = self.accounts.values().map(|account| account.until);
+        let accounts = self.accounts.values().map(|account| account.expires_at);
 
-        columns.chain(accounts).chain([self.next_offers]).min()
+        columns.chain(accounts).chain([self.next_offers_at]).min()
     }
 }
--- a/crates/policy/src/slices/split.rs
+++ b/crates/policy/src/slices/split.rs
@@ -1,14 +1,14 @@
-//! How rates and bursts are cut into slices, and columns given to availability zones.
+//! Splits rates and bursts into slices, and assigns columns to availability zones.
 
 use camphorwalk_core::config::{Config, Tenant};
 use camphorwalk_core::ids::ZoneId;
 
 use super::ColumnId;
-use super::bucket::{Share, TOKEN};
+use super::bucket::{MILLIONTHS_PER_TOKEN, Share};
 
-/// Returns all columns, each with the availability zone whose hosts own it.
+/// Returns all columns, each with the availability zone whose hosts may own it.
 ///
-/// Zones take turns in the order of their names, over the whole fleet.
+/// Columns are assigned to the zones in turn, in the order of the zones' names.
 ///
 /// ```
 /// # use camphorwalk_core::config::{Config, Fleet, Zone};
@@ -26,22 +26,22 @@
 /// let (a, b) = (ZoneId::from_name("a"), ZoneId::from_name("b"));
 /// assert_eq!(zones, [a, b, a]);
 /// ```
-pub fn columns(cfg: &Config) -> Vec<(ColumnId, ZoneId)> {
-    let mut names: Vec<&str> = cfg.fleet.zones.iter().map(|zone| &*zone.name).collect();
+pub fn columns(config: &Config) -> Vec<(ColumnId, ZoneId)> {
+    let mut names: Vec<&str> = config.fleet.zones.iter().map(|zone| &*zone.name).collect();
     names.sort_unstable();
 
-    (0..cfg.fleet.slices)
+    (0..config.fleet.slices)
         .zip(names.iter().cycle())
         .map(|(column, name)| (ColumnId(column), ZoneId::from_name(name)))
         .collect()
 }
 
-/// Returns the share of a tenant's slice in `column`; all shares together are exactly the
-/// tenant's rate and burst.
+/// Returns the part of `total` that belongs to `column`. The parts of all columns add up to
+/// exactly `total`.
 ///
-/// A share never shrinks when its tenant's rate or burst grows. While some holders know the
-/// new figures and others do not, the shares in use thereby add up to no more than the
-/// larger rate and the larger burst.
+/// A part never shrinks when the total grows. While some hosts use the old rate and burst and
+/// others the new ones, the shares in use add up to no more than the larger rate and the larger
+/// burst.
 ///
 /// ```
 /// use camphorwalk_policy::slices::{ColumnId, split};
@@ -55,17 +55,18 @@
     total / slices + extra
 }
 
-/// Returns the share of `tenant` in `column`.
+/// Returns the share of a tenant's slice in `column`.
 pub fn share(tenant: &Tenant, slices: u16, column: ColumnId) -> Share {
     Share {
-        rate: split(rate_of(tenant), slices, column),
-        burst: split(u64::from(tenant.burst) * TOKEN, slices, column),
+        rate: split(rate_in_millionths(tenant), slices, column),
+        burst: split(u64::from(tenant.burst) * MILLIONTHS_PER_TOKEN, slices, column),
     }
 }
 
-/// Returns the rate in millionths of a token a second, rounded down.
+/// Returns the tenant's rate in millionths of a token per second, rounded down.
 ///
-/// Numbers that are no rate (negative, not a number) give zero; `as` saturates.
-pub fn rate_of(tenant: &Tenant) -> u64 {
-    (tenant.rate_per_second * TOKEN as f64) as u64
+/// An invalid rate (negative or not a number) gives zero. Too large values saturate in the `as`
+/// cast.
+pub fn rate_in_millionths(tenant: &Tenant) -> u64 {
+    (tenant.rate_per_second * MILLIONTHS_PER_TOKEN as f64) as u64
 }
--- a/crates/policy/src/slices/takes.rs
+++ b/crates/policy/src/slices/takes.rs
@@ -1,4 +1,4 @@
-//! Questions to the pool hosts of tenants, and answers to those of other hosts.
+//! Take requests to admission hosts, and the answers to those of other hosts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,125 +11,139 @@
 use super::{SliceTimes, TakeId};
 use crate::wire::Verdict;
 
-/// How long answers are kept for repeated questions, in timeouts of a question.
+/// How long answers are stored for repeated requests, as a multiple of the take timeout.
 ///
-/// The asker gives up after one timeout; a repeat that comes later still takes a token
+/// The requester gives up after one timeout. A repeat that arrives after this time takes a token
 /// that nobody uses.
-const REMEMBERED_TIMEOUTS: u32 = 4;
+const ANSWER_RETENTION_TIMEOUTS: u32 = 4;
 
-/// A question that waits for its answer.
+/// A take request that waits for its answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
+pub(super) struct PendingTake {
     pub(super) take: TakeId,
     pub(super) tenant: TenantId,
-    pool: HostId,
-    until: Instant,
-    repeat_at: Option<Instant>,
+    admission_host: HostId,
+    times_out_at: Instant,
+    resend_at: Option<Instant>,
 }
 
-/// A question of a host, by its process's session and the question's number.
+/// Identifies a take request by its host, the session of the host's process, and the request
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Asker {
+struct TakeKey {
     host: HostId,
     session: u64,
     number: u64,
 }
 
-/// The questions under way in both directions.
+/// The take requests that were sent, and the answers to received ones.
 #[derive(Debug)]
-pub(super) struct Takes {
+pub(super) struct TakeRequests {
     session: u64,
     times: SliceTimes,
-    asked: BTreeMap<u64, Asked>,
-    /// The last number given to a question.
-    number: u64,
-    answers: Map<Asker, TakeAnswer>,
-    /// The keys of `answers`, oldest first, each with the end of its time.
-    ends: VecDeque<(Instant, Asker)>,
+    pending: BTreeMap<u64, PendingTake>,
+    /// The number of the last request.
+    last_number: u64,
+    answers: Map<TakeKey, TakeAnswer>,
+    /// The expiry and key of each stored answer, oldest first.
+    answer_expiries: VecDeque<(Instant, TakeKey)>,
 }
 
-impl Takes {
+impl TakeRequests {
     pub(super) fn new(session: u64, times: SliceTimes) -> Self {
         Self {
             session,
             times,
-            asked: BTreeMap::new(),
-            number: 0,
+            pending: BTreeMap::new(),
+            last_number: 0,
             answers: Map::default(),
-            ends: VecDeque::new(),
+            answer_expiries: VecDeque::new(),
         }
     }
 
-    /// Makes a question to a tenant's pool host.
-    pub(super) fn ask(
+    /// Creates a take request to a tenant's admission host.
+    pub(super) fn start(
         &mut self,
         now: Instant,
         take: TakeId,
         tenant: TenantId,
-        pool: HostId,
+        admission_host: HostId,
     ) -> TakeRequest {
-        self.number += 1;
+        self.last_number += 1;
 
-        let until = now + self.times.take_timeout;
-        let repeat_at = Some(now + self.times.take_repeat);
-        self.asked.insert(self.number, Asked { take, tenant, pool, until, repeat_at });
+        let times_out_at = now + self.times.take_timeout;
+        let resend_at = Some(now + self.times.take_resend_after);
+        self.pending.insert(
+            self.last_number,
+            PendingTake { take, tenant, admission_host, times_out_at, resend_at },
+        );
 
-        self.request(self.number, tenant)
+        self.request(self.last_number, tenant)
     }
 
-    /// Ends the question that a pool host answers, unless it is over already.
-    pub(super) fn take_answer(&mut self, from: HostId, answer: &TakeAnswer) -> Option<Asked> {
-        let asked = self.asked.get(&answer.number)?;
+    /// Returns and removes the request that an answer belongs to, unless it has already ended.
+    pub(super) fn accept_answer(
+        &mut self,
+        from: HostId,
+        answer: &TakeAnswer,
+    ) -> Option<PendingTake> {
+        let pending = self.pending.get(&answer.number)?;
 
-        if answer.session != self.session || asked.pool != from {
+        if answer.session != self.session || pending.admission_host != from {
             return None;
         }
 
-        self.asked.remove(&answer.number)
+        self.pending.remove(&answer.number)
     }
 
-    /// Ends and returns the questions whose time is over, and forgets old answers.
-    pub(super) fn expire(&mut self, now: Instant) -> Vec<Asked> {
-        while let Some((_, asker)) = self.ends.pop_front_if(|(end, _)| *end <= now) {
-            self.answers.remove(&asker);
+    /// Removes and returns the requests that timed out, and removes expired answers.
+    pub(super) fn expire(&mut self, now: Instant) -> Vec<PendingTake> {
+        while let Some((_, key)) = self.answer_expiries.pop_front_if(|(end, _)| *end <= now) {
+            self.answers.remove(&key);
         }
 
-        // Questions end in the order in which they were asked.
-        let mut over = Vec::new();
+        // Requests time out in the order in which they were sent.
+        let mut timed_out = Vec::new();
 
-        while let Some(first) = self.asked.first_entry()
-            && first.get().until <= now
+        while let Some(first) = self.pending.first_entry()
+            && first.get().times_out_at <= now
         {
-            over.push(first.remove());
+            timed_out.push(first.remove());
         }
 
-        over
+        timed_out
     }
 
-    /// Returns the questions to be sent once more, each with its pool host.
-    pub(super) fn repeats(&mut self, now: Instant) -> Vec<(HostId, TakeRequest)> {
+    /// Returns the requests to send a second time, each with its admission host.
+    pub(super) fn due_resends(&mut self, now: Instant) -> Vec<(HostId, TakeRequest)> {
         let mut due = Vec::new();
 
-        for (number, asked) in &mut self.asked {
-            if asked.repeat_at.take_if(|at| *at <= now).is_some() {
-                due.push((*number, asked.tenant, asked.pool));
+        for (number, pending) in &mut self.pending {
+            if pending.resend_at.take_if(|at| *at <= now).is_some() {
+                due.push((*number, pending.tenant, pending.admission_host));
             }
         }
 
-        due.into_iter().map(|(n, tenant, pool)| (pool, self.request(n, tenant))).collect()
+        due.into_iter()
+            .map(|(n, tenant, admission_host)| (admission_host, self.request(n, tenant)))
+            .collect()
     }
 
-    /// Returns the answer that a question got before.
-    pub(super) fn answered(&self, from: HostId, req: &TakeRequest) -> Option<TakeAnswer> {
-        self.answers.get(&Asker::new(from, req)).copied()
+    /// Returns the answer that was already given to a request.
+    pub(super) fn previous_answer(
+        &self,
+        from: HostId,
+        request: &TakeRequest,
+    ) -> Option<TakeAnswer> {
+        self.answers.get(&TakeKey::new(from, request)).copied()
     }
 
-    /// Keeps the answer to a question, so that its repeat takes no second token.
-    pub(super) fn remember(
+    /// Stores the answer to a request, so that a repeated request takes no second token.
+    pub(super) fn record_answer(
         &mut self,
         now: Instant,
         from: HostId,
-        req: &TakeRequest,
+        request: &TakeRequest,
         verdict: Verdict,
     ) -> TakeAnswer {
         let (admitted, retry_after) = match verdict {
@@ -137,22 +151,27 @@
             Verdict::Refused { retry_after } => (false, retry_after),
         };
         let retry_after_us = u64::try_from(retry_after.as_micros()).unwrap_or(u64::MAX);
-        let answer =
-            TakeAnswer { session: req.session, number: req.number, admitted, retry_after_us };
+        let answer = TakeAnswer {
+            session: request.session,
+            number: request.number,
+            admitted,
+            retry_after_us,
+        };
 
-        let asker = Asker::new(from, req);
-        self.answers.insert(asker, answer);
-        self.ends.push_back((now + self.times.take_timeout * REMEMBERED_TIMEOUTS, asker));
+        let key = TakeKey::new(from, request);
+        self.answers.insert(key, answer);
+        self.answer_expiries
+            .push_back((now + self.times.take_timeout * ANSWER_RETENTION_TIMEOUTS, key));
 
         answer
     }
 
-    /// Returns when something is due.
+    /// Returns when the next timeout or repetition is due.
     pub(super) fn wake_at(&self) -> Option<Instant> {
-        let first = self.asked.values().next()?.until;
-        let repeats = self.asked.values().filter_map(|asked| asked.repeat_at);
+        let first = self.pending.values().next()?.times_out_at;
+        let resends = self.pending.values().filter_map(|pending| pending.resend_at);
 
-        repeats.chain([first]).min()
+        resends.chain([first]).min()
     }
 
     fn request(&self, number: u64, tenant: TenantId) -> TakeRequest {
@@ -160,8 +179,8 @@
     }
 }
 
-impl Asker {
-    fn new(host: HostId, req: &TakeRequest) -> Self {
-        Self { host, session: req.session, number: req.number }
+impl TakeKey {
+    fn new(host: HostId, request: &TakeRequest) -> Self {
+        Self { host, session: request.session, number: request.number }
     }
 }
--- a/crates/policy/tests/slices_first.rs
+++ b/crates/policy/tests/slices_first.rs
@@ -1,4 +1,4 @@
-//! Slices that no host ever owned.
+//! Tests the start level of slices that no host has owned before.
 
 use std::sync::Arc;
 
@@ -36,8 +36,8 @@
     slices
 }
 
-/// Takes until refused, within half a second, and returns how often it was admitted.
-fn admitted(slices: &mut Slices, from: Instant) -> u32 {
+/// Sends 50 take requests within half a second, and returns the number of admitted ones.
+fn count_admitted(slices: &mut Slices, from: Instant) -> u32 {
     let tenant = TenantId::from_name("t");
     let mut count = 0;
 
@@ -45,35 +45,35 @@
         let now = Instant(from.0 + i * 10_000);
         let mut out = Vec::new();
         slices.step(now, SliceEvent::Take { take: TakeId(i), tenant }, &mut out);
-        let yes = |next: &SliceNext| {
+        let is_admitted = |next: &SliceNext| {
             matches!(next, SliceNext::Verdict { verdict: Verdict::Admitted, .. })
         };
-        count += out.iter().filter(|next| yes(next)).count() as u32;
+        count += out.iter().filter(|next| is_admitted(next)).count() as u32;
     }
 
     count
 }
 
-/// A caller sends a whole burst to a fleet that has just started for the first time. All of
-/// it is within the tenant's burst, and nobody can have used the slices before, so none is
-/// refused; with slices at level zero all of it would be.
+/// A caller sends a whole burst to a fleet that was just started for the first time. This is
+/// within the tenant's limit, and nobody can have used the slices before, so no call may be
+/// refused. With empty slices all calls would be.
 #[test]
-fn a_first_owner_begins_with_full_slices() {
+fn a_first_owner_starts_with_full_slices() {
     let mut slices = host();
     let until = Instant::from_millis(60_000);
 
     for (column, _) in columns(&config()) {
         slices.step(Instant(2), SliceEvent::First { column, until }, &mut Vec::new());
     }
-    let count = admitted(&mut slices, Instant::from_millis(1_000));
+    let count = count_admitted(&mut slices, Instant::from_millis(1_000));
 
     assert_eq!(count, BURST);
 }
 
-/// The columns had another owner before, which may have spent the burst a moment ago: nothing
-/// is admitted until its loans are over, however full the slices may have been.
+/// The columns had another owner, which may have used up the burst a moment ago. No call may be
+/// admitted until that owner's loans have expired, however full the slices may have been.
 #[test]
-fn a_later_owner_begins_with_empty_slices() {
+fn a_later_owner_starts_with_empty_slices() {
     let mut slices = host();
     let until = Instant::from_millis(60_000);
 
@@ -81,15 +81,15 @@
         let event = SliceEvent::Owned { column, until, fresh: true };
         slices.step(Instant(2), event, &mut Vec::new());
     }
-    let count = admitted(&mut slices, Instant::from_millis(1_000));
+    let count = count_admitted(&mut slices, Instant::from_millis(1_000));
 
     assert_eq!(count, 0);
 }
 
-/// A host gives its columns up, nobody else takes them, and it gets them back in their first
-/// epoch. The burst is spent: filled once more, the slices would admit it twice.
+/// A host loses its columns, no other host takes them, and it gets them back. The burst has been
+/// used, and slices that start full again would admit it twice.
 #[test]
-fn a_first_owner_that_gets_a_column_back_begins_empty() {
+fn a_first_owner_that_gets_a_column_back_starts_with_empty_slices() {
     let mut slices = host();
     let until = Instant::from_millis(60_000);
 
@@ -100,7 +100,7 @@
             slices.step(Instant(2), event, &mut Vec::new());
         }
     }
-    let count = admitted(&mut slices, Instant::from_millis(1_000));
+    let count = count_admitted(&mut slices, Instant::from_millis(1_000));
 
     assert_eq!(count, 0);
 }
--- a/crates/policy/tests/slices_fuzz.rs
+++ b/crates/policy/tests/slices_fuzz.rs
@@ -1,7 +1,7 @@
-//! Random faults against the one rule of rates: no window holds more than B + R t.
+//! Tests with random faults that no period of length t contains more than B + R t admitted calls.
 //!
-//! The fleet's own checks run at each step: the exact bucket, one user for each slice, one
-//! answer for each question. `CAMPHORWALK_FUZZ_CASES` sets the number of cases.
+//! The fleet's own checks run at each step: the exact bucket, one user for each slice, one answer
+//! for each request. `CAMPHORWALK_FUZZ_CASES` sets the number of cases.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -14,8 +14,8 @@
 const COLUMNS: usize = 6;
 const TENANTS: [&str; 2] = ["ramps", "weddings"];
 
-/// Rates and bursts that operators change between; the last withdraws a tenant.
-const FIGURES: [&[(&str, f64, u32)]; 5] = [
+/// The rates and bursts that operators switch between. The last entry withdraws a tenant.
+const LIMITS: [&[(&str, f64, u32)]; 5] = [
     &[("ramps", 4.0, 3), ("weddings", 40.0, 12)],
     &[("ramps", 9.5, 7), ("weddings", 7.3, 2)],
     &[("ramps", 0.7, 1), ("weddings", 90.0, 40)],
@@ -25,28 +25,28 @@
 
 #[derive(Clone, Debug)]
 enum Fault {
-    /// Calls enter at a host, more than the burst allows.
-    Takes {
+    /// Sends up to 29 calls at a host, which may be more than the burst.
+    Calls {
         host: usize,
         tenant: usize,
         calls: u8,
     },
-    /// All hosts get calls for a while, several times the rate.
-    Storm {
+    /// Sends calls at all hosts for some time, at several times the rate.
+    CallsAtAllHosts {
         millis: u64,
     },
-    Run {
+    Advance {
         millis: u64,
     },
     Network {
         bad: bool,
     },
-    /// Hosts are cut into two sides, and hear of it or not.
-    Cut {
+    /// Partitions the hosts into two sides. `seen` says whether the hosts' views are updated.
+    Partition {
         sides: [u8; HOSTS],
         seen: bool,
     },
-    /// One host sees a part of the fleet only.
+    /// Sets the hosts that one host regards as reachable.
     View {
         host: usize,
         seen: [bool; HOSTS],
@@ -68,11 +68,11 @@
         abruptly: bool,
     },
     Configure {
-        figures: usize,
+        limits: usize,
     },
 }
 
-/// Faults need no model: any of them may come at any time.
+/// The faults do not depend on a reference state: any of them may occur at any time.
 struct Faults;
 
 impl ReferenceStateMachine for Faults {
@@ -88,12 +88,12 @@
 
         prop_oneof![
             4 => (host.clone(), 0..TENANTS.len(), 1..30_u8)
-                .prop_map(|(host, tenant, calls)| Fault::Takes { host, tenant, calls }),
-            6 => (50..4_000_u64).prop_map(|millis| Fault::Storm { millis }),
-            3 => (1..5_000_u64).prop_map(|millis| Fault::Run { millis }),
+                .prop_map(|(host, tenant, calls)| Fault::Calls { host, tenant, calls }),
+            6 => (50..4_000_u64).prop_map(|millis| Fault::CallsAtAllHosts { millis }),
+            3 => (1..5_000_u64).prop_map(|millis| Fault::Advance { millis }),
             1 => any::<bool>().prop_map(|bad| Fault::Network { bad }),
             1 => (prop::array::uniform5(0..2_u8), any::<bool>())
-                .prop_map(|(sides, seen)| Fault::Cut { sides, seen }),
+                .prop_map(|(sides, seen)| Fault::Partition { sides, seen }),
             1 => (host.clone(), prop::array::uniform5(any::<bool>()))
                 .prop_map(|(host, seen)| Fault::View { host, seen }),
             1 => host.clone().prop_map(|host| Fault::Pause { host }),
@@ -102,7 +102,7 @@
             2 => host.prop_map(|host| Fault::Start { host }),
             1 => (0..COLUMNS, any::<bool>())
                 .prop_map(|(column, abruptly)| Fault::Move { column, abruptly }),
-            1 => (0..FIGURES.len()).prop_map(|figures| Fault::Configure { figures }),
+            1 => (0..LIMITS.len()).prop_map(|limits| Fault::Configure { limits }),
         ]
         .boxed()
     }
@@ -119,7 +119,7 @@
     type Reference = Faults;
 
     fn init_test(seed: &u64) -> Fleet {
-        let mut fleet = Fleet::new(figures(0), HOSTS, *seed);
+        let mut fleet = Fleet::new(config_with_limits(0), HOSTS, *seed);
         fleet.drift();
         fleet.check_users = true;
         fleet.run(6 * SECOND);
@@ -128,13 +128,13 @@
 
     fn apply(mut fleet: Fleet, _: &u64, fault: Fault) -> Fleet {
         match fault {
-            Fault::Takes { host, tenant, calls } => {
+            Fault::Calls { host, tenant, calls } => {
                 (0..calls).for_each(|_| fleet.take(host, TENANTS[tenant]));
             }
-            Fault::Storm { millis } => storm(&mut fleet, millis),
-            Fault::Run { millis } => fleet.run(millis * MILLI),
+            Fault::CallsAtAllHosts { millis } => send_calls_at_all_hosts(&mut fleet, millis),
+            Fault::Advance { millis } => fleet.run(millis * MILLI),
             Fault::Network { bad } => fleet.net = if bad { Net::BAD } else { Net::HEALTHY },
-            Fault::Cut { sides, seen } => {
+            Fault::Partition { sides, seen } => {
                 fleet.side = sides.to_vec();
                 if seen {
                     fleet.show_all_hosts();
@@ -150,18 +150,18 @@
                 fleet.show_all_hosts();
             }
             Fault::Move { column, abruptly } => fleet.move_column(column, abruptly),
-            Fault::Configure { figures: which } => fleet.configure(figures(which)),
+            Fault::Configure { limits: which } => fleet.configure(config_with_limits(which)),
         }
 
         fleet
     }
 
-    /// After the faults, the fleet is whole again and serves its rate.
+    /// Ends all faults, and checks that the fleet then serves its rate.
     fn teardown(mut fleet: Fleet) {
         fleet.net = Net::HEALTHY;
         fleet.side = vec![0; HOSTS];
         (0..HOSTS).for_each(|host| fleet.resume(host));
-        fleet.configure(figures(0));
+        fleet.configure(config_with_limits(0));
 
         for host in 0..HOSTS {
             if !fleet.lives(host) {
@@ -172,9 +172,9 @@
         fleet.show_all_hosts();
         fleet.run(15 * SECOND);
         fleet.assert_all_answered();
-        count(fleet.steps);
+        count_steps(fleet.steps);
 
-        for &(tenant, _, burst) in FIGURES[0] {
+        for &(tenant, _, burst) in LIMITS[0] {
             let before = fleet.admitted_calls();
             (0..burst).for_each(|_| fleet.take(0, tenant));
             fleet.run(SECOND);
@@ -184,12 +184,12 @@
     }
 }
 
-fn figures(which: usize) -> std::sync::Arc<camphorwalk_core::config::Config> {
-    config(&["a", "b"], COLUMNS as u16, FIGURES[which])
+fn config_with_limits(which: usize) -> std::sync::Arc<camphorwalk_core::config::Config> {
+    config(&["a", "b"], COLUMNS as u16, LIMITS[which])
 }
 
-/// Calls for all tenants at all hosts, every 20 milliseconds.
-fn storm(fleet: &mut Fleet, millis: u64) {
+/// Sends calls of all tenants at all hosts every 20 milliseconds.
+fn send_calls_at_all_hosts(fleet: &mut Fleet, millis: u64) {
     for _ in 0..millis / 20 {
         for host in 0..HOSTS {
             TENANTS.iter().for_each(|tenant| fleet.take(host, tenant));
@@ -199,33 +199,33 @@
     }
 }
 
-/// Counts what ran, for the report of a run with `--nocapture`.
-fn count(steps: u64) {
-    static RAN: AtomicU64 = AtomicU64::new(0);
+/// Counts the cases and steps, and prints them after the last case (shown with `--nocapture`).
+fn count_steps(steps: u64) {
+    static CASES: AtomicU64 = AtomicU64::new(0);
     static STEPS: AtomicU64 = AtomicU64::new(0);
 
-    let ran = RAN.fetch_add(1, Ordering::Relaxed) + 1;
+    let cases = CASES.fetch_add(1, Ordering::Relaxed) + 1;
     let steps = STEPS.fetch_add(steps, Ordering::Relaxed) + steps;
 
-    if ran == u64::from(cases()) {
-        println!("{ran} cases, {steps} steps of hosts");
+    if cases == u64::from(case_count()) {
+        println!("{cases} cases, {steps} steps of hosts");
     }
 }
 
-fn cases() -> u32 {
+fn case_count() -> u32 {
     std::env::var("CAMPHORWALK_FUZZ_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(24)
 }
 
 prop_state_machine! {
     #![proptest_config(ProptestConfig {
-        cases: cases(),
+        cases: case_count(),
         rng_seed: RngSeed::Fixed(0x51_1ce5),
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn no_window_holds_more_than_the_rate_and_burst(
+    fn no_period_contains_more_calls_than_rate_and_burst_allow(
         sequential 1..60 => SlicesUnderFaults
     );
 }
