--- a/crates/policy/src/slices/borrower.rs
+++ b/crates/policy/src/slices/borrower.rs
@@ -66,7 +66,7 @@
         Self { session, times, accounts: BTreeMap::new(), last_request: 0 }
     }
 
-    /// Handles an offer: the lender asks for a request soon.
+    /// Handles an offer, which invites a request.
     pub(super) fn handle_offer(&mut self, lender: HostId, offer: &LoanOffer) {
         let account = self.accounts.entry(lender).or_default();
 
@@ -86,8 +86,8 @@
             return;
         }
 
-        // The lifetime starts when the request was sent. The lender starts it later, when it
-        // sends the grant, so the loan ends here first.
+        // The borrower counts the lifetime from when it sent the request. The lender counts it
+        // from when it sent the grant, which is later, so the loan ends here first.
         let until = request.sent_at + Duration::from_millis(u64::from(grant.lifetime_ms));
 
         if until <= now {
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -113,7 +113,9 @@
             }),
             2 => index().prop_map(Transition::Resend),
             16 => (index(), how, any::<bool>())
-                .prop_map(|(index, how, program_ended)| Transition::Release { index, how, program_ended }),
+                .prop_map(
+                    |(index, how, program_ended)| Transition::Release { index, how, program_ended },
+                ),
             2 => index().prop_map(Transition::RepeatRelease),
             1 => (0..3_u8).prop_map(Transition::HostGone),
             1 => any::<[bool; 5]>().prop_map(Transition::Leaving),
