--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/news.rs
@@ -12,13 +12,13 @@
 use camphorwalk_core::hash::{Map, Set};
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::messages::entry::{
-    CrashNews, Demand, EntryNews, InFlight, Prompts, WaitingCalls,
+    CrashReport, Demand, EntryStatus, InFlight, Prompts, WaitingCalls,
 };
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 use camphorwalk_peer::Peers;
 use camphorwalk_policy::entry::prompts::Part;
-use camphorwalk_policy::entry::rates::{TenantNews, Withheld};
+use camphorwalk_policy::entry::rates::{ReservedShare, TenantStatus};
 use tokio::time::sleep;
 use tracing::info;
 
@@ -51,17 +51,17 @@
 struct Changes {
     /// The last parts of the prompts that were sent to each target.
     prompts: Map<Box<str>, Vec<Part>>,
-    demand: Map<Box<str>, TenantNews>,
-    crashes: Vec<CrashNews>,
+    demand: Map<Box<str>, TenantStatus>,
+    crashes: Vec<CrashReport>,
 }
 
 impl Changes {
     /// Takes what came up at this host since this was called last.
     fn take(shared: &Shared) -> Self {
         Self {
-            prompts: shared.targets.borrow_mut().take_news().into_iter().collect(),
-            demand: shared.rates.borrow_mut().take_news(false).into_iter().collect(),
-            crashes: shared.crashes.borrow_mut().take_news(),
+            prompts: shared.targets.borrow_mut().take_updates().into_iter().collect(),
+            demand: shared.rates.borrow_mut().take_updates(false).into_iter().collect(),
+            crashes: shared.crashes.borrow_mut().take_updates(),
         }
     }
 
@@ -125,12 +125,12 @@
 /// Tells hosts what changed, and those that may not know the rest of all tenants.
 fn send(shared: &Shared, peers: &Peers, hosts: Vec<HostId>, changes: &Changes) {
     let (told, untold) = shared.told_all.part(hosts);
-    let to_all = |hosts: &[HostId], news: EntryNews| {
+    let to_all = |hosts: &[HostId], news: EntryStatus| {
         // What is as it stands is told again in the next round. What came up is lost with news that
         // do not go out: prompts are read again, and admitted calls are told as a total.
         hosts
             .iter()
-            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryNews(news.clone()))))
+            .filter(|h| peers.send(**h, PeerMessage::from(Body::EntryStatus(news.clone()))))
             .copied()
             .collect::<Vec<_>>()
     };
@@ -140,18 +140,18 @@
     }
     if !untold.is_empty() {
         let mut all = changes.clone();
-        all.demand = shared.rates.borrow_mut().take_news(true).into_iter().collect();
+        all.demand = shared.rates.borrow_mut().take_updates(true).into_iter().collect();
         let told = to_all(&untold, news(shared, all, true));
         shared.told_all.0.borrow_mut().extend(told);
     }
 }
 
-fn news(shared: &Shared, changes: Changes, all_demand: bool) -> EntryNews {
+fn news(shared: &Shared, changes: Changes, all_demand: bool) -> EntryStatus {
     let targets = shared.targets.borrow();
     let waiting = shared.places.waiting().into_iter();
     let in_flight = targets.in_flight();
 
-    EntryNews {
+    EntryStatus {
         run: shared.run.0,
         all_demand,
         demand: changes.demand.into_iter().map(demand).collect(),
@@ -172,17 +172,17 @@
     }
 }
 
-fn demand((tenant, news): (Box<str>, TenantNews)) -> Demand {
-    let TenantNews { admitted, demand, level, withheld, hears_all } = news;
+fn demand((tenant, news): (Box<str>, TenantStatus)) -> Demand {
+    let TenantStatus { admitted, demand, level, reserved, all_hosts_live } = news;
 
     Demand {
         tenant: tenant.into(),
         per_second: demand,
         admitted,
         level,
-        withheld: withheld.share,
-        withheld_ms: u32::try_from(withheld.left.as_millis()).unwrap_or(u32::MAX),
-        hears_all,
+        withheld: reserved.share,
+        withheld_ms: u32::try_from(reserved.expires_in.as_millis()).unwrap_or(u32::MAX),
+        hears_all: all_hosts_live,
     }
 }
 
@@ -193,7 +193,7 @@
 }
 
 /// Takes in the news of another host.
-pub(crate) fn take_in(shared: &Rc<Shared>, from: HostId, news: EntryNews) {
+pub(crate) fn take_in(shared: &Rc<Shared>, from: HostId, news: EntryStatus) {
     let now = clock::now();
     let heard = Heard {
         at: now,
@@ -221,19 +221,21 @@
     }
 
     let tenants = news.demand.into_iter().map(|d| {
-        let withheld =
-            Withheld { share: d.withheld, left: Duration::from_millis(u64::from(d.withheld_ms)) };
+        let reserved = ReservedShare {
+            share: d.withheld,
+            expires_in: Duration::from_millis(u64::from(d.withheld_ms)),
+        };
         let (admitted, demand, level) = (d.admitted, d.per_second, d.level);
-        let hears_all = d.hears_all;
-        (d.tenant.into(), TenantNews { admitted, demand, level, withheld, hears_all })
+        let all_hosts_live = d.hears_all;
+        (d.tenant.into(), TenantStatus { admitted, demand, level, reserved, all_hosts_live })
     });
-    shared.rates.borrow_mut().hear(now, from, news.run, news.all_demand, tenants);
+    shared.rates.borrow_mut().apply_update(now, from, news.run, news.all_demand, tenants);
     let in_flight = news.in_flight.into_iter().map(|f| (f.target.into(), f.calls)).collect();
     let waiting = news.waiting.into_iter().map(|w| (w.service.into(), w.calls)).collect();
-    shared.targets.borrow_mut().hear(from, in_flight, waiting);
+    shared.targets.borrow_mut().set_remote_load(from, in_flight, waiting);
     take_in_prompts(shared, from, news.prompts);
     for crash in news.crashes {
-        shared.crashes.borrow_mut().hear(now, crash);
+        shared.crashes.borrow_mut().record_remote(now, crash);
     }
 
     manifests::heard_version(shared, from, news.manifest_version);
@@ -247,6 +249,6 @@
     for Prompts { target, parts, tokens } in prompts {
         parts.iter().for_each(|line| line_hosts.put(*line, from));
         let parts: Vec<Part> = parts.into_iter().zip(tokens).collect();
-        targets.learn(&target, &parts);
+        targets.record_remote_prompts(&target, &parts);
     }
 }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -77,7 +77,7 @@
         /// Identifies the place request.
         asker: Asker,
         /// How the place was used.
-        end: PlaceEnd,
+        end: PlaceRelease,
     },
     /// A host is gone: its requests are withdrawn and its places released.
     HostGone(HostId),
@@ -197,7 +197,7 @@
     /// queues.step(Instant(0), QueueEvent::HostGone(HostId(7)), &mut out);
     /// assert!(out.is_empty());
     /// ```
-    pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueNext>) {
+    pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
             QueueEvent::Config(config) => self.configure(now, &config, out),
             QueueEvent::Ask { asker, request } => self.handle_request(now, asker, request, out),
@@ -237,7 +237,7 @@
         self.targets.get(target).map_or(0, |target| target.in_flight())
     }
 
-    fn configure(&mut self, now: Instant, config: &Config, out: &mut Vec<QueueNext>) {
+    fn configure(&mut self, now: Instant, config: &Config, out: &mut Vec<QueueAction>) {
         let classes = config.fleet.classes.iter();
         self.class_ranks =
             classes.map(|class| (ClassId::from_name(&class.name), class.rank)).collect();
@@ -266,7 +266,7 @@
         if let Some(place) =
             self.places.get(asker).filter(|place| is_same_request(&place.request, &request))
         {
-            out.push(QueueNext::Grant { asker, target: place.target });
+            out.push(QueueAction::Grant { request_id, target: place.target });
             return;
         }
 
@@ -283,7 +283,9 @@
                 self.enqueue(asker, call);
                 self.serve(now, request.pool, out);
             }
-            Admission::Refuse(retry_after) => out.push(QueueNext::Refuse { asker, retry_after }),
+            Admission::Refuse(retry_after) => {
+                out.push(QueueAction::Refuse { request_id, retry_after })
+            }
         }
     }
 
@@ -405,7 +407,7 @@
         let retry_after =
             bounded_retry_after(Duration::from_micros(call.refuse_at.0 - call.waiting_since.0));
 
-        out.push(QueueNext::Refuse { asker, retry_after });
+        out.push(QueueAction::Refuse { request_id, retry_after });
     }
 
     /// Releases a place, and corrects the tenant's account by what the call really used.
@@ -434,7 +436,7 @@
         Some(place)
     }
 
-    fn serve_all(&mut self, now: Instant, out: &mut Vec<QueueNext>) {
+    fn serve_all(&mut self, now: Instant, out: &mut Vec<QueueAction>) {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
 
         pools.into_iter().for_each(|pool| self.serve(now, pool, out));
@@ -464,7 +466,7 @@
     fn grant(
         &mut self,
         now: Instant,
-        asker: Asker,
+        request_id: PlaceRequestId,
         target: TargetId,
         expected_computed: Tokens,
         out: &mut Vec<QueueNext>,
@@ -491,8 +493,8 @@
             self.places.insert(asker, place);
         }
 
-        self.dequeue(asker);
-        out.push(QueueNext::Grant { asker, target });
+        self.dequeue(request_id);
+        out.push(QueueAction::Grant { request_id, target });
     }
 }
 
@@ -501,7 +503,7 @@
     how: PlaceEndKind::Failed,
     computed: Tokens(0),
     output: Tokens(0),
-    program_over: false,
+    program_ended: false,
 };
 
 /// Returns whether two place requests with the same host and number are the same request.
--- a/crates/policy/src/queue/lanes.rs
+++ b/crates/policy/src/queue/lanes.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::time::Instant;
 
 use super::shares::Shares;
-use crate::wire::Asker;
+use crate::shared_types::PlaceRequestId;
 
 /// One grant in this many goes to the lane that has waited longest for one.
 ///
@@ -50,7 +50,7 @@
     level: 1,
     deadline: Instant(0),
     arrival: 0,
-    asker: Asker { host: HostId(0), number: 0 },
+    request_id: PlaceRequestId { host: HostId(0), number: 0 },
 };
 
 /// How many calls of new programs are considered in each lane.
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
-use crate::wire::{Asker, PlaceRequest};
+use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
 /// How long after its call's deadline a place is released automatically.
 ///
@@ -45,8 +45,8 @@
 /// All granted places, by request.
 #[derive(Debug, Default)]
 pub struct Places {
-    places: Map<Asker, Place>,
-    expiries: BTreeSet<(Instant, Asker)>,
+    places: Map<PlaceRequestId, Place>,
+    expiries: BTreeSet<(Instant, PlaceRequestId)>,
 }
 
 impl Places {
@@ -67,9 +67,9 @@
     }
 
     /// Removes a place.
-    pub fn remove(&mut self, asker: Asker) -> Option<Place> {
-        let place = self.places.remove(&asker)?;
-        self.expiries.remove(&(place.expiry(), asker));
+    pub fn remove(&mut self, request_id: PlaceRequestId) -> Option<Place> {
+        let place = self.places.remove(&request_id)?;
+        self.expiries.remove(&(place.expiry(), request_id));
 
         Some(place)
     }
--- a/crates/policy/src/queue/pool.rs
+++ b/crates/policy/src/queue/pool.rs
@@ -145,7 +145,7 @@
     /// Returns the sort key of a new call in its lane.
     pub fn position(
         request: &PlaceRequest,
-        asker: Asker,
+        request_id: PlaceRequestId,
         deadline: Instant,
         arrival: u64,
     ) -> Position {
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -17,7 +17,7 @@
 use super::health::Health;
 use super::places::Place;
 use super::window::Window;
-use crate::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use crate::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// Maximum time that a call waits for a busy target that has its prefix cached.
 const MAX_PREFIX_WAIT: Duration = Duration::from_secs(5);
--- a/crates/policy/src/queue/waiting.rs
+++ b/crates/policy/src/queue/waiting.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::time::Instant;
 
 use super::lanes::{LaneId, Position};
-use crate::wire::{Asker, PlaceRequest};
+use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
 /// A waiting call.
 #[derive(Clone, Copy, Debug)]
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -20,7 +20,7 @@
 use camphorwalk_core::messages::slices::{SliceBody, SliceMessage, TakeAnswer, TakeRequest};
 use camphorwalk_core::time::Instant;
 
-use crate::wire::Verdict;
+use crate::shared_types::Verdict;
 
 use admission_hosts::AdmissionHosts;
 use borrower::Borrower;
@@ -200,7 +200,7 @@
 /// use camphorwalk_core::ids::{HostId, TenantId, ZoneId};
 /// use camphorwalk_core::time::Instant;
 /// use camphorwalk_policy::slices::*;
-/// use camphorwalk_policy::wire::Verdict;
+/// use camphorwalk_policy::shared_types::Verdict;
 /// let host = HostId::from_name("a1");
 /// let zone = ZoneId::from_name("a");
 /// let times = SliceTimes::default();
@@ -210,7 +210,7 @@
 /// // Without a column there is no token.
 /// let take = SliceEvent::Take { take: TakeId(1), tenant: TenantId::from_name("inkwick") };
 /// slices.step(Instant(0), take, &mut out);
-/// assert!(matches!(out[0], SliceNext::Verdict { verdict: Verdict::Refused { .. }, .. }));
+/// assert!(matches!(out[0], SliceAction::Verdict { verdict: Verdict::Refused { .. }, .. }));
 /// ```
 #[derive(Debug)]
 pub struct Slices {
@@ -343,7 +343,7 @@
         now: Instant,
         from: HostId,
         message: SliceMessage,
-        out: &mut Vec<SliceNext>,
+        out: &mut Vec<SliceAction>,
     ) {
         match message.body {
             Some(SliceBody::Offer(offer)) => self.borrower.handle_offer(from, &offer),
@@ -461,8 +461,8 @@
     }
 }
 
-fn send(to: HostId, body: SliceBody) -> SliceNext {
-    SliceNext::Send { to, message: body.into() }
+fn send(to: HostId, body: SliceBody) -> SliceAction {
+    SliceAction::Send { to, message: body.into() }
 }
 
 fn verdict_of(answer: &TakeAnswer) -> Verdict {
--- a/crates/policy/src/slices/split.rs
+++ b/crates/policy/src/slices/split.rs
@@ -13,7 +13,7 @@
 /// ```
 /// # use camphorwalk_core::config::{Config, Fleet, Zone};
 /// # use camphorwalk_core::ids::ZoneId;
-/// # use camphorwalk_policy::slices::{ColumnId, columns};
+/// # use camphorwalk_policy::slices::{ColumnId, column_zones};
 /// # let zone = |name: &str| Zone { name: name.into(), region: "midlands".into() };
 /// # let fleet = Fleet {
 /// #     name: "inkwick".into(), zones: vec![zone("b"), zone("a")], classes: vec![],
@@ -22,7 +22,7 @@
 /// # let cfg = Config {
 /// #     version: Default::default(), fleet, targets: vec![], templates: vec![], tenants: vec![],
 /// # };
-/// let zones: Vec<ZoneId> = columns(&cfg).into_iter().map(|(_, zone)| zone).collect();
+/// let zones: Vec<ZoneId> = column_zones(&cfg).into_iter().map(|(_, zone)| zone).collect();
 /// let (a, b) = (ZoneId::from_name("a"), ZoneId::from_name("b"));
 /// assert_eq!(zones, [a, b, a]);
 /// ```
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -14,8 +14,8 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -91,11 +91,11 @@
 
     fn transitions(_: &()) -> BoxedStrategy<Transition> {
         let index = any::<prop::sample::Index>;
-        let how = prop_oneof![
-            1 => Just(PlaceEndKind::NotSent),
-            1 => Just(PlaceEndKind::Failed),
-            1 => Just(PlaceEndKind::Crashed),
-            6 => Just(PlaceEndKind::Finished),
+        let outcome = prop_oneof![
+            1 => Just(PlaceOutcome::NotSent),
+            1 => Just(PlaceOutcome::Failed),
+            1 => Just(PlaceOutcome::Crashed),
+            6 => Just(PlaceOutcome::Finished),
         ];
         let ask = (
             0..3_usize,
@@ -178,10 +178,10 @@
     fn apply_decisions(&mut self, out: Vec<QueueNext>) {
         for next in out {
             match next {
-                QueueNext::Grant { asker, target } => self.granted(asker, target),
-                QueueNext::Refuse { asker, retry_after } => {
+                QueueAction::Grant { request_id, target } => self.granted(request_id, target),
+                QueueAction::Refuse { request_id, retry_after } => {
                     assert!(retry_after > Duration::ZERO);
-                    self.answer(asker, Answer::Refused);
+                    self.answer(request_id, Answer::Refused);
                 }
             }
         }
@@ -215,8 +215,8 @@
         let suspect = self.requests[&asker].request.suspect;
         assert!(!suspect || beside.is_empty(), "a suspect does not run alone");
 
-        self.answer(asker, Answer::Granted(target));
-        self.count_grant(asker);
+        self.answer(request_id, Answer::Granted(target));
+        self.count_grant(request_id);
     }
 
     fn count_grant(&mut self, asker: Asker) {
@@ -412,7 +412,7 @@
     how: PlaceEndKind::Finished,
     computed: Tokens(0),
     output: Tokens(0),
-    program_over: false,
+    program_ended: false,
 };
 
 fn fuzz_config() -> Config {
--- a/crates/policy/tests/queue_rules.rs
+++ b/crates/policy/tests/queue_rules.rs
@@ -190,7 +190,7 @@
 
     let out = fixture.request_place(1, request("x", "chat", 1));
 
-    assert!(matches!(out[..], [QueueNext::Refuse { .. }]));
+    assert!(matches!(out[..], [QueueAction::Refuse { .. }]));
 }
 
 #[test]
@@ -203,7 +203,7 @@
 
     let out = fixture.configure(vec![leaving("t", "a", 1)]);
 
-    assert!(matches!(out[..], [QueueNext::Refuse { asker: a, .. }] if a == asker(2)));
+    assert!(matches!(out[..], [QueueAction::Refuse { request_id: a, .. }] if a == request_id(2)));
 }
 
 #[test]
@@ -217,7 +217,7 @@
 
     let out = fixture.advance(Duration::from_secs(3));
 
-    assert!(matches!(out[..], [QueueNext::Refuse { asker: a, .. }] if a == asker(2)));
+    assert!(matches!(out[..], [QueueAction::Refuse { request_id: a, .. }] if a == request_id(2)));
 }
 
 #[test]
@@ -238,7 +238,7 @@
     let out =
         fixture.request_place(300, PlaceRequest { deadline_left: Duration::from_secs(20), ..late });
 
-    assert!(matches!(out[..], [QueueNext::Refuse { .. }]));
+    assert!(matches!(out[..], [QueueAction::Refuse { .. }]));
 }
 
 #[test]
@@ -259,7 +259,7 @@
     let out = fixture
         .request_place(50, PlaceRequest { deadline_left: Duration::from_secs(110), ..new(50) });
 
-    assert!(matches!(out[..], [QueueNext::Refuse { retry_after, .. }] if !retry_after.is_zero()));
+    assert!(matches!(out[..], [QueueAction::Refuse { retry_after, .. }] if !retry_after.is_zero()));
 }
 
 #[test]
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -9,8 +9,8 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId, ZoneId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::{ConfigVersion, Tokens};
-use camphorwalk_policy::queue::{LoadReport, QueueEvent, QueueNext, QueueOptions, Queues};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent, QueueOptions, Queues};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// The zone of the queues under test.
 pub const LOCAL_ZONE: &str = "a";
@@ -83,16 +83,21 @@
     Asker { host: HostId(number / 100), number }
 }
 
-pub fn end(how: PlaceEndKind) -> PlaceEnd {
-    PlaceEnd { how, computed: Tokens(100), output: Tokens(100), program_over: false }
+pub fn end(outcome: PlaceOutcome) -> PlaceRelease {
+    PlaceRelease {
+        outcome,
+        computed_prompt: Tokens(100),
+        output: Tokens(100),
+        program_ended: false,
+    }
 }
 
 pub fn id(target: &str) -> TargetId {
     TargetId::from_name(target)
 }
 
-pub fn grant(number: u64, target: &str) -> Vec<QueueNext> {
-    vec![QueueNext::Grant { asker: asker(number), target: id(target) }]
+pub fn grant(number: u64, target: &str) -> Vec<QueueAction> {
+    vec![QueueAction::Grant { request_id: request_id(number), target: id(target) }]
 }
 
 /// Queues with a clock that the test moves.
@@ -110,14 +115,14 @@
         fixture
     }
 
-    pub fn step(&mut self, event: QueueEvent) -> Vec<QueueNext> {
+    pub fn step(&mut self, event: QueueEvent) -> Vec<QueueAction> {
         let mut out = Vec::new();
         self.queues.step(self.now, event, &mut out);
 
         out
     }
 
-    pub fn configure(&mut self, targets: Vec<Target>) -> Vec<QueueNext> {
+    pub fn configure(&mut self, targets: Vec<Target>) -> Vec<QueueAction> {
         self.step(QueueEvent::Config(Arc::new(config(targets))))
     }
 
--- a/crates/policy/tests/slices_rules.rs
+++ b/crates/policy/tests/slices_rules.rs
@@ -11,10 +11,10 @@
     LoanGrant, LoanOffer, LoanRequest, SliceBody, SliceMessage,
 };
 use camphorwalk_core::time::Instant;
+use camphorwalk_policy::shared_types::Verdict;
 use camphorwalk_policy::slices::{
-    ColumnId, SliceEvent, SliceHost, SliceNext, SliceOptions, SliceTimes, Slices, TakeId, split,
+    ColumnId, SliceAction, SliceEvent, SliceHost, SliceOptions, SliceTimes, Slices, TakeId, split,
 };
-use camphorwalk_policy::wire::Verdict;
 
 const RATE: f64 = 2.0;
 const BURST: u32 = 4;
@@ -65,16 +65,16 @@
     lender
 }
 
-fn step(slices: &mut Slices, at: u64, event: SliceEvent) -> Vec<SliceNext> {
+fn step(slices: &mut Slices, at: u64, event: SliceEvent) -> Vec<SliceAction> {
     let mut out = Vec::new();
     slices.step(Instant::from_millis(at), event, &mut out);
     out
 }
 
-fn bodies(out: Vec<SliceNext>) -> Vec<SliceBody> {
+fn bodies(out: Vec<SliceAction>) -> Vec<SliceBody> {
     let body = |next| match next {
-        SliceNext::Send { message, .. } => message.body,
-        SliceNext::Verdict { .. } => None,
+        SliceAction::Send { message, .. } => message.body,
+        SliceAction::Verdict { .. } => None,
     };
     out.into_iter().filter_map(body).collect()
 }
@@ -131,8 +131,8 @@
     let take = |number| SliceEvent::Take { take: TakeId(number), tenant: tenant() };
     let out = (0..calls).flat_map(|number| step(slices, at, take(number)));
     let verdict = |next| match next {
-        SliceNext::Verdict { verdict, .. } => Some(verdict),
-        SliceNext::Send { .. } => None,
+        SliceAction::Verdict { verdict, .. } => Some(verdict),
+        SliceAction::Send { .. } => None,
     };
     out.filter_map(verdict).collect()
 }
@@ -216,7 +216,7 @@
 
     assert!(req.lender == 1 && req.returns.is_empty() && next.lender == 3);
     assert!(grant.loans.is_empty());
-    assert!(lender.usable(Instant::from_millis(READY + 3_300)).is_empty());
+    assert!(lender.usable_slices(Instant::from_millis(READY + 3_300)).is_empty());
 }
 
 #[test]
@@ -300,7 +300,7 @@
 
     let ended = step(&mut lender, READY + 250, SliceEvent::Wake);
 
-    let verdict = SliceNext::Verdict { take: TakeId(0), verdict: Verdict::Admitted };
+    let verdict = SliceAction::Verdict { take: TakeId(0), verdict: Verdict::Admitted };
     assert!(open.is_empty() && ended.contains(&verdict));
 }
 
@@ -308,13 +308,13 @@
 fn an_owner_with_an_expired_lease_neither_lends_nor_uses_slices() {
     let mut lender = new_host(host_ids().0, 1);
     step(&mut lender, 0, owned(READY, true));
-    let before = [READY - 1, READY].map(|at| lender.usable(Instant::from_millis(at)).len());
+    let before = [READY - 1, READY].map(|at| lender.usable_slices(Instant::from_millis(at)).len());
     let req = LoanRequest { session: 2, number: 1, ..LoanRequest::default() };
 
     let grant = grant_for(&mut lender, READY, host_ids().1, &req).expect("a grant");
 
     assert_eq!((before, grant.loans.len(), grant.columns.len()), ([1, 0], 0, 0));
-    assert!(lender.usable(Instant::from_millis(READY)).is_empty());
+    assert!(lender.usable_slices(Instant::from_millis(READY)).is_empty());
 }
 
 #[test]
@@ -346,8 +346,8 @@
     let mut admission_hosts: Vec<HostId> = sent
         .iter()
         .filter_map(|next| match next {
-            SliceNext::Send { to, .. } => Some(*to),
-            SliceNext::Verdict { .. } => None,
+            SliceAction::Send { to, .. } => Some(*to),
+            SliceAction::Verdict { .. } => None,
         })
         .collect();
     admission_hosts.sort_unstable();
@@ -404,7 +404,7 @@
 
     assert_eq!(borrower.usable(Instant::from_millis(READY + 200)).len(), 1);
     assert_eq!((req.returns[0].level, grant.loans.len()), (0, 0));
-    assert!(next[0].usable(Instant::from_millis(3_000)).is_empty());
+    assert!(next[0].usable_slices(Instant::from_millis(3_000)).is_empty());
 }
 
 #[test]
