--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -47,7 +47,7 @@
 use self::shares::Weights;
 use self::targets::{Candidate, Targets};
 use self::waiting::{WaitingCall, WaitingCalls};
-use crate::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use crate::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// An engine's report of its load. Reports arrive with a delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -66,16 +66,16 @@
     /// A new configuration is in force.
     Config(Arc<Config>),
     /// A call requests a place.
-    Ask {
+    Request {
         /// Identifies the place request.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// The requirements of the call.
         request: PlaceRequest,
     },
     /// A place is released, or a place request is withdrawn.
-    Vacate {
+    Release {
         /// Identifies the place request.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// How the place was used.
         end: PlaceRelease,
     },
@@ -102,18 +102,18 @@
 
 /// The decision about a waiting call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QueueNext {
+pub enum QueueAction {
     /// The call may be sent to this target.
     Grant {
         /// Identifies the place request.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// The target to use.
         target: TargetId,
     },
     /// The call cannot be served before its deadline, or no target can serve it.
     Refuse {
         /// Identifies the place request.
-        asker: Asker,
+        request_id: PlaceRequestId,
         /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
@@ -200,8 +200,12 @@
     pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
             QueueEvent::Config(config) => self.configure(now, &config, out),
-            QueueEvent::Ask { asker, request } => self.handle_request(now, asker, request, out),
-            QueueEvent::Vacate { asker, end } => self.handle_release(now, asker, end, out),
+            QueueEvent::Request { request_id, request } => {
+                self.handle_request(now, request_id, request, out)
+            }
+            QueueEvent::Release { request_id, end } => {
+                self.handle_release(now, request_id, end, out)
+            }
             QueueEvent::HostGone(host) => self.handle_host_gone(now, host, out),
             QueueEvent::Load { target, report } => {
                 if let Some(pool) = self.targets.apply_load(now, target, report) {
@@ -245,9 +249,9 @@
         self.weights = Weights::from_config(config);
         self.targets.configure(config, self.options.zone);
 
-        for asker in self.waiting.matching(|call| !self.targets.can_serve(&call.request)) {
-            self.withdraw(asker);
-            out.push(QueueNext::Refuse { asker, retry_after: NO_TARGET_RETRY_AFTER });
+        for request_id in self.waiting.matching(|call| !self.targets.can_serve(&call.request)) {
+            self.withdraw(request_id);
+            out.push(QueueAction::Refuse { request_id, retry_after: NO_TARGET_RETRY_AFTER });
         }
 
         self.serve_all(now, out);
@@ -256,31 +260,32 @@
     fn handle_request(
         &mut self,
         now: Instant,
-        asker: Asker,
+        request_id: PlaceRequestId,
         request: PlaceRequest,
-        out: &mut Vec<QueueNext>,
+        out: &mut Vec<QueueAction>,
     ) {
         // A request that is sent again after a reconnect must not be granted a second place. The
         // first grant may still be on its way to the requester, and nobody would release the
         // second place.
         if let Some(place) =
-            self.places.get(asker).filter(|place| is_same_request(&place.request, &request))
+            self.places.get(request_id).filter(|place| is_same_request(&place.request, &request))
         {
             out.push(QueueAction::Grant { request_id, target: place.target });
             return;
         }
 
-        if self.waiting.get(asker).is_some_and(|call| is_same_request(&call.request, &request)) {
+        if self.waiting.get(request_id).is_some_and(|call| is_same_request(&call.request, &request))
+        {
             return;
         }
 
         // A different request with the same number means that the host has restarted. The old
         // process's request is dropped.
-        self.handle_release(now, asker, UNKNOWN_END, out);
+        self.handle_release(now, request_id, UNKNOWN_END, out);
 
-        match self.admit(now, asker, request) {
+        match self.admit(now, request_id, request) {
             Admission::Wait(call) => {
-                self.enqueue(asker, call);
+                self.enqueue(request_id, call);
                 self.serve(now, request.pool, out);
             }
             Admission::Refuse(retry_after) => {
@@ -290,7 +295,12 @@
     }
 
     /// Decides whether a call is queued, or refused because it cannot be served in time.
-    fn admit(&mut self, now: Instant, asker: Asker, request: PlaceRequest) -> Admission {
+    fn admit(
+        &mut self,
+        now: Instant,
+        request_id: PlaceRequestId,
+        request: PlaceRequest,
+    ) -> Admission {
         if !self.targets.can_serve(&request) {
             return Admission::Refuse(NO_TARGET_RETRY_AFTER);
         }
@@ -300,7 +310,7 @@
         let rank = self.class_ranks.get(&request.class).copied().unwrap_or(u8::MAX);
         let lane = LaneId { rank, tenant: request.tenant };
         let deadline = now + request.deadline_left;
-        let position = Pool::position(&request, asker, deadline, self.arrivals);
+        let position = Pool::position(&request, request_id, deadline, self.arrivals);
         let pause = self.targets.time_since_use(now, request.pool, request.program);
         let limit = self.targets.local_limit(now, request.pool);
         let pool = self.pools.entry(request.pool).or_default();
@@ -328,19 +338,19 @@
         })
     }
 
-    fn enqueue(&mut self, asker: Asker, call: WaitingCall) {
+    fn enqueue(&mut self, request_id: PlaceRequestId, call: WaitingCall) {
         let pool = self.pools.entry(call.request.pool).or_default();
 
         pool.shares.add_waiting(call.request.tenant);
         pool.lanes.insert(call.lane, call.position);
         pool.demand.add_waiting(call.request.tenant, prefix_demand(&call.request));
         self.targets.set_waiting_call(&call.request, true);
-        self.waiting.insert(asker, call);
+        self.waiting.insert(request_id, call);
     }
 
     /// Removes a call from the queue.
-    fn dequeue(&mut self, asker: Asker) -> Option<WaitingCall> {
-        let call = self.waiting.remove(asker)?;
+    fn dequeue(&mut self, request_id: PlaceRequestId) -> Option<WaitingCall> {
+        let call = self.waiting.remove(request_id)?;
         self.targets.set_waiting_call(&call.request, false);
 
         if let Some(pool) = self.pools.get_mut(&call.request.pool) {
@@ -353,9 +363,9 @@
     }
 
     /// Removes a call that will not be served from the queue.
-    fn withdraw(&mut self, asker: Asker) -> Option<WaitingCall> {
-        let call = self.dequeue(asker)?;
-        self.targets.unreserve(call.request.pool, asker);
+    fn withdraw(&mut self, request_id: PlaceRequestId) -> Option<WaitingCall> {
+        let call = self.dequeue(request_id)?;
+        self.targets.unreserve(call.request.pool, request_id);
 
         Some(call)
     }
@@ -363,47 +373,47 @@
     fn handle_release(
         &mut self,
         now: Instant,
-        asker: Asker,
-        end: PlaceEnd,
-        out: &mut Vec<QueueNext>,
+        request_id: PlaceRequestId,
+        end: PlaceRelease,
+        out: &mut Vec<QueueAction>,
     ) {
-        let withdrawn = self.withdraw(asker).map(|call| call.request);
-        let freed = self.release_place(now, asker, end).map(|place| place.request);
+        let withdrawn = self.withdraw(request_id).map(|call| call.request);
+        let freed = self.release_place(now, request_id, end).map(|place| place.request);
         let Some(request) = withdrawn.or(freed) else { return };
 
-        if end.program_over {
+        if end.program_ended {
             self.targets.remove_program(request.program);
         }
 
         self.serve(now, request.pool, out);
     }
 
-    fn handle_host_gone(&mut self, now: Instant, host: HostId, out: &mut Vec<QueueNext>) {
-        for asker in self.waiting.requests_of_host(host) {
-            self.withdraw(asker);
+    fn handle_host_gone(&mut self, now: Instant, host: HostId, out: &mut Vec<QueueAction>) {
+        for request_id in self.waiting.requests_of_host(host) {
+            self.withdraw(request_id);
         }
 
-        for asker in self.places.requests_of_host(host) {
-            self.release_place(now, asker, UNKNOWN_END);
+        for request_id in self.places.requests_of_host(host) {
+            self.release_place(now, request_id, UNKNOWN_END);
         }
 
         self.serve_all(now, out);
     }
 
-    fn handle_wake(&mut self, now: Instant, out: &mut Vec<QueueNext>) {
-        while let Some(asker) = self.waiting.due_refusal(now) {
-            self.refuse(asker, out);
+    fn handle_wake(&mut self, now: Instant, out: &mut Vec<QueueAction>) {
+        while let Some(request_id) = self.waiting.due_refusal(now) {
+            self.refuse(request_id, out);
         }
 
-        while let Some(asker) = self.places.expired(now) {
-            self.release_place(now, asker, UNKNOWN_END);
+        while let Some(request_id) = self.places.expired(now) {
+            self.release_place(now, request_id, UNKNOWN_END);
         }
 
         self.serve_all(now, out);
     }
 
-    fn refuse(&mut self, asker: Asker, out: &mut Vec<QueueNext>) {
-        let Some(call) = self.withdraw(asker) else { return };
+    fn refuse(&mut self, request_id: PlaceRequestId, out: &mut Vec<QueueAction>) {
+        let Some(call) = self.withdraw(request_id) else { return };
         let retry_after =
             bounded_retry_after(Duration::from_micros(call.refuse_at.0 - call.waiting_since.0));
 
@@ -411,25 +421,30 @@
     }
 
     /// Releases a place, and corrects the tenant's account by what the call really used.
-    fn release_place(&mut self, now: Instant, asker: Asker, end: PlaceEnd) -> Option<Place> {
-        let place = self.places.remove(asker)?;
+    fn release_place(
+        &mut self,
+        now: Instant,
+        request_id: PlaceRequestId,
+        end: PlaceRelease,
+    ) -> Option<Place> {
+        let place = self.places.remove(request_id)?;
         let PlaceRequest { pool, tenant, class, .. } = place.request;
-        let used = match end.how {
-            PlaceEndKind::NotSent => Tokens(0),
-            _ => CALL_OVERHEAD.plus(end.computed).plus(end.output),
+        let used = match end.outcome {
+            PlaceOutcome::NotSent => Tokens(0),
+            _ => CALL_OVERHEAD.plus(end.computed_prompt).plus(end.output),
         };
         let weight = self.weights.get(tenant);
 
         self.targets.record_end(now, &place, end);
-        self.targets.end_call(place.target, asker);
+        self.targets.end_call(place.target, request_id);
 
         if let Some(pool) = self.pools.get_mut(&pool) {
             pool.shares.refund(tenant, weight, place.charged.minus(used));
             pool.shares.charge(tenant, weight, used.minus(place.charged));
 
-            if end.how == PlaceEndKind::Finished {
+            if end.outcome == PlaceOutcome::Finished {
                 let time = now.since(place.granted_at);
-                pool.estimates.record_finished(class, end.computed, end.output, time);
+                pool.estimates.record_finished(class, end.computed_prompt, end.output, time);
             }
         }
 
@@ -443,7 +458,7 @@
     }
 
     /// Grants places in a pool until no waiting call can be placed.
-    fn serve(&mut self, now: Instant, id: PoolId, out: &mut Vec<QueueNext>) {
+    fn serve(&mut self, now: Instant, id: PoolId, out: &mut Vec<QueueAction>) {
         while let Some(pool) = self.pools.get_mut(&id) {
             pool.recheck_at = None;
 
@@ -452,8 +467,8 @@
             }
 
             match pool.pick(now, id, &self.weights, &mut self.waiting, &mut self.targets) {
-                Pick::Grant(asker, target, expected_computed) => {
-                    self.grant(now, asker, target, expected_computed, out);
+                Pick::Grant(request_id, target, computed_prompt) => {
+                    self.grant(now, request_id, target, computed_prompt, out);
                 }
                 Pick::Nothing(recheck_at) => {
                     pool.recheck_at = recheck_at;
@@ -468,20 +483,20 @@
         now: Instant,
         request_id: PlaceRequestId,
         target: TargetId,
-        expected_computed: Tokens,
-        out: &mut Vec<QueueNext>,
+        computed_prompt: Tokens,
+        out: &mut Vec<QueueAction>,
     ) {
-        let Some(call) = self.waiting.get(asker).copied() else { return };
+        let Some(call) = self.waiting.get(request_id).copied() else { return };
         let request = call.request;
         let weight = self.weights.get(request.tenant);
 
         if let Some(pool) = self.pools.get_mut(&request.pool) {
             let output = pool.estimates.expected_output(request.class, request.output);
-            let charged = CALL_OVERHEAD.plus(expected_computed).plus(output);
+            let charged = CALL_OVERHEAD.plus(computed_prompt).plus(output);
             let deadline = call.deadline;
             let place =
-                Place { request, target, granted_at: now, expected_computed, charged, deadline };
-            let candidate = Candidate { asker, request: &request, passed_over_since: None };
+                Place { request, target, granted_at: now, computed_prompt, charged, deadline };
+            let candidate = Candidate { request_id, request: &request, passed_over_since: None };
 
             let is_first = request.attained == Tokens(0);
             pool.estimates.record_grant(now, call.lane, is_first, call.waiting_since);
@@ -490,7 +505,7 @@
             pool.demand.add_placed(request.tenant, request.prompt.plus(output));
             pool.shares.charge(request.tenant, weight, charged);
             self.targets.start_call(now, target, candidate, output);
-            self.places.insert(asker, place);
+            self.places.insert(request_id, place);
         }
 
         self.dequeue(request_id);
@@ -499,9 +514,9 @@
 }
 
 /// The end that is assumed for a place whose use was not reported.
-const UNKNOWN_END: PlaceEnd = PlaceEnd {
-    how: PlaceEndKind::Failed,
-    computed: Tokens(0),
+const UNKNOWN_END: PlaceRelease = PlaceRelease {
+    outcome: PlaceOutcome::Failed,
+    computed_prompt: Tokens(0),
     output: Tokens(0),
     program_ended: false,
 };
--- a/crates/policy/src/queue/cached_prefixes.rs
+++ b/crates/policy/src/queue/cached_prefixes.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
-use crate::wire::PlaceRequest;
+use crate::shared_types::PlaceRequest;
 
 /// The minimum size that an entry is counted with. It bounds the number of entries when prompts
 /// are tiny.
--- a/crates/policy/src/queue/lanes.rs
+++ b/crates/policy/src/queue/lanes.rs
@@ -42,7 +42,7 @@
     /// The sequence number of the request's arrival.
     pub arrival: u64,
     /// Identifies the place request.
-    pub asker: Asker,
+    pub request_id: PlaceRequestId,
 }
 
 /// The lowest position of a started program; level 0 is for new programs.
@@ -148,14 +148,14 @@
     /// programs, then those of started programs.
     ///
     /// Both kinds are included because new programs may be held back.
-    pub fn candidates(&self, id: LaneId) -> impl Iterator<Item = Asker> + '_ {
+    pub fn candidates(&self, id: LaneId) -> impl Iterator<Item = PlaceRequestId> + '_ {
         let calls = self.lanes.get(&id).map(|lane| &lane.calls);
         let new = calls.into_iter().flat_map(|calls| calls.range(..MIN_STARTED_POSITION));
         let started = calls.into_iter().flat_map(|calls| calls.range(MIN_STARTED_POSITION..));
 
         new.take(MAX_NEW_CANDIDATES)
             .chain(started.take(MAX_STARTED_CANDIDATES))
-            .map(|position| position.asker)
+            .map(|position| position.request_id)
     }
 
     /// Returns whether a call of a started program waits in the lane.
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -28,7 +28,7 @@
     /// When the place was granted.
     pub granted_at: Instant,
     /// The number of prompt tokens that the target was expected to compute.
-    pub expected_computed: Tokens,
+    pub computed_prompt: Tokens,
     /// The service that the tenant was charged.
     pub charged: Tokens,
     /// The deadline of the call's program.
@@ -56,14 +56,14 @@
     }
 
     /// Returns the place granted to a request.
-    pub fn get(&self, asker: Asker) -> Option<&Place> {
-        self.places.get(&asker)
+    pub fn get(&self, request_id: PlaceRequestId) -> Option<&Place> {
+        self.places.get(&request_id)
     }
 
     /// Adds a granted place.
-    pub fn insert(&mut self, asker: Asker, place: Place) {
-        self.places.insert(asker, place);
-        self.expiries.insert((place.expiry(), asker));
+    pub fn insert(&mut self, request_id: PlaceRequestId, place: Place) {
+        self.places.insert(request_id, place);
+        self.expiries.insert((place.expiry(), request_id));
     }
 
     /// Removes a place.
@@ -75,17 +75,17 @@
     }
 
     /// Returns the granted requests of a host, sorted.
-    pub fn requests_of_host(&self, host: HostId) -> Vec<Asker> {
-        let mut askers: Vec<Asker> =
-            self.places.keys().copied().filter(|asker| asker.host == host).collect();
-        askers.sort_unstable();
+    pub fn requests_of_host(&self, host: HostId) -> Vec<PlaceRequestId> {
+        let mut request_ids: Vec<PlaceRequestId> =
+            self.places.keys().copied().filter(|request_id| request_id.host == host).collect();
+        request_ids.sort_unstable();
 
-        askers
+        request_ids
     }
 
     /// Returns a request whose place has expired.
-    pub fn expired(&self, now: Instant) -> Option<Asker> {
-        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, asker)| *asker)
+    pub fn expired(&self, now: Instant) -> Option<PlaceRequestId> {
+        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, request_id)| *request_id)
     }
 
     /// Returns when the next place expires.
--- a/crates/policy/src/queue/pool.rs
+++ b/crates/policy/src/queue/pool.rs
@@ -12,7 +12,7 @@
 use super::shares::{Shares, Weights};
 use super::targets::{Candidate, Choice, Targets};
 use super::waiting::{WaitingCall, WaitingCalls};
-use crate::wire::{Asker, PlaceRequest};
+use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
 /// How many calls of a pool are considered in one selection.
 const MAX_CANDIDATES: usize = 32;
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pick {
     /// The request, the target to grant, and the number of prompt tokens that it will compute.
-    Grant(Asker, TargetId, Tokens),
+    Grant(PlaceRequestId, TargetId, Tokens),
     /// No call can be placed before this time unless an event occurs.
     Nothing(Option<Instant>),
 }
@@ -67,10 +67,10 @@
     ) -> Pick {
         // A suspect call is placed as soon as its reserved target is empty. The target would stay
         // idle if the call had to come first in the order again.
-        if let Some((asker, target)) = targets.ready_suspect(id, now)
-            && let Some(call) = waiting.get(asker)
+        if let Some((request_id, target)) = targets.ready_suspect(id, now)
+            && let Some(call) = waiting.get(request_id)
         {
-            return Pick::Grant(asker, target, call.request.prompt);
+            return Pick::Grant(request_id, target, call.request.prompt);
         }
 
         let mut recheck_at = targets.next_backoff_end(now, id);
@@ -90,11 +90,11 @@
         while let Some(order) =
             self.lanes.next_after(last, &self.shares).filter(|_| considered < MAX_CANDIDATES)
         {
-            for asker in self.lanes.candidates(order.2) {
-                let Some(call) = waiting.get(asker) else { continue };
+            for request_id in self.lanes.candidates(order.2) {
+                let Some(call) = waiting.get(request_id) else { continue };
                 let request = &call.request;
                 let candidate =
-                    Candidate { asker, request, passed_over_since: call.passed_over_since };
+                    Candidate { request_id, request, passed_over_since: call.passed_over_since };
                 considered += 1;
 
                 if self.is_held_back(call, weights, capacity) {
@@ -103,13 +103,15 @@
                 }
 
                 match targets.choose(now, candidate, &self.estimates) {
-                    Choice::Place(target, computed) => return Pick::Grant(asker, target, computed),
+                    Choice::Place(target, computed) => {
+                        return Pick::Grant(request_id, target, computed);
+                    }
                     Choice::Wait(until) => {
                         recheck_at = recheck_at.into_iter().chain(until).min();
-                        targets.reserve(now, asker, request);
+                        targets.reserve(now, request_id, request);
 
                         if until.is_some() {
-                            waiting.mark_passed_over(now, asker);
+                            waiting.mark_passed_over(now, request_id);
                         }
                     }
                 }
@@ -149,7 +151,7 @@
         deadline: Instant,
         arrival: u64,
     ) -> Position {
-        Position { level: attained_level(request), deadline, arrival, asker }
+        Position { level: attained_level(request), deadline, arrival, request_id }
     }
 
     /// Returns the time from which a call can no longer be served before its deadline.
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -42,9 +42,9 @@
     window: Window,
     in_flight: u32,
     /// The suspect call that currently has this target for itself.
-    exclusive_to: Option<Asker>,
+    exclusive_to: Option<PlaceRequestId>,
     /// The suspect call that this target is being emptied for.
-    reserved_for: Option<Asker>,
+    reserved_for: Option<PlaceRequestId>,
     health: Health,
     report: LoadReport,
     prefixes: CachedPrefixes,
@@ -82,10 +82,15 @@
     }
 
     /// Returns whether the call can be placed here now.
-    fn has_room_for(&self, now: Instant, asker: Asker, request: &PlaceRequest) -> bool {
+    fn has_room_for(
+        &self,
+        now: Instant,
+        request_id: PlaceRequestId,
+        request: &PlaceRequest,
+    ) -> bool {
         match self.reserved_for {
             _ if self.exclusive_to.is_some() => false,
-            Some(reserved) if reserved != asker => false,
+            Some(reserved) if reserved != request_id => false,
             _ if request.suspect => self.in_flight == 0 && self.limit(now) > 0,
             _ => self.in_flight < self.limit(now),
         }
@@ -105,7 +110,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// Identifies the place request.
-    pub asker: Asker,
+    pub request_id: PlaceRequestId,
     /// The requirements of the call.
     pub request: &'a PlaceRequest,
     /// Since when the call has been passed over to wait for a busy target that has its prefix.
@@ -267,7 +272,7 @@
         let request = call.request;
 
         let free = self.pool_targets(request.pool).filter(|(id, state)| {
-            state.is_eligible(*id, request) && state.has_room_for(now, call.asker, request)
+            state.is_eligible(*id, request) && state.has_room_for(now, call.request_id, request)
         });
         let reuse = |prefix: &CachedPrefix| reuse_probability(now, prefix, estimates);
         let best = free
@@ -317,7 +322,7 @@
 
     /// Reserves a target for a suspect call, preferably one in this zone. Does nothing if the
     /// pool already has a reserved target.
-    pub fn reserve(&mut self, now: Instant, asker: Asker, request: &PlaceRequest) {
+    pub fn reserve(&mut self, now: Instant, request_id: PlaceRequestId, request: &PlaceRequest) {
         let has_suspect_target =
             self.pool_targets(request.pool).any(|(_, state)| state.has_suspect());
 
@@ -332,12 +337,12 @@
             .map(|(id, _)| id);
 
         if let Some(state) = target.and_then(|target| self.states.get_mut(&target)) {
-            state.reserved_for = Some(asker);
+            state.reserved_for = Some(request_id);
         }
     }
 
     /// Returns a suspect call and the empty target that is reserved for it.
-    pub fn ready_suspect(&self, pool: PoolId, now: Instant) -> Option<(Asker, TargetId)> {
+    pub fn ready_suspect(&self, pool: PoolId, now: Instant) -> Option<(PlaceRequestId, TargetId)> {
         let empty = self
             .pool_targets(pool)
             .filter(|(_, state)| !state.leaving && state.in_flight == 0 && state.limit(now) > 0);
@@ -346,10 +351,10 @@
     }
 
     /// Removes the reservation of a suspect call.
-    pub fn unreserve(&mut self, pool: PoolId, asker: Asker) {
+    pub fn unreserve(&mut self, pool: PoolId, request_id: PlaceRequestId) {
         for id in self.pools.get(&pool).into_iter().flatten() {
             if let Some(state) =
-                self.states.get_mut(id).filter(|state| state.reserved_for == Some(asker))
+                self.states.get_mut(id).filter(|state| state.reserved_for == Some(request_id))
             {
                 state.reserved_for = None;
             }
@@ -372,18 +377,20 @@
 
         if suspect {
             // Another target may have been reserved for the call before this one became free.
-            self.unreserve(pool, call.asker);
-            self.states.entry(target).and_modify(|state| state.exclusive_to = Some(call.asker));
+            self.unreserve(pool, call.request_id);
+            self.states
+                .entry(target)
+                .and_modify(|state| state.exclusive_to = Some(call.request_id));
         }
     }
 
     /// Records that a call is no longer in flight at a target.
-    pub fn end_call(&mut self, target: TargetId, asker: Asker) {
+    pub fn end_call(&mut self, target: TargetId, request_id: PlaceRequestId) {
         let Some(state) = self.states.get_mut(&target) else { return };
 
         state.in_flight = state.in_flight.saturating_sub(1);
 
-        if state.exclusive_to == Some(asker) {
+        if state.exclusive_to == Some(request_id) {
             state.exclusive_to = None;
         }
 
@@ -394,21 +401,21 @@
     }
 
     /// Updates the target's health and cached prefixes from the end of a call.
-    pub fn record_end(&mut self, now: Instant, place: &Place, end: PlaceEnd) {
+    pub fn record_end(&mut self, now: Instant, place: &Place, end: PlaceRelease) {
         let Some(state) = self.states.get_mut(&place.target) else { return };
         let prompt = place.request.prompt;
 
-        match end.how {
-            PlaceEndKind::NotSent => {
-                let before = prompt.minus(place.expected_computed);
+        match end.outcome {
+            PlaceOutcome::NotSent => {
+                let before = prompt.minus(place.computed_prompt);
                 state.prefixes.record(now, &place.request, before, false);
             }
-            PlaceEndKind::Finished => {
+            PlaceOutcome::Finished => {
                 state.health.record_answer();
                 state.prefixes.record(now, &place.request, prompt.plus(end.output), false);
             }
-            PlaceEndKind::Failed => state.prefixes.record(now, &place.request, prompt, false),
-            PlaceEndKind::Crashed => {
+            PlaceOutcome::Failed => state.prefixes.record(now, &place.request, prompt, false),
+            PlaceOutcome::Crashed => {
                 state.health.record_crash(now);
                 state.prefixes.clear();
             }
--- a/crates/policy/src/queue/waiting.rs
+++ b/crates/policy/src/queue/waiting.rs
@@ -31,8 +31,8 @@
 /// All waiting calls.
 #[derive(Debug, Default)]
 pub struct WaitingCalls {
-    calls: Map<Asker, WaitingCall>,
-    refusals: BTreeSet<(Instant, Asker)>,
+    calls: Map<PlaceRequestId, WaitingCall>,
+    refusals: BTreeSet<(Instant, PlaceRequestId)>,
     tenant_counts: Map<TenantId, usize>,
 }
 
@@ -48,28 +48,28 @@
     }
 
     /// Returns a waiting call.
-    pub fn get(&self, asker: Asker) -> Option<&WaitingCall> {
-        self.calls.get(&asker)
+    pub fn get(&self, request_id: PlaceRequestId) -> Option<&WaitingCall> {
+        self.calls.get(&request_id)
     }
 
     /// Records that a call is passed over to wait for a busy target that has its prefix.
-    pub fn mark_passed_over(&mut self, now: Instant, asker: Asker) {
-        if let Some(call) = self.calls.get_mut(&asker) {
+    pub fn mark_passed_over(&mut self, now: Instant, request_id: PlaceRequestId) {
+        if let Some(call) = self.calls.get_mut(&request_id) {
             call.passed_over_since.get_or_insert(now);
         }
     }
 
     /// Adds a waiting call.
-    pub fn insert(&mut self, asker: Asker, call: WaitingCall) {
+    pub fn insert(&mut self, request_id: PlaceRequestId, call: WaitingCall) {
         *self.tenant_counts.entry(call.request.tenant).or_default() += 1;
-        self.refusals.insert((call.refuse_at, asker));
-        self.calls.insert(asker, call);
+        self.refusals.insert((call.refuse_at, request_id));
+        self.calls.insert(request_id, call);
     }
 
     /// Removes a waiting call.
-    pub fn remove(&mut self, asker: Asker) -> Option<WaitingCall> {
-        let call = self.calls.remove(&asker)?;
-        self.refusals.remove(&(call.refuse_at, asker));
+    pub fn remove(&mut self, request_id: PlaceRequestId) -> Option<WaitingCall> {
+        let call = self.calls.remove(&request_id)?;
+        self.refusals.remove(&(call.refuse_at, request_id));
 
         if let Some(count) = self.tenant_counts.get_mut(&call.request.tenant) {
             *count -= 1;
@@ -83,22 +83,23 @@
     }
 
     /// Returns the waiting requests of a host, sorted.
-    pub fn requests_of_host(&self, host: HostId) -> Vec<Asker> {
-        self.matching(|call| call.position.asker.host == host)
+    pub fn requests_of_host(&self, host: HostId) -> Vec<PlaceRequestId> {
+        self.matching(|call| call.position.request_id.host == host)
     }
 
     /// Returns the waiting requests that match `predicate`, sorted.
-    pub fn matching(&self, predicate: impl Fn(&WaitingCall) -> bool) -> Vec<Asker> {
+    pub fn matching(&self, predicate: impl Fn(&WaitingCall) -> bool) -> Vec<PlaceRequestId> {
         let calls = self.calls.iter().filter(|(_, call)| predicate(call));
-        let mut askers: Vec<Asker> = calls.map(|(asker, _)| *asker).collect();
-        askers.sort_unstable();
+        let mut request_ids: Vec<PlaceRequestId> =
+            calls.map(|(request_id, _)| *request_id).collect();
+        request_ids.sort_unstable();
 
-        askers
+        request_ids
     }
 
     /// Returns a call that is due to be refused.
-    pub fn due_refusal(&self, now: Instant) -> Option<Asker> {
-        self.refusals.first().filter(|(at, _)| *at <= now).map(|(_, asker)| *asker)
+    pub fn due_refusal(&self, now: Instant) -> Option<PlaceRequestId> {
+        self.refusals.first().filter(|(at, _)| *at <= now).map(|(_, request_id)| *request_id)
     }
 
     /// Returns when the next call is due to be refused.
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -28,7 +28,7 @@
 use takes::TakeRequests;
 
 pub use bucket::{Bucket, MILLIONTHS_PER_TOKEN, Share, TakeOutcome, take_token};
-pub use split::{columns, rate_in_millionths, share, split};
+pub use split::{column_zones, rate_in_millionths, slice_share, split};
 
 /// Identifies a request for one token, which admits one call of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -68,7 +68,7 @@
         fresh: bool,
     },
     /// This host owns a column that no host has owned before, so its slices start full.
-    First {
+    FirstOwned {
         /// The column.
         column: ColumnId,
         /// When the ownership ends, as for `Owned`.
@@ -81,7 +81,7 @@
     },
     /// A call needs a token of its tenant.
     Take {
-        /// Identifies the request in [`SliceNext::Verdict`].
+        /// Identifies the request in [`SliceAction::Verdict`].
         take: TakeId,
         /// The tenant.
         tenant: TenantId,
@@ -99,7 +99,7 @@
 
 /// An action that [`Slices::step`] requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SliceNext {
+pub enum SliceAction {
     /// The answer to a [`SliceEvent::Take`]. Each one is answered exactly once, even if the
     /// tenant's admission host does not respond.
     Verdict {
@@ -243,7 +243,7 @@
     }
 
     /// Processes an event and appends the resulting actions to `out`.
-    pub fn step(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceNext>) {
+    pub fn step(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceAction>) {
         let now = self.end_loans_after_pause(now);
 
         self.lender.expire(now);
@@ -261,7 +261,7 @@
     }
 
     /// Returns the slices that this host may use at `now`, for status pages and tests.
-    pub fn usable(&self, now: Instant) -> Vec<(TenantId, ColumnId)> {
+    pub fn usable_slices(&self, now: Instant) -> Vec<(TenantId, ColumnId)> {
         let mut slices: Vec<_> = self.lender.usable_slices(now).collect();
 
         if !self.is_gap(now) {
@@ -295,7 +295,7 @@
         now
     }
 
-    fn handle_event(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceNext>) {
+    fn handle_event(&mut self, now: Instant, event: SliceEvent, out: &mut Vec<SliceAction>) {
         match event {
             SliceEvent::Config(config) => {
                 self.config = Some(config);
@@ -306,7 +306,7 @@
                 self.borrower.remove_gone_lenders(&self.admission_hosts);
                 self.lender.hosts_changed(now);
             }
-            SliceEvent::First { column, until } => {
+            SliceEvent::FirstOwned { column, until } => {
                 self.lender.acquire_first(column, until, now);
                 self.configure(now);
                 self.adopt_own_loans(now, column);
@@ -366,7 +366,7 @@
                             self.take_local_token_after_refusal(now, pending.tenant, refused)
                         }
                     };
-                    out.push(SliceNext::Verdict { take: pending.take, verdict });
+                    out.push(SliceAction::Verdict { take: pending.take, verdict });
                 }
             }
             None => {}
@@ -380,13 +380,13 @@
         now: Instant,
         take: TakeId,
         tenant: TenantId,
-        out: &mut Vec<SliceNext>,
+        out: &mut Vec<SliceAction>,
     ) {
         let admission_host = self.admission_hosts.get(tenant);
 
         if admission_host == self.local_host {
             let verdict = self.take_local_token(now, tenant);
-            out.push(SliceNext::Verdict { take, verdict });
+            out.push(SliceAction::Verdict { take, verdict });
             return;
         }
 
@@ -438,10 +438,10 @@
 
     /// Decides the take requests that timed out locally, and sends the others again if they are
     /// due.
-    fn process_pending_takes(&mut self, now: Instant, out: &mut Vec<SliceNext>) {
+    fn process_pending_takes(&mut self, now: Instant, out: &mut Vec<SliceAction>) {
         for pending in self.takes.expire(now) {
             let verdict = self.take_local_token(now, pending.tenant);
-            out.push(SliceNext::Verdict { take: pending.take, verdict });
+            out.push(SliceAction::Verdict { take: pending.take, verdict });
         }
 
         for (to, request) in self.takes.due_resends(now) {
@@ -449,7 +449,7 @@
         }
     }
 
-    fn send_loan_messages(&mut self, now: Instant, out: &mut Vec<SliceNext>) {
+    fn send_loan_messages(&mut self, now: Instant, out: &mut Vec<SliceAction>) {
         for (host, offer) in self.lender.due_offers(self.local_host, &mut self.admission_hosts, now)
         {
             out.push(send(host, SliceBody::Offer(offer)));
--- a/crates/policy/src/slices/lender.rs
+++ b/crates/policy/src/slices/lender.rs
@@ -69,7 +69,7 @@
         for tenant in &config.tenants {
             for column in self.columns.keys() {
                 let key = (TenantId::from_name(&tenant.name), *column);
-                shares.insert(key, split::share(tenant, config.fleet.slices, *column));
+                shares.insert(key, split::slice_share(tenant, config.fleet.slices, *column));
             }
         }
 
--- a/crates/policy/src/slices/split.rs
+++ b/crates/policy/src/slices/split.rs
@@ -26,7 +26,7 @@
 /// let (a, b) = (ZoneId::from_name("a"), ZoneId::from_name("b"));
 /// assert_eq!(zones, [a, b, a]);
 /// ```
-pub fn columns(config: &Config) -> Vec<(ColumnId, ZoneId)> {
+pub fn column_zones(config: &Config) -> Vec<(ColumnId, ZoneId)> {
     let mut names: Vec<&str> = config.fleet.zones.iter().map(|zone| &*zone.name).collect();
     names.sort_unstable();
 
@@ -56,7 +56,7 @@
 }
 
 /// Returns the share of a tenant's slice in `column`.
-pub fn share(tenant: &Tenant, slices: u16, column: ColumnId) -> Share {
+pub fn slice_share(tenant: &Tenant, slices: u16, column: ColumnId) -> Share {
     Share {
         rate: split(rate_in_millionths(tenant), slices, column),
         burst: split(u64::from(tenant.burst) * MILLIONTHS_PER_TOKEN, slices, column),
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -58,7 +58,7 @@
     Resend(prop::sample::Index),
     Release {
         index: prop::sample::Index,
-        how: PlaceEndKind,
+        outcome: PlaceOutcome,
         program_ended: bool,
     },
     /// Releases a place again, or releases for a request that was refused.
@@ -112,9 +112,9 @@
                 Transition::Request { tenant, class, pool, program, size, seconds, suspect }
             }),
             2 => index().prop_map(Transition::Resend),
-            16 => (index(), how, any::<bool>())
+            16 => (index(), outcome, any::<bool>())
                 .prop_map(
-                    |(index, how, program_ended)| Transition::Release { index, how, program_ended },
+                    |(index, outcome, program_ended)| Transition::Release { index, outcome, program_ended },
                 ),
             2 => index().prop_map(Transition::RepeatRelease),
             1 => (0..3_u8).prop_map(Transition::HostGone),
@@ -151,7 +151,7 @@
 /// The queues under test and the model.
 struct CheckedQueues {
     fixture: Fixture,
-    requests: BTreeMap<Asker, RequestRecord>,
+    requests: BTreeMap<PlaceRequestId, RequestRecord>,
     leaving: [bool; 5],
     /// For each waiting lane, the number of grants to other lanes since its last one.
     passed_over: BTreeMap<LaneKey, u32>,
@@ -175,7 +175,7 @@
     }
 
     /// Applies the decisions of the queues to the model.
-    fn apply_decisions(&mut self, out: Vec<QueueNext>) {
+    fn apply_decisions(&mut self, out: Vec<QueueAction>) {
         for next in out {
             match next {
                 QueueAction::Grant { request_id, target } => self.granted(request_id, target),
@@ -187,23 +187,26 @@
         }
     }
 
-    fn answer(&mut self, asker: Asker, answer: Answer) {
+    fn answer(&mut self, request_id: PlaceRequestId, answer: Answer) {
         let record =
-            self.requests.get_mut(&asker).expect("answer to a request that was never sent");
-        assert_eq!(record.answer, Answer::Waiting, "answered twice: {asker:?}");
+            self.requests.get_mut(&request_id).expect("answer to a request that was never sent");
+        assert_eq!(record.answer, Answer::Waiting, "answered twice: {request_id:?}");
         record.answer = answer;
     }
 
-    fn granted(&mut self, asker: Asker, target: TargetId) {
+    fn granted(&mut self, request_id: PlaceRequestId, target: TargetId) {
         // A request that was sent again may get the same grant again.
-        if self.requests[&asker].answer == Answer::Granted(target) {
+        if self.requests[&request_id].answer == Answer::Granted(target) {
             return;
         }
 
         let at = TARGETS.iter().position(|known| TargetId::from_name(known.0) == target).unwrap();
         assert!(!self.leaving[at], "a leaving target received a call");
         let pool = PoolId::from_name(TARGETS[at].3);
-        assert_eq!(self.requests[&asker].request.pool, pool, "placed at a target of another pool");
+        assert_eq!(
+            self.requests[&request_id].request.pool, pool,
+            "placed at a target of another pool"
+        );
 
         let beside: Vec<&RequestRecord> = self.placed_at(target).collect();
         let limit = if TARGETS[at].1 == "a" { TARGETS[at].2 } else { REMOTE_CAP };
@@ -212,15 +215,15 @@
             beside.iter().all(|record| !record.request.suspect),
             "placed beside a suspect call"
         );
-        let suspect = self.requests[&asker].request.suspect;
+        let suspect = self.requests[&request_id].request.suspect;
         assert!(!suspect || beside.is_empty(), "a suspect does not run alone");
 
         self.answer(request_id, Answer::Granted(target));
         self.count_grant(request_id);
     }
 
-    fn count_grant(&mut self, asker: Asker) {
-        let granted = lane(&self.requests[&asker]);
+    fn count_grant(&mut self, request_id: PlaceRequestId) {
+        let granted = lane(&self.requests[&request_id]);
         let waiting = self.requests.values().filter(|record| record.answer == Answer::Waiting);
         let waiting: BTreeSet<LaneKey> = waiting.map(lane).collect();
 
@@ -239,45 +242,53 @@
     }
 
     /// Returns the requests that are waiting or hold a place.
-    fn active(&self) -> Vec<Asker> {
+    fn active(&self) -> Vec<PlaceRequestId> {
         let active = self
             .requests
             .iter()
             .filter(|(_, record)| matches!(record.answer, Answer::Waiting | Answer::Granted(_)));
 
-        active.map(|(asker, _)| *asker).collect()
+        active.map(|(request_id, _)| *request_id).collect()
     }
 
-    fn request_place(&mut self, asker: Asker, request: PlaceRequest) {
+    fn request_place(&mut self, request_id: PlaceRequestId, request: PlaceRequest) {
         let deadline = self.fixture.now + request.deadline_left;
-        self.requests.insert(asker, RequestRecord { request, deadline, answer: Answer::Waiting });
-        self.step(QueueEvent::Ask { asker, request });
+        self.requests
+            .insert(request_id, RequestRecord { request, deadline, answer: Answer::Waiting });
+        self.step(QueueEvent::Request { request_id, request });
     }
 
-    fn resend(&mut self, asker: Asker) {
-        let RequestRecord { request, deadline, answer } = self.requests[&asker];
+    fn resend(&mut self, request_id: PlaceRequestId) {
+        let RequestRecord { request, deadline, answer } = self.requests[&request_id];
         let deadline_left = deadline.since(self.fixture.now);
         let request = PlaceRequest { deadline_left, ..request };
 
         // The queues treat a request that was already answered or withdrawn as a new one. It must
         // not leak: it is answered, or its place is released by the deadline.
         match answer {
-            Answer::Refused | Answer::Ended => self.request_place(asker, request),
-            Answer::Waiting | Answer::Granted(_) => self.step(QueueEvent::Ask { asker, request }),
+            Answer::Refused | Answer::Ended => self.request_place(request_id, request),
+            Answer::Waiting | Answer::Granted(_) => {
+                self.step(QueueEvent::Request { request_id, request })
+            }
         }
     }
 
-    fn release(&mut self, asker: Asker, how: PlaceEndKind, program_ended: bool) {
-        let computed = self.requests[&asker].request.prompt;
-        let end = PlaceEnd { how, computed, output: Tokens(50), program_over: program_ended };
+    fn release(&mut self, request_id: PlaceRequestId, outcome: PlaceOutcome, program_ended: bool) {
+        let computed_prompt = self.requests[&request_id].request.prompt;
+        let end = PlaceRelease {
+            outcome,
+            computed_prompt,
+            output: Tokens(50),
+            program_ended: program_ended,
+        };
 
-        self.requests.get_mut(&asker).unwrap().answer = Answer::Ended;
-        self.step(QueueEvent::Vacate { asker, end });
+        self.requests.get_mut(&request_id).unwrap().answer = Answer::Ended;
+        self.step(QueueEvent::Release { request_id, end });
     }
 
     fn host_gone(&mut self, host: HostId) {
-        let gone = self.requests.iter_mut().filter(|(asker, record)| {
-            asker.host == host && matches!(record.answer, Answer::Waiting | Answer::Granted(_))
+        let gone = self.requests.iter_mut().filter(|(request_id, record)| {
+            request_id.host == host && matches!(record.answer, Answer::Waiting | Answer::Granted(_))
         });
 
         gone.for_each(|(_, record)| record.answer = Answer::Ended);
@@ -346,7 +357,7 @@
     }
 
     fn apply(mut state: Self, _: &(), transition: Transition) -> Self {
-        let asked: Vec<Asker> = state.requests.keys().copied().collect();
+        let asked: Vec<PlaceRequestId> = state.requests.keys().copied().collect();
         let active = state.active();
 
         match transition {
@@ -360,17 +371,17 @@
                     suspect,
                     ..request(TENANTS[tenant], CLASSES[class], program.into())
                 };
-                state.request_place(Asker { host: HostId(number % 3), number }, request);
+                state.request_place(PlaceRequestId { host: HostId(number % 3), number }, request);
             }
             Transition::Resend(index) if !asked.is_empty() => state.resend(*index.get(&asked)),
-            Transition::Release { index, how, program_ended } if !active.is_empty() => {
-                state.release(*index.get(&active), how, program_ended);
+            Transition::Release { index, outcome, program_ended } if !active.is_empty() => {
+                state.release(*index.get(&active), outcome, program_ended);
             }
             Transition::RepeatRelease(index) if !asked.is_empty() => {
-                let asker = *index.get(&asked);
+                let request_id = *index.get(&asked);
 
-                if !active.contains(&asker) {
-                    state.step(QueueEvent::Vacate { asker, end: REPEATED_RELEASE });
+                if !active.contains(&request_id) {
+                    state.step(QueueEvent::Release { request_id, end: REPEATED_RELEASE });
                 }
             }
             Transition::HostGone(host) => state.host_gone(HostId(host.into())),
@@ -408,9 +419,9 @@
     }
 }
 
-const REPEATED_RELEASE: PlaceEnd = PlaceEnd {
-    how: PlaceEndKind::Finished,
-    computed: Tokens(0),
+const REPEATED_RELEASE: PlaceRelease = PlaceRelease {
+    outcome: PlaceOutcome::Finished,
+    computed_prompt: Tokens(0),
     output: Tokens(0),
     program_ended: false,
 };
--- a/crates/policy/tests/queue_rules.rs
+++ b/crates/policy/tests/queue_rules.rs
@@ -6,9 +6,9 @@
 
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
-use camphorwalk_policy::wire::{PlaceEnd, PlaceEndKind, PlaceRequest};
-use queue_support::{Fixture, asker, end, grant, id, leaving, request, target};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest};
+use queue_support::{Fixture, end, grant, id, leaving, request, request_id, target};
 
 #[test]
 fn a_window_limits_the_calls_in_flight() {
@@ -149,7 +149,7 @@
     fixture.request_place(2, request("x", "arrival", 2));
     fixture.request_place(3, request("y", "chat", 3));
 
-    let used = PlaceEnd { computed: Tokens(50_000), ..end(PlaceEndKind::Finished) };
+    let used = PlaceRelease { computed_prompt: Tokens(50_000), ..end(PlaceOutcome::Finished) };
     let next = fixture.release_with(1, used);
 
     assert_eq!(next, grant(3, "t"));
@@ -270,7 +270,7 @@
 
     let refused = (0..5_000).filter(|n| {
         let out = fixture.request_place(*n, request("x", "chat", (*n).into()));
-        matches!(out[..], [QueueNext::Refuse { .. }])
+        matches!(out[..], [QueueAction::Refuse { .. }])
     });
 
     assert_eq!(refused.count(), 5_000 - 4_096 - 1);
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -79,8 +79,8 @@
 }
 
 /// The identifier of a place request; each hundred numbers belong to another host.
-pub fn asker(number: u64) -> Asker {
-    Asker { host: HostId(number / 100), number }
+pub fn request_id(number: u64) -> PlaceRequestId {
+    PlaceRequestId { host: HostId(number / 100), number }
 }
 
 pub fn end(outcome: PlaceOutcome) -> PlaceRelease {
@@ -126,26 +126,26 @@
         self.step(QueueEvent::Config(Arc::new(config(targets))))
     }
 
-    pub fn request_place(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueNext> {
-        self.step(QueueEvent::Ask { asker: asker(number), request })
+    pub fn request_place(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueAction> {
+        self.step(QueueEvent::Request { request_id: request_id(number), request })
     }
 
-    pub fn release(&mut self, number: u64) -> Vec<QueueNext> {
-        self.release_with(number, end(PlaceEndKind::Finished))
+    pub fn release(&mut self, number: u64) -> Vec<QueueAction> {
+        self.release_with(number, end(PlaceOutcome::Finished))
     }
 
-    pub fn release_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueNext> {
-        self.step(QueueEvent::Vacate { asker: asker(number), end })
+    pub fn release_with(&mut self, number: u64, end: PlaceRelease) -> Vec<QueueAction> {
+        self.step(QueueEvent::Release { request_id: request_id(number), end })
     }
 
-    pub fn report_load(&mut self, target: &str, waiting: u32) -> Vec<QueueNext> {
+    pub fn report_load(&mut self, target: &str, waiting: u32) -> Vec<QueueAction> {
         let report = LoadReport { running: 1, waiting, held: Tokens(0) };
 
         self.step(QueueEvent::Load { target: id(target), report })
     }
 
     /// Advances the clock, and wakes the queues whenever that is due.
-    pub fn advance(&mut self, time: Duration) -> Vec<QueueNext> {
+    pub fn advance(&mut self, time: Duration) -> Vec<QueueAction> {
         let until = self.now + time;
         let mut out = Vec::new();
 
--- a/crates/policy/tests/queue_targets.rs
+++ b/crates/policy/tests/queue_targets.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::ids::{ClassId, ProgramId};
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::queue::QueueEvent;
-use camphorwalk_policy::wire::{PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest};
 use queue_support::{Fixture, end, grant, id, leaving, request, target};
 
 fn two_targets() -> Fixture {
@@ -120,10 +120,10 @@
 /// Serves calls from which the queues estimate that computing a token takes one millisecond.
 fn serve_calls_to_estimate_costs(fixture: &mut Fixture) {
     for n in 1_000..1_030 {
-        let computed = Tokens(100 * (n % 7));
+        let computed_prompt = Tokens(100 * (n % 7));
         fixture.request_place(n, request("x", "chat", n.into()));
-        fixture.advance(Duration::from_millis(computed.0 + 10));
-        fixture.release_with(n, PlaceEnd { computed, ..end(PlaceEndKind::Finished) });
+        fixture.advance(Duration::from_millis(computed_prompt.0 + 10));
+        fixture.release_with(n, PlaceRelease { computed_prompt, ..end(PlaceOutcome::Finished) });
     }
 }
 
@@ -171,7 +171,7 @@
     let first_class = PlaceRequest { class: ClassId::from_name("arrival"), ..new };
     let first_class = fixture.request_place(3, first_class);
     fixture.release(3);
-    fixture.release_with(1, PlaceEnd { program_over: true, ..end(PlaceEndKind::Finished) });
+    fixture.release_with(1, PlaceRelease { program_ended: true, ..end(PlaceOutcome::Finished) });
     let after = fixture.advance(Duration::from_secs(1));
 
     assert_eq!(held_back, []);
@@ -293,7 +293,7 @@
     fixture.request_place(2, PlaceRequest { suspect: true, ..request("x", "chat", 2) });
     fixture.request_place(3, request("y", "chat", 3));
 
-    let out = fixture.release_with(2, end(PlaceEndKind::NotSent));
+    let out = fixture.release_with(2, end(PlaceOutcome::NotSent));
 
     assert_eq!(out, grant(3, "t"));
 }
@@ -316,7 +316,7 @@
     let mut fixture = Fixture::new(vec![target("t", "a", 2)]);
     fixture.request_place(1, request("x", "chat", 1));
 
-    fixture.release_with(1, end(PlaceEndKind::Crashed));
+    fixture.release_with(1, end(PlaceOutcome::Crashed));
     let at_once = fixture.request_place(2, request("x", "chat", 2));
     fixture.request_place(3, request("x", "chat", 3));
     let probe = fixture.advance(Duration::from_secs(1));
--- a/crates/policy/tests/slices_first.rs
+++ b/crates/policy/tests/slices_first.rs
@@ -45,8 +45,8 @@
         let now = Instant(from.0 + i * 10_000);
         let mut out = Vec::new();
         slices.step(now, SliceEvent::Take { take: TakeId(i), tenant }, &mut out);
-        let is_admitted = |next: &SliceNext| {
-            matches!(next, SliceNext::Verdict { verdict: Verdict::Admitted, .. })
+        let is_admitted = |next: &SliceAction| {
+            matches!(next, SliceAction::Verdict { verdict: Verdict::Admitted, .. })
         };
         count += out.iter().filter(|next| is_admitted(next)).count() as u32;
     }
--- a/crates/policy/tests/slices_rules.rs
+++ b/crates/policy/tests/slices_rules.rs
@@ -124,7 +124,7 @@
 /// Lends the slice to the admission host at [`READY`].
 fn lend_slice(lender: &mut Slices, borrower: &mut Slices) {
     renew_loans(lender, borrower, READY);
-    assert_eq!(borrower.usable(Instant::from_millis(READY)).len(), 1);
+    assert_eq!(borrower.usable_slices(Instant::from_millis(READY)).len(), 1);
 }
 
 fn take_tokens(slices: &mut Slices, at: u64, calls: u64) -> Vec<Verdict> {
@@ -159,8 +159,8 @@
 
     deliver(&mut borrower, READY + 2_400, host_ids().0, SliceBody::Grant(grant));
 
-    assert_eq!(borrower.usable(Instant::from_millis(READY + 2_999)).len(), 1);
-    assert!(borrower.usable(Instant::from_millis(READY + 3_000)).is_empty());
+    assert_eq!(borrower.usable_slices(Instant::from_millis(READY + 2_999)).len(), 1);
+    assert!(borrower.usable_slices(Instant::from_millis(READY + 3_000)).is_empty());
 }
 
 #[test]
@@ -173,7 +173,7 @@
     let after = READY + 2_600;
     let sent = bodies(step(&mut borrower, after, SliceEvent::Wake));
 
-    assert!(borrower.usable(Instant::from_millis(after)).is_empty());
+    assert!(borrower.usable_slices(Instant::from_millis(after)).is_empty());
     assert!(matches!(&sent[..], [SliceBody::Request(req)] if req.returns[0].level == 0));
 }
 
@@ -242,7 +242,7 @@
     grant_for(&mut lender, READY + 400, host_ids().1, &again);
 
     assert_eq!(again.returns, return_request.returns);
-    assert!(lender.usable(Instant::from_millis(READY + 400)).is_empty(), "{loan:?} is out");
+    assert!(lender.usable_slices(Instant::from_millis(READY + 400)).is_empty(), "{loan:?} is out");
 }
 
 #[test]
@@ -328,7 +328,7 @@
     let grant = grant_for(&mut lender, READY + 600, host_ids().1, &after).expect("a grant");
 
     let at = Instant::from_millis(READY + 600);
-    assert_eq!((borrower.usable(at).len(), lender.usable(at).len()), (0, 0));
+    assert_eq!((borrower.usable_slices(at).len(), lender.usable_slices(at).len()), (0, 0));
     assert!(grant.loans.is_empty());
 }
 
@@ -341,7 +341,7 @@
     set_hosts(&mut slices, 0, &all);
 
     let take = |i| SliceEvent::Take { take: TakeId(i), tenant: TenantId(i * 7_919) };
-    let sent: Vec<SliceNext> = (0..600).flat_map(|i| step(&mut slices, 0, take(i))).collect();
+    let sent: Vec<SliceAction> = (0..600).flat_map(|i| step(&mut slices, 0, take(i))).collect();
 
     let mut admission_hosts: Vec<HostId> = sent
         .iter()
@@ -379,7 +379,7 @@
     // A slice that is on loan is not lent again to another host that claims it.
     assert!(again.adoptions.is_empty());
     assert_eq!(take_tokens(&mut borrower, READY + 1_000, 4), [Verdict::Admitted; 4]);
-    assert_eq!(borrower.usable(Instant::from_millis(READY + 3_500)).len(), 1);
+    assert_eq!(borrower.usable_slices(Instant::from_millis(READY + 3_500)).len(), 1);
 }
 
 #[test]
@@ -402,7 +402,7 @@
     let [SliceBody::Request(req)] = &sent[..] else { panic!("no return in {sent:?}") };
     let grant = grant_for(&mut next[0], 300, host_ids().1, req).expect("a grant");
 
-    assert_eq!(borrower.usable(Instant::from_millis(READY + 200)).len(), 1);
+    assert_eq!(borrower.usable_slices(Instant::from_millis(READY + 200)).len(), 1);
     assert_eq!((req.returns[0].level, grant.loans.len()), (0, 0));
     assert!(next[0].usable_slices(Instant::from_millis(3_000)).is_empty());
 }
@@ -418,7 +418,7 @@
     step(&mut lender, 0, SliceEvent::Config(both));
     step(&mut lender, 2_000, SliceEvent::Wake);
     renew_loans(&mut lender, &mut borrower, READY);
-    let before = borrower.usable(Instant::from_millis(READY)).len();
+    let before = borrower.usable_slices(Instant::from_millis(READY)).len();
     step(&mut lender, READY, SliceEvent::Config(config_with(RATE, BURST)));
     step(&mut lender, READY, owned(100_000, true));
 
@@ -426,7 +426,7 @@
     let grant = grant_for(&mut lender, READY + 300, host_ids().1, &req).expect("a grant");
     deliver(&mut borrower, READY + 300, host_ids().0, SliceBody::Grant(grant));
 
-    let after = borrower.usable(Instant::from_millis(READY + 300));
+    let after = borrower.usable_slices(Instant::from_millis(READY + 300));
     assert_eq!((before, after), (2, vec![(tenant(), ColumnId(0))]));
 }
 
@@ -438,7 +438,7 @@
     step(&mut borrower, READY + 100, owned(100_000, true));
 
     assert_eq!(take_tokens(&mut borrower, READY + 100, 4), [Verdict::Admitted; 4]);
-    assert_eq!(borrower.usable(Instant::from_millis(READY + 3_050)).len(), 1);
+    assert_eq!(borrower.usable_slices(Instant::from_millis(READY + 3_050)).len(), 1);
 }
 
 #[test]
@@ -452,7 +452,7 @@
 
     deliver(&mut borrower, READY + 310, host_ids().0, SliceBody::Grant(late));
 
-    assert!(borrower.usable(Instant::from_millis(READY + 310)).is_empty());
+    assert!(borrower.usable_slices(Instant::from_millis(READY + 310)).is_empty());
 }
 
 #[test]
@@ -469,6 +469,6 @@
 
     renew_loans(&mut lender, &mut borrower, READY + 900);
 
-    let lasts = |at| borrower.usable(Instant::from_millis(READY + at)).len();
+    let lasts = |at| borrower.usable_slices(Instant::from_millis(READY + at)).len();
     assert_eq!([2_900, 3_000, 3_300].map(lasts), [2, 1, 1]);
 }
