--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -1,5 +1,5 @@
-//! Programs at their home: order, history, budget, and at most one run of what may not be
-//! repeated.
+//! Programs on their home host: call order, history, budget, and at-most-once execution of
+//! calls that must not be repeated.
 
 mod answers;
 mod attempts;
@@ -48,156 +48,158 @@
 use self::timers::{Timer, Timers};
 use crate::wire::{AttemptEnd, CallId, Dispatch, PlaceEnd, PlaceRequest, Verdict};
 
-/// A platform operation that the programs wait for.
+/// Identifies a platform operation whose reply [`Programs`] waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProgramOp(pub u64);
 
-/// Something that happened, as far as programs mind.
+/// Input to the state machine of [`Programs`].
 #[derive(Clone, Debug)]
 pub enum ProgramEvent {
-    /// This configuration is in force from now on.
+    /// A new configuration is in force.
     Config(Arc<Config>),
-    /// This host now holds a partition's lease: its journal is to be read.
+    /// This host acquired a partition's lease, or renewed it. After an acquisition it reads the
+    /// partition's journal.
     Acquired {
-        /// The partition.
+        /// The leased partition.
         partition: PartitionId,
         /// The epoch of the lease.
         epoch: Epoch,
-        /// The version of the lease row, which every journal write checks.
+        /// The version of the lease row; every journal write checks it.
         lease: RowVersion,
     },
-    /// A partition is about to be given back: what its families were granted and have not
-    /// spent is to be journaled as free. It is busy until that is durable.
+    /// A partition is about to be released. Budget grants that its program families have not
+    /// spent are journaled as free; the partition is busy until those entries are durable.
     Settle {
-        /// The partition.
+        /// The partition to be released.
         partition: PartitionId,
     },
-    /// This host no longer holds a partition.
+    /// This host no longer holds a partition's lease.
     Lost {
-        /// The partition.
+        /// The partition that was lost.
         partition: PartitionId,
     },
-    /// A request for a program whose home this host is.
+    /// A caller sent a request for a program whose home may be this host.
     Request {
-        /// Where the answer goes.
+        /// Identifies the request in the answer.
         ticket: Ticket,
-        /// The tenant whose key came with it.
+        /// The tenant that the API key belongs to.
         tenant: TenantId,
-        /// That key.
+        /// The API key that the caller sent.
         key: KeyId,
-        /// What it asks.
+        /// The request itself.
         request: Request,
     },
-    /// The caller of a request is gone.
+    /// A caller disconnected before it was answered.
     CallerGone {
-        /// The request.
+        /// The ticket of its request.
         ticket: Ticket,
     },
     /// The answer to [`ProgramNext::Admit`].
     Verdict {
-        /// The call.
+        /// The call that asked for admission.
         call: CallId,
-        /// The answer.
+        /// Whether the tenant's rate admits the call.
         verdict: Verdict,
     },
     /// The answer to [`ProgramNext::Place`]: the call may go to this target.
     Placed {
-        /// The call.
+        /// The call that was waiting for a place.
         call: CallId,
-        /// The target.
+        /// The target where the call has a place.
         target: TargetId,
     },
     /// The answer to [`ProgramNext::Place`]: it cannot be served in time.
     Unplaced {
-        /// The call.
+        /// The call that was waiting for a place.
         call: CallId,
-        /// When a later try can help.
+        /// How long to wait before a retry can succeed.
         retry_after: Duration,
     },
-    /// An attempt ended.
+    /// An attempt at a target ended.
     Ended {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
     /// The platform answered [`ProgramNext::Platform`].
     Platform {
-        /// The operation.
+        /// The operation that completed.
         op: ProgramOp,
-        /// The answer.
+        /// The platform's reply.
         reply: PlatformReply,
     },
-    /// A key was withdrawn: its calls that wait or stream are ended.
+    /// An API key was withdrawn. Its calls that wait or stream are ended.
     KeyWithdrawn(KeyId),
-    /// Another host found that the request with this digest crashes targets.
+    /// Another host quarantined the request with this digest because it crashes targets.
     Quarantined(Digest),
     /// Time has passed; see [`Programs::wake_at`].
     Wake,
 }
 
-/// What to do next for a program.
+/// An action that the caller of [`Programs::step`] must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProgramNext {
-    /// Answer a request, once and for all.
+    /// Answer a request; each request is answered exactly once.
     Answer {
-        /// The request.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// The answer.
+        /// The answer to send.
         reply: Reply,
     },
-    /// Ask whether the tenant may make one more call.
+    /// Check the tenant's rate for one more call; the result comes back as `Verdict`.
     Admit {
-        /// The call.
+        /// The call to admit.
         call: CallId,
-        /// The tenant.
+        /// The tenant whose rate applies.
         tenant: TenantId,
     },
-    /// Ask the pool's queue for a place at a target.
+    /// Request a place at a target from the pool's queue.
     Place {
-        /// The call.
+        /// The call that needs a place.
         call: CallId,
-        /// What it asks.
+        /// The requirements of the call.
         request: PlaceRequest,
     },
-    /// Give a place back, or withdraw the question for one. Said once for each `Place`
-    /// that was not answered by `Unplaced`.
+    /// Release a place, or withdraw the request for one. Emitted exactly once for each `Place`
+    /// that is not answered by `Unplaced`.
     Vacate {
-        /// The call.
+        /// The call that held or requested the place.
         call: CallId,
         /// How the place was used.
         end: PlaceEnd,
     },
     /// Send an attempt to a target.
     Dispatch(Dispatch),
-    /// Cancel an attempt; its end is still told.
+    /// Cancel an attempt. Its end is still reported as `Ended`.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
     /// Run an operation on the platform.
     Platform {
-        /// The number to answer with.
+        /// The number that the reply must carry.
         op: ProgramOp,
-        /// The operation.
+        /// The operation to run.
         request: PlatformOp,
     },
-    /// A program is over: what engines hold for it is to be freed.
+    /// A program ended. Engines can free what they hold for it.
     Over {
-        /// The program.
+        /// The program that ended.
         program: ProgramId,
     },
-    /// Tell every host that the request with this digest crashes targets.
+    /// Announce to all hosts that the request with this digest crashes targets.
     Quarantine {
         /// The digest of the request.
         digest: Digest,
     },
-    /// The platform refused a journal write because another host took the partition's
-    /// lease: this host is not its home any more, whatever its own clock says.
+    /// The platform rejected a journal write because another host took the partition's lease.
+    /// This host is no longer the partition's home, even if the lease looks valid by its own
+    /// clock.
     Fenced {
-        /// The partition.
+        /// The partition that was lost.
         partition: PartitionId,
-        /// The epoch that this host held.
+        /// The epoch of the lease that this host held.
         epoch: Epoch,
     },
 }
@@ -205,77 +207,78 @@
 /// Settings of [`Programs`].
 #[derive(Clone, Debug)]
 pub struct ProgramOptions {
-    /// The host this runs on.
+    /// The host that this state machine runs on.
     pub host: HostId,
-    /// A random number of this run of the process; attempts are numbered within it.
+    /// A random number that identifies this run of the process; attempt ids contain it.
     pub session: u64,
-    /// The fleet's secret that seals turns which are not stored yet.
+    /// The fleet-wide secret that seals turns which are not stored yet.
     pub seal_key: [u8; 32],
-    /// How long entries gather before they are written together.
+    /// How long entries are collected before they are written in one transaction.
     pub commit_interval: Duration,
 }
 
-/// The programs whose home this host is.
+/// State machine of all programs whose home is this host.
 #[derive(Debug)]
 pub struct Programs {
-    /// The settings.
+    /// The settings passed to [`Programs::new`].
     options: ProgramOptions,
-    /// The configuration in force, once there is one.
+    /// The configuration in force, once one has arrived.
     cfg: Option<Lookup>,
-    /// The partitions whose journal is read.
+    /// Partitions whose journal was read completely; requests for them are served.
     tenures: BTreeMap<PartitionId, Tenure>,
-    /// The partitions whose journal is being read.
+    /// Partitions whose journal is being read.
     recovering: BTreeMap<PartitionId, Recovering>,
-    /// The reads under way.
+    /// Reads in progress, each with its partition and lease term.
     scans: Map<ProgramOp, (PartitionId, u64)>,
-    /// The objects being written.
+    /// Checkpoint objects that are being written.
     puts: Map<ProgramOp, PartitionId>,
-    /// The partitions whose grants are journaled as free whenever nothing is under way.
+    /// Partitions that are about to be released: their unspent grants are journaled as free
+    /// whenever the partition is idle.
     settling: BTreeSet<PartitionId>,
-    /// How the journals have grown.
+    /// Journal growth and checkpoint state of each partition.
     compactions: BTreeMap<PartitionId, Compaction>,
-    /// The bytes of journal rows after which a checkpoint is made.
+    /// Journal bytes after which a checkpoint is made.
     checkpoint_bytes: usize,
-    /// The write under way.
+    /// The commit in progress.
     writing: Option<ProgramOp>,
-    /// The programs, orphans included.
+    /// All programs, including orphans.
     programs: SlotMap<ProgramKey, Program>,
-    /// The programs by id, without orphans.
+    /// Programs by id, excluding orphans.
     index: BTreeMap<ProgramId, ProgramKey>,
-    /// The budgets.
+    /// Budget accounts, one for each family of programs.
     accounts: SlotMap<AccountKey, Account>,
-    /// The calls under way.
+    /// Calls in progress.
     calls: SlotMap<CallId, Call>,
-    /// The call of each attempt that was sent.
+    /// The call of each attempt that was sent and has not ended.
     attempts: Map<AttemptId, CallId>,
-    /// The call that each caller waits for.
+    /// The call that each caller is waiting for.
     tickets: Map<Ticket, CallId>,
-    /// Entries on their way to the platform.
+    /// Journal entries that are not durable yet.
     journal: Journal,
-    /// What is due when.
+    /// Pending timers.
     timers: Timers,
-    /// The retries that may be made.
+    /// Limits retries to a fraction of first attempts.
     retries: RetryBudget,
-    /// The requests that crash targets.
+    /// Requests that may have crashed targets.
     suspects: Suspects,
-    /// The number of the last tenure of a partition.
+    /// The id of the most recent lease term.
     last_tenure: u64,
-    /// The number of the last platform operation.
+    /// The number of the most recent platform operation.
     last_op: u64,
-    /// The number of the last attempt.
+    /// The number of the most recent attempt.
     last_attempt: u64,
 }
 
-/// What a step reads and writes besides the state.
+/// Context of one step.
 struct Cx<'a> {
-    /// The time of the step.
+    /// The current time.
     now: Instant,
-    /// What to do next.
+    /// Receives the actions to carry out.
     out: &'a mut Vec<ProgramNext>,
 }
 
 impl Programs {
-    /// Makes the home of no partitions.
+    /// Creates a state machine that is home of no partitions.
     ///
     /// ```
     /// use camphorwalk_core::ids::HostId;
@@ -317,7 +320,7 @@
         }
     }
 
-    /// Takes in an event and appends what to do next to `out`.
+    /// Processes an event and appends the resulting actions to `out`.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -343,14 +346,15 @@
     /// let mut out = Vec::new();
     /// Programs::new(options).step(Instant::from_millis(5), event, &mut out);
     ///
-    /// // This host is home of nothing yet.
+    /// // This host is not the home of any partition yet.
     /// assert!(matches!(out[..], [ProgramNext::Answer { .. }]));
     /// ```
     pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramNext>) {
         let cx = &mut Cx { now, out };
 
-        // First: a host that was paused past a deadline must not act on an older event as if
-        // there were time left, for example send a call whose caller was promised an answer.
+        // Timers run before the event. A host that was paused past a deadline must not act on
+        // an older event as if there were time left: it could send a call whose caller was
+        // already refused.
         self.run_timers(cx);
 
         match event {
@@ -400,8 +404,7 @@
         [self.timers.next_at(), self.journal.wake_at()].into_iter().flatten().min()
     }
 
-    /// Returns the partitions that have calls under way, or entries on the way to the
-    /// platform.
+    /// Returns the partitions that have calls in progress or entries that are not durable yet.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -420,13 +423,13 @@
         calls.chain(self.journal.partitions()).collect()
     }
 
-    /// Returns whether any call is under way here.
+    /// Returns whether any call is in progress on this host.
     pub fn has_calls(&self) -> bool {
         !self.calls.is_empty()
     }
 
     /// Returns whether a program is open, or `None` if this host is not its home or has not
-    /// read its journal to the end.
+    /// finished reading its journal.
     pub fn is_open(&self, program: ProgramId) -> Option<bool> {
         let partition = self.cfg.as_ref()?.partition(program);
         self.tenures.get(&partition)?;
@@ -435,7 +438,7 @@
         Some(self.index.get(&program).is_some_and(open))
     }
 
-    /// Returns the programs that are open here.
+    /// Returns the programs that are open on this host.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -455,18 +458,18 @@
             .map(|(id, _)| *id)
     }
 
-    /// Answers a request.
+    /// Emits the answer to a request.
     fn answer(&mut self, cx: &mut Cx<'_>, ticket: Ticket, reply: Reply) {
         self.tickets.remove(&ticket);
         cx.out.push(ProgramNext::Answer { ticket, reply });
     }
 
-    /// Refuses a request.
+    /// Answers a request with a refusal.
     fn refuse(&mut self, cx: &mut Cx<'_>, ticket: Ticket, refusal: Refusal) {
         self.answer(cx, ticket, Reply::Refused(refusal));
     }
 
-    /// Runs an operation on the platform and returns its number.
+    /// Starts a platform operation and returns its number.
     fn platform(&mut self, cx: &mut Cx<'_>, request: PlatformOp) -> ProgramOp {
         self.last_op += 1;
         let op = ProgramOp(self.last_op);
@@ -475,7 +478,7 @@
         op
     }
 
-    /// Runs what is due.
+    /// Handles all timers that are due.
     fn run_timers(&mut self, cx: &mut Cx<'_>) {
         while let Some(timer) = self.timers.take_due(cx.now) {
             match timer {
--- a/crates/policy/src/programs/answers.rs
+++ b/crates/policy/src/programs/answers.rs
@@ -1,28 +1,26 @@
-//! The refusals that a program's home gives.
+//! Refusals sent by a program's home host.
 
 use std::time::Duration;
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Request};
 
-/// When to come back while a program's home moves.
+/// How long a caller should wait while a program's home host changes.
 const MOVING_RETRY: Duration = Duration::from_millis(500);
 
-/// The program's home is elsewhere, or is not ready.
+/// The home host of the program is another host or is not ready yet.
 pub(super) fn leaving() -> Refusal {
     Refusal::not_run(Code::Leaving, "the program's home is moving").retry_after(MOVING_RETRY)
 }
 
-/// The program's home is elsewhere, or is not ready, so that nobody here can look the
-/// request up.
+/// Like [`home_moving`], for a request that this host could not look up.
 pub(super) fn not_served(request: &Request) -> Refusal {
     leaving().ran(ran_unseen(request))
 }
 
-/// Returns what can be said of a request that was not looked up.
+/// Returns whether a request that was not looked up may have run.
 ///
-/// An earlier submission of a call's idempotency key may have run. This one did not, but a
-/// caller that repeats a deposit asks about the deposit: told "not run", it would pay by
-/// other means.
+/// The call's idempotency key may have run in an earlier request. If a caller that repeats a
+/// deposit were told "not run", it could pay a second time by other means.
 pub(super) fn ran_unseen(request: &Request) -> Ran {
     match request {
         Request::Call(_) => Ran::Maybe,
@@ -30,17 +28,17 @@
     }
 }
 
-/// There is no such program for this tenant.
+/// The tenant has no program with this id.
 pub(super) fn not_found() -> Refusal {
     Refusal::not_run(Code::NotFound, "no such program")
 }
 
-/// The request makes no sense.
+/// The request is invalid.
 pub(super) fn bad_request(message: &str) -> Refusal {
     Refusal::not_run(Code::BadRequest, message)
 }
 
-/// The call does not follow the head.
+/// The call does not follow the program's last finished call.
 pub(super) fn out_of_order(head: u32, message: &str) -> Refusal {
     let mut refusal = Refusal::not_run(Code::OutOfOrder, message);
     refusal.head = Some(head);
@@ -48,12 +46,12 @@
     refusal
 }
 
-/// The idempotency key came before with another body.
+/// The idempotency key was already used with another body.
 pub(super) fn key_reused() -> Refusal {
     Refusal::not_run(Code::KeyReused, "the idempotency key was used with another body")
 }
 
-/// The platform is needed and away.
+/// The call needs the platform, which is unavailable.
 pub(super) fn platform_away(after: Duration) -> Refusal {
     Refusal::not_run(Code::PlatformUnavailable, "the platform cannot record the call now")
         .retry_after(after)
@@ -65,17 +63,17 @@
         .ran(Ran::Maybe)
 }
 
-/// The target ran the call and failed.
+/// The target ran the call and reported a failure.
 pub(super) fn failed(message: &str) -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, format!("the target failed: {message}")).ran(Ran::Yes)
 }
 
-/// The program's time is up.
+/// The program's deadline has passed.
 pub(super) fn deadline(ran: Ran) -> Refusal {
     Refusal::not_run(Code::Deadline, "the program's deadline has passed").ran(ran)
 }
 
-/// The key was withdrawn.
+/// The API key was withdrawn.
 pub(super) fn unauthorized(ran: Ran) -> Refusal {
     Refusal::not_run(Code::Unauthorized, "the key is not valid").ran(ran)
 }
@@ -85,7 +83,7 @@
     Refusal::not_run(Code::BudgetExhausted, "the program's budget does not cover the call")
 }
 
-/// The request crashes targets.
+/// The request is quarantined because it crashes targets.
 pub(super) fn quarantined(ran: Ran) -> Refusal {
     Refusal::not_run(Code::Quarantined, "the request brought targets down before").ran(ran)
 }
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -1,4 +1,5 @@
-//! How attempts end, and what follows: a record, a retry, or a final failure.
+//! Handling of ended attempts: the outcome is recorded, the attempt is retried, or the call
+//! fails.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +16,17 @@
 use super::{Cx, ProgramNext, Programs, answers};
 use crate::wire::{AttemptEnd, CallId, PlaceEndKind};
 
-/// How long an answer waits for its record to be durable before it goes out as not stored.
+/// How long an answer is delayed until its outcome is durable; after that it is marked as not
+/// stored.
 const STORE_WAIT: Duration = Duration::from_millis(500);
 
-/// When to come back after a target refused a call.
+/// How long a caller should wait after a target refused its call.
 const REFUSED_RETRY: Duration = Duration::from_secs(1);
 
 impl Programs {
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
-        // Each attempt ends once; a late or crossed second end finds nothing.
+        // Each attempt ends once; a late or duplicate end is ignored.
         let Some(id) = self.attempts.remove(&attempt) else { return };
 
         if self.calls.get(id).is_none_or(|call| call.attempt != Some(attempt)) {
@@ -33,8 +35,8 @@
 
         match end {
             AttemptEnd::Done { output, usage } => self.done(cx, id, output.into(), usage),
-            // A target that refuses connections does so at once, and so always looks idle. Told
-            // as a place that was not used, each call would be sent there first.
+            // A target that refuses connections fails at once, so it always looks idle. If it
+            // were not reported as crashed, every call would be sent there first.
             AttemptEnd::NotSent => {
                 self.not_run(cx, id, PlaceEndKind::Crashed, "it cannot be reached");
             }
@@ -47,7 +49,7 @@
         }
     }
 
-    /// The target answered in full.
+    /// Handles a complete answer.
     fn done(&mut self, cx: &mut Cx<'_>, id: CallId, output: Arc<str>, usage: Usage) {
         self.settle(id, Some(&usage));
         self.vacate(cx, id, PlaceEndKind::Finished, Some(&usage));
@@ -56,7 +58,7 @@
         self.record(cx, id, Recorded::Done { output, usage });
     }
 
-    /// It is proved that the target did not run the call and will not.
+    /// Handles an attempt that the target certainly did not run and will not run.
     fn not_run(&mut self, cx: &mut Cx<'_>, id: CallId, how: PlaceEndKind, message: &str) {
         self.release(id);
         self.vacate(cx, id, how, None);
@@ -71,7 +73,7 @@
         self.give_up(cx, id, refusal.retry_after(REFUSED_RETRY));
     }
 
-    /// The target ran the call and failed.
+    /// Handles a call that the target ran and reported as failed.
     fn failed(&mut self, cx: &mut Cx<'_>, id: CallId, message: &str) {
         self.settle(id, None);
         self.vacate(cx, id, PlaceEndKind::Failed, None);
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Nobody knows whether the target ran the call.
+    /// Handles an attempt that may or may not have run.
     fn lost_attempt(&mut self, cx: &mut Cx<'_>, id: CallId, streamed: bool, crashed: bool) {
         let how = if crashed { PlaceEndKind::Crashed } else { PlaceEndKind::Failed };
         self.settle(id, None);
@@ -102,14 +104,14 @@
             return self.give_up(cx, id, answers::quarantined(Ran::Maybe));
         }
 
-        // A part of the answer has reached the caller: another attempt's text would be
-        // spliced onto it.
+        // After a part of the answer was streamed, a retry would append the text of another
+        // attempt to it.
         if streamed || !self.retry(cx, id) {
             self.give_up(cx, id, answers::unknown());
         }
     }
 
-    /// An attempt was cancelled, as this home asked.
+    /// Handles an attempt that this host cancelled.
     fn cancelled(&mut self, cx: &mut Cx<'_>, id: CallId) {
         self.settle(id, None);
         self.vacate(cx, id, PlaceEndKind::Failed, None);
@@ -119,13 +121,14 @@
             return self.record(cx, id, Recorded::Unknown);
         }
 
-        // A caller that joined after the cancel still wants an answer.
+        // A caller that joined after the cancellation still needs an answer.
         if self.calls[id].callers.is_empty() || !self.retry(cx, id) {
             self.give_up(cx, id, answers::unknown());
         }
     }
 
-    /// A target crashed under a call. Returns whether the request is quarantined.
+    /// Records that a target crashed under a call. Returns whether the request is now
+    /// quarantined.
     fn crashed(&mut self, cx: &mut Cx<'_>, id: CallId) -> bool {
         let digest = self.calls[id].digest;
         self.calls[id].suspect = true;
@@ -139,7 +142,8 @@
         }
     }
 
-    /// Makes another attempt, if deadline, retry budget and program allow it.
+    /// Starts another attempt if the deadline, the retry budget and the program's state allow
+    /// it.
     fn retry(&mut self, cx: &mut Cx<'_>, id: CallId) -> bool {
         let call = &self.calls[id];
         let program = &self.programs[call.program];
@@ -162,7 +166,7 @@
         true
     }
 
-    /// Answers a call that ran to no end, and forgets it.
+    /// Refuses the callers of a call that did not finish, and removes it.
     fn give_up(&mut self, cx: &mut Cx<'_>, id: CallId, mut refusal: Refusal) {
         let program = self.calls[id].program;
 
@@ -175,7 +179,7 @@
         self.remove_orphan(program);
     }
 
-    /// Counts what an attempt took; all that was reserved if the target did not say.
+    /// Charges the tokens that an attempt used, or all reserved tokens if its usage is unknown.
     fn settle(&mut self, id: CallId, usage: Option<&Usage>) {
         let call = &self.calls[id];
         let spent = usage.map_or(call.reserved, spent);
@@ -192,7 +196,7 @@
         let attempt = call.attempt;
         let program = &mut self.programs[key];
 
-        // A turn of a program that is over counts no more.
+        // A turn that finishes after its program ended is not recorded.
         if program.state == ProgramState::Ended && !once {
             return self.give_up(cx, id, answers::unknown());
         }
@@ -219,13 +223,13 @@
             None => self.journal_turn(cx, key, number, waiter),
         }
 
-        // The caller is not held for a platform that is known to be away.
+        // If the platform is known to be unavailable, the answer is not delayed.
         if self.journal.is_away(cx.now) {
             self.answer_recorded(cx, id);
         }
     }
 
-    /// Journals a finished repeatable call, with room for the next ones.
+    /// Journals a finished call that may be repeated, with a grant that covers the next calls.
     pub(super) fn journal_turn(
         &mut self,
         cx: &Cx<'_>,
@@ -250,7 +254,7 @@
         self.append(key, Entry::Turn(entry), waiter);
     }
 
-    /// Journals that a call with an intent did not run.
+    /// Journals that a call did not run although its intent was durable.
     fn journal_not_run(&mut self, id: CallId) {
         let call = &self.calls[id];
 
@@ -259,7 +263,7 @@
         }
     }
 
-    /// Journals what became of an intent.
+    /// Journals the outcome of an intent.
     fn journal_outcome(
         &mut self,
         key: ProgramKey,
@@ -272,7 +276,7 @@
         self.append(key, Entry::Outcome(OutcomeEntry { program, attempt, outcome }), waiter);
     }
 
-    /// Answers all who wait for a finished call, as far as it is stored by now.
+    /// Answers all callers of a finished call; the answer says whether its outcome is durable.
     pub(super) fn answer_recorded(&mut self, cx: &mut Cx<'_>, id: CallId) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let callers = std::mem::take(&mut call.callers);
--- a/crates/policy/src/programs/budget.rs
+++ b/crates/policy/src/programs/budget.rs
@@ -1,54 +1,56 @@
 //! The budget of a family of programs: a program and all sub-agents below it.
 //!
-//! One account is shared by the whole family, which lives in one partition, so no sum of
-//! sub-agents can pass it. Tokens are reserved before an attempt is sent and settled after.
+//! The whole family shares one account and lives in one partition, so all sub-agents together
+//! cannot exceed it. Tokens are reserved before an attempt is sent and charged when it has
+//! ended.
 //!
-//! A reservation must outlive its home, but a write for each attempt would stop model turns
-//! while the platform is away. So the journal holds a *grant*: the sum that the family may
-//! spend, all told, until another entry raises it. Turns run within the durable grant, and
-//! the entry that records a turn raises the grant for the next ones. The next home takes
-//! the whole grant for spent, because attempts of the former home may still be running: a
-//! change of home costs at most one chunk, and no order of deaths spends more than the
-//! budget. A home that gives a partition back in good order first journals the rest of the
-//! grant as free, so that restarts of hosts cost programs nothing.
+//! A reservation must survive a crash of the home host, but a journal write for each attempt
+//! would block model turns while the platform is unavailable. So the journal holds a *grant*:
+//! the total that the family may spend until a later entry raises it. Turns run within the
+//! durable grant, and the entry that records a turn also raises the grant for later ones.
+//!
+//! A new home host treats the whole grant as spent, because attempts of the previous one may
+//! still be running. So a change of home costs at most one chunk, and no sequence of crashes
+//! spends more than the budget. Before an orderly release of a partition the home host journals
+//! the unspent part of the grant as free, so planned restarts cost programs nothing.
 
 use camphorwalk_core::units::Tokens;
 
 slotmap::new_key_type! {
-    /// A family's account.
+    /// Key of a family's account.
     pub(super) struct AccountKey;
 }
 
-/// The part of the budget that a grant leaves beyond what is spent: one eighth. A larger
-/// part lets more turns run while the platform is away, and costs more when a home dies.
+/// A grant exceeds what is spent by up to one eighth of the budget. A larger part would let
+/// more turns run while the platform is unavailable, but cost more when a home host crashes.
 const CHUNK_DIVISOR: u64 = 8;
 
-/// Whether tokens were reserved.
+/// The result of reserving tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reserve {
-    /// They are.
+    /// The tokens are reserved.
     Reserved,
-    /// The budget has them, but the durable grant has not: it must be raised first.
+    /// The budget covers the tokens but the durable grant does not: it must be raised first.
     NeedsGrant,
-    /// The budget does not have them.
+    /// The budget does not cover the tokens.
     Exhausted,
 }
 
-/// A family's budget and what became of it.
+/// A family's budget and how much of it is used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Account {
-    /// All that may be spent.
+    /// The total that the family may spend.
     pub budget: Tokens,
-    /// What is spent.
+    /// Tokens that ended attempts have used.
     pub spent: Tokens,
-    /// What is reserved for attempts under way.
+    /// Tokens reserved for attempts in progress.
     pub reserved: Tokens,
-    /// What the journal lets the family spend, all told.
+    /// The durable grant: the total that the family may spend without another journal entry.
     pub granted: Tokens,
 }
 
 impl Account {
-    /// Returns what can still be reserved.
+    /// Returns the tokens that can still be reserved.
     pub fn left(&self) -> Tokens {
         self.budget.minus(self.spent).minus(self.reserved)
     }
@@ -69,18 +71,18 @@
         Reserve::Reserved
     }
 
-    /// Gives back tokens of an attempt that was never sent.
+    /// Returns the reserved tokens of an attempt that was never sent.
     pub fn release(&mut self, reserved: Tokens) {
         self.reserved = self.reserved.minus(reserved);
     }
 
-    /// Counts what an attempt took against what was reserved for it.
+    /// Replaces the reservation of an ended attempt by the tokens that it used.
     pub fn settle(&mut self, reserved: Tokens, spent: Tokens) {
         self.reserved = self.reserved.minus(reserved);
         self.spent = self.spent.plus(spent);
     }
 
-    /// Returns the grant to journal next, with room for `need` more tokens at least.
+    /// Returns the grant to journal next, with room for at least `need` more tokens.
     pub fn grant_for(&self, need: Tokens) -> Tokens {
         let chunk = Tokens(self.budget.0 / CHUNK_DIVISOR).max(need);
         let wanted = self.spent.plus(self.reserved).plus(chunk);
@@ -88,23 +90,23 @@
         wanted.min(self.budget).max(self.granted)
     }
 
-    /// A grant is durable.
+    /// Raises the grant once it is durable.
     pub fn granted(&mut self, granted: Tokens) {
         self.granted = self.granted.max(granted);
     }
 
-    /// Gives up what was granted and not spent. Only while nothing is reserved and no entry
-    /// that raises the grant is on its way.
+    /// Drops the unspent part of the grant. Allowed only while nothing is reserved and no entry
+    /// that raises the grant is being written.
     pub fn give_up_grant(&mut self) {
         self.granted = self.spent;
     }
 
-    /// The journal says that only this much of the grant was spent.
+    /// Replays a journal entry that reduced the grant to what was spent.
     pub fn settled(&mut self, spent: Tokens) {
         self.granted = spent;
     }
 
-    /// Takes all that was granted for spent, on a new home.
+    /// Treats the whole grant as spent, on a new home host.
     pub fn recovered(&mut self) {
         self.spent = self.spent.max(self.granted);
     }
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -1,7 +1,7 @@
-//! A call as it comes in: repeats, order, limits.
+//! Acceptance of calls: repeats, order and limits.
 //!
-//! Repeats are looked up before anything can refuse the call. So "not run" is never said of
-//! an idempotency key that ran.
+//! Repeats are looked up before any check can refuse the call, so an idempotency key that ran
+//! is never reported as "not run".
 
 use std::sync::Arc;
 
@@ -18,18 +18,18 @@
 use super::{Cx, ProgramNext, Programs, answers};
 use crate::wire::CallId;
 
-/// What a call comes to, given what is known of its idempotency key.
+/// What is known about a call's idempotency key.
 enum Step {
-    /// It ran before, with this number.
+    /// The call with this number already ran under the key.
     Repeat(u32),
-    /// It runs now: wait for it together.
+    /// A call is running under the key: the caller waits for the same answer.
     Join,
-    /// It is new.
+    /// The key is new.
     Fresh,
 }
 
 impl Programs {
-    /// Takes in a call.
+    /// Handles a call request.
     pub(super) fn call(
         &mut self,
         cx: &mut Cx<'_>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Looks a call's idempotency key up.
+    /// Looks up a call's idempotency key.
     fn classify(&self, key: ProgramKey, req: &CallRequest) -> Result<Step, Refusal> {
         let program = &self.programs[key];
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Lets a repeat wait for the call that runs.
+    /// Adds a caller to the call that is already running.
     fn join(&mut self, program: ProgramKey, caller: Caller) {
         let Some(id) = self.programs[program].running else { return };
 
@@ -87,7 +87,7 @@
         self.tickets.insert(caller.ticket, id);
     }
 
-    /// Checks whether a new call may begin, and makes it.
+    /// Checks whether a new call may start, and creates it.
     fn check(&self, cx: &Cx<'_>, key: ProgramKey, req: &CallRequest) -> Result<Call, Refusal> {
         let program = &self.programs[key];
         check_state(cx, program)?;
@@ -110,7 +110,7 @@
         Ok(call)
     }
 
-    /// Makes a call out of a request.
+    /// Creates a call from a request.
     fn make(&self, key: ProgramKey, req: &CallRequest) -> Result<Call, Refusal> {
         let program = &self.programs[key];
         let template = self.cfg.as_ref().and_then(|cfg| cfg.template(&program.template));
@@ -157,7 +157,7 @@
         })
     }
 
-    /// Checks a call against what its program may still do.
+    /// Checks a call against the limits of its program.
     fn check_limits(&self, cx: &Cx<'_>, program: &Program, call: &Call) -> Result<(), Refusal> {
         let cfg = self.cfg.as_ref().ok_or_else(answers::leaving)?;
         let max_calls = cfg.template(&program.template).map_or(0, |t| t.max_calls);
@@ -174,8 +174,8 @@
             return Err(answers::exhausted());
         }
 
-        // Without an intent on record the call may not be sent, so it is refused before it
-        // costs the tenant anything.
+        // A call that must run at most once cannot be sent without a durable intent. It is
+        // refused here, before it counts against the tenant's rate.
         if matches!(call.kind, Kind::Once(_)) && self.journal.is_away(cx.now) {
             return Err(answers::platform_away(self.journal.retry_after()));
         }
@@ -183,7 +183,7 @@
         Ok(())
     }
 
-    /// Begins a call.
+    /// Starts a call.
     fn start(&mut self, cx: &mut Cx<'_>, caller: Caller, mut call: Call) {
         let program = call.program;
         call.callers.push(caller);
@@ -198,13 +198,14 @@
         cx.out.push(ProgramNext::Admit { call: id, tenant });
     }
 
-    /// Takes over the calls of a tail that a caller handed back.
+    /// Adopts the calls in a tail that a caller returned.
     fn adopt_tail(&mut self, cx: &Cx<'_>, key: ProgramKey, text: &str) -> Result<(), Refusal> {
         let program = &mut self.programs[key];
         let tail = tail::unseal(&self.options.seal_key, program, text)
             .map_err(|_| answers::bad_request("the tail is not one of this program"))?;
 
-        // What runs here follows this host's own head; the tail is older or diverged.
+        // While a call is running here, it continues this host's own history, so the tail is
+        // older or has diverged.
         if program.state != ProgramState::Open || program.running.is_some() || program.in_doubt {
             return Ok(());
         }
@@ -227,7 +228,7 @@
         Ok(())
     }
 
-    /// Journals the outcome that a tail held of an intent.
+    /// Journals the outcome of an intent that a tail contained.
     fn journal_settled(&mut self, key: ProgramKey, number: u32) {
         let program = &mut self.programs[key];
         let Some((attempt, _)) = program.open_intent.take() else { return };
@@ -236,13 +237,13 @@
         let outcome = record.outcome.clone();
         let entry = OutcomeEntry { program: program.id, attempt, outcome: Some(outcome) };
 
-        // The platform holds the intent, but not yet what became of it.
+        // The platform has the intent but not its outcome yet.
         program.stored = number - 1;
         self.append(key, Entry::Outcome(entry), Waiter::Record(key, CallId::default(), number));
     }
 }
 
-/// Checks that a program takes calls.
+/// Checks that a program accepts calls.
 fn check_state(cx: &Cx<'_>, program: &Program) -> Result<(), Refusal> {
     match program.state {
         ProgramState::Opening => Err(answers::leaving()),
@@ -253,7 +254,7 @@
     }
 }
 
-/// Returns what kind of work a call to this target is.
+/// Returns the kind of work that a call to this target asks for.
 fn kind_of(template: &Template, target: &TemplateTarget, req: &CallRequest) -> Kind {
     match &target.operation {
         Some(operation) if target.idempotent => Kind::Repeatable(operation.clone()),
--- a/crates/policy/src/programs/checkpoint.rs
+++ b/crates/policy/src/programs/checkpoint.rs
@@ -1,10 +1,11 @@
-//! Checkpoints: what a partition's journal comes to, kept in objects, so that its rows can be
-//! deleted and a new home reads no more than about twice what is alive.
+//! Checkpoints: the state that a partition's journal describes, kept in objects, so that the
+//! journal rows can be deleted and a new home host reads at most about twice the size of the
+//! live state.
 //!
-//! An image of a program says up to which journal row it was made; rows up to there are not
-//! applied to it again. So a checkpoint is made piece by piece while the journal goes on:
-//! images of some programs are put into one object, then those of some more. One
-//! transaction then moves the checkpoint row, and later ones delete rows.
+//! The image of a program names the last journal row that it covers; recovery does not apply
+//! earlier rows to it again. So a checkpoint can be built in parts while the journal grows:
+//! each object holds the images of some programs. One transaction then updates the checkpoint
+//! row, and later ones delete the journal rows it covers.
 
 use std::sync::Arc;
 
@@ -14,104 +15,104 @@
 
 use super::entries::{CallText, OpenedEntry, Recorded, journal_key};
 
-/// The table of the checkpoints.
+/// The table of checkpoint rows.
 const CHECKPOINT: &str = "checkpoint";
 
-/// The most rows that one transaction deletes.
+/// The maximum number of rows that one transaction deletes.
 const TRIM_ROWS: u64 = 64;
 
-/// Returns the place of a partition's checkpoint.
+/// Returns the key of a partition's checkpoint row.
 pub(super) fn checkpoint_key(partition: PartitionId) -> RowKey {
     RowKey::new(CHECKPOINT, format!("{:04x}", partition.0))
 }
 
-/// A checkpoint row's content.
+/// The content of a checkpoint row.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct CheckpointRow {
-    /// Names the transaction that wrote the row.
+    /// The unique id of the transaction that wrote the row.
     pub witness: Box<str>,
-    /// The last journal row that the images hold in full.
+    /// The last journal row that the images cover completely.
     pub upto: u64,
-    /// The objects with the images, in order.
+    /// The objects that contain the images, in order.
     pub parts: Vec<ObjectName>,
-    /// The bytes of the objects.
+    /// The total size of the objects in bytes.
     pub bytes: usize,
 }
 
-/// What the journal's rows say of one program, up to one row.
+/// The state of one program according to the journal, up to one row.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ProgramImage {
-    /// The last journal row that was applied.
+    /// The last journal row that the image covers.
     pub upto: u64,
     /// The opening, with budget, grant and time left as of that row.
     pub opened: OpenedEntry,
-    /// How many sub-agents it opened.
+    /// How many sub-agents the program has opened.
     pub openings: u32,
-    /// The finished calls.
+    /// Finished calls, in order.
     pub calls: Vec<ImageCall>,
-    /// An intent without an outcome after them, with its name.
+    /// An intent after the last finished call whose outcome is not journaled, with its name.
     pub intent: Option<(Box<str>, CallText)>,
-    /// Whether the program is over.
+    /// Whether the program has ended.
     pub ended: bool,
 }
 
-/// A finished call in an image.
+/// A finished call in a program image.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ImageCall {
-    /// What was asked.
+    /// The request of the call.
     pub call: CallText,
     /// What came of it.
     pub outcome: Recorded,
 }
 
-/// A transaction that keeps a journal short.
+/// A transaction that shortens a journal.
 #[derive(Clone, Debug)]
 pub(super) enum Upkeep {
-    /// Moves the checkpoint row.
+    /// Replaces the checkpoint row.
     Checkpoint {
-        /// The partition.
+        /// The partition of the checkpoint.
         partition: PartitionId,
-        /// The tenure under which the images were made.
+        /// The id of the lease term in which the images were made.
         tenure: u64,
-        /// The new content; the witness is set when it is sent.
+        /// The new content; the transaction id is filled in when it is sent.
         row: Arc<CheckpointRow>,
-        /// The version of the row so far.
+        /// The expected current version of the row.
         version: RowVersion,
     },
-    /// Deletes journal rows that a checkpoint holds.
+    /// Deletes journal rows that the checkpoint covers.
     Trim {
-        /// The partition.
+        /// The partition of the journal.
         partition: PartitionId,
-        /// The tenure under which the checkpoint was made or read.
+        /// The id of the lease term in which the checkpoint was made or read.
         tenure: u64,
-        /// The first row.
+        /// The first row to delete.
         from: u64,
-        /// The last row.
+        /// The last row to delete.
         upto: u64,
     },
 }
 
 impl Upkeep {
-    /// Returns the partition.
+    /// Returns the partition that it applies to.
     pub fn partition(&self) -> PartitionId {
         match self {
             Self::Checkpoint { partition, .. } | Self::Trim { partition, .. } => *partition,
         }
     }
 
-    /// Returns the tenure.
+    /// Returns the id of the lease term that it belongs to.
     pub fn tenure(&self) -> u64 {
         match self {
             Self::Checkpoint { tenure, .. } | Self::Trim { tenure, .. } => *tenure,
         }
     }
 
-    /// Returns the place of the row that bears the witness.
+    /// Returns the key of the row that holds the transaction id.
     pub fn key(&self) -> RowKey {
         checkpoint_key(self.partition())
     }
 
-    /// Returns the transaction, without the check of the lease.
+    /// Builds the transaction, without the check of the lease row.
     pub fn transaction(&self, witness: &str) -> Transaction {
         let mut transaction = Transaction::default();
 
@@ -120,8 +121,8 @@
                 let row = CheckpointRow { witness: witness.into(), ..CheckpointRow::clone(row) };
                 let value = serde_json::to_string(&row).expect("checkpoints are plain data");
 
-                // A late copy of an older checkpoint would point before rows that are
-                // deleted by now. The row's version keeps it out.
+                // A delayed write of an older checkpoint would refer to journal rows that have
+                // been deleted since. The check of the row's version rejects it.
                 transaction.checks.push(Check { key: self.key(), version: *version });
                 transaction.writes.push(Write { key: self.key(), value: Some(value.into()) });
             }
@@ -136,7 +137,7 @@
         transaction
     }
 
-    /// Returns the deletions that are left after this transaction.
+    /// Returns the deletions that remain after this transaction.
     pub fn rest(&self) -> Option<Self> {
         let Self::Trim { partition, tenure, upto, .. } = *self else { return None };
         let from = self.trimmed_to() + 1;
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -1,4 +1,4 @@
-//! The journal's part of the home: what is sent to the platform and what its replies mean.
+//! Connects the programs to their journal: entries to write, and handling of their outcomes.
 
 use camphorwalk_core::ids::{PartitionId, ProgramId};
 use camphorwalk_core::platform::{PlatformOp, PlatformReply};
@@ -11,11 +11,11 @@
 use crate::wire::CallId;
 
 impl Programs {
-    /// Adds an entry to a program's journal.
+    /// Queues an entry for a program's journal.
     pub(super) fn append(&mut self, key: ProgramKey, entry: Entry, waiter: Waiter) {
         let program = &self.programs[key];
 
-        // The journal of an orphan's partition is another host's.
+        // The journal of an orphan's partition belongs to another host.
         let Some(tenure) = self.tenures.get(&program.partition).filter(|_| !program.orphan) else {
             return;
         };
@@ -28,19 +28,19 @@
         });
     }
 
-    /// Returns the partition of a program.
+    /// Returns the partition that a program's id falls into.
     pub(super) fn partition_of(&self, program: ProgramId) -> PartitionId {
         self.cfg.as_ref().map_or(PartitionId(0), |cfg| cfg.partition(program))
     }
 
-    /// Sends the next transaction, if it is due.
+    /// Sends the next transaction if it is due.
     pub(super) fn flush(&mut self, cx: &mut Cx<'_>) {
         if let Some(transaction) = self.journal.next(cx.now, &self.tenures) {
             self.writing = Some(self.platform(cx, PlatformOp::Commit(transaction)));
         }
     }
 
-    /// The platform answered.
+    /// Handles a reply of the platform.
     pub(super) fn on_platform(&mut self, cx: &mut Cx<'_>, op: ProgramOp, reply: PlatformReply) {
         if self.scans.contains_key(&op) {
             return self.on_read(cx, op, reply);
@@ -50,7 +50,7 @@
             return self.on_put(cx, op, reply);
         }
 
-        // A second or crossed reply answers nothing.
+        // Late and duplicate replies are ignored.
         if self.writing != Some(op) {
             return;
         }
@@ -86,7 +86,7 @@
         self.read_unblocked(cx);
     }
 
-    /// The platform holds an entry.
+    /// Handles an entry that became durable.
     fn durable(&mut self, cx: &mut Cx<'_>, pending: Pending) {
         self.raise_grant(&pending.entry);
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Lets a family spend what a durable entry grants.
+    /// Raises the grant of a family according to a durable entry.
     fn raise_grant(&mut self, entry: &Entry) {
         let (program, granted): (ProgramId, Tokens) = match entry {
             Entry::Turn(turn) => (turn.program, turn.granted),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// An intent is durable: the call is sent, unless it was given up meanwhile.
+    /// Sends the call whose intent became durable, unless it was abandoned meanwhile.
     fn intent_durable(
         &mut self,
         cx: &mut Cx<'_>,
@@ -135,14 +135,15 @@
             return self.dispatch(cx, call);
         }
 
-        // Its callers were told "not run", so it is never sent; the record says so, too.
+        // The callers were told "not run", so the call is never sent, and the journal records
+        // that.
         let Some(program) = self.programs.get_mut(key) else { return };
         program.in_doubt = false;
         let entry = OutcomeEntry { program: program.id, attempt, outcome: None };
         self.append(key, Entry::Outcome(entry), Waiter::Nobody);
     }
 
-    /// A finished call is durable.
+    /// Marks a finished call as durable and answers its callers.
     fn record_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey, call: CallId, number: u32) {
         if let Some(program) = self.programs.get_mut(key) {
             program.stored = program.stored.max(number);
@@ -151,7 +152,7 @@
         self.answer_recorded(cx, call);
     }
 
-    /// The platform certainly does not hold an entry. Facts are written later.
+    /// Handles an entry that the platform rejected. Facts are written again later.
     fn refused(&mut self, cx: &mut Cx<'_>, pending: Pending) {
         match pending.waiter {
             Waiter::Open(key) => self.opening_refused(cx, key),
@@ -169,11 +170,11 @@
         }
     }
 
-    /// Nobody knows whether the platform holds an entry.
+    /// Handles an entry whose write has an unknown outcome.
     fn in_doubt(&mut self, cx: &mut Cx<'_>, pending: Pending) {
         match pending.waiter {
             Waiter::Open(key) => self.opening_in_doubt(cx, key),
-            // The call is given up and never sent, whatever becomes of its intent.
+            // The call is abandoned and never sent, whether or not its intent takes effect.
             Waiter::Intent(_, call) | Waiter::Grant(_, call) => self.fail_asking(cx, call),
             Waiter::Record(_, call, _) => self.answer_recorded(cx, call),
             Waiter::End(key) => self.end_not_stored(cx, key),
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Gives up a call whose intent or grant the platform did not take.
+    /// Abandons a call whose intent or grant was not stored.
     fn fail_asking(&mut self, cx: &mut Cx<'_>, call: CallId) {
         if matches!(self.stage(call), Some(Stage::Intending | Stage::Granting)) {
             let refusal = answers::platform_away(self.journal.retry_after());
--- a/crates/policy/src/programs/compaction.rs
+++ b/crates/policy/src/programs/compaction.rs
@@ -1,4 +1,4 @@
-//! When checkpoints are made, and how, piece by piece.
+//! When checkpoints are made, and their construction in parts.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,49 +13,48 @@
 use super::state::{Kind, Program, ProgramKey, ProgramState, Stage};
 use super::{Cx, ProgramOp, Programs};
 
-/// The bytes of journal rows after which a checkpoint is worth its writes, unless the last
-/// one was larger: then its size counts, so that no more than twice as much is written.
+/// Journal bytes after which a checkpoint is made. If the last checkpoint was larger, its size
+/// is the threshold instead, so that checkpoints at most double the bytes written.
 pub(super) const CHECKPOINT_BYTES: usize = 1024 * 1024;
 
-/// The most bytes of images in one object, but for one program's that is larger.
+/// The maximum bytes of images in one object, unless a single program's image is larger.
 const PART_BYTES: usize = 256 * 1024;
 
-/// The wait after the platform did not take an object.
+/// The wait before the next checkpoint after the platform failed to store an object.
 const PAUSE: Duration = Duration::from_secs(5);
 
-/// How a partition's journal has grown, and the checkpoint being made.
+/// How much a partition's journal has grown, and the checkpoint in progress.
 #[derive(Debug, Default)]
 pub(super) struct Compaction {
-    /// Bytes of the rows since the last checkpoint.
+    /// Bytes of the rows written since the last checkpoint.
     pub since: usize,
     /// Bytes of the last checkpoint.
     pub last: usize,
-    /// The first row that may still be there.
+    /// The first journal row that may still exist.
     pub first: u64,
-    /// The version of the checkpoint row.
+    /// The current version of the checkpoint row.
     pub version: RowVersion,
-    /// No checkpoint is begun before.
+    /// The earliest time to start the next checkpoint.
     not_before: Instant,
-    /// The checkpoint being made.
+    /// The checkpoint in progress.
     work: Option<Work>,
 }
 
-/// A checkpoint being made.
+/// A checkpoint in progress.
 #[derive(Debug)]
 struct Work {
-    /// The programs whose images are still to be made: parents first.
+    /// Programs whose images are not written yet, parents before their children.
     programs: VecDeque<ProgramId>,
-    /// The row as far as it is known.
+    /// The checkpoint row, completed as objects are stored.
     row: CheckpointRow,
-    /// The journal bytes that the checkpoint will hold.
+    /// Journal bytes that the checkpoint will cover.
     since: usize,
-    /// The write under way.
+    /// The object write in progress.
     op: Option<ProgramOp>,
 }
 
 impl Programs {
-    /// Sets after how many bytes of journal rows a checkpoint is made; a mebibyte if it is
-    /// never called.
+    /// Sets after how many journal bytes a checkpoint is made; the default is 1 MiB.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -73,7 +72,7 @@
         self.checkpoint_bytes = bytes;
     }
 
-    /// Rows were appended to a journal: begins a checkpoint if they are many.
+    /// Counts rows appended to a journal and starts a checkpoint if they exceed the threshold.
     pub(super) fn journal_grew(&mut self, cx: &mut Cx<'_>, partition: PartitionId, bytes: usize) {
         let Some(tenure) = self.tenures.get(&partition) else { return };
         let compaction = self.compactions.entry(partition).or_default();
@@ -106,7 +105,7 @@
         ids.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Puts the next images into an object, or moves the checkpoint row after the last.
+    /// Writes the next object of images, or updates the checkpoint row after the last one.
     fn next_part(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         let Some(content) = self.part(cx, partition) else {
             return self.finish_checkpoint(partition);
@@ -122,7 +121,7 @@
         }
     }
 
-    /// Makes the content of the next object: one image a line.
+    /// Builds the content of the next object, with one image per line.
     fn part(&mut self, cx: &Cx<'_>, partition: PartitionId) -> Option<Vec<u8>> {
         let upto = self.tenures.get(&partition)?.next - 1;
         let mut content = Vec::new();
@@ -131,7 +130,8 @@
             let work = self.compactions.get_mut(&partition)?.work.as_mut()?;
             let Some(id) = work.programs.pop_front() else { break };
 
-            // A program that is gone has no image; one that came later has all its rows.
+            // A program that was removed meanwhile needs no image. One that was opened later is
+            // covered by journal rows that the checkpoint keeps.
             if let Some(image) = self.index.get(&id).and_then(|key| self.image(cx, *key, upto)) {
                 serde_json::to_writer(&mut content, &image).expect("images are plain data");
                 content.push(b'\n');
@@ -141,8 +141,8 @@
         (!content.is_empty()).then_some(content)
     }
 
-    /// Makes the image of a program: what the journal's rows say of it, not what is still on
-    /// the way to the platform.
+    /// Builds the image of a program from what the journal holds of it, without entries that
+    /// are not durable yet.
     fn image(&self, cx: &Cx<'_>, key: ProgramKey, upto: u64) -> Option<ProgramImage> {
         let program = &self.programs[key];
 
@@ -151,7 +151,8 @@
         }
 
         let account = self.accounts[program.account];
-        // The last call is an intent that this home took for run with an unknown outcome.
+        // An open intent was counted as a call with an unknown outcome when this host recovered
+        // the program; the journal does not hold that outcome.
         let inferred = u32::from(program.open_intent.is_some());
         let calls = program.calls.iter().take((program.stored - inferred) as usize);
 
@@ -180,13 +181,13 @@
         })
     }
 
-    /// Returns the intent that the journal holds without its outcome.
+    /// Returns the intent whose outcome the journal does not hold.
     fn stored_intent(&self, program: &Program) -> Option<(Box<str>, CallText)> {
         if program.open_intent.is_some() {
             return program.open_intent.clone();
         }
 
-        // It ran, and its outcome is on the way to the platform.
+        // The call finished, but its outcome is not durable yet.
         if let Some(record) = program.calls.get(program.stored as usize) {
             return record.attempt.clone().map(|attempt| (attempt, record.call.clone()));
         }
@@ -197,7 +198,7 @@
         call.attempt.filter(|_| sent).map(|a| (a.to_string().into(), call.text.clone()))
     }
 
-    /// The platform answered the write of an object.
+    /// Handles the reply to the write of an object.
     pub(super) fn on_put(&mut self, cx: &mut Cx<'_>, op: ProgramOp, reply: PlatformReply) {
         let Some(partition) = self.puts.remove(&op) else { return };
         let Some(compaction) = self.compactions.get_mut(&partition) else { return };
@@ -205,7 +206,7 @@
             return;
         };
 
-        // A checkpoint can wait: it is begun anew once the platform is well.
+        // A checkpoint is not urgent: it is started again after a pause.
         let PlatformReply::Stored(name) = reply else {
             compaction.work = None;
             compaction.not_before = cx.now + PAUSE;
@@ -217,7 +218,7 @@
         self.next_part(cx, partition);
     }
 
-    /// All images are stored: the checkpoint row may be moved.
+    /// Queues the update of the checkpoint row after all objects are stored.
     fn finish_checkpoint(&mut self, partition: PartitionId) {
         let Some(tenure) = self.tenures.get(&partition) else { return };
         let Some(compaction) = self.compactions.get_mut(&partition) else { return };
@@ -231,7 +232,7 @@
         });
     }
 
-    /// A checkpoint row was moved, or rows were deleted.
+    /// Handles maintenance that completed: an updated checkpoint row or deleted journal rows.
     pub(super) fn upkeep_done(&mut self, upkeep: &Upkeep, version: RowVersion) {
         let partition = upkeep.partition();
         let current = self.tenures.get(&partition).is_some_and(|t| t.id == upkeep.tenure());
@@ -257,14 +258,14 @@
     }
 }
 
-/// Reads the images in an object; `None` if it is not one of ours.
+/// Parses the images in an object; returns `None` if the content is invalid.
 pub(super) fn images(content: &[u8]) -> Option<Vec<ProgramImage>> {
     let lines = content.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
 
     lines.map(|line| serde_json::from_slice(line).ok()).collect()
 }
 
-/// Returns the names in a checkpoint row, and the row.
+/// Parses a checkpoint row and returns the names of its objects with it.
 pub(super) fn parts_of(value: &str) -> Option<(VecDeque<ObjectName>, CheckpointRow)> {
     let row: CheckpointRow = serde_json::from_str(value).ok()?;
 
--- a/crates/policy/src/programs/entries.rs
+++ b/crates/policy/src/programs/entries.rs
@@ -1,7 +1,7 @@
-//! The journal's entries and how they stand in the platform's rows.
+//! Journal entries and their representation in the platform's rows.
 //!
-//! A row holds the entries that one transaction appended to one partition, with a witness
-//! that only that transaction can have written.
+//! A row holds the entries that one transaction appended to one partition, and the unique id of
+//! that transaction.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,51 +15,51 @@
 use serde_with::hex::Hex;
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// The table of the journals.
+/// The table of journal rows.
 pub(super) const JOURNAL: &str = "journal";
 
-/// The table of the leases.
+/// The table of lease rows.
 const LEASE: &str = "lease";
 
-/// Returns the place of a partition's lease.
+/// Returns the key of a partition's lease row.
 pub(super) fn lease_key(partition: PartitionId) -> RowKey {
     RowKey::new(LEASE, format!("partition/{:04x}", partition.0))
 }
 
-/// Returns what the keys of a partition's journal begin with.
+/// Returns the common key prefix of a partition's journal rows.
 pub(super) fn journal_prefix(partition: PartitionId) -> Box<str> {
     format!("{:04x}/", partition.0).into()
 }
 
-/// Returns the place of a journal row; byte order is the order of `sequence`.
+/// Returns the key of a journal row. Keys sort in the order of `sequence`.
 pub(super) fn journal_key(partition: PartitionId, sequence: u64) -> RowKey {
     RowKey::new(JOURNAL, format!("{:04x}/{sequence:012x}", partition.0))
 }
 
-/// Returns the sequence number in a journal row's key.
+/// Returns the sequence number contained in a journal row's key.
 pub(super) fn sequence_of(key: &RowKey) -> Option<u64> {
     let (_, digits) = key.key.split_once('/')?;
 
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// A journal row's content.
+/// The content of a journal row.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct JournalRow {
-    /// Names the transaction that wrote the row.
+    /// The unique id of the transaction that wrote the row.
     pub witness: Box<str>,
     /// The entries, in order.
     pub entries: Vec<Entry>,
 }
 
-/// The part of a row that names the transaction which wrote it.
+/// The only field read from a row to find out which transaction wrote it.
 #[derive(Debug, Deserialize)]
 pub(super) struct Witness {
-    /// The name.
+    /// The unique id of the transaction.
     pub witness: Box<str>,
 }
 
-/// One fact about a program.
+/// A journal entry about one program.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "entry", rename_all = "snake_case")]
 pub(super) enum Entry {
@@ -67,34 +67,35 @@
     Opened(OpenedEntry),
     /// A call that must not be repeated is about to be sent.
     Intent(IntentEntry),
-    /// What became of an intent.
+    /// The outcome of an intent.
     Outcome(OutcomeEntry),
-    /// A repeatable call ran to its end.
+    /// A call that may be repeated finished.
     Turn(TurnEntry),
-    /// A family of programs may spend up to this much without another entry.
+    /// A family's budget grant was raised.
     Granted(GrantedEntry),
-    /// A family of programs has spent this much, and may spend no more without an entry.
+    /// A family's grant was reduced to what it has spent.
     Settled {
-        /// The topmost program of the family.
+        /// The root of the family.
         program: ProgramId,
-        /// The sum it has spent, all told.
+        /// The total that the family has spent.
         spent: Tokens,
     },
     /// A program ended.
     Ended {
-        /// The program.
+        /// The program that ended.
         program: ProgramId,
     },
 }
 
 impl Entry {
-    /// Tells whether the entry states what already happened, so that it is written again
-    /// after the platform refused it. The others only ask leave for what is to happen.
+    /// Returns whether the entry records something that already happened. Such an entry is
+    /// written again if the platform rejects it. The others must be durable before an action
+    /// and are dropped instead.
     pub fn is_fact(&self) -> bool {
         matches!(self, Self::Outcome(_) | Self::Turn(_) | Self::Settled { .. } | Self::Ended { .. })
     }
 
-    /// Returns the program that the entry is about.
+    /// Returns the program that the entry is about; the root, for an entry about a family.
     pub fn program(&self) -> ProgramId {
         match self {
             Self::Opened(entry) => entry.program,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Returns the bytes of the entry's texts.
+    /// Returns the total length of the entry's texts in bytes.
     pub fn text_bytes(&self) -> usize {
         match self {
             Self::Intent(intent) => intent.call.input.len(),
@@ -117,131 +118,132 @@
     }
 }
 
-/// A program was opened.
+/// The opening of a program.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct OpenedEntry {
-    /// The program.
+    /// The program that was opened.
     pub program: ProgramId,
-    /// The tenant's id.
+    /// The id of the tenant that opened it.
     pub tenant: u64,
-    /// The template's name.
+    /// The name of its template.
     pub template: Box<str>,
-    /// The class's id.
+    /// The id of its scheduling class.
     pub class: u64,
-    /// The program that this one is a sub-agent of.
+    /// The parent, if the program is a sub-agent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<ProgramId>,
-    /// The program whose budget it spends: itself, or the topmost ancestor.
+    /// The root of the family, whose budget is spent; the program itself if it has no parent.
     pub root: ProgramId,
-    /// How many programs are above it.
+    /// The number of ancestors.
     pub depth: u8,
-    /// The digest of what the caller asked, to tell a repeat.
+    /// The digest of the opening's parameters, to recognize a repeat.
     #[serde_as(as = "Hex")]
     pub body: Digest,
     /// Whether the caller may repeat the opening.
     pub repeatable: bool,
-    /// The budget; only a root's counts.
+    /// The family's budget; only the value of the root is used.
     pub budget: Tokens,
-    /// What the family may spend until a later entry grants more.
+    /// The family's grant: the total that it may spend until a later entry raises it.
     pub granted: Tokens,
-    /// The time left to the deadline.
+    /// The time left until the deadline when the entry was made.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "left_ms")]
     pub left: Duration,
 }
 
-/// A call that must not be repeated is about to be sent.
+/// A call that must not be repeated and is about to be sent.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct IntentEntry {
-    /// The program.
+    /// The program that the call belongs to.
     pub program: ProgramId,
-    /// Names this intent; its outcome refers to it.
+    /// The name of the intent, which is also the id of its attempt; the outcome entry refers to
+    /// it.
     pub attempt: Box<str>,
-    /// The call.
+    /// The request of the call.
     pub call: CallText,
-    /// The time left to the deadline.
+    /// The time left until the deadline when the entry was made.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "left_ms")]
     pub left: Duration,
 }
 
-/// What became of an intent.
+/// The outcome of an intent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct OutcomeEntry {
-    /// The program.
+    /// The program that the call belongs to.
     pub program: ProgramId,
-    /// The intent.
+    /// The name of the intent.
     pub attempt: Box<str>,
-    /// What became of it; `None` if it was proved never to have been sent or run.
+    /// The outcome; `None` if the call was certainly not sent or not run.
     pub outcome: Option<Recorded>,
 }
 
-/// A repeatable call ran to its end.
+/// A finished call that may be repeated.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct TurnEntry {
-    /// The program.
+    /// The program that the call belongs to.
     pub program: ProgramId,
-    /// The call.
+    /// The request of the call.
     pub call: CallText,
-    /// What came of it.
+    /// The outcome of the call.
     pub outcome: Recorded,
-    /// What the family may spend until a later entry grants more.
+    /// The family's grant: the total that it may spend until a later entry raises it.
     pub granted: Tokens,
-    /// The time left to the deadline.
+    /// The time left until the deadline when the entry was made.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "left_ms")]
     pub left: Duration,
 }
 
-/// A family of programs may spend up to this much without another entry.
+/// A higher grant for a family of programs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct GrantedEntry {
-    /// The topmost program of the family.
+    /// The root of the family.
     pub program: ProgramId,
-    /// The sum it may spend, all told.
+    /// The total that the family may spend.
     pub granted: Tokens,
 }
 
-/// What a caller asked in a call.
+/// The request of a call.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct CallText {
     /// The caller's idempotency key.
     pub key: Box<str>,
-    /// The digest of the body.
+    /// The digest of the request body, to recognize a repeat.
     #[serde_as(as = "Hex")]
     pub body: Digest,
-    /// The target's name in the template.
+    /// The name of the target in the template.
     pub target: Box<str>,
-    /// The input, as JSON text.
+    /// The input as JSON text.
     pub input: Arc<str>,
 }
 
-/// What came of a call that counts in its program's history.
+/// The outcome of a call in its program's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub(super) enum Recorded {
-    /// It ran.
+    /// The call ran.
     Done {
-        /// The output, as JSON text.
+        /// The output as JSON text.
         output: Arc<str>,
-        /// The tokens it took.
+        /// The tokens that it used.
         usage: Usage,
     },
-    /// It ran, and the target answered with a failure.
+    /// The call ran and the target reported a failure.
     Failed {
-        /// The target's reason.
+        /// The reason that the target gave.
         message: Arc<str>,
     },
-    /// It may have run, and is not repeated.
+    /// The call may have run, and is not repeated.
     Unknown,
 }
 
 impl Recorded {
-    /// Returns the bytes of its text.
+    /// Returns the length of the outcome's text in bytes.
     fn text_bytes(&self) -> usize {
         match self {
             Self::Done { output, .. } => output.len(),
--- a/crates/policy/src/programs/flight.rs
+++ b/crates/policy/src/programs/flight.rs
@@ -1,4 +1,4 @@
-//! The transaction that is under way, and what the rows in a conflict say of it.
+//! The transaction in flight, and how to interpret the rows named in a conflict.
 
 use camphorwalk_core::ids::PartitionId;
 use camphorwalk_core::platform::{Row, RowKey, RowVersion, Transaction};
@@ -7,44 +7,45 @@
 use super::entries::Witness;
 use super::journal::{Pending, Tenure};
 
-/// A row that a transaction writes, or the lease that it needs.
+/// A row that a transaction in flight writes.
 #[derive(Debug)]
 pub(super) struct FlightRow {
-    /// The partition.
+    /// The partition whose journal or checkpoint it belongs to.
     pub partition: PartitionId,
-    /// The tenure that it was written under.
+    /// The lease term in which it is written.
     pub tenure: Tenure,
-    /// Where the witness stands.
+    /// The key of the row that holds the transaction id.
     pub key: RowKey,
-    /// The bytes appended to the journal, if it is a row of one.
+    /// The bytes appended to the journal; `None` for maintenance.
     pub appended: Option<usize>,
 }
 
-/// A transaction that was sent.
+/// A transaction whose outcome is not known yet.
 #[derive(Debug)]
 pub(super) struct Flight {
-    /// The transaction; sent again unchanged while its outcome is unknown.
+    /// The transaction; it is sent again unchanged while its outcome is unknown.
     pub transaction: Transaction,
-    /// Names it in the rows it writes.
+    /// The transaction's unique id, stored in the rows it writes.
     pub witness: Box<str>,
-    /// What it holds.
+    /// The entries that it writes.
     pub entries: Vec<Pending>,
-    /// The upkeep that it does instead, if it does one.
+    /// The maintenance that it performs; it then has no entries.
     pub upkeep: Option<Upkeep>,
-    /// The rows that it writes.
+    /// One item for each partition that it writes to.
     pub rows: Vec<FlightRow>,
-    /// Whether an answer to it was lost: from then on only a commit or a conflict counts.
+    /// Whether an answer to it was lost. From then on only a commit or a conflict settles its
+    /// outcome.
     pub in_doubt: bool,
-    /// Whether it is at the platform now, rather than waiting to be sent again.
+    /// Whether it is at the platform now, as opposed to waiting to be sent again.
     pub sent: bool,
 }
 
-/// Tells whether a row is among those found.
+/// Returns whether the rows contain one with this key.
 pub(super) fn stands(found: &[Row], key: &RowKey) -> bool {
     found.iter().any(|row| row.key == *key)
 }
 
-/// Returns the version of the row at `key` if the transaction with this witness wrote it.
+/// Returns the version of the row at `key` if it contains this transaction id.
 pub(super) fn bears(found: &[Row], key: &RowKey, witness: &str) -> Option<RowVersion> {
     let row = found.iter().find(|row| row.key == *key)?;
     let written = serde_json::from_str::<Witness>(&row.value).ok()?;
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -1,7 +1,8 @@
-//! Group commit: entries of all partitions gather and are written together, with one
+//! Group commit: journal entries of all partitions are collected and written together, with one
 //! transaction in flight at a time.
 //!
-//! The state machine knows nothing of programs. What waits on an entry is told its [`Fate`].
+//! This state machine does not interpret programs. It reports a [`WriteOutcome`] for each
+//! entry.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,119 +17,123 @@
 use super::state::ProgramKey;
 use crate::wire::CallId;
 
-/// The most bytes of entries in one transaction.
+/// The maximum bytes of entries in one transaction.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
 
-/// What an entry counts for besides its text.
+/// Bytes counted for each entry in addition to its text.
 const ENTRY_OVERHEAD_BYTES: usize = 512;
 
-/// The first wait after the platform refused or lost an answer; it doubles.
+/// The first wait after the platform failed a transaction or lost its answer; it doubles each
+/// time.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest wait between two tries.
+/// The longest wait between two attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Where a partition's journal stands, as far as writing goes.
+/// The period during which this host holds a partition's lease, with its write position in the
+/// journal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Tenure {
-    /// A number of this process's own. A lease can be lost by this host's clock and found
-    /// to be still its own, with the same epoch; entries of before are void all the same,
-    /// as their programs were forgotten.
+    /// A number unique within this process. By its own clock this host can lose a lease and
+    /// then find that it still holds it, with the same epoch. Entries made before that are void
+    /// because their programs were dropped from memory.
     pub id: u64,
     /// The epoch of the lease.
     pub epoch: Epoch,
-    /// The version of the lease row, which each write checks.
+    /// The version of the lease row; every journal write checks it.
     pub lease: RowVersion,
-    /// The number of the next row.
+    /// The sequence number of the next row to write.
     pub next: u64,
 }
 
-/// Who waits on an entry.
+/// Who is notified when the outcome of an entry is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Waiter {
-    /// Nobody.
+    /// No one.
     Nobody,
-    /// A program that is being opened.
+    /// A program whose opening must be durable.
     Open(ProgramKey),
     /// A call that is sent once its intent is durable.
     Intent(ProgramKey, CallId),
-    /// A call that is placed once its family may spend more.
+    /// A call that requests a place once its family's larger grant is durable.
     Grant(ProgramKey, CallId),
-    /// A call that is answered once its record, with this number, is durable.
+    /// A call that is answered once its outcome, with this call number, is durable.
     Record(ProgramKey, CallId, u32),
-    /// A program that is ending.
+    /// A program whose end must be durable.
     End(ProgramKey),
 }
 
-/// An entry on its way to the platform.
+/// A journal entry that is not durable yet.
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
-    /// The partition.
+    /// The partition whose journal it belongs to.
     pub partition: PartitionId,
-    /// The tenure under which it was made: void under any other.
+    /// The id of the lease term in which it was made. It is void in any other.
     pub tenure: u64,
     /// The entry.
     pub entry: Entry,
-    /// Who waits on it.
+    /// Who is notified of the outcome.
     pub waiter: Waiter,
 }
 
-/// What became of an entry.
+/// The outcome of writing an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fate {
-    /// The platform holds it.
+    /// The platform has stored the entry.
     Durable,
-    /// The platform refused it and certainly holds nothing of it. Facts are tried again.
+    /// The platform rejected the entry and certainly stored nothing. Entries that record facts
+    /// are written again later.
     Refused,
-    /// The platform's answer was lost: it may hold it now, or later. It is sent again, just
-    /// as it is, until that is known; this is told once.
+    /// The platform's answer was lost, so the entry may take effect now or later. The same
+    /// transaction is sent again until its outcome is known; this outcome is reported only
+    /// once.
     InDoubt,
 }
 
-/// What a reply meant.
+/// What a reply of the platform changed.
 #[derive(Debug, Default)]
 pub(super) struct Resolved {
-    /// The entries with their fates, in order.
+    /// Entries with their outcomes, in order.
     pub fates: Vec<(Pending, Fate)>,
     /// Partitions whose lease another host took.
     pub fenced: Vec<(PartitionId, Epoch)>,
-    /// Partitions whose journal holds a row that this host does not know, under its own
-    /// lease: what was read of them is not all there is.
+    /// Partitions whose journal contains a row unknown to this host, although it holds the
+    /// lease: the state read from the journal is incomplete.
     pub behind: Vec<PartitionId>,
-    /// The bytes of the rows that were appended.
+    /// Bytes of the rows appended to each partition's journal.
     pub appended: Vec<(PartitionId, usize)>,
-    /// The upkeep that was done, and the version of what it wrote.
+    /// The maintenance that completed, with the version of the row it wrote.
     pub upkeep: Option<(Upkeep, RowVersion)>,
 }
 
-/// The entries that wait and the one transaction that is under way.
+/// The queued entries and the one transaction in flight.
 #[derive(Debug)]
 pub(super) struct Journal {
-    /// The session that names this run of the process in witnesses.
+    /// Identifies this run of the process in transaction ids.
     session: u64,
-    /// The number of transactions made.
+    /// The number of transactions created so far.
     made: u64,
-    /// How long entries gather.
+    /// The minimum time between two transactions, in which entries are collected.
     interval: Duration,
-    /// The entries that wait, in order.
+    /// Entries not sent yet, in order.
     waiting: Vec<Pending>,
-    /// Checkpoints and deletions that wait.
+    /// Checkpoint updates and deletions not sent yet.
     upkeep: VecDeque<Upkeep>,
-    /// Whether the last transaction was upkeep; entries then go first.
+    /// Whether the last transaction was maintenance; queued entries then go first.
     upkept: bool,
-    /// The transaction under way.
+    /// The transaction whose outcome is awaited.
     flight: Option<Flight>,
-    /// Not before this instant is the next one sent.
+    /// The earliest time to send the next transaction.
     due: Instant,
-    /// The current wait between tries; zero while the platform answers.
+    /// The current backoff; zero while the platform answers.
     backoff: Duration,
-    /// How many of the next transactions hold one partition only: after a conflict that
-    /// named no row, to find which lease is gone.
+    /// How many of the next transactions are limited to one partition. Used after a conflict
+    /// that named no row, to find out which lease is gone.
     alone: usize,
 }
 
 impl Journal {
-    /// Makes a journal with nothing to write.
+    /// Creates a journal with nothing to write.
     pub fn new(session: u64, interval: Duration) -> Self {
         Self {
             session,
@@ -192,7 +197,7 @@
         idle.then_some(self.due)
     }
 
-    /// Drops what waits for a partition; what is under way stays.
+    /// Drops queued entries and maintenance of a partition; the transaction in flight stays.
     pub fn drop_partition(&mut self, partition: PartitionId) {
         self.waiting.retain(|pending| pending.partition != partition);
         self.upkeep.retain(|upkeep| upkeep.partition() != partition);
@@ -227,14 +232,15 @@
         Some(transaction)
     }
 
-    /// Drops what was meant for a former tenure: the journal it continues is another's now.
+    /// Drops what was queued in an earlier lease term: another host may have continued that
+    /// journal since.
     fn drop_void(&mut self, tenures: &BTreeMap<PartitionId, Tenure>) {
         let holds = |partition, tenure| tenures.get(&partition).is_some_and(|t| t.id == tenure);
         self.waiting.retain(|p| holds(p.partition, p.tenure));
         self.upkeep.retain(|u| holds(u.partition(), u.tenure()));
     }
 
-    /// Takes the next upkeep, if it is its turn.
+    /// Returns the next maintenance, unless queued entries go first.
     fn gather_upkeep(&mut self, tenures: &BTreeMap<PartitionId, Tenure>) -> Option<Flight> {
         if self.upkept && !self.waiting.is_empty() {
             return None;
@@ -259,14 +265,14 @@
         })
     }
 
-    /// Makes the name of the next transaction.
+    /// Creates a unique id for the next transaction.
     fn witness(&mut self) -> Box<str> {
         self.made += 1;
 
         format!("{:016x}-{:x}", self.session, self.made).into()
     }
 
-    /// Takes what fits into one transaction off the entries that wait.
+    /// Takes as many queued entries as fit into one transaction.
     fn gather(&mut self, tenures: &BTreeMap<PartitionId, Tenure>) -> Option<Flight> {
         let only = (self.alone > 0).then(|| self.waiting.first().map(|p| p.partition)).flatten();
         let mut bytes = 0;
@@ -290,7 +296,7 @@
         if entries.is_empty() { None } else { Some(self.flight_of(entries, tenures)) }
     }
 
-    /// Makes the transaction that appends `entries`.
+    /// Builds the transaction that appends `entries`.
     fn flight_of(
         &mut self,
         entries: Vec<Pending>,
@@ -320,9 +326,10 @@
             let value = serde_json::to_string(&row).expect("journal rows are plain data");
             let tx = &mut flight.transaction;
 
-            // A home that was paused past its lease could append to a journal that the next
-            // home has read already: an acknowledged call would be missing there. The lease
-            // row changes with each holder, so its version fences the append.
+            // A host that was paused past the end of its lease could otherwise append to a
+            // journal that the next home host has already read, and that host would not know of
+            // an acknowledged call. The version of the lease row changes with each holder, so
+            // checking it fences the append.
             tx.checks.push(Check { key: lease_key(partition), version: tenure.lease });
             tx.checks.push(Check { key: key.clone(), version: RowVersion::ABSENT });
             let appended = Some(value.len());
@@ -333,7 +340,7 @@
         flight
     }
 
-    /// Takes in the platform's reply to the transaction under way.
+    /// Handles the platform's reply to the transaction in flight.
     pub fn on_reply(
         &mut self,
         now: Instant,
@@ -346,13 +353,13 @@
             PlatformReply::Committed(version) => self.committed(version, tenures),
             PlatformReply::Conflict(rows) => self.conflict(now, &rows, tenures),
             // Once an answer was lost, the first sending may still take effect, whatever a
-            // later one is told; so a refusal ends the matter only if nothing was lost.
+            // later sending returns. So a rejection is final only if no answer was lost.
             PlatformReply::Unavailable if !flight.in_doubt => self.refused(now),
             _ => self.doubted(now),
         }
     }
 
-    /// The transaction took effect.
+    /// Handles a transaction that took effect.
     fn committed(
         &mut self,
         version: RowVersion,
@@ -376,7 +383,7 @@
         resolved
     }
 
-    /// The transaction did not take effect now; it may have done so before.
+    /// Handles a conflict: this sending did not take effect, but an earlier one may have.
     fn conflict(
         &mut self,
         now: Instant,
@@ -385,8 +392,9 @@
     ) -> Resolved {
         let Some(flight) = &self.flight else { return Resolved::default() };
 
-        // An earlier sending may have taken effect with its answer lost. Only this
-        // transaction can have written the witness, so a row that bears it settles that.
+        // An earlier sending may have taken effect although its answer was lost. Only this
+        // transaction can have written its id, so a row that contains the id proves that it
+        // did.
         let ours = flight.rows.iter().find_map(|row| bears(found, &row.key, &flight.witness));
 
         if let Some(version) = ours {
@@ -404,7 +412,7 @@
             let taken = stands(found, &lease_key(row.partition));
 
             match current {
-                // The lease row was renewed while the transaction was under way.
+                // The lease was renewed while the transaction was in flight.
                 Some(tenure) if tenure.lease != row.tenure.lease => renewed = true,
                 Some(tenure) if taken => resolved.fenced.push((row.partition, tenure.epoch)),
                 Some(_) if stands(found, &row.key) => resolved.behind.push(row.partition),
@@ -412,12 +420,14 @@
             }
         }
 
-        // A lease row that is gone is not named. Each partition then goes by itself, and one
-        // that conflicts alone is lost.
+        // A lease row that no longer exists is not named in the conflict. Each partition is
+        // then written in a transaction of its own, and one that still conflicts has lost its
+        // lease.
         if resolved.fenced.is_empty() && resolved.behind.is_empty() && !renewed {
             match flight.rows.as_slice() {
-                // A write of a former tenure says nothing of the one that this host has now:
-                // fenced for it, a partition that was just acquired again had no home at all.
+                // A conflict of an earlier lease term says nothing about the current one.
+                // Reporting it as fenced would leave a partition that was just acquired again
+                // without a home host.
                 [row] if tenures.get(&row.partition).is_some_and(|now| now.id == row.tenure.id) => {
                     resolved.fenced.push((row.partition, row.tenure.epoch));
                 }
@@ -426,12 +436,12 @@
             }
         }
 
-        // Nothing took effect, nor can it later: a lease's version never comes back.
+        // The transaction cannot take effect later either, because a row version never recurs.
         self.put_back(flight);
         resolved
     }
 
-    /// The platform certainly did nothing.
+    /// Handles a rejection: the platform certainly did nothing.
     fn refused(&mut self, now: Instant) -> Resolved {
         let Some(flight) = self.flight.take() else { return Resolved::default() };
         self.put_back(flight);
@@ -441,7 +451,7 @@
         Resolved { fates, ..Resolved::default() }
     }
 
-    /// The transaction may have taken effect, now or later.
+    /// Handles a lost answer: the transaction may take effect now or later.
     fn doubted(&mut self, now: Instant) -> Resolved {
         self.back_off(now);
         let Some(flight) = &mut self.flight else { return Resolved::default() };
@@ -456,7 +466,7 @@
         Resolved { fates, ..Resolved::default() }
     }
 
-    /// Tells what waits that the platform is away, and keeps only facts.
+    /// Reports all queued entries as rejected and keeps only those that record facts.
     fn refuse_waiting(&mut self) -> Vec<(Pending, Fate)> {
         let fates = self.waiting.iter().map(|p| (p.clone(), Fate::Refused)).collect();
         self.waiting.retain(|p| p.entry.is_fact());
@@ -464,7 +474,7 @@
         fates
     }
 
-    /// Puts what a transaction held before what waits.
+    /// Puts the contents of a transaction back at the front of the queue.
     fn put_back(&mut self, mut flight: Flight) {
         flight.entries.append(&mut self.waiting);
         self.waiting = flight.entries;
@@ -474,7 +484,7 @@
         }
     }
 
-    /// Waits longer before the next try.
+    /// Doubles the backoff before the next attempt.
     fn back_off(&mut self, now: Instant) {
         self.backoff = (self.backoff * 2).clamp(FIRST_BACKOFF, MAX_BACKOFF);
         self.due = now + self.backoff;
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -1,4 +1,4 @@
-//! Callers that are gone, and keys that are withdrawn.
+//! Handling of callers that disconnected and of API keys that were withdrawn.
 
 use camphorwalk_core::calls::Ran;
 use camphorwalk_core::ids::{KeyId, Ticket};
@@ -8,7 +8,7 @@
 use crate::wire::CallId;
 
 impl Programs {
-    /// A caller is gone: nobody reads its answer.
+    /// Handles a caller that disconnected.
     pub(super) fn caller_gone(&mut self, cx: &mut Cx<'_>, ticket: Ticket) {
         for recovering in self.recovering.values_mut() {
             recovering.parked.retain(|parked| parked.ticket != ticket);
@@ -21,7 +21,7 @@
         self.caller_left(cx, id);
     }
 
-    /// A key was withdrawn: its calls are ended as far as they can be.
+    /// Ends the calls of an API key that was withdrawn, as far as they can be ended.
     pub(super) fn key_withdrawn(&mut self, cx: &mut Cx<'_>, key: KeyId) {
         self.refuse_parked(cx, key);
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Refuses the requests of a key that wait for their partition.
+    /// Refuses the parked requests of an API key.
     fn refuse_parked(&mut self, cx: &mut Cx<'_>, key: KeyId) {
         let mut withdrawn = Vec::new();
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Answers a key's callers of a call, which goes on for others only.
+    /// Refuses the callers of a call that use this API key; the call continues for the others.
     fn withdraw(&mut self, cx: &mut Cx<'_>, id: CallId, key: KeyId) {
         let call = &mut self.calls[id];
         let gone: Vec<_> = call.callers.extract_if(.., |caller| caller.key == key).collect();
@@ -67,18 +67,18 @@
         self.caller_left(cx, id);
     }
 
-    /// Ends a call that nobody waits for any more, as far as it can be.
+    /// Ends a call that has no callers left, if it can be ended.
     fn caller_left(&mut self, cx: &mut Cx<'_>, id: CallId) {
         let call = &mut self.calls[id];
 
-        // The call goes on under the key of one who still waits.
+        // The call continues under the API key of a remaining caller.
         if let Some(caller) = call.callers.first() {
             call.key = caller.key;
             return;
         }
 
         match call.stage {
-            // What must not be repeated runs on, and is recorded.
+            // Work that must not be repeated runs to its end, so that its outcome is recorded.
             Stage::Running if matches!(call.kind, Kind::Turn { .. }) => {
                 self.cancel_unwanted(cx, id);
             }
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -1,5 +1,5 @@
-//! How programs end, by their caller's wish, by their deadline, or because their partition
-//! went to another host.
+//! How programs end: by request, at their deadline, or because their partition moved to another
+//! host.
 
 use std::time::Duration;
 
@@ -13,11 +13,12 @@
 use super::{Cx, ProgramNext, Programs, answers};
 use crate::wire::CallId;
 
-/// How long an ended program is remembered, for repeats. After that it looks like none.
+/// How long an ended program stays in memory, to answer repeats. After that it appears not to
+/// exist.
 pub(super) const REMEMBERED: Duration = Duration::from_secs(60);
 
 impl Programs {
-    /// Ends a program at its caller's wish.
+    /// Ends a program at its caller's request.
     pub(super) fn end(
         &mut self,
         cx: &mut Cx<'_>,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Ends a program and all below it.
+    /// Ends a program and all its descendants.
     fn end_family(&mut self, cx: &mut Cx<'_>, key: ProgramKey, reason: &Refusal) {
         if self.programs[key].state != ProgramState::Open {
             return;
@@ -74,19 +75,19 @@
         self.append(key, Entry::Ended { program: id }, Waiter::End(key));
     }
 
-    /// Ends the call of a program that is over.
+    /// Stops the call of a program that ended.
     fn stop_call(&mut self, cx: &mut Cx<'_>, id: CallId, reason: &Refusal) {
         if self.calls[id].stage != Stage::Running {
             return self.drop_call(cx, id, reason.clone());
         }
 
-        // It was sent. What must not be repeated runs on and is recorded.
+        // The call was sent. If it must not be repeated, it runs to its end and is recorded.
         let reason = reason.clone().ran(Ran::Maybe);
         self.answer_callers(cx, id, &reason);
         self.cancel_unwanted(cx, id);
     }
 
-    /// Cancels a call that nobody waits for, if it may be cancelled.
+    /// Cancels a call that has no callers left, if its kind allows that.
     pub(super) fn cancel_unwanted(&mut self, cx: &mut Cx<'_>, id: CallId) {
         let call = &self.calls[id];
 
@@ -95,7 +96,7 @@
         }
     }
 
-    /// An end is durable.
+    /// Handles the end of a program that became durable.
     pub(super) fn end_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
         program.end_stored = true;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The platform did not take an end yet; it is written later.
+    /// Refuses the callers that wait for an end that is not durable; it is written later.
     pub(super) fn end_not_stored(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
         let tickets = std::mem::take(&mut program.ending);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A program's deadline passed, or its memory is to be freed.
+    /// Ends a program at its deadline, or removes an ended one after its retention.
     pub(super) fn program_due(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get(key) else { return };
 
@@ -137,7 +138,7 @@
             return;
         }
 
-        // A call that must not be repeated still runs: its record is wanted.
+        // A call that must not be repeated is still running and must be recorded.
         if program.running.is_some() {
             return self.timers.set(cx.now + REMEMBERED, Timer::Program(key));
         }
@@ -145,7 +146,7 @@
         self.remove_program(key);
     }
 
-    /// Forgets a program.
+    /// Removes a program from memory.
     pub(super) fn remove_program(&mut self, key: ProgramKey) {
         let Some(program) = self.programs.remove(key) else { return };
 
@@ -158,7 +159,7 @@
         } else if let Some(parent) = program.parent.and_then(|id| self.index.get(&id)) {
             let parent = &mut self.programs[*parent];
 
-            // The parent's openings stay counted, but for one that never was.
+            // The parent's count of openings stays, unless the opening never became durable.
             if program.state == ProgramState::Opening {
                 parent.openings -= 1;
             }
@@ -167,14 +168,14 @@
         }
     }
 
-    /// Forgets a program whose partition is gone, once its last call is answered.
+    /// Removes an orphan after its last call was answered.
     pub(super) fn remove_orphan(&mut self, key: ProgramKey) {
         if self.programs.get(key).is_some_and(|program| program.orphan) {
             self.remove_program(key);
         }
     }
 
-    /// This host is no longer home of a partition.
+    /// Drops a partition whose lease this host lost.
     pub(super) fn lost(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         if let Some(recovering) = self.recovering.remove(&partition) {
             self.scans.retain(|_, (of, _)| *of != partition);
@@ -191,7 +192,7 @@
         self.drop_programs(cx, partition);
     }
 
-    /// Forgets the programs of a partition and answers who waits for them.
+    /// Removes the programs of a partition and answers the callers that wait for them.
     fn drop_programs(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         let keys: Vec<_> = self
             .index
@@ -207,7 +208,7 @@
             .map(|(id, _)| id)
             .collect();
 
-        // Done, but not known to be stored: the answer is whole all the same.
+        // These calls finished but may not be durable. Their answers are complete all the same.
         for call in recording {
             self.answer_recorded(cx, call);
         }
@@ -217,8 +218,8 @@
         }
     }
 
-    /// Forgets a program whose partition is gone. A call that was sent still gets its
-    /// answer: the target may run it.
+    /// Removes a program whose partition was lost. A call that was sent is kept until it is
+    /// answered, because the target may run it.
     fn drop_program(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
         let program = &mut self.programs[key];
         let id = program.id;
@@ -227,7 +228,7 @@
         program.orphan = true;
         self.index.remove(&id);
 
-        // The entry may have become durable.
+        // The opening or end may have become durable.
         for ticket in waiting {
             self.refuse(cx, ticket, answers::leaving().ran(Ran::Maybe));
         }
--- a/crates/policy/src/programs/lookup.rs
+++ b/crates/policy/src/programs/lookup.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with the names that calls look up.
+//! The configuration in force, indexed by tenant and template.
 
 use std::sync::Arc;
 
@@ -6,19 +6,19 @@
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::ids::{PartitionId, ProgramId, TenantId};
 
-/// A configuration with its tenants and templates by name.
+/// A configuration with an index of its tenants and templates.
 #[derive(Debug)]
 pub(super) struct Lookup {
     /// The configuration.
     cfg: Arc<Config>,
-    /// Where each tenant stands in it.
+    /// The position of each tenant in the configuration.
     tenants: Map<TenantId, usize>,
-    /// Where each template stands in it.
+    /// The position of each template in the configuration.
     templates: Map<Box<str>, usize>,
 }
 
 impl Lookup {
-    /// Looks through a configuration once.
+    /// Builds the index of a configuration.
     pub fn new(cfg: Arc<Config>) -> Self {
         let tenant_ids = cfg.tenants.iter().map(|t| TenantId::from_name(&t.name));
         let tenants = tenant_ids.zip(0..).collect();
@@ -27,22 +27,22 @@
         Self { cfg, tenants, templates }
     }
 
-    /// Returns the partition of a program.
+    /// Returns the partition that a program's id falls into.
     pub fn partition(&self, program: ProgramId) -> PartitionId {
         program.partition(self.cfg.fleet.partitions)
     }
 
-    /// Returns a template.
+    /// Returns the template with this name.
     pub fn template(&self, name: &str) -> Option<&Template> {
         self.templates.get(name).map(|index| &self.cfg.templates[*index])
     }
 
-    /// Returns a tenant.
+    /// Returns the tenant with this id.
     pub fn tenant(&self, tenant: TenantId) -> Option<&Tenant> {
         self.tenants.get(&tenant).map(|index| &self.cfg.tenants[*index])
     }
 
-    /// Returns what a tenant may open by this template.
+    /// Returns the tenant's assistant that uses this template.
     pub fn assistant(&self, tenant: TenantId, template: &str) -> Option<&Assistant> {
         self.tenant(tenant)?.assistants.iter().find(|a| &*a.template == template)
     }
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -1,9 +1,9 @@
-//! Opening a program.
+//! Opening of programs.
 //!
-//! A sub-agent lives in its parent's partition: the entry host chooses its id there. Then
-//! one home and one journal hold the whole family, and its budget is one account. A child
-//! elsewhere is refused. (Each child having a reservation of its own was weighed: it needs
-//! a size that nobody knows beforehand, and an idle child would hold tokens back.)
+//! A sub-agent is always in its parent's partition: the entry host chooses its id accordingly,
+//! and a child elsewhere is refused. So a whole family has one home host, one journal and one
+//! budget account. A separate reservation for each child was rejected: its size is not known in
+//! advance, and an idle child would hold back tokens that others need.
 
 use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
@@ -18,20 +18,20 @@
 use super::timers::Timer;
 use super::{Cx, Programs, answers};
 
-/// What a program's parent hands down.
+/// What a new program inherits from its parent.
 struct Lineage {
-    /// The family's topmost program.
+    /// The root of the family.
     root: ProgramId,
-    /// How many programs are above.
+    /// The number of ancestors.
     depth: u8,
-    /// The family's account.
+    /// The family's budget account; `None` for a root.
     account: Option<AccountKey>,
-    /// The latest deadline.
+    /// The parent's deadline, which the child must not exceed.
     deadline: Option<Instant>,
 }
 
 impl Programs {
-    /// Opens a program. Its opening is durable before it is answered.
+    /// Opens a program. The opening is durable before it is answered.
     pub(super) fn open(
         &mut self,
         cx: &mut Cx<'_>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Answers the opening of a program that is there already.
+    /// Answers the opening of a program that already exists.
     fn reopen(
         &mut self,
         cx: &mut Cx<'_>,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Checks an opening against the configuration.
+    /// Validates an opening against the configuration and the parent.
     fn prepare(
         &self,
         cx: &Cx<'_>,
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Returns what the parent, if there is one, hands down.
+    /// Returns what the program inherits from its parent, if it has one.
     fn lineage(&self, tenant: TenantId, open: &OpenRequest) -> Result<Lineage, Refusal> {
         let Some(id) = open.parent else {
             return Ok(Lineage { root: open.program, depth: 0, account: None, deadline: None });
@@ -147,8 +147,8 @@
             return Err(answers::not_found());
         }
 
-        // The family's topmost template bounds its depth, so that no mix of templates goes
-        // deeper than the operator allowed.
+        // The root's template limits the depth of the family, so that no combination of
+        // templates goes deeper than the operator allowed.
         let depth = parent.depth.saturating_add(1);
         let root = self.index.get(&parent.root).map_or(parent, |key| &self.programs[*key]);
         let max_depth = cfg.template(&root.template).map_or(0, |t| t.max_depth);
@@ -157,7 +157,8 @@
             return Err(answers::bad_request("the template allows no deeper sub-agent"));
         }
 
-        // Openings count as calls of the parent: a loop of openings ends, too.
+        // Openings count as calls of the parent, so an endless loop of openings reaches the
+        // call limit.
         let max_calls = cfg.template(&parent.template).map_or(0, |t| t.max_calls);
 
         if parent.head() + parent.openings >= max_calls {
@@ -172,7 +173,7 @@
         })
     }
 
-    /// Journals an opening.
+    /// Adds the program in state `Opening` and journals the opening.
     fn start_opening(&mut self, cx: &mut Cx<'_>, ticket: Ticket, entry: OpenedEntry) {
         let key = self.insert_program(cx, &entry);
         let program = &mut self.programs[key];
@@ -182,9 +183,10 @@
         self.append(key, Entry::Opened(entry), Waiter::Open(key));
     }
 
-    /// Adds a program, as opened or as read from the journal.
+    /// Adds a program that is being opened or was read from the journal.
     pub(super) fn insert_program(&mut self, cx: &mut Cx<'_>, entry: &OpenedEntry) -> ProgramKey {
-        // A journal may hold a former program with the same id, ended and forgotten since.
+        // The journal may hold an earlier program with the same id that has ended and was
+        // removed.
         if let Some(former) = self.index.get(&entry.program) {
             self.remove_program(*former);
         }
@@ -213,8 +215,8 @@
             calls: Vec::new(),
             stored: 0,
             history: Tokens::default(),
-            // A sub-agent goes on with work that is under way: counted from zero, the queue
-            // would hold it back as a new program.
+            // A sub-agent continues work that is in progress. With no attained service the
+            // queue would hold it back like a new program, so it starts with one token.
             attained: Tokens(u64::from(entry.parent.is_some())),
             running: None,
             children: Vec::new(),
@@ -252,7 +254,7 @@
         })
     }
 
-    /// An opening is durable.
+    /// Handles an opening that became durable.
     pub(super) fn opening_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey, granted: Tokens) {
         let Some(program) = self.programs.get_mut(key) else { return };
 
@@ -263,7 +265,7 @@
         let (account, deadline) = (program.account, program.deadline);
         let tickets = std::mem::take(&mut program.opening);
 
-        // The deadline may have passed while the opening was in doubt.
+        // The timer may have fired while the opening was in doubt, so it is set again.
         self.timers.set(deadline, Timer::Program(key));
 
         if let Some(account) = self.accounts.get_mut(account) {
@@ -276,7 +278,7 @@
         }
     }
 
-    /// The platform certainly did not take an opening.
+    /// Handles an opening that the platform rejected and certainly did not store.
     pub(super) fn opening_refused(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
         let tickets = std::mem::take(&mut program.opening);
@@ -289,13 +291,13 @@
         self.remove_program(key);
     }
 
-    /// Nobody knows whether the platform took an opening; those who wait are told so.
+    /// Handles an opening whose outcome is unknown; the waiting callers are refused.
     pub(super) fn opening_in_doubt(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
         let tickets = std::mem::take(&mut program.opening);
         let after = self.journal.retry_after();
 
-        // Not "not run": the program may be there, and a repeat finds it.
+        // The refusal must not say "not run": the program may exist, and a repeat finds it.
         let mut refusal = answers::platform_away(after).ran(Ran::Maybe);
         refusal.code = Code::OutcomeUnknown;
 
@@ -305,7 +307,7 @@
     }
 }
 
-/// Returns the digest of what an opening asks.
+/// Returns the digest of an opening's parameters, to recognize a repeat.
 fn body_digest(open: &OpenRequest) -> Digest {
     let parent = open.parent.map_or(0, |id| id.0);
     let deadline = open.deadline.as_millis();
--- a/crates/policy/src/programs/recovery.rs
+++ b/crates/policy/src/programs/recovery.rs
@@ -1,8 +1,9 @@
-//! Reading a partition's journal on its new home.
+//! Reading of a partition's checkpoint and journal on its new home host.
 //!
-//! Clocks of two hosts cannot be compared, so entries hold the time left. A new home counts
-//! it from the moment it reads the entry: the time between the last entry and the change of
-//! home is not counted, and a program may live that much longer than its caller waits.
+//! Clocks of different hosts cannot be compared, so entries hold the time left until the
+//! deadline. A new home host counts it from the moment it reads the entry. The time between the
+//! last entry and the change of home is not counted, so a program may run that much longer than
+//! its caller waits.
 
 use std::time::Duration;
 
@@ -22,20 +23,20 @@
 use super::timers::Timer;
 use super::{Cx, ProgramOp, Programs, answers};
 
-/// The rows read at once.
+/// The number of rows read at once.
 const PAGE_ROWS: u32 = 256;
 
-/// The wait before something is asked for again.
+/// The wait before a failed read is repeated.
 const READ_RETRY: Duration = Duration::from_millis(200);
 
 /// How long a request waits for the journal to be read.
 const PARK_WAIT: Duration = Duration::from_secs(2);
 
-/// The most requests that wait for one partition.
+/// The maximum number of requests that wait for one partition.
 const MAX_PARKED: usize = 256;
 
 impl Programs {
-    /// This host holds a partition's lease.
+    /// Handles a lease that this host acquired or renewed.
     pub(super) fn acquired(
         &mut self,
         cx: &mut Cx<'_>,
@@ -46,7 +47,7 @@
         let reading = self.recovering.get_mut(&partition).map(|r| &mut r.tenure);
         let held = self.tenures.get_mut(&partition).or(reading);
 
-        // The same lease, renewed: its row has a new version.
+        // After a renewal only the version of the lease row changes.
         if let Some(tenure) = held.filter(|tenure| tenure.epoch == epoch) {
             tenure.lease = lease;
             return;
@@ -69,7 +70,7 @@
         self.read_unblocked(cx);
     }
 
-    /// Forgets a partition that this host still holds, and reads it anew.
+    /// Drops a partition that this host still holds and reads it again.
     pub(super) fn read_again(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         if let Some(Tenure { epoch, lease, .. }) = self.tenures.get(&partition).copied() {
             self.lost(cx, partition);
@@ -77,13 +78,13 @@
         }
     }
 
-    /// Begins to read the journals that this host itself does not write to any more.
+    /// Starts to read the journals to which this host has no write in flight.
     ///
-    /// A lease can be lost and found again with the same version. A transaction of before,
-    /// whose answer was lost, could then take effect after the journal was read: the row
-    /// would be missing here, and what is written next would contradict it.
+    /// A lease can be lost and acquired again with the same version. An earlier transaction of
+    /// this host whose answer was lost could then take effect after the journal was read. The
+    /// state here would lack that row, and later entries would contradict it.
     pub(super) fn read_unblocked(&mut self, cx: &mut Cx<'_>) {
-        // Without a configuration nobody knows what is in which partition.
+        // The configuration maps programs to partitions.
         if self.cfg.is_none() {
             return;
         }
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Asks for what is read next of a partition.
+    /// Issues the next read of a partition.
     fn read(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
         recovering.retry_at = None;
@@ -125,7 +126,7 @@
         self.scans.insert(op, (partition, tenure));
     }
 
-    /// Goes on to the journal's rows.
+    /// Continues with the journal rows after the last checkpoint object.
     fn read_rows(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         if let Some(recovering) = self.recovering.get_mut(&partition) {
             recovering.reading = Reading::Rows;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// A part of a partition came in.
+    /// Handles the reply to a read.
     pub(super) fn on_read(&mut self, cx: &mut Cx<'_>, op: ProgramOp, reply: PlatformReply) {
         let Some((partition, tenure)) = self.scans.remove(&op) else { return };
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Asks again later: the platform is away, or has something that cannot be read. A
-    /// partition that is not read in full is not served, as calls of it would be lost.
+    /// Schedules a retry: the platform is unavailable or returned data that cannot be read.
+    /// Until the partition is read completely it is not served, because calls would be missing.
     fn stall(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         let at = cx.now + READ_RETRY;
 
@@ -168,7 +169,7 @@
         }
     }
 
-    /// A partition's checkpoint row came in, if there is one.
+    /// Handles the checkpoint row, if the partition has one.
     fn on_checkpoint(&mut self, cx: &mut Cx<'_>, partition: PartitionId, row: Option<Row>) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
         recovering.reading = Reading::Rows;
@@ -190,7 +191,7 @@
         self.read(cx, partition);
     }
 
-    /// Takes in the image of a program.
+    /// Loads a program from its image.
     fn load_image(&mut self, cx: &mut Cx<'_>, image: ProgramImage) {
         let key = self.insert_program(cx, &image.opened);
         let parent = image.opened.parent.and_then(|id| self.index.get(&id).copied());
@@ -208,13 +209,13 @@
             program.append(call.call, call.outcome);
         }
 
-        // Its parent's image counts this opening already.
+        // The image of the parent already counts this opening.
         if let Some(parent) = parent {
             self.programs[parent].openings -= 1;
         }
     }
 
-    /// Rows of a journal came in.
+    /// Handles a page of journal rows.
     fn on_rows(&mut self, cx: &mut Cx<'_>, partition: PartitionId, rows: Vec<Row>) {
         let whole = rows.len() < PAGE_ROWS as usize;
 
@@ -227,7 +228,7 @@
         if whole { self.recovered(cx, partition) } else { self.read(cx, partition) }
     }
 
-    /// Takes in a row of a journal; `None` if it cannot be read.
+    /// Replays one journal row; returns `None` if it cannot be parsed.
     fn on_row(&mut self, cx: &mut Cx<'_>, partition: PartitionId, row: Row) -> Option<()> {
         let sequence = sequence_of(&row.key)?;
         let content: JournalRow = serde_json::from_str(&row.value).ok()?;
@@ -235,7 +236,7 @@
         recovering.after = row.key.key;
         recovering.compaction.first = recovering.compaction.first.min(sequence);
 
-        // The checkpoint holds it; it was not deleted yet.
+        // The checkpoint covers this row, which has not been deleted yet.
         if sequence <= recovering.upto {
             return Some(());
         }
@@ -246,8 +247,9 @@
         for entry in content.entries {
             let known = self.index.get(&entry.program()).map(|key| self.programs[*key].upto);
 
-            // An image that was made later than this row holds the entry. What it grants
-            // counts all the same: the family's other rows may have settled it meanwhile.
+            // The program's image is newer than this row and covers the entry. Its grant is
+            // replayed all the same: grants belong to the family, and a `Settled` entry in
+            // another row may have lowered the grant in between.
             match known {
                 Some(upto) if upto >= sequence => self.replay_grant(&entry),
                 _ => self.replay(cx, entry),
@@ -257,7 +259,7 @@
         Some(())
     }
 
-    /// Takes in one entry of a journal.
+    /// Replays one journal entry.
     fn replay(&mut self, cx: &mut Cx<'_>, entry: Entry) {
         match entry {
             Entry::Opened(opened) => {
@@ -277,7 +279,7 @@
         }
     }
 
-    /// Takes in what an entry says of its family's grant.
+    /// Replays the effect of an entry on its family's grant.
     fn replay_grant(&mut self, entry: &Entry) {
         let Some(key) = self.index.get(&entry.program()) else { return };
         let account = &mut self.accounts[self.programs[*key].account];
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Takes in an intent.
+    /// Replays an intent.
     fn replay_intent(&mut self, cx: &mut Cx<'_>, intent: IntentEntry) {
         let Some(key) = self.index.get(&intent.program) else { return };
         let program = &mut self.programs[*key];
@@ -300,12 +302,12 @@
         program.deadline = cx.now + intent.left;
     }
 
-    /// Takes in what became of an intent.
+    /// Replays the outcome of an intent.
     fn replay_outcome(&mut self, entry: OutcomeEntry) {
         let Some(key) = self.index.get(&entry.program) else { return };
         let program = &mut self.programs[*key];
 
-        // The outcome of an intent that was given up long ago says nothing new.
+        // An outcome that arrives after its intent was closed changes nothing.
         let Some((_, call)) = program.open_intent.take_if(|(name, _)| *name == entry.attempt)
         else {
             return;
@@ -316,7 +318,7 @@
         }
     }
 
-    /// Takes in a finished repeatable call.
+    /// Replays a finished call that may be repeated.
     fn replay_turn(&mut self, cx: &mut Cx<'_>, turn: TurnEntry) {
         let Some(key) = self.index.get(&turn.program) else { return };
         let program = &mut self.programs[*key];
@@ -326,7 +328,7 @@
         self.accounts[program.account].granted(turn.granted);
     }
 
-    /// A journal is read: its programs are served from now on.
+    /// Finishes a recovery and starts to serve the partition.
     fn recovered(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         let Some(recovering) = self.recovering.remove(&partition) else { return };
         self.tenures.insert(partition, recovering.tenure);
@@ -348,13 +350,14 @@
         }
     }
 
-    /// Makes a program ready that was read from a journal.
+    /// Prepares a program that was read from the journal.
     fn recovered_program(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
         let program = &mut self.programs[key];
 
-        // The former home may have sent the call, and may yet. It counts as run with an
-        // unknown outcome; sending it again could take a second deposit. Should the former
-        // home have seen the answer, its sealed tail settles the matter.
+        // The previous home host may have sent the call, or may still send it. The call is
+        // recorded with an unknown outcome, because sending it again could repeat a deposit,
+        // for example. If the previous host received the answer, the caller's sealed tail
+        // supplies the outcome later.
         if let Some((_, call)) = program.open_intent.clone() {
             program.append(call, Recorded::Unknown);
         }
@@ -375,7 +378,7 @@
         self.timers.set(due, Timer::Program(key));
     }
 
-    /// Lets a request wait until its partition's journal is read.
+    /// Parks a request until its partition's journal has been read.
     pub(super) fn park(&mut self, cx: &mut Cx<'_>, partition: PartitionId, asked: Asked) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
 
@@ -394,7 +397,7 @@
         self.timers.set(until, Timer::Partition(partition));
     }
 
-    /// Something is due for a partition whose journal is being read.
+    /// Refuses parked requests that waited too long, and retries a failed read that is due.
     pub(super) fn recovery_due(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
         let late: Vec<_> =
@@ -411,8 +414,8 @@
     }
 }
 
-/// Takes an intent whose outcome never came for one with an unknown outcome, because the
-/// program went on after it.
+/// Records an intent without a journaled outcome as having an unknown outcome, because the
+/// program continued after it.
 fn close_intent(program: &mut Program) {
     if let Some((_, call)) = program.open_intent.take() {
         program.append(call, Recorded::Unknown);
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -1,4 +1,4 @@
-//! Requests as they come in, and those that only look.
+//! Dispatch of incoming requests, and the requests that only read.
 
 use std::sync::Arc;
 
@@ -12,21 +12,21 @@
 use super::state::{Parked, Program, ProgramKey, ProgramState};
 use super::{Cx, Programs, answers, tail};
 
-/// A request with what came with it.
+/// A request together with its sender.
 #[derive(Debug)]
 pub(super) struct Asked {
-    /// Where the answer goes.
+    /// Identifies the request in the answer.
     pub ticket: Ticket,
-    /// The tenant.
+    /// The tenant that sent it.
     pub tenant: TenantId,
-    /// The key.
+    /// The API key it was sent with.
     pub key: KeyId,
-    /// What it asks.
+    /// The request itself.
     pub request: Request,
 }
 
 impl Programs {
-    /// Takes in a request.
+    /// Serves a request, parks it while its partition is being read, or refuses it.
     pub(super) fn request(&mut self, cx: &mut Cx<'_>, asked: Asked) {
         let program = asked.request.program();
 
@@ -45,7 +45,7 @@
         self.refuse(cx, asked.ticket, answers::not_served(&asked.request));
     }
 
-    /// Serves a request for a program whose home this host is.
+    /// Serves a request for a program whose home is this host.
     pub(super) fn serve(&mut self, cx: &mut Cx<'_>, asked: Asked) {
         let Asked { ticket, tenant, key, request } = asked;
 
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Returns a tenant's program. Another tenant's looks like none.
+    /// Returns the program if it belongs to the tenant; otherwise it appears not to exist.
     pub(super) fn visible(&self, tenant: TenantId, program: ProgramId) -> Option<ProgramKey> {
         let key = *self.index.get(&program)?;
 
         (self.programs[key].tenant == tenant).then_some(key)
     }
 
-    /// Returns a program's state.
+    /// Returns the state of a program as its caller sees it.
     fn view(&self, cx: &Cx<'_>, tenant: TenantId, program: ProgramId) -> Reply {
         let Some(key) = self.visible(tenant, program) else {
             return Reply::Refused(answers::not_found());
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Returns a call's outcome.
+    /// Returns the outcome of the call with this idempotency key.
     fn outcome(&self, tenant: TenantId, program: ProgramId, call: &str) -> Reply {
         let Some(key) = self.visible(tenant, program) else {
             return Reply::Refused(answers::not_found());
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Returns a program's calls in order.
+    /// Returns the finished calls of a program, beginning at number `from`.
     fn history(&self, tenant: TenantId, program: ProgramId, from: u32) -> Reply {
         let Some(key) = self.visible(tenant, program) else {
             return Reply::Refused(answers::not_found());
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns the answer to a finished call, as first given or to a repeat.
+    /// Returns the result of a finished call; repeats of the call get the same.
     pub(super) fn recorded(&self, program: &Program, number: u32) -> Result<Called, Refusal> {
         let record = &program.calls[number as usize - 1];
         let stored = number <= program.stored;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Returns the reply to a finished call.
+    /// Returns the reply for a finished call.
     pub(super) fn recorded_reply(&self, program: ProgramKey, number: u32) -> Reply {
         match self.recorded(&self.programs[program], number) {
             Ok(called) => Reply::Called(called),
@@ -166,7 +166,7 @@
 }
 
 impl Asked {
-    /// Makes a request out of one that was parked.
+    /// Restores the request from a parked one.
     pub fn unparked(parked: Parked) -> Self {
         Self {
             ticket: parked.ticket,
@@ -177,7 +177,7 @@
     }
 }
 
-/// Returns a call's output as its history shows it.
+/// Returns the text that a program's history shows as the output of a call.
 fn output_text(outcome: &Recorded) -> Box<str> {
     match outcome {
         Recorded::Done { output, .. } => text(output),
@@ -186,12 +186,12 @@
     }
 }
 
-/// Returns a refusal as the JSON that stands in place of an output.
+/// Returns a refusal as JSON, to be shown in place of an output.
 fn error_text(refusal: &Refusal) -> Box<str> {
     serde_json::json!({ "error": refusal }).to_string().into()
 }
 
-/// Copies a shared text.
+/// Copies a shared text into a string of its own.
 fn text(shared: &Arc<str>) -> Box<str> {
     Box::from(&**shared)
 }
--- a/crates/policy/src/programs/retry.rs
+++ b/crates/policy/src/programs/retry.rs
@@ -1,46 +1,47 @@
-//! When a failed attempt may be made again, and which requests crash targets.
+//! Limits on retries, and detection of requests that crash targets.
 
 use std::collections::VecDeque;
 
 use camphorwalk_core::hash::{Digest, Map, Set, digest};
 
-/// Thousandths of a retry that each first try earns: one retry for ten first tries.
+/// Thousandths of a retry earned by each first attempt, that is, one retry per ten first
+/// attempts.
 const EARNED_MILLIS: u64 = 100;
 
-/// Thousandths of a retry that can be saved up.
+/// The maximum that can be saved, in thousandths of a retry.
 const MOST_MILLIS: u64 = 10_000;
 
-/// What a retry costs.
+/// The cost of one retry, in thousandths of a retry.
 const RETRY_MILLIS: u64 = 1_000;
 
-/// The crashes after which a request is quarantined.
+/// The number of crashes after which a request is quarantined.
 const CRASHES: u8 = 2;
 
-/// The most suspects, and the most quarantined requests, that are remembered.
+/// The maximum number of suspects, and of quarantined requests, kept in memory.
 const REMEMBERED: usize = 4_096;
 
-/// A bucket of retries, filled by first tries.
+/// A token bucket for retries, filled by first attempts.
 ///
-/// Without it, targets that fail would get every request several times just when they are
-/// short of room.
+/// Without it, failing targets would receive every request several times just when they are
+/// short of capacity.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
-    /// Thousandths of a retry.
+    /// The current level in thousandths of a retry.
     millis: u64,
 }
 
 impl RetryBudget {
-    /// Makes a full bucket.
+    /// Creates a full bucket.
     pub fn new() -> Self {
         Self { millis: MOST_MILLIS }
     }
 
-    /// Counts a first try.
+    /// Adds the share of a retry that one first attempt earns.
     pub fn earn(&mut self) {
         self.millis = (self.millis + EARNED_MILLIS).min(MOST_MILLIS);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry; returns `false` if the bucket does not hold one.
     pub fn take(&mut self) -> bool {
         let enough = self.millis >= RETRY_MILLIS;
 
@@ -52,41 +53,42 @@
     }
 }
 
-/// What a crash under a request means.
+/// The consequence of a crash for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Crash {
-    /// The request is a suspect: it may be tried once more, alone at its target.
+    /// The request is a suspect. It may be tried once more, alone at its target.
     Suspect,
-    /// It brought a second target down: it is never sent again.
+    /// A second target crashed under the request. It is never sent again.
     Quarantine,
 }
 
-/// The requests that were in flight when a target crashed.
+/// Requests that were running when a target crashed.
 #[derive(Debug, Default)]
 pub(super) struct Suspects {
-    /// Crashes of each suspect.
+    /// The number of crashes of each suspect.
     crashes: Map<Digest, u8>,
     /// Suspects, the oldest first.
     order: VecDeque<Digest>,
-    /// The quarantined requests.
+    /// Quarantined requests.
     quarantined: Set<Digest>,
-    /// The quarantined requests, the oldest first.
+    /// Quarantined requests, the oldest first.
     quarantine_order: VecDeque<Digest>,
 }
 
 impl Suspects {
-    /// Tells whether a request is a suspect.
+    /// Returns whether a request is a suspect.
     pub fn is_suspect(&self, request: &Digest) -> bool {
         self.crashes.contains_key(request)
     }
 
-    /// Tells whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     pub fn is_quarantined(&self, request: &Digest) -> bool {
         self.quarantined.contains(request)
     }
 
-    /// A target crashed under a request. Of several in flight only one is to blame; the
-    /// others clear themselves by their second try, which they make alone.
+    /// Counts a crash of a target while it ran this request. Of several requests that were
+    /// running only one caused the crash. The others are cleared by their second attempt, which
+    /// each makes alone at its target.
     pub fn crashed(&mut self, request: Digest) -> Crash {
         let crashes = self.crashes.entry(request).or_default();
         *crashes += 1;
@@ -108,14 +110,14 @@
         Crash::Suspect
     }
 
-    /// A suspect ran to an end without a crash.
+    /// Clears a suspect that finished without a crash.
     pub fn cleared(&mut self, request: &Digest) {
         if self.crashes.remove(request).is_some() {
             self.order.retain(|other| other != request);
         }
     }
 
-    /// Quarantines a request, as this or another host found.
+    /// Quarantines a request that this host or another one identified.
     pub fn quarantine(&mut self, request: Digest) {
         if !self.quarantined.insert(request) {
             return;
@@ -131,9 +133,9 @@
     }
 }
 
-/// Returns the digest by which a request is known again: what the target is sent, without
-/// the program's id or the caller's idempotency keys, which a caller may change. `history`
-/// is the digest of the texts before the input, if they are sent too.
+/// Returns the digest that identifies a request when it is sent again. It covers what the
+/// target receives, but not the program's id or the idempotency key, which a caller can change.
+/// `history` is the digest of the texts before the input, for requests that include them.
 pub(super) fn request_digest(target: &str, history: Option<&Digest>, input: &str) -> Digest {
     let history = history.map_or(&[][..], |digest| &digest[..]);
 
--- a/crates/policy/src/programs/settle.rs
+++ b/crates/policy/src/programs/settle.rs
@@ -1,8 +1,8 @@
-//! Giving grants back before a partition is given back in good order.
+//! Release of unspent budget grants before a partition is released in an orderly way.
 //!
-//! Without this each planned restart of a host would cost every program at home there one
-//! chunk of its budget, and a program that lives through several restarts would be refused
-//! although it has spent little.
+//! Without this, each planned restart of a host would cost every program there one grant chunk,
+//! and a program that lives through several restarts would be refused although it has spent
+//! little.
 
 use camphorwalk_core::hash::Set;
 use camphorwalk_core::ids::PartitionId;
@@ -13,16 +13,16 @@
 use super::state::{ProgramKey, ProgramState};
 
 impl Programs {
-    /// A partition is about to be given back.
+    /// Starts to release the unspent grants of a partition that is about to be released.
     pub(super) fn settle_partition(&mut self, partition: PartitionId) {
         if self.tenures.contains_key(&partition) {
             self.settling.insert(partition);
         }
     }
 
-    /// Journals unspent grants of the partitions that are to be given back, wherever nothing
-    /// is under way. A call that comes later has to be granted tokens again, and settling
-    /// goes on after it.
+    /// Journals unspent grants as free in partitions that are about to be released and are
+    /// idle. A later call must be granted tokens again; its unspent grant is released once the
+    /// partition is idle again.
     pub(super) fn settle_idle(&mut self) {
         if self.settling.is_empty() {
             return;
@@ -34,15 +34,16 @@
             let program = &self.programs[key];
             let account = &mut self.accounts[program.account];
 
-            // From here on nothing is sent without another durable grant, so the entry holds
-            // whenever it becomes durable.
+            // From now on no attempt is sent without a new durable grant, so the entry is valid
+            // no matter when it becomes durable.
             account.give_up_grant();
             let (program, spent) = (program.id, account.spent);
             self.append(key, Entry::Settled { program, spent }, Waiter::Nobody);
         }
     }
 
-    /// Returns the topmost programs with unspent grants in idle partitions to be given back.
+    /// Returns the root programs with unspent grants in idle partitions that are about to be
+    /// released.
     fn unsettled(&self, busy: &Set<PartitionId>) -> Vec<ProgramKey> {
         let settles = |key: &ProgramKey| {
             let program = &self.programs[*key];
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -1,4 +1,5 @@
-//! What the home remembers: partitions, programs, their calls, and calls under way.
+//! State that the home host keeps: partitions, programs, their call history, and calls in
+//! progress.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,162 +21,164 @@
 use crate::wire::CallId;
 
 slotmap::new_key_type! {
-    /// A program that this host remembers.
+    /// Key of a program in memory.
     pub(super) struct ProgramKey;
 }
 
-/// Bytes of text that count as one token where no engine has counted yet.
+/// Estimated bytes of text per token, used until an engine reports a token count.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Returns the tokens that a text is taken for before an engine counts it.
+/// Estimates the tokens of a text that no engine has counted yet.
 pub(super) fn estimate(text: &str) -> Tokens {
     Tokens((text.len() as u64).div_ceil(BYTES_PER_TOKEN))
 }
 
-/// A request that waits until its partition's journal is read.
+/// A request that waits until its partition's journal has been read.
 #[derive(Debug)]
 pub(super) struct Parked {
-    /// Where the answer goes.
+    /// Identifies the request in the answer.
     pub ticket: Ticket,
-    /// The tenant.
+    /// The tenant that sent it.
     pub tenant: TenantId,
-    /// The key that came with it.
+    /// The API key it was sent with.
     pub key: KeyId,
-    /// What it asks.
+    /// The request itself.
     pub request: Request,
-    /// When it is refused if the journal is still not read.
+    /// When the request is refused if the journal has still not been read.
     pub until: Instant,
 }
 
 /// A partition whose journal is being read.
 #[derive(Debug)]
 pub(super) struct Recovering {
-    /// What was read so far; `next` is one past the last row.
+    /// The lease term; `next_row` is one past the last row read so far.
     pub tenure: Tenure,
-    /// What is read next.
+    /// The next read to issue.
     pub reading: Reading,
-    /// The checkpoint that was read, if there is one.
+    /// State of the checkpoint that was read, or the default if there is none.
     pub compaction: Compaction,
-    /// The last row that the checkpoint holds.
+    /// The last journal row that the checkpoint covers.
     pub upto: u64,
-    /// The last key read, or empty.
+    /// The key of the last row read; empty before the first.
     pub after: Box<str>,
-    /// Requests that came meanwhile.
+    /// Requests that arrived while the journal is being read.
     pub parked: Vec<Parked>,
-    /// Whether reading has not begun, because a write of this host is still under way.
+    /// Whether reading has not started because a write of this host to the journal is in
+    /// progress.
     pub blocked: bool,
-    /// When the next page is asked for, after the platform was away.
+    /// When to retry a failed read.
     pub retry_at: Option<Instant>,
 }
 
-/// What is read next of a partition.
+/// The next read of a recovery.
 #[derive(Debug)]
 pub(super) enum Reading {
-    /// The checkpoint row.
+    /// Read the checkpoint row.
     Checkpoint,
-    /// The checkpoint's objects, the next one first.
+    /// Read the checkpoint's objects, in this order.
     Parts(VecDeque<ObjectName>),
-    /// The journal's rows.
+    /// Scan the journal rows.
     Rows,
 }
 
-/// Where a program stands.
+/// Lifecycle state of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProgramState {
-    /// Its opening is not durable yet.
+    /// The opening is not durable yet.
     Opening,
-    /// It takes calls.
+    /// Calls are accepted.
     Open,
-    /// It is over, which may not be durable yet.
+    /// The program ended; the end may not be durable yet.
     Ended,
 }
 
-/// A program.
+/// A program on its home host.
 #[derive(Debug)]
 pub(super) struct Program {
-    /// Its id.
+    /// The program's id.
     pub id: ProgramId,
     /// The tenant that opened it.
     pub tenant: TenantId,
-    /// Its template's name.
+    /// The name of its template.
     pub template: Box<str>,
-    /// Its class.
+    /// Its scheduling class.
     pub class: ClassId,
-    /// Its partition.
+    /// The partition that its id falls into.
     pub partition: PartitionId,
-    /// The program that it is a sub-agent of.
+    /// The parent, if the program is a sub-agent.
     pub parent: Option<ProgramId>,
-    /// The program whose budget it spends.
+    /// The root of the family, whose budget the program spends.
     pub root: ProgramId,
-    /// How many programs are above it.
+    /// The number of ancestors.
     pub depth: u8,
-    /// The family's budget.
+    /// The account that holds the family's budget.
     pub account: AccountKey,
-    /// The digest of the opening.
+    /// The digest of the opening request, to recognize a repeat of it.
     pub body: Digest,
-    /// Whether the opening may be repeated.
+    /// Whether the caller may repeat the opening.
     pub repeatable: bool,
-    /// When it must be done.
+    /// When the program is ended by force.
     pub deadline: Instant,
-    /// Where it stands.
+    /// The lifecycle state.
     pub state: ProgramState,
-    /// Finished calls, in order.
+    /// Finished calls in order; call number `n` is at index `n - 1`.
     pub calls: Vec<Record>,
-    /// How many of `calls` the platform holds.
+    /// How many of `calls` are durable on the platform.
     pub stored: u32,
-    /// The tokens of all inputs and outputs, so that none is counted twice.
+    /// Tokens of all inputs and outputs so far, each counted once.
     pub history: Tokens,
-    /// Tokens it has been served, prompts and outputs.
+    /// Attained service: prompt and output tokens of all turns so far.
     pub attained: Tokens,
-    /// The call under way, if any.
+    /// The call in progress, if any.
     pub running: Option<CallId>,
-    /// The sub-agents it opened that are remembered.
+    /// Sub-agents that are still in memory.
     pub children: Vec<ProgramId>,
-    /// How many sub-agents it opened.
+    /// How many sub-agents the program has opened.
     pub openings: u32,
-    /// The last journal row that its image in a checkpoint holds.
+    /// The last journal row covered by the program's checkpoint image.
     pub upto: u64,
-    /// Whether the write of an intent that will never be sent may still take effect. Until
-    /// that is known no entry of this program may go behind it, so calls are refused.
+    /// Whether the write of an intent that will never be sent may still take effect. Until that
+    /// is known no later entry of this program may be journaled, so calls are refused.
     pub in_doubt: bool,
-    /// The last intent read from the journal, if its outcome was not there and nothing came
-    /// after it.
+    /// The last intent read from the journal, with its name, if the journal holds neither its
+    /// outcome nor any later call.
     pub open_intent: Option<(Box<str>, CallText)>,
-    /// Whether the partition was lost while a call ran: only that call's answer is left.
+    /// Whether the partition was lost while a call was running. The program is kept only until
+    /// that call is answered.
     pub orphan: bool,
-    /// Who waits for the opening.
+    /// Callers that wait for the opening to become durable.
     pub opening: Vec<Ticket>,
-    /// Who waits for the end.
+    /// Callers that wait for the end to become durable.
     pub ending: Vec<Ticket>,
-    /// Whether the platform holds that the program is over.
+    /// Whether the end of the program is durable.
     pub end_stored: bool,
-    /// When an ended program is forgotten.
+    /// When an ended program is removed from memory.
     pub forget_at: Option<Instant>,
 }
 
-/// A finished call.
+/// A finished call in a program's history.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
-    /// What was asked.
+    /// The request of the call.
     pub call: CallText,
-    /// What came of it.
+    /// The outcome.
     pub outcome: Recorded,
-    /// The hash of the history up to and with this call.
+    /// The hash chain of the history up to and including this call.
     pub hash: Digest,
-    /// The hash of the texts alone, up to and with this call: equal for two programs whose
-    /// prompts are equal.
+    /// The hash of the texts alone up to and including this call. It is equal for two programs
+    /// with equal prompts.
     pub texts: Digest,
-    /// The name of its intent, if it had one and this home saw the outcome.
+    /// The name of its intent, if the call had one and this host saw the outcome.
     pub attempt: Option<Box<str>>,
 }
 
 impl Program {
-    /// Returns the number of the last finished call.
+    /// Returns the number of the last finished call; zero if there is none.
     pub fn head(&self) -> u32 {
         self.calls.len() as u32
     }
 
-    /// Returns the hash of the history up to and with call `number`.
+    /// Returns the hash of the history up to and including call `number`.
     pub fn hash_at(&self, number: u32) -> Option<Digest> {
         match number {
             0 => Some(digest(&[b"program", &self.id.0.to_be_bytes()])),
@@ -185,7 +188,7 @@
 
     /// Returns the number of the finished call with this idempotency key.
     pub fn find(&self, key: &str) -> Option<u32> {
-        // The call that is repeated is mostly the last one.
+        // A repeated call is usually the most recent one, so the search starts at the end.
         let index = self.calls.iter().rposition(|record| &*record.call.key == key)?;
 
         Some(index as u32 + 1)
@@ -206,7 +209,7 @@
 
         self.history = self.history.plus(tokens);
 
-        // Where the engine counts more than the estimate, its count holds.
+        // An engine's count overrides a lower estimate.
         if let Recorded::Done { usage, .. } = &outcome {
             let counted = usage.prompt_tokens.plus(usage.output_tokens);
             self.history = self.history.max(counted);
@@ -217,19 +220,19 @@
         self.head()
     }
 
-    /// Takes back the last call, whose outcome was unknown and now is known.
+    /// Removes the last call, whose outcome was unknown and has now been found.
     pub fn pop_unknown(&mut self) {
         if let Some(record) = self.calls.pop() {
             self.history = self.history.minus(estimate(&record.call.input));
         }
     }
 
-    /// Returns the hash of all texts of the history.
+    /// Returns the hash of all texts in the history.
     pub fn texts(&self) -> Digest {
         self.calls.last().map(|record| record.texts).unwrap_or_default()
     }
 
-    /// Returns the prompt of a model turn: the history and the new input.
+    /// Returns the prompt of a model turn: all earlier inputs and outputs, then the new input.
     pub fn prompt(&self, input: &Arc<str>) -> Vec<Arc<str>> {
         let mut parts = Vec::with_capacity(self.calls.len() * 2 + 1);
 
@@ -245,13 +248,13 @@
         parts
     }
 
-    /// Returns the time left.
+    /// Returns the time left until the deadline.
     pub fn left(&self, now: Instant) -> Duration {
         self.deadline - now
     }
 }
 
-/// Returns the hash of a history that ends with this call.
+/// Returns the hash of a history after this call is appended to it.
 pub(super) fn chain(before: &Digest, call: &CallText, outcome: &Recorded) -> Digest {
     let (kind, text): (&[u8], &str) = match outcome {
         Recorded::Done { output, .. } => (b"done", output),
@@ -270,83 +273,84 @@
     ])
 }
 
-/// What kind of work a call is.
+/// The kind of work that a call asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// A model turn.
+    /// A model turn on an engine.
     Turn {
-        /// The most tokens to generate.
+        /// The maximum number of tokens to generate.
         max_tokens: u32,
     },
-    /// An operation of a plain service that may be run again.
+    /// A service operation that is safe to run again.
     Repeatable(Box<str>),
-    /// An operation of a plain service that must not be run again.
+    /// A service operation that must run at most once.
     Once(Box<str>),
 }
 
-/// How far a call is.
+/// The stage that a call has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Waits for the tenant's rate.
+    /// Waits for the tenant's rate limit.
     Admitting,
-    /// Waits until its family may spend more.
+    /// Waits until a larger budget grant is durable.
     Granting,
     /// Waits for a place at a target.
     Placing,
-    /// Holds a place and waits for its intent to be durable.
+    /// Holds a place and waits until its intent is durable.
     Intending,
     /// Sent to a target.
     Running,
-    /// Done; waits for its record to be durable.
+    /// Finished; waits until its outcome is durable.
     Recording,
 }
 
-/// One who waits for a call's answer.
+/// A caller that waits for a call's answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Caller {
-    /// Where the answer goes.
+    /// Identifies the request in the answer.
     pub ticket: Ticket,
-    /// The key that came with the request.
+    /// The API key that the request was sent with.
     pub key: KeyId,
-    /// Whether it wants the answer streamed.
+    /// Whether the caller wants the answer streamed.
     pub stream: bool,
 }
 
-/// A call under way.
+/// A call in progress.
 #[derive(Debug)]
 pub(super) struct Call {
-    /// The program.
+    /// The program that the call belongs to.
     pub program: ProgramKey,
-    /// What was asked.
+    /// The request of the call.
     pub text: CallText,
-    /// What kind of work it is.
+    /// The kind of work.
     pub kind: Kind,
-    /// The pool that serves it.
+    /// The pool whose targets can serve the call.
     pub pool: PoolId,
-    /// Its number, if it runs to an end.
+    /// The number the call gets in the history when it finishes.
     pub number: u32,
-    /// Who waits for it.
+    /// Callers that wait for the answer.
     pub callers: Vec<Caller>,
-    /// The key to check once more before it is sent.
+    /// The API key that is checked again before the call is sent.
     pub key: KeyId,
-    /// How far it is.
+    /// The stage that the call has reached.
     pub stage: Stage,
     /// Tokens of the prompt.
     pub prompt: Tokens,
-    /// Tokens reserved for the attempt under way or to come.
+    /// Tokens reserved for the current or next attempt.
     pub reserved: Tokens,
-    /// The target whose place it holds.
+    /// The target where the call holds a place.
     pub target: Option<TargetId>,
-    /// The attempt under way, or the name of its intent.
+    /// The current attempt; its id also names the intent.
     pub attempt: Option<AttemptId>,
-    /// A target to avoid, because the call just failed there.
+    /// A target to avoid because the last attempt failed there.
     pub avoid: Option<TargetId>,
-    /// Whether a target crashed under it.
+    /// Whether a target crashed while running this request.
     pub suspect: bool,
-    /// Whether an attempt was lost or failed, so that "not run" cannot be said any more.
+    /// Whether an attempt failed or was lost, so that the call can no longer be reported as not
+    /// run.
     pub may_have_run: bool,
-    /// Digest of what is asked, to know a request that crashes targets.
+    /// Digest that identifies requests that crash targets.
     pub digest: Digest,
-    /// When its stage takes too long.
+    /// When the current stage times out.
     pub stage_until: Option<Instant>,
 }
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -1,4 +1,4 @@
-//! A call's steps up to its dispatch: rate, budget, place, intent.
+//! The steps of a call before it is sent: rate check, budget reservation, place, intent.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use super::{Cx, ProgramNext, Programs, answers};
 use crate::wire::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
 
-/// How long a call waits for the platform to take its intent or grant.
+/// How long a call waits for its intent or grant to become durable.
 const ASK_WAIT: Duration = Duration::from_secs(1);
 
 impl Programs {
-    /// The tenant's rate was asked.
+    /// Handles the result of the rate check.
     pub(super) fn on_verdict(&mut self, cx: &mut Cx<'_>, id: CallId, verdict: Verdict) {
         if self.stage(id) != Some(Stage::Admitting) {
             return;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Reserves what the next attempt may take, and asks for a place.
+    /// Reserves the tokens of the next attempt, then requests a place.
     pub(super) fn reserve(&mut self, cx: &mut Cx<'_>, id: CallId) {
         let call = &self.calls[id];
         let (program, tokens) = (call.program, call.reserved);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Asks for a place at a target.
+    /// Requests a place at a target.
     fn place(&mut self, cx: &mut Cx<'_>, id: CallId) {
         self.set_stage(cx, id, Stage::Placing, None);
         let call = &self.calls[id];
@@ -78,20 +78,21 @@
         });
     }
 
-    /// No place can be had in time.
+    /// Handles a request for a place that cannot be granted in time.
     pub(super) fn on_unplaced(&mut self, cx: &mut Cx<'_>, id: CallId, retry_after: Duration) {
         if self.stage(id) != Some(Stage::Placing) {
             return;
         }
 
-        // Said first: a call that has no place is not to be vacated.
+        // The stage changes first, so that `abandon_call` does not release a place that the
+        // call does not have.
         self.release(id);
         self.calls[id].stage = Stage::Admitting;
         let refusal = Refusal::not_run(Code::Overloaded, "no target can serve the call in time");
         self.drop_call(cx, id, refusal.retry_after(retry_after));
     }
 
-    /// The call has a place.
+    /// Handles a place that was granted.
     pub(super) fn on_placed(&mut self, cx: &mut Cx<'_>, id: CallId, target: TargetId) {
         if self.stage(id) != Some(Stage::Placing) {
             return;
@@ -104,22 +105,23 @@
         call.attempt = Some(attempt);
 
         match call.kind {
-            // If the home died between the dispatch and its record, the next home would not
-            // know of the call, and a repeat would run it again: a second deposit. So the
-            // intent is durable before a byte is sent.
+            // If this host crashed between the dispatch and the record of the outcome, the next
+            // home host would not know of the call, and a repeat would run it again, for
+            // example as a second deposit. So the intent must be durable before anything is
+            // sent.
             Kind::Once(_) => self.intend(cx, id, attempt),
             Kind::Turn { .. } | Kind::Repeatable(_) => self.dispatch(cx, id),
         }
     }
 
-    /// Journals that a call is about to be sent.
+    /// Journals the intent to send a call.
     fn intend(&mut self, cx: &mut Cx<'_>, id: CallId, attempt: AttemptId) {
         self.set_stage(cx, id, Stage::Intending, Some(ASK_WAIT));
         let call = &self.calls[id];
         let key = call.program;
         let program = &mut self.programs[key];
 
-        // Readers of the journal take an earlier intent for closed once another follows.
+        // When the journal is replayed, a later intent also closes the earlier one.
         program.open_intent = None;
 
         let entry = IntentEntry {
@@ -164,9 +166,9 @@
         self.attempts.insert(attempt, id);
     }
 
-    /// Gives a call up that was not sent, and answers its callers.
+    /// Abandons a call that is not at a target, and refuses its callers.
     ///
-    /// After an attempt that may have run, "not run" is turned into "may have run".
+    /// If an earlier attempt may have run, the refusal says so instead of "not run".
     pub(super) fn drop_call(&mut self, cx: &mut Cx<'_>, id: CallId, mut refusal: Refusal) {
         let Some(call) = self.calls.get(id) else { return };
         let program = call.program;
@@ -179,7 +181,7 @@
             Stage::Placing => self.release(id),
             Stage::Intending => {
                 self.release(id);
-                // The intent may still become durable, but is never sent.
+                // The intent may still become durable, but the call is never sent.
                 self.programs[program].in_doubt = true;
             }
             _ => {}
@@ -193,7 +195,7 @@
         self.forget_call(id);
     }
 
-    /// Gives back a place, or withdraws the question for one.
+    /// Releases the place of a call, or withdraws its request for one.
     pub(super) fn vacate(
         &mut self,
         cx: &mut Cx<'_>,
@@ -216,7 +218,7 @@
         });
     }
 
-    /// Answers all who wait for a call with a refusal.
+    /// Refuses all callers of a call.
     pub(super) fn answer_callers(&mut self, cx: &mut Cx<'_>, id: CallId, refusal: &Refusal) {
         let callers = std::mem::take(&mut self.calls[id].callers);
 
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Forgets a call; its program takes the next.
+    /// Removes a call, so that its program can accept the next one.
     pub(super) fn forget_call(&mut self, id: CallId) {
         let Some(call) = self.calls.remove(id) else { return };
 
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Gives back the tokens reserved for an attempt that was not sent.
+    /// Returns the tokens reserved for an attempt that was not sent.
     pub(super) fn release(&mut self, id: CallId) {
         let call = &self.calls[id];
 
@@ -249,12 +251,12 @@
         }
     }
 
-    /// Returns how far a call is.
+    /// Returns the stage of a call, or `None` if the call no longer exists.
     pub(super) fn stage(&self, id: CallId) -> Option<Stage> {
         self.calls.get(id).map(|call| call.stage)
     }
 
-    /// Moves a call on, with a bound on how long the stage may take.
+    /// Moves a call to a stage that may last for at most `limit`.
     pub(super) fn set_stage(
         &mut self,
         cx: &Cx<'_>,
@@ -272,7 +274,7 @@
         }
     }
 
-    /// A call's stage took too long.
+    /// Handles a call that has been in its stage for too long.
     pub(super) fn stage_timed_out(&mut self, cx: &mut Cx<'_>, id: CallId) {
         let Some(call) = self.calls.get(id) else { return };
 
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -1,10 +1,10 @@
-//! Turns that the platform does not hold yet, sealed and carried by the caller.
+//! Sealed tails: calls that are not durable yet, carried by the caller.
 //!
-//! While the platform is away, model turns go on and their answers carry a *tail*: the
-//! calls that are not stored. The caller hands it back with its next call, so that the
-//! home's memory is not the only copy. A tail is bound to its program, tenant, the number
-//! after which it begins and the hash of the history up to there; a home adopts it only
-//! where exactly that history stands.
+//! While the platform is unavailable, model turns continue and their answers carry a *tail*:
+//! all calls of the program that are not durable. The caller sends it back with its next call,
+//! so that the home host's memory is not the only copy. A tail is bound to its program, its
+//! tenant, the number of the call before it and the hash of the history up to that call. A home
+//! host adopts it only if its own history matches.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -19,57 +19,57 @@
 use super::entries::{CallText, Recorded};
 use super::state::{Program, chain};
 
-/// The bytes of the seal before the content.
+/// The length of the message authentication code before the content.
 const SEAL_BYTES: usize = 32;
 
-/// What keeps this seal apart from other uses of the same secret.
+/// Separates these codes from other uses of the same secret.
 const PURPOSE: &[u8] = b"camphorwalk tail 1";
 
-/// The calls of a program that the platform does not hold yet.
+/// The calls of a program that are not durable yet.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Tail {
-    /// The program.
+    /// The program that the calls belong to.
     program: ProgramId,
-    /// The tenant's id.
+    /// The id of the program's tenant.
     tenant: u64,
     /// The number of the call before the first of `turns`.
     base: u32,
-    /// The hash of the history up to there.
+    /// The hash of the history up to call `base`.
     #[serde_as(as = "Hex")]
     base_hash: Digest,
-    /// The calls, in order.
+    /// The calls in order.
     turns: Vec<TailTurn>,
 }
 
 /// A call in a tail.
 #[derive(Debug, Serialize, Deserialize)]
 struct TailTurn {
-    /// What was asked.
+    /// The request of the call.
     call: CallText,
     /// What came of it.
     outcome: Recorded,
 }
 
-/// Why a tail was not adopted.
+/// The reason why a tail was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TailError {
-    /// The seal is not right, or it is another program's.
+    /// The authentication code is wrong, or the tail belongs to another program.
     Forged,
-    /// The history went on differently.
+    /// The program's history differs from the one the tail continues.
     Diverged,
 }
 
-/// What adopting a tail changed.
+/// The result of adopting a tail.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Adopted {
-    /// Whether the last call, an intent without an outcome, got its outcome.
+    /// Whether the tail supplied the outcome of the last call, an intent without one.
     pub settled: bool,
     /// The numbers of the calls that were appended.
     pub appended: Vec<u32>,
 }
 
-/// Seals the calls of a program that are not stored, if there are any.
+/// Seals the calls of a program that are not durable, if there are any.
 pub(super) fn seal(secret: &[u8; 32], program: &Program) -> Option<Box<str>> {
     let turns: Vec<_> = program
         .calls
@@ -96,7 +96,7 @@
     Some(STANDARD_NO_PAD.encode(bytes).into())
 }
 
-/// Opens a sealed tail of this program.
+/// Verifies and decodes a sealed tail of this program.
 pub(super) fn unseal(secret: &[u8; 32], program: &Program, text: &str) -> Result<Tail, TailError> {
     let bytes = STANDARD_NO_PAD.decode(text).map_err(|_| TailError::Forged)?;
 
@@ -104,7 +104,7 @@
         return Err(TailError::Forged);
     }
 
-    // A caller could otherwise write a history that no engine ever gave.
+    // Without this check a caller could forge a history that no engine produced.
     let (seal, content) = bytes.split_at(SEAL_BYTES);
     mac(secret, content).verify_slice(seal).map_err(|_| TailError::Forged)?;
     let tail: Tail = serde_json::from_slice(content).map_err(|_| TailError::Forged)?;
@@ -116,7 +116,7 @@
     Ok(tail)
 }
 
-/// Appends to a program what a tail holds beyond its head.
+/// Appends the calls of a tail that follow the program's last finished call.
 pub(super) fn adopt(program: &mut Program, tail: Tail) -> Result<Adopted, TailError> {
     let plan = plan(program, &tail)?;
     let mut adopted = Adopted::default();
@@ -136,13 +136,13 @@
     Ok(adopted)
 }
 
-/// How a tail fits a program.
+/// How a tail is applied to a program.
 struct Plan {
-    /// The call whose lost outcome the tail holds.
+    /// The call with an unknown outcome that the tail resolves.
     settles: Option<u32>,
 }
 
-/// Checks that a tail continues exactly this history.
+/// Checks that a tail matches the program's history, and returns how to apply it.
 fn plan(program: &Program, tail: &Tail) -> Result<Plan, TailError> {
     if program.hash_at(tail.base) != Some(tail.base_hash) {
         return Err(TailError::Diverged);
@@ -155,15 +155,15 @@
         let number = tail.base + offset as u32 + 1;
         hash = chain(&hash, &turn.call, &turn.outcome);
 
-        // Past the head nothing stands against it.
+        // The rest of the tail is new to this host.
         let Some(known) = program.calls.get(number as usize - 1) else { break };
 
         if known.hash == hash {
             continue;
         }
 
-        // The former home saw the answer of a call whose outcome it could not store. Its
-        // seal vouches for that outcome.
+        // The previous home host received the answer of this call but could not store its
+        // outcome. The authentication code proves that the outcome is genuine.
         let lost = program.open_intent.is_some() && number == program.head();
 
         if !(lost && known.call == turn.call && known.outcome == Recorded::Unknown) {
@@ -176,7 +176,7 @@
     Ok(Plan { settles })
 }
 
-/// Returns the seal of a content, not finished.
+/// Returns a message authentication code that has processed the content.
 fn mac(secret: &[u8; 32], content: &[u8]) -> Hmac<Sha256> {
     let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("any key length will do");
     mac.update(PURPOSE);
--- a/crates/policy/src/programs/timers.rs
+++ b/crates/policy/src/programs/timers.rs
@@ -1,4 +1,4 @@
-//! What is due when.
+//! Timers of the programs' state machine.
 
 use std::collections::BTreeSet;
 
@@ -8,21 +8,22 @@
 use super::state::ProgramKey;
 use crate::wire::CallId;
 
-/// What a timer is for.
+/// What a timer was set for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A call's stage takes too long.
+    /// A call has been in its stage for too long.
     Call(CallId),
-    /// A program's deadline, or the end of its memory.
+    /// A program has reached its deadline, or the end of its retention.
     Program(ProgramKey),
-    /// A partition's journal is to be read on, or its requests have waited long enough.
+    /// A partition's recovery must be retried, or its parked requests have waited too long.
     Partition(PartitionId),
 }
 
-/// The timers, the earliest first. One that no longer applies does nothing when it is due.
+/// Pending timers in order of time. Timers are never cancelled: one that no longer applies is
+/// ignored when it fires.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
-    /// The timers.
+    /// The time and purpose of each timer.
     due: BTreeSet<(Instant, Timer)>,
 }
 
@@ -37,7 +38,7 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub fn take_due(&mut self, now: Instant) -> Option<Timer> {
         if self.next_at()? > now {
             return None;
