--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -10,7 +10,7 @@
     BUDGET, Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, lost, open_child,
 };
 
-/// Returns what a program may still spend.
+/// Returns the tokens that a program may still spend.
 fn left(home: &mut Home, platform: &mut Platform, program: ProgramId) -> u64 {
     let ticket = home.ask(platform, Request::View { program });
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Returns the end of a turn that took this many tokens.
+/// Returns the end of a turn that used this many tokens.
 fn took(prompt: u64, output: u64) -> AttemptEnd {
     let usage = Usage {
         prompt_tokens: Tokens(prompt),
@@ -44,8 +44,8 @@
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 23);
 }
 
-/// Makes turns that take all that was reserved for them until one is refused. Returns that
-/// refusal, how many ran and what they took.
+/// Runs turns that use all their reserved tokens until one is refused. Returns the refusal, the
+/// number of turns that ran and the tokens they used.
 fn turns_until_refused(home: &mut Home, platform: &mut Platform) -> (Refusal, u32, u64) {
     let (mut ran, mut spent) = (0, 0);
 
@@ -63,8 +63,8 @@
     }
 }
 
-/// The caller is refused before anything runs. Its turns took nearly all of the budget, and
-/// the next might take more than is left.
+/// A turn whose reservation exceeds the rest of the budget is refused before anything runs; its
+/// actual use could overspend the budget.
 #[test]
 fn a_turn_that_could_pass_the_budget_is_refused() {
     let platform = &mut Platform::new();
@@ -76,7 +76,7 @@
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - spent);
 }
 
-/// The caller sees the tokens of a lost turn as spent: the engine may have generated them.
+/// The tokens of a lost attempt count as spent, because the engine may have generated them.
 #[test]
 fn a_lost_attempt_counts_as_spent() {
     let platform = &mut Platform::new();
@@ -88,7 +88,7 @@
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 102);
 }
 
-/// A family cannot spend more than its parent's budget, however many sub-agents it opens.
+/// A whole family shares the root's budget, so opening sub-agents does not raise the limit.
 #[test]
 fn sub_agents_spend_their_parents_budget() {
     let platform = &mut Platform::new();
@@ -104,8 +104,9 @@
     assert_eq!(left(&mut home, platform, child), BUDGET - 23);
 }
 
-/// After a change of home the caller sees one chunk of the budget gone at most: what the
-/// journal let the former home spend, which may still be running there.
+/// The previous home host may still be running attempts within its durable grant. The next one
+/// must count the whole grant as spent, or the family could exceed its budget. This costs at
+/// most one chunk.
 #[test]
 fn the_next_home_takes_the_grant_for_spent() {
     let platform = &mut Platform::new();
@@ -119,8 +120,8 @@
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - 23 - BUDGET / 8);
 }
 
-/// The caller's turns go on while the platform is away, but not past what the journal lets
-/// the family spend: a next home would not know of the rest.
+/// While the platform is unavailable turns continue only within the durable grant. Anything
+/// spent beyond it would be unknown to the next home host.
 #[test]
 fn turns_stop_at_the_grant_while_the_platform_is_away() {
     let platform = &mut Platform::new();
@@ -147,8 +148,8 @@
     assert_eq!(home.refusal(refused).code, Code::BudgetExhausted);
 }
 
-/// A retry is reserved like a first try, so a turn that fails again and again is stopped by
-/// the budget at the latest.
+/// Every retry reserves tokens like a first attempt. Otherwise a turn that keeps failing could
+/// exceed the budget.
 #[test]
 fn each_retry_is_paid_for() {
     let platform = &mut Platform::new();
@@ -161,9 +162,9 @@
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 2 * 102);
 }
 
-/// A planned restart costs the caller nothing: the home journals what it was granted and has
-/// not spent as free before it gives the partition back. A call that still comes is granted
-/// tokens again, and settled after.
+/// Before a planned change of home the unspent grant is journaled as free, so it is not lost.
+/// The partition stays busy until that entry is durable. A call that arrives meanwhile gets a
+/// new grant, whose unspent part is journaled as free afterwards.
 #[test]
 fn a_planned_change_of_home_costs_nothing() {
     let platform = &mut Platform::new();
@@ -187,8 +188,8 @@
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - 23 - 50);
 }
 
-/// The caller's running turn counts as spent on the next home, though the former one was
-/// about to give the partition back: the turn may go on there.
+/// A running turn may continue after the partition was released, so its grant must not be
+/// journaled as free; the next home host counts it as spent.
 #[test]
 fn a_running_turn_is_not_settled() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that are gone, and keys that are withdrawn.
+//! Callers that disconnect and API keys that are withdrawn.
 
 use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
 use camphorwalk_core::ids::KeyId;
@@ -7,7 +7,8 @@
 
 use crate::fixture::{Home, PROGRAM, Platform, call, done};
 
-/// The caller hung up on a turn: the engine stops, and the next call may come.
+/// When the only caller of a model turn disconnects, the attempt is cancelled and the program
+/// accepts the next call.
 #[test]
 fn a_turn_that_nobody_waits_for_is_cancelled() {
     let platform = &mut Platform::new();
@@ -24,7 +25,8 @@
     assert_eq!(home.vacated.len(), 2);
 }
 
-/// The caller hung up on a deposit: it runs on, and the outcome is there when it asks.
+/// When the only caller of a deposit disconnects, the deposit still runs to its end, and its
+/// outcome can be queried.
 #[test]
 fn a_deposit_that_nobody_waits_for_is_recorded() {
     let platform = &mut Platform::new();
@@ -39,8 +41,8 @@
     assert!(matches!(home.reply(outcome), Reply::Outcome(CallOutcome::Done(_))));
 }
 
-/// The caller's key is withdrawn while its turn streams: the stream is ended and says that
-/// the turn may have run. A call that waits for a place did not run.
+/// Withdrawing an API key cancels its running turn, which may have run. A call that waits for a
+/// place is refused as not run.
 #[test]
 fn a_withdrawn_key_ends_its_turns() {
     let platform = &mut Platform::new();
@@ -59,8 +61,8 @@
     assert_eq!((waiting.code, waiting.ran), (Code::Unauthorized, Ran::No));
 }
 
-/// The caller of a withdrawn key is told at once; its deposit runs on and is recorded. One
-/// who joined with another key still gets the answer.
+/// Withdrawing an API key refuses its caller at once, but a deposit runs to its end and is
+/// recorded. A caller that joined with another key still gets the answer.
 #[test]
 fn a_withdrawn_key_leaves_others_their_answer() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/checkpoints.rs
+++ b/crates/policy/tests/programs_home/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Checkpoints keep journals short.
+//! Checkpoints, which keep journals short.
 
 use camphorwalk_core::calls::{CallRequest, Request};
 use camphorwalk_core::ids::ProgramId;
@@ -6,7 +6,7 @@
 
 use crate::fixture::{Home, PROGRAM, Platform, call, call_request, call_with_tail, done, open};
 
-/// Returns the keys of a table.
+/// Returns all keys of a table.
 fn keys(platform: &Platform, table: &str) -> Vec<RowKey> {
     platform.rows.keys().filter(|key| &*key.table == table).cloned().collect()
 }
@@ -28,9 +28,9 @@
     assert!(keys(platform, "journal").len() < 20);
 }
 
-/// The caller's history is the same on the next home. The images of two programs are made at
-/// different times, and a call of the second is journaled in between: the checkpoint goes up
-/// to a row before it, and its image holds it already.
+/// Images of two programs are made at different times, and a call of the second program is
+/// journaled in between. That row follows the row number in the checkpoint but is already part
+/// of the image. Applying it again would record the call twice on the next home host.
 #[test]
 fn a_row_that_an_image_holds_is_not_applied_again() {
     let platform = &mut Platform::new();
@@ -53,8 +53,9 @@
     assert_eq!(next.call, 2);
 }
 
-/// The caller loses nothing when a copy of an old checkpoint's transaction reaches the
-/// platform after a newer one, whose rows are deleted.
+/// A delayed copy of an older checkpoint's transaction reaches the platform after a newer
+/// checkpoint whose journal rows were deleted. If it took effect, the next home host would miss
+/// those rows.
 #[test]
 fn a_late_copy_of_an_old_checkpoint_changes_nothing() {
     let platform = &mut Platform::new();
@@ -80,8 +81,9 @@
     assert_eq!(new.programs.open_programs().collect::<Vec<_>>(), [PROGRAM]);
 }
 
-/// The caller's program goes on. The home read less of the journal than there was (a lagging
-/// read); its next write meets a row it does not know, and it reads again.
+/// The home host read an incomplete journal because the platform's read lagged. Its next write
+/// conflicts with a row it does not know, after which it must read the journal again instead of
+/// treating the partition as lost.
 #[test]
 fn a_home_that_missed_a_row_reads_again() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -1,4 +1,4 @@
-//! A platform, homes and requests for the stories.
+//! A simulated platform, home hosts and requests for the scenario tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,19 +22,19 @@
 };
 use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
 
-/// The partition that all programs of the stories are in.
+/// The partition of all programs in these tests.
 pub const PARTITION: PartitionId = PartitionId(0);
 
-/// The program of most stories.
+/// The program that most tests use.
 pub const PROGRAM: ProgramId = ProgramId(7);
 
-/// The budget of the usual tenant.
+/// The token budget of tenant `inkwick`.
 pub const BUDGET: u64 = 4_000;
 
-/// The budget of the other tenant.
+/// The token budget of tenant `inzira`.
 pub const SMALL_BUDGET: u64 = 400;
 
-/// Returns the configuration of the stories.
+/// Returns the configuration that all tests use.
 pub fn config() -> Arc<Config> {
     let tenant = |name: &str, budget: u64| {
         serde_json::json!({
@@ -60,34 +60,34 @@
     Arc::new(serde_json::from_value(cfg).expect("the configuration is well formed"))
 }
 
-/// Returns a tenant of the configuration.
+/// Returns the id of a tenant.
 pub fn tenant(name: &str) -> TenantId {
     TenantId::from_name(name)
 }
 
-/// What the platform does with a transaction.
+/// How the simulated platform treats operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Answers.
+    /// Operations succeed.
     Up,
-    /// Refuses; nothing is done.
+    /// Operations are rejected without effect.
     Away,
-    /// Takes effect, and the answer is lost.
+    /// Transactions take effect, but their answers are lost.
     AnswersLost,
-    /// Does nothing, and the caller cannot know.
+    /// Transactions are lost, and the caller cannot tell.
     RequestsLost,
-    /// Neither acts nor answers until it is released.
+    /// Operations neither take effect nor return until [`Home::release`].
     Hang,
 }
 
-/// Tables with versions.
+/// An in-memory platform with versioned rows.
 #[derive(Debug)]
 pub struct Platform {
     pub rows: BTreeMap<RowKey, (u64, Box<str>)>,
     pub objects: BTreeMap<ObjectName, Box<[u8]>>,
     pub version: u64,
     pub mode: Mode,
-    /// Objects are not stored before they are released.
+    /// Whether writes of objects hang until [`Home::release`].
     pub hold_objects: bool,
 }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Gives the lease of a partition to the next holder.
+    /// Moves a partition's lease to the next holder.
     pub fn take_lease(&mut self, partition: PartitionId) -> (Epoch, RowVersion) {
         self.version += 1;
         let key = RowKey::new("lease", format!("partition/{:04x}", partition.0));
@@ -111,7 +111,7 @@
         (Epoch(self.version), RowVersion(self.version))
     }
 
-    /// Runs an operation as the mode says; `None` if it hangs.
+    /// Runs an operation according to the mode; returns `None` if it hangs.
     pub fn run(&mut self, op: &PlatformOp) -> Option<PlatformReply> {
         match (self.mode, op) {
             (Mode::Hang, _) => None,
@@ -182,7 +182,8 @@
     }
 }
 
-/// A host, with a tenant's rate and places for all unless told otherwise.
+/// A host under test. Rate checks and requests for places succeed unless a test holds them
+/// back.
 #[derive(Debug)]
 pub struct Home {
     pub programs: Programs,
@@ -196,18 +197,18 @@
     pub placed: Vec<PlaceRequest>,
     pub vacated: Vec<CallId>,
     pub hanging: Vec<(ProgramOp, PlatformOp)>,
-    /// What the platform was asked.
+    /// All operations sent to the platform.
     pub requests: Vec<PlatformOp>,
-    /// Questions for a rate or a place stay unanswered while this is set.
+    /// While set, rate checks and requests for places are not answered.
     pub hold_places: bool,
-    /// The lease of the partition.
+    /// The epoch and row version of the partition's lease.
     pub lease: (Epoch, RowVersion),
     host: HostId,
     tickets: u64,
 }
 
 impl Home {
-    /// Makes a host of the partition, with its journal read.
+    /// Creates a host that holds the partition and has read its journal.
     pub fn new(platform: &mut Platform, session: u64) -> Self {
         let host = HostId(session);
         let options = ProgramOptions {
@@ -240,7 +241,7 @@
         home
     }
 
-    /// Makes a host of the partition on which the program is open.
+    /// Creates a host that holds the partition, with `PROGRAM` open.
     pub fn with_program(platform: &mut Platform, session: u64) -> Self {
         let mut home = Self::new(platform, session);
         home.ask(platform, open(PROGRAM));
@@ -248,19 +249,19 @@
         home
     }
 
-    /// Takes the partition over.
+    /// Takes over the partition's lease.
     pub fn acquire(&mut self, platform: &mut Platform) {
         self.lease = platform.take_lease(PARTITION);
         self.regain(platform);
     }
 
-    /// Is told that it holds the partition.
+    /// Reports the lease as acquired again, with the same epoch and version.
     pub fn regain(&mut self, platform: &mut Platform) {
         let (epoch, lease) = self.lease;
         self.event(platform, ProgramEvent::Acquired { partition: PARTITION, epoch, lease });
     }
 
-    /// Takes in an event and all that follows at once.
+    /// Processes an event and all events that follow from it immediately.
     pub fn event(&mut self, platform: &mut Platform, event: ProgramEvent) {
         let mut events = vec![event];
 
@@ -304,7 +305,7 @@
         None
     }
 
-    /// Lets the platform answer what hangs there.
+    /// Runs the platform operations that hang and delivers their replies.
     pub fn release(&mut self, platform: &mut Platform) {
         for (op, request) in std::mem::take(&mut self.hanging) {
             let reply = platform.run(&request).expect("the platform answers");
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time and fires all timers that become due.
     pub fn pass(&mut self, platform: &mut Platform, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
 
@@ -324,7 +325,7 @@
         self.now = until;
     }
 
-    /// Sends a request of a tenant with a key and returns its ticket.
+    /// Sends a request with a tenant and API key, and returns its ticket.
     pub fn ask_as(
         &mut self,
         platform: &mut Platform,
@@ -340,19 +341,19 @@
         ticket
     }
 
-    /// Sends a request of the usual tenant and returns its ticket.
+    /// Sends a request of tenant `inkwick` and returns its ticket.
     pub fn ask(&mut self, platform: &mut Platform, request: Request) -> Ticket {
         self.ask_as(platform, ("inkwick", 1), request)
     }
 
-    /// Ends the attempt that was sent last.
+    /// Ends the most recent attempt.
     pub fn finish(&mut self, platform: &mut Platform, end: AttemptEnd) {
         let attempt = self.sent.last().expect("an attempt was sent").attempt;
         self.event(platform, ProgramEvent::Ended { attempt, end });
         self.pass(platform, 10);
     }
 
-    /// Makes a call that the target answers with `output`.
+    /// Runs a call to its end; the target answers with `output`.
     pub fn run(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
         let ticket = self.ask(platform, request);
         self.finish(platform, done(output));
@@ -360,7 +361,7 @@
         self.called(ticket)
     }
 
-    /// Returns the answer to a request.
+    /// Returns the reply to a request, and checks that there is exactly one.
     pub fn reply(&self, ticket: Ticket) -> &Reply {
         let mut replies = self.answers.iter().filter(|(to, _)| *to == ticket);
         let (_, reply) = replies.next().expect("the request was answered");
@@ -369,7 +370,7 @@
         reply
     }
 
-    /// Returns the refusal of a request.
+    /// Returns the refusal of a request; panics on any other reply.
     pub fn refusal(&self, ticket: Ticket) -> Refusal {
         match self.reply(ticket) {
             Reply::Refused(refusal) => refusal.clone(),
@@ -377,7 +378,7 @@
         }
     }
 
-    /// Returns the answer to a call that ran.
+    /// Returns the result of a call; panics on any other reply.
     pub fn called(&self, ticket: Ticket) -> Called {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
@@ -385,7 +386,7 @@
         }
     }
 
-    /// Returns the history of the program.
+    /// Returns the finished calls of `PROGRAM`.
     pub fn history(&mut self, platform: &mut Platform) -> Vec<HistoryCall> {
         let ticket = self.ask(platform, Request::History { program: PROGRAM, from: 1 });
 
@@ -396,7 +397,7 @@
     }
 }
 
-/// Returns the opening of a program.
+/// Returns a request that opens a program.
 pub fn open(program: ProgramId) -> Request {
     Request::Open(OpenRequest {
         program,
@@ -407,17 +408,17 @@
     })
 }
 
-/// Returns a call of the program.
+/// Returns a request for a call of `PROGRAM`.
 pub fn call(target: &str, key: &str, after: u32) -> Request {
     Request::Call(call_request(target, key, after))
 }
 
-/// Returns a call of the program with a tail.
+/// Like [`call`], with a tail.
 pub fn call_with_tail(target: &str, key: &str, after: u32, tail: Option<Box<str>>) -> Request {
     Request::Call(CallRequest { tail, ..call_request(target, key, after) })
 }
 
-/// Returns a call of the program.
+/// Returns the body of [`call`].
 pub fn call_request(target: &str, key: &str, after: u32) -> CallRequest {
     CallRequest {
         program: PROGRAM,
@@ -432,21 +433,21 @@
     }
 }
 
-/// Returns the end of an attempt that was answered in full.
+/// Returns the end of an attempt that was answered completely.
 pub fn done(output: &str) -> AttemptEnd {
     let usage = Usage { prompt_tokens: Tokens(10), output_tokens: Tokens(20), ..Usage::default() };
 
     AttemptEnd::Done { output: output.into(), usage }
 }
 
-/// Returns the opening of a sub-agent.
+/// Returns a request that opens a sub-agent.
 pub fn open_child(child: ProgramId, parent: ProgramId) -> Request {
     let Request::Open(request) = open(child) else { unreachable!("it is an opening") };
 
     Request::Open(OpenRequest { parent: Some(parent), ..request })
 }
 
-/// Returns the end of an attempt whose connection broke.
+/// Returns the end of an attempt whose connection broke, with or without a crash of its target.
 pub fn lost(crashed: bool) -> AttemptEnd {
     AttemptEnd::Lost { streamed: false, crashed }
 }
--- a/crates/policy/tests/programs_home/fuzz.rs
+++ b/crates/policy/tests/programs_home/fuzz.rs
@@ -1,7 +1,8 @@
-//! Random calls, repeats, deaths, pauses, takeovers and lost answers against an oracle.
+//! Random calls, repeats, crashes, pauses, lease changes and lost answers, checked by an
+//! oracle.
 //!
-//! The oracle looks at every step, and at the histories in the end. Twice as
-//! many cases run with `CAMPHORWALK_FUZZ_CASES` doubled; the seed is fixed.
+//! The oracle checks every step, and the histories at the end. The seed is fixed;
+//! `CAMPHORWALK_FUZZ_CASES` sets the number of cases.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -12,20 +13,20 @@
 use crate::targets::Fate;
 use crate::world::{HOSTS, PROGRAMS, Weather, World};
 
-/// The cases that run if the environment does not say.
+/// The default number of cases.
 const CASES: u32 = 600;
 
-/// The steps of each case.
+/// The number of steps in each case.
 const STEPS: usize = 250;
 
-/// The variable that says how many cases run.
+/// The environment variable that sets the number of cases.
 const CASES_VAR: &str = "CAMPHORWALK_FUZZ_CASES";
 
-/// One thing that happens.
+/// One random action.
 #[derive(Clone, Debug)]
 pub enum Action {
     Open(usize),
-    /// A call, mostly to the host that took the partition last.
+    /// A call, sent to the partition's most recent lease holder unless `host` is given.
     Call {
         host: Option<usize>,
         program: usize,
@@ -68,7 +69,7 @@
     Deny,
 }
 
-/// What happens does not depend on what happened.
+/// Generates actions independently of the state under test.
 pub struct Actions;
 
 impl ReferenceStateMachine for Actions {
@@ -135,7 +136,7 @@
     fn apply(_: (), _: &Action) {}
 }
 
-/// The homes under test.
+/// Applies the actions to [`World`].
 pub struct Fuzz;
 
 impl StateMachineTest for Fuzz {
@@ -195,7 +196,7 @@
     }
 }
 
-/// Returns the fixed seed and the number of cases.
+/// Returns the configuration, with a fixed seed and the number of cases.
 fn config() -> Config {
     let cases = std::env::var(CASES_VAR).ok().and_then(|text| text.parse().ok());
 
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -1,4 +1,5 @@
-//! Calls that must not be repeated: at most one run, and "not run" only where it is proved.
+//! Calls that must not be repeated: they run at most once, and "not run" is reported only when
+//! it is certain.
 
 use camphorwalk_core::calls::{Code, Ran};
 use camphorwalk_policy::programs::ProgramEvent;
@@ -6,8 +7,8 @@
 
 use crate::fixture::{Home, Mode, PARTITION, Platform, call, call_with_tail, done, lost};
 
-/// The caller sees its deposit taken once. The intent's write hangs: nothing is sent until
-/// the platform holds it, because the next home could not tell otherwise.
+/// A deposit must not be sent before its intent is durable. If the host crashed in between, the
+/// next home host could not know of the deposit, and a repeat would take it twice.
 #[test]
 fn nothing_is_sent_before_the_intent_is_durable() {
     let platform = &mut Platform::new();
@@ -24,8 +25,8 @@
     assert_eq!(home.called(ticket).call, 1);
 }
 
-/// The caller is told at once that its deposit was not taken, and may come back. The
-/// platform refuses the intent, so nothing was sent; the same key then runs once.
+/// The platform rejects the intent, so nothing was sent. The caller is refused at once with
+/// "not run", and the same key may run later, once.
 #[test]
 fn a_refused_intent_is_not_run_and_may_be_tried_again() {
     let platform = &mut Platform::new();
@@ -46,10 +47,10 @@
     assert_eq!((third.call, home.sent.len()), (1, 1));
 }
 
-/// The caller is told "not run" and the deposit is never taken for it. The intent's write
-/// took effect but its answer was lost: the home gives the call up, learns later that the
-/// intent stands, and writes that it did not run. A refusal in between settles nothing. A new
-/// home lets the key run.
+/// The write of an intent takes effect but its answer is lost. The call is abandoned and its
+/// caller is told "not run", so it must never be sent, even when a retried write shows that the
+/// intent is durable. A rejection of a retry in between proves nothing. The home host then
+/// journals that the call did not run, and the key may run on a new home host.
 #[test]
 fn an_intent_in_doubt_is_never_sent() {
     let platform = &mut Platform::new();
@@ -73,9 +74,8 @@
     assert_eq!(again.call, 2);
 }
 
-/// The caller is told that the deposit may have been taken; it is not taken again. The home
-/// is paused between the durable intent and the answer, and another host takes over: from
-/// the journal alone it cannot know whether the call was sent.
+/// The home host is paused after the intent is durable, and another host takes over. From the
+/// journal the new one cannot tell whether the deposit was sent, so it must not run it again.
 #[test]
 fn an_intent_without_outcome_is_not_repeated_by_the_next_home() {
     let platform = &mut Platform::new();
@@ -92,8 +92,8 @@
     assert_eq!((old.sent.len(), new.sent.len()), (1, 1));
 }
 
-/// The old home's caller gets its whole answer, though the home was fenced meanwhile. It is
-/// not stored there; the tail that came with it settles the matter at the new home.
+/// A fenced host still passes on a complete answer. It cannot store the outcome, but the answer
+/// carries a tail with which the new home host learns the outcome and journals it.
 #[test]
 fn a_fenced_home_passes_the_answer_on_with_a_tail() {
     let platform = &mut Platform::new();
@@ -115,8 +115,8 @@
     assert_eq!(&*third.history(platform)[0].output, "\"paid\"");
 }
 
-/// The caller is told "not run", and is right to try again: the home knows that no byte
-/// went out, although the intent is on record. The second try runs once.
+/// The intent is durable, but the attempt was certainly never sent. The caller is told "not
+/// run" and the key may run again; the next home host must see only one call.
 #[test]
 fn a_call_that_was_not_sent_may_be_tried_again() {
     let platform = &mut Platform::new();
@@ -132,8 +132,8 @@
     assert_eq!(new.history(platform).len(), 1);
 }
 
-/// The caller is told that the deposit may have been taken, now and at each repeat, also by
-/// the next home. The connection broke after the request was sent.
+/// The connection breaks after a deposit was sent. This caller, any repeat, and callers of the
+/// next home host are told that it may have run; it is never sent again.
 #[test]
 fn a_lost_answer_is_never_repeated() {
     let platform = &mut Platform::new();
@@ -151,8 +151,8 @@
     assert_eq!((home.sent.len(), new.sent.len()), (1, 0));
 }
 
-/// The caller gets its answer though the platform went away meanwhile; it says that it is
-/// not stored. The outcome is written once the platform is back.
+/// The platform becomes unavailable while a deposit runs. The caller still gets the answer,
+/// marked as not stored, and the outcome is journaled once the platform is available again.
 #[test]
 fn an_outcome_is_written_when_the_platform_is_back() {
     let platform = &mut Platform::new();
@@ -170,8 +170,8 @@
     assert_eq!(&*new.history(platform)[0].output, "\"paid\"");
 }
 
-/// The caller sees the program's home moving, and "not run" holds. The partition goes to
-/// another host while the intent's write is under way; its late reply sends nothing.
+/// The partition is lost while the write of an intent hangs. The caller is told "not run", so
+/// the late reply to that write must not send the call.
 #[test]
 fn a_late_commit_after_the_partition_went_sends_nothing() {
     let platform = &mut Platform::new();
@@ -189,8 +189,9 @@
     assert_eq!(home.vacated.len(), 1);
 }
 
-/// The caller's program goes on. Its home lost the lease by its own clock and found it again,
-/// while the answer to a write was lost: the write took effect, and is read back first.
+/// By its own clock the host loses its lease and then finds that it still holds it, while a
+/// write has an unknown outcome. If it read the journal before that write was resolved, it
+/// could miss the row, and its next write would conflict.
 #[test]
 fn a_lease_that_is_found_again_waits_for_a_write_in_doubt() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/main.rs
+++ b/crates/policy/tests/programs_home/main.rs
@@ -1,4 +1,5 @@
-//! Stories of programs at their home, and a fuzz of several homes against an oracle.
+//! Programs on their home host: scenario tests, and a randomized test of several hosts that is
+//! checked by an oracle.
 
 mod budget;
 mod callers;
--- a/crates/policy/tests/programs_home/opening.rs
+++ b/crates/policy/tests/programs_home/opening.rs
@@ -1,12 +1,12 @@
-//! Opening and ending programs, and the family of sub-agents.
+//! Opening and ending of programs, and families of sub-agents.
 
 use camphorwalk_core::calls::{Code, Ran, Reply, Request};
 use camphorwalk_core::ids::ProgramId;
 
 use crate::fixture::{Home, Mode, PROGRAM, Platform, call, done, open, open_child};
 
-/// The caller hears that its program may be open; its repeat finds it. The opening's first
-/// sending is lost, the second takes effect.
+/// The first write of an opening is lost and the retry takes effect. The caller is told that
+/// the program may be open, and a repeat of the opening must find it.
 #[test]
 fn an_opening_in_doubt_is_found_by_a_repeat() {
     let platform = &mut Platform::new();
@@ -53,8 +53,8 @@
     assert_eq!(home.over, [child, PROGRAM]);
 }
 
-/// The caller of an ended program sees none, also after its home moved. A deposit that ran
-/// while the program ended is recorded.
+/// An ended program accepts no new calls, but answers repeats, also on the next home host. A
+/// deposit that was running when the program ended is recorded.
 #[test]
 fn an_ended_program_takes_no_calls_but_answers_repeats() {
     let platform = &mut Platform::new();
@@ -74,8 +74,9 @@
     assert_eq!(new.refusal(other).code, Code::NotFound);
 }
 
-/// The caller is told at the deadline, not later. A running deposit may have run; its late
-/// answer is recorded and told to a repeat. An ended program is forgotten after a while.
+/// The program ends at its deadline and the caller is answered at that moment. A running
+/// deposit may have run: its late outcome is recorded and returned to a repeat. The program is
+/// removed after its retention.
 #[test]
 fn a_deadline_ends_the_program_and_a_late_answer_is_recorded() {
     let platform = &mut Platform::new();
@@ -98,8 +99,8 @@
     assert_eq!(home.refusal(forgotten).code, Code::NotFound);
 }
 
-/// The caller hears that its program may still be there until the platform holds its end,
-/// also when it asks again.
+/// The end of a program is confirmed only once it is durable. Until then every request to end
+/// it reports that the program may still exist.
 #[test]
 fn an_end_is_confirmed_once_it_is_durable() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/oracle.rs
+++ b/crates/policy/tests/programs_home/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold, from the answers that callers got and the ledgers of the targets alone.
+//! The guarantees, checked only against the answers that callers got and what the targets ran.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,11 +8,11 @@
 use crate::fixture::SMALL_BUDGET;
 use crate::world::World;
 
-/// A request that a caller sent.
+/// A request that was sent by a caller.
 #[derive(Debug)]
 pub struct Sent {
     pub program: ProgramId,
-    /// The idempotency key of a call.
+    /// The idempotency key, for a call.
     pub key: Option<Box<str>>,
     pub host: usize,
     pub session: u64,
@@ -20,8 +20,8 @@
     pub gone: bool,
 }
 
-/// Checks an answer of the host that holds the program's partition and knows it. One that
-/// was overtaken without notice cannot know what runs at the next home.
+/// Checks an answer of a host that holds the program's partition. An earlier holder that has
+/// not noticed its loss cannot know what runs on the next home host, so it is not checked.
 pub fn check_answer(ledger: &[(ProgramId, Box<str>)], sent: &Sent, reply: &Reply) {
     if let (Some(key), Reply::Refused(refusal)) = (&sent.key, reply) {
         let ran = ledger.contains(&(sent.program, key.clone()));
@@ -29,7 +29,7 @@
     }
 }
 
-/// Checks what must hold at any moment.
+/// Checks the guarantees that must hold after every step.
 pub fn check(world: &World) {
     let once: BTreeSet<_> = world.ledger.iter().collect();
     assert_eq!(once.len(), world.ledger.len(), "an operation ran twice: {:?}", world.ledger);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Tells whether every request for a call was answered "not run".
+/// Returns whether every request for a call was answered "not run".
 fn denied(world: &World, (program, key): &(ProgramId, Box<str>)) -> bool {
     let mut asked = world
         .sent
@@ -53,8 +53,8 @@
     asked.all(|sent| matches!(&sent.reply, Some(Reply::Refused(r)) if r.ran == Ran::No))
 }
 
-/// Checks the histories that the last home has: they hold each program's own calls, all
-/// that was said to be stored, and all that ran and must not be repeated.
+/// Checks the final histories. They must contain only the program's own calls, all calls
+/// reported as stored, and all calls that ran and must not be repeated.
 pub fn check_histories(world: &World, histories: &BTreeMap<ProgramId, Vec<HistoryCall>>) {
     for (program, calls) in histories {
         for call in calls {
--- a/crates/policy/tests/programs_home/order.rs
+++ b/crates/policy/tests/programs_home/order.rs
@@ -89,8 +89,9 @@
     assert_eq!(new.reply(outcome), &Reply::Outcome(CallOutcome::Done(first)));
 }
 
-/// The caller's deposit ran; its repeat reaches a host that is not, or not yet, the home and
-/// cannot look it up. "Not run" would have the caller pay by other means.
+/// A deposit ran, and its repeat reaches a host that is not, or not yet, the home host and
+/// cannot look it up. If that host answered "not run", the caller could pay a second time by
+/// other means.
 #[test]
 fn a_call_that_cannot_be_looked_up_may_have_run() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -7,7 +7,7 @@
 
 use crate::fixture::{Home, PROGRAM, Platform, call, call_request, done, lost, open};
 
-/// The caller gets its answer from another target; the failed one is avoided.
+/// A lost turn is retried on another target, and the target that failed is avoided.
 #[test]
 fn a_turn_is_retried_elsewhere() {
     let platform = &mut Platform::new();
@@ -22,8 +22,8 @@
     assert_eq!((home.placed.len(), home.vacated.len()), (2, 2));
 }
 
-/// The caller is told that its stream broke. A second attempt's text would be spliced onto
-/// the part that it has already.
+/// After a part of the answer was streamed there is no retry: the caller would get the text of
+/// a second attempt appended to that part.
 #[test]
 fn a_turn_is_not_retried_once_a_part_was_streamed() {
     let platform = &mut Platform::new();
@@ -37,8 +37,8 @@
     assert_eq!(home.sent.len(), 1);
 }
 
-/// Callers are told of failures at once when all targets fail: retries are a tenth of first
-/// tries, after a burst of ten, so that they do not multiply the load.
+/// When all targets fail, retries are limited to one per ten first attempts, after a burst of
+/// ten. Otherwise they would multiply the load on failing targets.
 #[test]
 fn retries_have_a_budget() {
     let platform = &mut Platform::new();
@@ -62,8 +62,8 @@
     assert_eq!(home.sent.len(), 30 + 12);
 }
 
-/// The caller is never told "not run" after an attempt that may have run. The second try
-/// finds no place.
+/// An attempt is lost and its retry finds no target. The call may have run, so "not run" must
+/// not be reported.
 #[test]
 fn not_run_is_not_said_after_a_lost_attempt() {
     let platform = &mut Platform::new();
@@ -80,8 +80,8 @@
     assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Ran::Maybe));
 }
 
-/// The caller of a request that crashes targets gets a final answer after the second crash,
-/// and at once when it sends it again, with another key and from another program.
+/// After its second crash a request is quarantined and refused. It is recognized at once when
+/// it is sent again, also with another key and from another program.
 #[test]
 fn a_request_that_crashes_two_targets_is_quarantined() {
     let platform = &mut Platform::new();
@@ -104,8 +104,8 @@
     assert_eq!((home.sent.len(), home.quarantined.len()), (2, 1));
 }
 
-/// The caller of an innocent request that was in flight beside the crashing one gets its
-/// answer: its second try, made alone, clears it.
+/// A request that was running when another one crashed a target must not be quarantined. Its
+/// second attempt, made alone, clears it.
 #[test]
 fn an_innocent_suspect_is_cleared() {
     let platform = &mut Platform::new();
@@ -121,7 +121,7 @@
     assert!(home.quarantined.is_empty());
 }
 
-/// Another host saw the crashes; its finding holds here, too.
+/// A quarantine announced by another host applies on this host too.
 #[test]
 fn a_quarantine_found_elsewhere_holds_here() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/tails.rs
+++ b/crates/policy/tests/programs_home/tails.rs
@@ -1,4 +1,4 @@
-//! Turns that the platform does not hold yet, carried by their caller.
+//! Calls that are not durable yet, carried by their caller as a sealed tail.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -7,7 +7,7 @@
 
 use crate::fixture::{Home, Mode, PROGRAM, Platform, call, call_request, call_with_tail, open};
 
-/// Returns a program's old home with two turns that are not stored, and their tail.
+/// Returns a home host with two turns that are not stored, and their tail.
 fn unstored(platform: &mut Platform) -> (Home, Option<Box<str>>) {
     let mut home = Home::with_program(platform, 1);
     platform.mode = Mode::Away;
@@ -19,8 +19,8 @@
     (home, second.tail)
 }
 
-/// The caller's program goes on with its whole history, though its home died while the
-/// platform was away: the caller carried the turns that were not stored.
+/// The home host crashes while the platform is unavailable. The caller's tail holds the turns
+/// that were not stored, so that the new home host has the complete history.
 #[test]
 fn a_new_home_adopts_the_tail() {
     let platform = &mut Platform::new();
@@ -39,8 +39,7 @@
     );
 }
 
-/// The caller's turns stay where they are, and nothing is taken twice: the home still has
-/// what the tail holds.
+/// A home host that still has the calls of a tail must not append them a second time.
 #[test]
 fn a_tail_that_is_known_changes_nothing() {
     let platform = &mut Platform::new();
@@ -52,8 +51,8 @@
     assert_eq!(home.history(platform).len(), 3);
 }
 
-/// The caller learns the head and nothing is mixed: another caller went on from the stored
-/// head meanwhile, so the tail's turns have no place in the history.
+/// Another caller continued from the stored head meanwhile. The tail no longer fits the history
+/// and is refused with the current head; a repeat of a recorded call is still answered.
 #[test]
 fn a_tail_of_another_course_is_refused() {
     let platform = &mut Platform::new();
@@ -71,7 +70,7 @@
     assert_eq!(new.history(platform).len(), 1);
 }
 
-/// Returns a tail with another output.
+/// Changes the output inside a tail without renewing its authentication code.
 fn forge(tail: &str) -> Box<str> {
     let mut bytes = STANDARD_NO_PAD.decode(tail).expect("a tail is base64");
     let at = bytes.windows(4).position(|part| part == b"\"one").expect("the output is there");
@@ -80,8 +79,8 @@
     STANDARD_NO_PAD.encode(bytes).into()
 }
 
-/// The caller reopened its program long after the first was forgotten. A tail of the first
-/// one is not mixed into the second.
+/// A program id is opened again long after the first program was removed. A tail of the first
+/// program must not be mixed into the history of the second.
 #[test]
 fn a_tail_of_a_former_program_is_refused() {
     let platform = &mut Platform::new();
@@ -103,8 +102,8 @@
     assert_eq!(new.history(platform), history);
 }
 
-/// The caller cannot write its own history: a tail that was changed, or that belongs to
-/// another program, is refused.
+/// A tail that was modified, or that belongs to another program, is refused. Otherwise a caller
+/// could forge a history.
 #[test]
 fn a_forged_tail_is_refused() {
     let platform = &mut Platform::new();
@@ -125,8 +124,8 @@
     assert!(new.history(platform).is_empty());
 }
 
-/// The caller gets its answer after half a second, not after the platform's timeout. The
-/// platform is slow: it neither refuses nor answers.
+/// The platform hangs. The answer must be returned after the wait of half a second, as not
+/// stored and with a tail, and not be delayed until the platform answers.
 #[test]
 fn a_slow_platform_does_not_hold_the_answer() {
     let platform = &mut Platform::new();
@@ -143,7 +142,8 @@
     assert!(!answer.stored && answer.tail.is_some());
 }
 
-/// The caller is told what it must hand back; without it the next home refuses to guess.
+/// Without the tail the next home host does not know the turns that were not stored. It refuses
+/// the call and reports its own head, so that the caller sees what is missing.
 #[test]
 fn without_the_tail_the_next_home_tells_its_head() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/targets.rs
+++ b/crates/policy/tests/programs_home/targets.rs
@@ -1,11 +1,11 @@
-//! What targets of the fuzz answer: outputs and inputs name their program and key.
+//! Simulated targets of the randomized test. Inputs and outputs contain their program and key.
 
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
 
-/// What becomes of an attempt.
+/// How an attempt ends.
 #[derive(Clone, Copy, Debug)]
 pub enum Fate {
     Done,
@@ -16,17 +16,17 @@
     Refused,
 }
 
-/// Returns the input of a call, which names its program and key.
+/// Returns the input of a call, which contains its program and key.
 pub fn tag(program: ProgramId, key: &str) -> Box<str> {
     format!("\"{program} {key}\"").into()
 }
 
-/// Returns the key in a tag.
+/// Returns the key contained in a tag.
 pub fn key_of(tag: &str) -> Box<str> {
     tag.trim_matches('"').split(' ').nth(1).unwrap_or_default().into()
 }
 
-/// Returns the tokens of a dispatch's prompt.
+/// Returns the number of tokens in a dispatch's prompt.
 pub fn prompt_tokens(dispatch: &Dispatch) -> u64 {
     match &dispatch.work {
         Work::Generate { prompt, .. } => {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns the full answer to a dispatch.
+/// Returns a complete answer to a dispatch.
 pub fn done(dispatch: &Dispatch, prompt: u64) -> AttemptEnd {
     let (key, output) = match &dispatch.work {
         Work::Generate { prompt, max_tokens } => {
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -1,4 +1,5 @@
-//! Hosts, platform and targets as the fuzz runs them, with what the oracle needs to know.
+//! The simulated hosts, platform and targets of the randomized test, and the records that the
+//! oracle checks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -17,41 +18,41 @@
 use crate::oracle::{self, Sent};
 use crate::targets::{Fate, done, key_of, prompt_tokens, tag};
 
-/// The hosts.
+/// The number of hosts.
 pub const HOSTS: usize = 3;
 
-/// The programs: two families in two partitions, the first with a sub-agent.
+/// Two families in two partitions; the first one has a sub-agent.
 pub const PROGRAMS: [ProgramId; 3] = [ProgramId(7), ProgramId(8), ProgramId((1 << 112) | 9)];
 
-/// The targets in turn; a key always goes to the same one.
+/// Targets by key number; a key always uses the same target.
 const TARGETS: [&str; 3] = ["deposit", "model", "deposit"];
 
 /// The deadline of each program.
 const DEADLINE: Duration = Duration::from_secs(600);
 
-/// Journal bytes after which a checkpoint is made: few, so that many are.
+/// Journal bytes after which a checkpoint is made: low, so that every case makes many.
 const CHECKPOINT_BYTES: usize = 250;
 
-/// How the platform treats transactions besides its modes.
+/// How the platform treats transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weather {
     Mode(Mode),
-    /// The answer is lost and the transaction lands later.
+    /// The answer is lost, and the transaction takes effect later.
     Late,
 }
 
-/// A host; it handles its mailbox when it is run.
+/// A host, which processes the events in its mailbox when it is scheduled.
 #[derive(Debug)]
 struct Host {
     programs: Programs,
     session: u64,
     mailbox: VecDeque<ProgramEvent>,
     paused: bool,
-    /// Questions for places that are not vacated.
+    /// Places, and requests for places, that have not been released.
     places: BTreeSet<CallId>,
 }
 
-/// All of it.
+/// The complete state of a test case.
 #[derive(Debug)]
 pub struct World {
     hosts: Vec<Host>,
@@ -60,21 +61,21 @@
     late: Vec<Transaction>,
     now: Instant,
     sessions: u64,
-    /// Attempts whose bytes are on their way, with the host and session that sent them.
+    /// Attempts on their way to a target, with the host and session that sent them.
     air: Vec<(usize, u64, Dispatch)>,
-    /// Whether the next question for a rate or place is refused.
+    /// Whether the next rate check or request for a place is refused.
     deny: bool,
     pub sent: BTreeMap<u64, Sent>,
-    /// Calls that ran at the plain service, and at the engine.
+    /// Calls that ran at the service (`ledger`) and at the engine (`turns`).
     pub ledger: Vec<(ProgramId, Box<str>)>,
     pub turns: Vec<(ProgramId, Box<str>)>,
-    /// Tokens that the engine took and gave, for each family.
+    /// Tokens that the engine processed and generated, for each family.
     pub tokens: BTreeMap<PartitionId, u64>,
-    /// The host that took each partition last, its session and the lease.
+    /// The most recent lease holder of each partition, with its session and lease.
     holders: [(usize, u64, Epoch, RowVersion); 2],
-    /// Whether the holder of each partition has been told so.
+    /// Whether each partition's holder has processed its acquisition.
     told: [bool; 2],
-    /// The last call and tail that a program's caller has seen.
+    /// The last call number and tail that the caller of each program has seen.
     seen: BTreeMap<ProgramId, (u32, Option<Box<str>>)>,
 }
 
@@ -121,7 +122,7 @@
         Host { programs, session: self.sessions, mailbox, paused: false, places: BTreeSet::new() }
     }
 
-    /// A process dies and another takes its place. What it sent is on its way still.
+    /// Replaces a crashed process by a new one. Attempts that it sent remain on their way.
     pub fn die(&mut self, host: usize) {
         self.hosts[host] = self.start_host();
     }
@@ -130,7 +131,7 @@
         self.hosts[host].paused = paused;
     }
 
-    /// Returns the host that took a program's partition last.
+    /// Returns the most recent lease holder of a program's partition.
     pub fn holder(&self, program: usize) -> usize {
         self.holders[usize::from(PROGRAMS[program].partition(2).0)].0
     }
@@ -143,7 +144,7 @@
         self.deny = true;
     }
 
-    /// A transaction whose answer was lost takes effect now, if it still can.
+    /// Applies the oldest transaction whose answer was lost, if it does not conflict by now.
     pub fn land(&mut self) {
         if !self.late.is_empty() {
             let transaction = self.late.remove(0);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// A host takes a partition's lease; its former holder is told nothing.
+    /// Moves a partition's lease to a host, without notice to the previous holder.
     pub fn take_over(&mut self, host: usize, partition: u16) {
         let (epoch, lease) = self.platform.take_lease(PartitionId(partition));
         let session = self.hosts[host].session;
@@ -160,7 +161,8 @@
         self.acquired(partition);
     }
 
-    /// The holder of a lease finds that it holds it still, after its clock said otherwise.
+    /// Lets a lease expire by its holder's clock, after which the holder finds that it still
+    /// has it.
     pub fn regain(&mut self, partition: u16) {
         let (host, session, ..) = self.holders[usize::from(partition)];
 
@@ -170,7 +172,7 @@
         }
     }
 
-    /// The holder of a partition is about to give it back.
+    /// Announces to the holder of a partition that it is about to release it.
     pub fn settle_grants(&mut self, partition: u16) {
         let (host, ..) = self.holders[usize::from(partition)];
         let event = ProgramEvent::Settle { partition: PartitionId(partition) };
@@ -184,13 +186,13 @@
         self.hosts[host].mailbox.push_back(event);
     }
 
-    /// A host's own clock tells it that a lease is over.
+    /// Lets a lease expire by a host's own clock.
     pub fn expire(&mut self, host: usize, partition: u16) {
         let event = ProgramEvent::Lost { partition: PartitionId(partition) };
         self.hosts[host].mailbox.push_back(event);
     }
 
-    /// Sends a request to a host.
+    /// Sends a request to a host and returns its number.
     pub fn ask(&mut self, host: usize, program: ProgramId, request: Request) -> u64 {
         let number = self.sent.len() as u64 + 1;
         let key = match &request {
@@ -212,7 +214,7 @@
         number
     }
 
-    /// Opens a program.
+    /// Sends a request that opens a program.
     pub fn open(&mut self, host: usize, program: usize) {
         let request = Request::Open(OpenRequest {
             program: PROGRAMS[program],
@@ -224,7 +226,8 @@
         self.ask(host, PROGRAMS[program], request);
     }
 
-    /// Makes a call after what the program's caller has seen, or after something older.
+    /// Sends a call that follows the last one its caller has seen, or an older one if `lag` is
+    /// not zero.
     pub fn call(&mut self, host: usize, program: usize, key: usize, lag: u32, with_tail: bool) {
         let program = PROGRAMS[program];
         let (after, tail) = self.seen.get(&program).cloned().unwrap_or_default();
@@ -244,7 +247,7 @@
         self.ask(host, program, request);
     }
 
-    /// A caller hangs up.
+    /// Disconnects the caller of a request that was not answered.
     pub fn hang_up(&mut self, index: usize) {
         let open: Vec<_> = self.sent.iter().filter(|(_, sent)| sent.reply.is_none()).collect();
 
@@ -263,12 +266,12 @@
         }
     }
 
-    /// A key is withdrawn at a host.
+    /// Withdraws an API key at a host.
     pub fn withdraw(&mut self, host: usize, key: u64) {
         self.hosts[host].mailbox.push_back(ProgramEvent::KeyWithdrawn(KeyId(key)));
     }
 
-    /// Time passes for all.
+    /// Advances the time of all hosts.
     pub fn pass(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
 
@@ -279,7 +282,7 @@
         }
     }
 
-    /// A host handles up to `count` events.
+    /// Lets a host process up to `count` events.
     pub fn run(&mut self, host: usize, count: usize) {
         for _ in 0..count {
             if self.hosts[host].paused {
@@ -294,7 +297,8 @@
                 self.told[at] |= self.holders[at].2 == *epoch;
             }
 
-            // A question may be withdrawn while its refusal is on the way.
+            // The call may be abandoned while this refusal is on its way, so its place is
+            // removed here.
             if let ProgramEvent::Unplaced { call, .. } = &event {
                 self.hosts[host].places.remove(call);
             }
@@ -392,7 +396,7 @@
         sent.reply = Some(reply);
     }
 
-    /// An attempt reaches its target, or does not, and its end is told to who sent it.
+    /// Lets an attempt end in the given way and reports the end to the host that sent it.
     pub fn reach(&mut self, index: usize, fate: Fate) {
         if self.air.is_empty() {
             return;
@@ -421,7 +425,7 @@
         }
     }
 
-    /// The target runs an attempt.
+    /// Runs an attempt at its target.
     fn work(&mut self, dispatch: &Dispatch, end: impl FnOnce() -> AttemptEnd) -> AttemptEnd {
         let program = dispatch.program;
 
@@ -440,7 +444,8 @@
         end()
     }
 
-    /// Lets everything settle on one fresh host and returns the histories there.
+    /// Lets all pending work finish, moves both partitions to a new host and returns the
+    /// histories there.
     pub fn settle(&mut self) -> BTreeMap<ProgramId, Vec<HistoryCall>> {
         self.weather = Weather::Mode(Mode::Up);
         self.deny = false;
@@ -467,7 +472,7 @@
             .collect()
     }
 
-    /// Runs all until nothing is left to do.
+    /// Runs all hosts until no work is left.
     fn quiesce(&mut self) {
         for _ in 0..60 {
             for host in 0..HOSTS {
@@ -483,8 +488,8 @@
         }
     }
 
-    /// Checks that every request to a host that lived on was answered, and that every place
-    /// was given back.
+    /// Checks that every request was answered, unless its host crashed or its caller
+    /// disconnected, and that every place was released.
     pub fn check_answers(&self) {
         for (number, sent) in &self.sent {
             let alive = self.hosts[sent.host].session == sent.session;
