--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -62,7 +62,7 @@
     Acquired {
         /// The leased partition.
         partition: PartitionId,
-        /// The epoch of the lease.
+        /// The epoch of the lease; it increases with each new holder.
         epoch: Epoch,
         /// The version of the lease row; every journal write checks it.
         lease: RowVersion,
@@ -94,21 +94,21 @@
         /// The ticket of its request.
         ticket: Ticket,
     },
-    /// The answer to [`ProgramNext::Admit`].
+    /// The result of [`ProgramNext::Admit`].
     Verdict {
         /// The call that asked for admission.
         call: CallId,
         /// Whether the tenant's rate admits the call.
         verdict: Verdict,
     },
-    /// The answer to [`ProgramNext::Place`]: the call may go to this target.
+    /// The result of [`ProgramNext::Place`]: the call has a place at this target.
     Placed {
         /// The call that was waiting for a place.
         call: CallId,
         /// The target where the call has a place.
         target: TargetId,
     },
-    /// The answer to [`ProgramNext::Place`]: it cannot be served in time.
+    /// The result of [`ProgramNext::Place`]: no target can serve the call in time.
     Unplaced {
         /// The call that was waiting for a place.
         call: CallId,
@@ -122,7 +122,7 @@
         /// How it ended.
         end: AttemptEnd,
     },
-    /// The platform answered [`ProgramNext::Platform`].
+    /// The reply to [`ProgramNext::Platform`].
     Platform {
         /// The operation that completed.
         op: ProgramOp,
@@ -133,7 +133,7 @@
     KeyWithdrawn(KeyId),
     /// Another host quarantined the request with this digest because it crashes targets.
     Quarantined(Digest),
-    /// Time has passed; see [`Programs::wake_at`].
+    /// A timer is due; see [`Programs::wake_at`].
     Wake,
 }
 
@@ -190,7 +190,7 @@
     },
     /// Announce to all hosts that the request with this digest crashes targets.
     Quarantine {
-        /// The digest of the request.
+        /// The digest of the request; see `request_digest` in the `retry` module.
         digest: Digest,
     },
     /// The platform rejected a journal write because another host took the partition's lease.
--- a/crates/policy/src/programs/checkpoint.rs
+++ b/crates/policy/src/programs/checkpoint.rs
@@ -61,7 +61,7 @@
 pub(super) struct ImageCall {
     /// The request of the call.
     pub call: CallText,
-    /// What came of it.
+    /// The outcome of the call.
     pub outcome: Recorded,
 }
 
--- a/crates/policy/src/programs/entries.rs
+++ b/crates/policy/src/programs/entries.rs
@@ -48,7 +48,7 @@
 pub(super) struct JournalRow {
     /// The unique id of the transaction that wrote the row.
     pub witness: Box<str>,
-    /// The entries, in order.
+    /// The entries, in the order in which they were made.
     pub entries: Vec<Entry>,
 }
 
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -70,7 +70,7 @@
     pub partition: PartitionId,
     /// The id of the lease term in which it was made. It is void in any other.
     pub tenure: u64,
-    /// The entry.
+    /// The entry to write.
     pub entry: Entry,
     /// Who is notified of the outcome.
     pub waiter: Waiter,
@@ -149,33 +149,33 @@
         }
     }
 
-    /// Adds an entry.
+    /// Queues an entry.
     pub fn push(&mut self, pending: Pending) {
         self.waiting.push(pending);
     }
 
-    /// Adds upkeep of a partition's journal.
+    /// Queues maintenance of a partition's journal.
     pub fn push_upkeep(&mut self, upkeep: Upkeep) {
         self.upkeep.push_back(upkeep);
     }
 
-    /// Tells whether the platform refused, or lost its answer to, the last transaction, and
-    /// the next try is not due yet.
+    /// Returns whether the last transaction failed, or its answer was lost, and no retry is
+    /// due.
     pub fn is_away(&self, now: Instant) -> bool {
         self.in_doubt() || (!self.backoff.is_zero() && now < self.due)
     }
 
-    /// Tells whether a transaction is under way whose outcome is unknown.
+    /// Returns whether the outcome of the transaction in flight is unknown.
     pub fn in_doubt(&self) -> bool {
         self.flight.as_ref().is_some_and(|flight| flight.in_doubt)
     }
 
-    /// Tells whether the transaction under way writes to a partition's journal.
+    /// Returns whether the transaction in flight writes to a partition's journal or checkpoint.
     pub fn is_writing(&self, partition: PartitionId) -> bool {
         self.flight.as_ref().is_some_and(|f| f.rows.iter().any(|row| row.partition == partition))
     }
 
-    /// Returns the partitions that have entries on the way, some several times.
+    /// Returns the partition of each entry that is not durable yet, with repetitions.
     pub fn partitions(&self) -> impl Iterator<Item = PartitionId> + '_ {
         let sent = self.flight.iter().flat_map(|flight| &flight.entries);
 
@@ -187,7 +187,7 @@
         self.backoff.max(Duration::from_millis(500))
     }
 
-    /// Returns when the next transaction is to be sent.
+    /// Returns when the next transaction is due.
     pub fn wake_at(&self) -> Option<Instant> {
         let idle = match &self.flight {
             Some(flight) => !flight.sent,
--- a/crates/policy/src/programs/lookup.rs
+++ b/crates/policy/src/programs/lookup.rs
@@ -9,7 +9,7 @@
 /// A configuration with an index of its tenants and templates.
 #[derive(Debug)]
 pub(super) struct Lookup {
-    /// The configuration.
+    /// The indexed configuration.
     cfg: Arc<Config>,
     /// The position of each tenant in the configuration.
     tenants: Map<TenantId, usize>,
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -47,7 +47,7 @@
 struct TailTurn {
     /// The request of the call.
     call: CallText,
-    /// What came of it.
+    /// The outcome of the call.
     outcome: Recorded,
 }
 
