--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -1,24 +1,24 @@
 //! Programs on their home host: call order, history, budget, and at-most-once execution of
 //! calls that must not be repeated.
 
-mod answers;
 mod attempts;
 mod budget;
 mod calls;
 mod checkpoint;
 mod commits;
 mod compaction;
+mod config_index;
 mod entries;
-mod flight;
+mod grant_release;
+mod in_flight;
 mod journal;
 mod keys;
 mod lifecycle;
-mod lookup;
 mod open;
 mod recovery;
+mod refusals;
 mod requests;
 mod retry;
-mod settle;
 mod state;
 mod steps;
 mod tail;
@@ -40,11 +40,11 @@
 
 use self::budget::{Account, AccountKey};
 use self::compaction::{CHECKPOINT_BYTES, Compaction};
-use self::journal::{Journal, Tenure};
-use self::lookup::Lookup;
-use self::requests::Asked;
+use self::config_index::ConfigIndex;
+use self::journal::{Journal, LeaseTerm};
+use self::requests::IncomingRequest;
 use self::retry::{RetryBudget, Suspects};
-use self::state::{Call, Program, ProgramKey, ProgramState, Recovering};
+use self::state::{Call, Program, ProgramKey, ProgramState, Recovery};
 use self::timers::{Timer, Timers};
 use crate::wire::{AttemptEnd, CallId, Dispatch, PlaceEnd, PlaceRequest, Verdict};
 
@@ -223,24 +223,24 @@
     /// The settings passed to [`Programs::new`].
     options: ProgramOptions,
     /// The configuration in force, once one has arrived.
-    cfg: Option<Lookup>,
+    cfg: Option<ConfigIndex>,
     /// Partitions whose journal was read completely; requests for them are served.
-    tenures: BTreeMap<PartitionId, Tenure>,
+    terms: BTreeMap<PartitionId, LeaseTerm>,
     /// Partitions whose journal is being read.
-    recovering: BTreeMap<PartitionId, Recovering>,
+    recovering: BTreeMap<PartitionId, Recovery>,
     /// Reads in progress, each with its partition and lease term.
-    scans: Map<ProgramOp, (PartitionId, u64)>,
+    reads: Map<ProgramOp, (PartitionId, u64)>,
     /// Checkpoint objects that are being written.
-    puts: Map<ProgramOp, PartitionId>,
+    object_writes: Map<ProgramOp, PartitionId>,
     /// Partitions that are about to be released: their unspent grants are journaled as free
     /// whenever the partition is idle.
-    settling: BTreeSet<PartitionId>,
+    releasing_grants: BTreeSet<PartitionId>,
     /// Journal growth and checkpoint state of each partition.
     compactions: BTreeMap<PartitionId, Compaction>,
     /// Journal bytes after which a checkpoint is made.
     checkpoint_bytes: usize,
     /// The commit in progress.
-    writing: Option<ProgramOp>,
+    commit_op: Option<ProgramOp>,
     /// All programs, including orphans.
     programs: SlotMap<ProgramKey, Program>,
     /// Programs by id, excluding orphans.
@@ -262,7 +262,7 @@
     /// Requests that may have crashed targets.
     suspects: Suspects,
     /// The id of the most recent lease term.
-    last_tenure: u64,
+    last_term: u64,
     /// The number of the most recent platform operation.
     last_op: u64,
     /// The number of the most recent attempt.
@@ -270,7 +270,7 @@
 }
 
 /// Context of one step.
-struct Cx<'a> {
+struct StepContext<'a> {
     /// The current time.
     now: Instant,
     /// Receives the actions to carry out.
@@ -297,14 +297,14 @@
             journal: Journal::new(options.session, options.commit_interval),
             options,
             cfg: None,
-            tenures: BTreeMap::new(),
+            terms: BTreeMap::new(),
             recovering: BTreeMap::new(),
-            scans: Map::default(),
-            puts: Map::default(),
-            settling: BTreeSet::new(),
+            reads: Map::default(),
+            object_writes: Map::default(),
+            releasing_grants: BTreeSet::new(),
             compactions: BTreeMap::new(),
             checkpoint_bytes: CHECKPOINT_BYTES,
-            writing: None,
+            commit_op: None,
             programs: SlotMap::with_key(),
             index: BTreeMap::new(),
             accounts: SlotMap::with_key(),
@@ -314,7 +314,7 @@
             timers: Timers::default(),
             retries: RetryBudget::new(),
             suspects: Suspects::default(),
-            last_tenure: 0,
+            last_term: 0,
             last_op: 0,
             last_attempt: 0,
         }
@@ -350,7 +350,7 @@
     /// assert!(matches!(out[..], [ProgramNext::Answer { .. }]));
     /// ```
     pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramNext>) {
-        let cx = &mut Cx { now, out };
+        let cx = &mut StepContext { now, out };
 
         // Timers run before the event. A host that was paused past a deadline must not act on
         // an older event as if there were time left: it could send a call whose caller was
@@ -359,19 +359,19 @@
 
         match event {
             ProgramEvent::Config(cfg) => {
-                self.cfg = Some(Lookup::new(cfg));
-                self.read_unblocked(cx);
+                self.cfg = Some(ConfigIndex::new(cfg));
+                self.start_unblocked_reads(cx);
             }
             ProgramEvent::Acquired { partition, epoch, lease } => {
-                self.acquired(cx, partition, epoch, lease);
+                self.lease_acquired(cx, partition, epoch, lease);
             }
-            ProgramEvent::Settle { partition } => self.settle_partition(partition),
-            ProgramEvent::Lost { partition } => self.lost(cx, partition),
+            ProgramEvent::Settle { partition } => self.start_grant_release(partition),
+            ProgramEvent::Lost { partition } => self.partition_lost(cx, partition),
             ProgramEvent::Request { ticket, tenant, key, request } => {
-                self.request(cx, Asked { ticket, tenant, key, request });
+                self.request(cx, IncomingRequest { ticket, tenant, key, request });
             }
             ProgramEvent::CallerGone { ticket } => self.caller_gone(cx, ticket),
-            ProgramEvent::Verdict { call, verdict } => self.on_verdict(cx, call, verdict),
+            ProgramEvent::Verdict { call, verdict } => self.on_admission(cx, call, verdict),
             ProgramEvent::Placed { call, target } => self.on_placed(cx, call, target),
             ProgramEvent::Unplaced { call, retry_after } => {
                 self.on_unplaced(cx, call, retry_after);
@@ -383,7 +383,7 @@
             ProgramEvent::Wake => {}
         }
 
-        self.settle_idle();
+        self.release_idle_grants();
         self.flush(cx);
     }
 
@@ -432,7 +432,7 @@
     /// finished reading its journal.
     pub fn is_open(&self, program: ProgramId) -> Option<bool> {
         let partition = self.cfg.as_ref()?.partition(program);
-        self.tenures.get(&partition)?;
+        self.terms.get(&partition)?;
         let open = |key: &ProgramKey| self.programs[*key].state == ProgramState::Open;
 
         Some(self.index.get(&program).is_some_and(open))
@@ -459,18 +459,18 @@
     }
 
     /// Emits the answer to a request.
-    fn answer(&mut self, cx: &mut Cx<'_>, ticket: Ticket, reply: Reply) {
+    fn answer(&mut self, cx: &mut StepContext<'_>, ticket: Ticket, reply: Reply) {
         self.tickets.remove(&ticket);
         cx.out.push(ProgramNext::Answer { ticket, reply });
     }
 
     /// Answers a request with a refusal.
-    fn refuse(&mut self, cx: &mut Cx<'_>, ticket: Ticket, refusal: Refusal) {
+    fn refuse(&mut self, cx: &mut StepContext<'_>, ticket: Ticket, refusal: Refusal) {
         self.answer(cx, ticket, Reply::Refused(refusal));
     }
 
     /// Starts a platform operation and returns its number.
-    fn platform(&mut self, cx: &mut Cx<'_>, request: PlatformOp) -> ProgramOp {
+    fn platform(&mut self, cx: &mut StepContext<'_>, request: PlatformOp) -> ProgramOp {
         self.last_op += 1;
         let op = ProgramOp(self.last_op);
         cx.out.push(ProgramNext::Platform { op, request });
@@ -479,7 +479,7 @@
     }
 
     /// Handles all timers that are due.
-    fn run_timers(&mut self, cx: &mut Cx<'_>) {
+    fn run_timers(&mut self, cx: &mut StepContext<'_>) {
         while let Some(timer) = self.timers.take_due(cx.now) {
             match timer {
                 Timer::Call(call) => self.stage_timed_out(cx, call),
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -8,24 +8,29 @@
 use camphorwalk_core::ids::AttemptId;
 use camphorwalk_core::units::Tokens;
 
-use super::entries::{Entry, OutcomeEntry, Recorded, TurnEntry};
+use super::entries::{Entry, OutcomeEntry, RecordedOutcome, TurnEntry};
 use super::journal::Waiter;
-use super::requests::spent;
-use super::retry::Crash;
-use super::state::{Kind, ProgramKey, ProgramState, Stage};
-use super::{Cx, ProgramNext, Programs, answers};
+use super::requests::counted_tokens;
+use super::retry::CrashResult;
+use super::state::{ProgramKey, ProgramState, Stage, WorkKind};
+use super::{ProgramNext, Programs, StepContext, refusals};
 use crate::wire::{AttemptEnd, CallId, PlaceEndKind};
 
 /// How long an answer is delayed until its outcome is durable; after that it is marked as not
 /// stored.
-const STORE_WAIT: Duration = Duration::from_millis(500);
+const MAX_STORE_WAIT: Duration = Duration::from_millis(500);
 
 /// How long a caller should wait after a target refused its call.
-const REFUSED_RETRY: Duration = Duration::from_secs(1);
+const REFUSED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Programs {
     /// Handles the end of an attempt.
-    pub(super) fn on_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, end: AttemptEnd) {
+    pub(super) fn on_ended(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        attempt: AttemptId,
+        end: AttemptEnd,
+    ) {
         // Each attempt ends once; a late or duplicate end is ignored.
         let Some(id) = self.attempts.remove(&attempt) else { return };
 
@@ -34,108 +39,124 @@
         }
 
         match end {
-            AttemptEnd::Done { output, usage } => self.done(cx, id, output.into(), usage),
+            AttemptEnd::Done { output, usage } => self.on_answered(cx, id, output.into(), usage),
             // A target that refuses connections fails at once, so it always looks idle. If it
             // were not reported as crashed, every call would be sent there first.
             AttemptEnd::NotSent => {
-                self.not_run(cx, id, PlaceEndKind::Crashed, "it cannot be reached");
+                self.on_not_run(cx, id, PlaceEndKind::Crashed, "it cannot be reached");
             }
             AttemptEnd::Refused { message } => {
-                self.not_run(cx, id, PlaceEndKind::Failed, &message);
+                self.on_not_run(cx, id, PlaceEndKind::Failed, &message);
             }
-            AttemptEnd::Failed { message } => self.failed(cx, id, &message),
-            AttemptEnd::Lost { streamed, crashed } => self.lost_attempt(cx, id, streamed, crashed),
-            AttemptEnd::Cancelled => self.cancelled(cx, id),
+            AttemptEnd::Failed { message } => self.on_failed(cx, id, &message),
+            AttemptEnd::Lost { streamed, crashed } => self.on_lost(cx, id, streamed, crashed),
+            AttemptEnd::Cancelled => self.on_cancelled(cx, id),
         }
     }
 
     /// Handles a complete answer.
-    fn done(&mut self, cx: &mut Cx<'_>, id: CallId, output: Arc<str>, usage: Usage) {
-        self.settle(id, Some(&usage));
-        self.vacate(cx, id, PlaceEndKind::Finished, Some(&usage));
+    fn on_answered(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        output: Arc<str>,
+        usage: Usage,
+    ) {
+        self.charge(id, Some(&usage));
+        self.release_place(cx, id, PlaceEndKind::Finished, Some(&usage));
         let digest = self.calls[id].digest;
-        self.suspects.cleared(&digest);
-        self.record(cx, id, Recorded::Done { output, usage });
+        self.suspects.clear(&digest);
+        self.record_outcome(cx, id, RecordedOutcome::Done { output, usage });
     }
 
     /// Handles an attempt that the target certainly did not run and will not run.
-    fn not_run(&mut self, cx: &mut Cx<'_>, id: CallId, how: PlaceEndKind, message: &str) {
-        self.release(id);
-        self.vacate(cx, id, how, None);
+    fn on_not_run(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        how: PlaceEndKind,
+        message: &str,
+    ) {
+        self.release_tokens(id);
+        self.release_place(cx, id, how, None);
 
-        if matches!(self.calls[id].kind, Kind::Once(_)) {
+        if matches!(self.calls[id].kind, WorkKind::NonIdempotent(_)) {
             self.journal_not_run(id);
         } else if self.retry(cx, id) {
             return;
         }
 
         let refusal = Refusal::not_run(Code::Overloaded, format!("the target refused: {message}"));
-        self.give_up(cx, id, refusal.retry_after(REFUSED_RETRY));
+        self.give_up(cx, id, refusal.retry_after(REFUSED_RETRY_AFTER));
     }
 
     /// Handles a call that the target ran and reported as failed.
-    fn failed(&mut self, cx: &mut Cx<'_>, id: CallId, message: &str) {
-        self.settle(id, None);
-        self.vacate(cx, id, PlaceEndKind::Failed, None);
+    fn on_failed(&mut self, cx: &mut StepContext<'_>, id: CallId, message: &str) {
+        self.charge(id, None);
+        self.release_place(cx, id, PlaceEndKind::Failed, None);
         self.calls[id].may_have_run = true;
 
-        if matches!(self.calls[id].kind, Kind::Once(_)) {
-            return self.record(cx, id, Recorded::Failed { message: message.into() });
+        if matches!(self.calls[id].kind, WorkKind::NonIdempotent(_)) {
+            return self.record_outcome(
+                cx,
+                id,
+                RecordedOutcome::Failed { message: message.into() },
+            );
         }
 
         if !self.retry(cx, id) {
-            self.give_up(cx, id, answers::failed(message));
+            self.give_up(cx, id, refusals::target_failed(message));
         }
     }
 
     /// Handles an attempt that may or may not have run.
-    fn lost_attempt(&mut self, cx: &mut Cx<'_>, id: CallId, streamed: bool, crashed: bool) {
+    fn on_lost(&mut self, cx: &mut StepContext<'_>, id: CallId, streamed: bool, crashed: bool) {
         let how = if crashed { PlaceEndKind::Crashed } else { PlaceEndKind::Failed };
-        self.settle(id, None);
-        self.vacate(cx, id, how, None);
+        self.charge(id, None);
+        self.release_place(cx, id, how, None);
         self.calls[id].may_have_run = true;
-        let quarantined = crashed && self.crashed(cx, id);
+        let quarantined = crashed && self.record_crash(cx, id);
 
-        if matches!(self.calls[id].kind, Kind::Once(_)) {
-            return self.record(cx, id, Recorded::Unknown);
+        if matches!(self.calls[id].kind, WorkKind::NonIdempotent(_)) {
+            return self.record_outcome(cx, id, RecordedOutcome::Unknown);
         }
 
         if quarantined {
-            return self.give_up(cx, id, answers::quarantined(Ran::Maybe));
+            return self.give_up(cx, id, refusals::quarantined(Ran::Maybe));
         }
 
         // After a part of the answer was streamed, a retry would append the text of another
         // attempt to it.
         if streamed || !self.retry(cx, id) {
-            self.give_up(cx, id, answers::unknown());
+            self.give_up(cx, id, refusals::outcome_unknown());
         }
     }
 
     /// Handles an attempt that this host cancelled.
-    fn cancelled(&mut self, cx: &mut Cx<'_>, id: CallId) {
-        self.settle(id, None);
-        self.vacate(cx, id, PlaceEndKind::Failed, None);
+    fn on_cancelled(&mut self, cx: &mut StepContext<'_>, id: CallId) {
+        self.charge(id, None);
+        self.release_place(cx, id, PlaceEndKind::Failed, None);
         self.calls[id].may_have_run = true;
 
-        if matches!(self.calls[id].kind, Kind::Once(_)) {
-            return self.record(cx, id, Recorded::Unknown);
+        if matches!(self.calls[id].kind, WorkKind::NonIdempotent(_)) {
+            return self.record_outcome(cx, id, RecordedOutcome::Unknown);
         }
 
         // A caller that joined after the cancellation still needs an answer.
         if self.calls[id].callers.is_empty() || !self.retry(cx, id) {
-            self.give_up(cx, id, answers::unknown());
+            self.give_up(cx, id, refusals::outcome_unknown());
         }
     }
 
     /// Records that a target crashed under a call. Returns whether the request is now
     /// quarantined.
-    fn crashed(&mut self, cx: &mut Cx<'_>, id: CallId) -> bool {
+    fn record_crash(&mut self, cx: &mut StepContext<'_>, id: CallId) -> bool {
         let digest = self.calls[id].digest;
         self.calls[id].suspect = true;
 
-        match self.suspects.crashed(digest) {
-            Crash::Suspect => false,
-            Crash::Quarantine => {
+        match self.suspects.record_crash(digest) {
+            CrashResult::Suspect => false,
+            CrashResult::Quarantine => {
                 cx.out.push(ProgramNext::Quarantine { digest });
                 true
             }
@@ -144,12 +165,12 @@
 
     /// Starts another attempt if the deadline, the retry budget and the program's state allow
     /// it.
-    fn retry(&mut self, cx: &mut Cx<'_>, id: CallId) -> bool {
+    fn retry(&mut self, cx: &mut StepContext<'_>, id: CallId) -> bool {
         let call = &self.calls[id];
         let program = &self.programs[call.program];
         let open = program.state == ProgramState::Open && !program.orphan;
 
-        if !open || call.callers.is_empty() || program.left(cx.now).is_zero() {
+        if !open || call.callers.is_empty() || program.time_left(cx.now).is_zero() {
             return false;
         }
 
@@ -160,14 +181,14 @@
         let call = &mut self.calls[id];
         call.avoid = call.target.take();
         call.attempt = None;
-        call.stage = Stage::Admitting;
+        call.stage = Stage::AwaitingAdmission;
         self.reserve(cx, id);
 
         true
     }
 
     /// Refuses the callers of a call that did not finish, and removes it.
-    fn give_up(&mut self, cx: &mut Cx<'_>, id: CallId, mut refusal: Refusal) {
+    fn give_up(&mut self, cx: &mut StepContext<'_>, id: CallId, mut refusal: Refusal) {
         let program = self.calls[id].program;
 
         if self.calls[id].may_have_run && refusal.ran == Ran::No {
@@ -175,30 +196,30 @@
         }
 
         self.answer_callers(cx, id, &refusal);
-        self.forget_call(id);
+        self.remove_call(id);
         self.remove_orphan(program);
     }
 
     /// Charges the tokens that an attempt used, or all reserved tokens if its usage is unknown.
-    fn settle(&mut self, id: CallId, usage: Option<&Usage>) {
+    fn charge(&mut self, id: CallId, usage: Option<&Usage>) {
         let call = &self.calls[id];
-        let spent = usage.map_or(call.reserved, spent);
+        let spent = usage.map_or(call.reserved, counted_tokens);
 
         if let Some(account) = self.accounts.get_mut(self.programs[call.program].account) {
-            account.settle(call.reserved, spent);
+            account.charge(call.reserved, spent);
         }
     }
 
     /// Appends a finished call to its program's history and journals it.
-    fn record(&mut self, cx: &mut Cx<'_>, id: CallId, outcome: Recorded) {
+    fn record_outcome(&mut self, cx: &mut StepContext<'_>, id: CallId, outcome: RecordedOutcome) {
         let call = &self.calls[id];
-        let (key, once) = (call.program, matches!(call.kind, Kind::Once(_)));
+        let (key, once) = (call.program, matches!(call.kind, WorkKind::NonIdempotent(_)));
         let attempt = call.attempt;
         let program = &mut self.programs[key];
 
         // A turn that finishes after its program ended is not recorded.
         if program.state == ProgramState::Ended && !once {
-            return self.give_up(cx, id, answers::unknown());
+            return self.give_up(cx, id, refusals::outcome_unknown());
         }
 
         let number = program.append(call.text.clone(), outcome.clone());
@@ -215,8 +236,8 @@
         }
 
         self.calls[id].number = number;
-        self.set_stage(cx, id, Stage::Recording, Some(STORE_WAIT));
-        let waiter = Waiter::Record(key, id, number);
+        self.set_stage(cx, id, Stage::JournalingOutcome, Some(MAX_STORE_WAIT));
+        let waiter = Waiter::Outcome(key, id, number);
 
         match attempt.filter(|_| once) {
             Some(attempt) => self.journal_outcome(key, attempt, Some(outcome), waiter),
@@ -224,7 +245,7 @@
         }
 
         // If the platform is known to be unavailable, the answer is not delayed.
-        if self.journal.is_away(cx.now) {
+        if self.journal.is_unavailable(cx.now) {
             self.answer_recorded(cx, id);
         }
     }
@@ -232,7 +253,7 @@
     /// Journals a finished call that may be repeated, with a grant that covers the next calls.
     pub(super) fn journal_turn(
         &mut self,
-        cx: &Cx<'_>,
+        cx: &StepContext<'_>,
         key: ProgramKey,
         number: u32,
         waiter: Waiter,
@@ -268,7 +289,7 @@
         &mut self,
         key: ProgramKey,
         attempt: AttemptId,
-        outcome: Option<Recorded>,
+        outcome: Option<RecordedOutcome>,
         waiter: Waiter,
     ) {
         let program = self.programs[key].id;
@@ -277,19 +298,19 @@
     }
 
     /// Answers all callers of a finished call; the answer says whether its outcome is durable.
-    pub(super) fn answer_recorded(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    pub(super) fn answer_recorded(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let callers = std::mem::take(&mut call.callers);
         let (program, number) = (call.program, call.number);
 
         if !callers.is_empty() {
-            let reply = self.recorded_reply(program, number);
+            let reply = self.call_result_reply(program, number);
 
             for caller in callers {
                 self.answer(cx, caller.ticket, reply.clone());
             }
         }
 
-        self.forget_call(id);
+        self.remove_call(id);
     }
 }
--- a/crates/policy/src/programs/budget.rs
+++ b/crates/policy/src/programs/budget.rs
@@ -27,7 +27,7 @@
 
 /// The result of reserving tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reserve {
+pub(super) enum Reservation {
     /// The tokens are reserved.
     Reserved,
     /// The budget covers the tokens but the durable grant does not: it must be raised first.
@@ -51,24 +51,24 @@
 
 impl Account {
     /// Returns the tokens that can still be reserved.
-    pub fn left(&self) -> Tokens {
+    pub fn available(&self) -> Tokens {
         self.budget.minus(self.spent).minus(self.reserved)
     }
 
     /// Reserves tokens for an attempt.
-    pub fn reserve(&mut self, tokens: Tokens) -> Reserve {
-        if tokens > self.left() {
-            return Reserve::Exhausted;
+    pub fn reserve(&mut self, tokens: Tokens) -> Reservation {
+        if tokens > self.available() {
+            return Reservation::Exhausted;
         }
 
         let all = self.spent.plus(self.reserved).plus(tokens);
 
         if all > self.granted {
-            return Reserve::NeedsGrant;
+            return Reservation::NeedsGrant;
         }
 
         self.reserved = self.reserved.plus(tokens);
-        Reserve::Reserved
+        Reservation::Reserved
     }
 
     /// Returns the reserved tokens of an attempt that was never sent.
@@ -77,7 +77,7 @@
     }
 
     /// Replaces the reservation of an ended attempt by the tokens that it used.
-    pub fn settle(&mut self, reserved: Tokens, spent: Tokens) {
+    pub fn charge(&mut self, reserved: Tokens, spent: Tokens) {
         self.reserved = self.reserved.minus(reserved);
         self.spent = self.spent.plus(spent);
     }
@@ -91,23 +91,23 @@
     }
 
     /// Raises the grant once it is durable.
-    pub fn granted(&mut self, granted: Tokens) {
+    pub fn raise_grant(&mut self, granted: Tokens) {
         self.granted = self.granted.max(granted);
     }
 
     /// Drops the unspent part of the grant. Allowed only while nothing is reserved and no entry
     /// that raises the grant is being written.
-    pub fn give_up_grant(&mut self) {
+    pub fn drop_unspent_grant(&mut self) {
         self.granted = self.spent;
     }
 
     /// Replays a journal entry that reduced the grant to what was spent.
-    pub fn settled(&mut self, spent: Tokens) {
+    pub fn replay_settled(&mut self, spent: Tokens) {
         self.granted = spent;
     }
 
     /// Treats the whole grant as spent, on a new home host.
-    pub fn recovered(&mut self) {
+    pub fn spend_whole_grant(&mut self) {
         self.spent = self.spent.max(self.granted);
     }
 }
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -13,33 +13,33 @@
 use super::entries::{CallText, Entry, OutcomeEntry};
 use super::journal::Waiter;
 use super::retry::request_digest;
-use super::state::{Call, Caller, Kind, Program, ProgramKey, ProgramState, Stage, estimate};
+use super::state::{Call, Caller, Program, ProgramKey, ProgramState, Stage, WorkKind, estimate};
 use super::tail::{self, TailError};
-use super::{Cx, ProgramNext, Programs, answers};
+use super::{ProgramNext, Programs, StepContext, refusals};
 use crate::wire::CallId;
 
 /// What is known about a call's idempotency key.
-enum Step {
+enum KeyLookup {
     /// The call with this number already ran under the key.
     Repeat(u32),
     /// A call is running under the key: the caller waits for the same answer.
     Join,
     /// The key is new.
-    Fresh,
+    New,
 }
 
 impl Programs {
     /// Handles a call request.
     pub(super) fn call(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         ticket: Ticket,
         tenant: TenantId,
         key: KeyId,
         mut req: CallRequest,
     ) {
-        let Some(program) = self.visible(tenant, req.program) else {
-            return self.refuse(cx, ticket, answers::not_found());
+        let Some(program) = self.tenant_program(tenant, req.program) else {
+            return self.refuse(cx, ticket, refusals::not_found());
         };
         let caller = Caller { ticket, key, stream: req.stream };
 
@@ -47,35 +47,37 @@
         let adopted = tail.map_or(Ok(()), |tail| self.adopt_tail(cx, program, &tail));
 
         match self.classify(program, &req) {
-            Ok(Step::Repeat(number)) => {
-                let reply = self.recorded_reply(program, number);
+            Ok(KeyLookup::Repeat(number)) => {
+                let reply = self.call_result_reply(program, number);
                 self.answer(cx, ticket, reply);
             }
-            Ok(Step::Join) => self.join(program, caller),
-            Ok(Step::Fresh) => match adopted.and_then(|()| self.check(cx, program, &req)) {
-                Ok(call) => self.start(cx, caller, call),
-                Err(refusal) => self.refuse(cx, ticket, refusal),
-            },
+            Ok(KeyLookup::Join) => self.join(program, caller),
+            Ok(KeyLookup::New) => {
+                match adopted.and_then(|()| self.check_new_call(cx, program, &req)) {
+                    Ok(call) => self.start(cx, caller, call),
+                    Err(refusal) => self.refuse(cx, ticket, refusal),
+                }
+            }
             Err(refusal) => self.refuse(cx, ticket, refusal),
         }
     }
 
     /// Looks up a call's idempotency key.
-    fn classify(&self, key: ProgramKey, req: &CallRequest) -> Result<Step, Refusal> {
+    fn classify(&self, key: ProgramKey, req: &CallRequest) -> Result<KeyLookup, Refusal> {
         let program = &self.programs[key];
 
         if let Some(number) = program.find(&req.key) {
             let record = &program.calls[number as usize - 1];
             let same = record.call.body == req.body;
-            return if same { Ok(Step::Repeat(number)) } else { Err(answers::key_reused()) };
+            return if same { Ok(KeyLookup::Repeat(number)) } else { Err(refusals::key_reused()) };
         }
 
         let running = program.running.and_then(|call| self.calls.get(call));
 
         match running.filter(|call| call.text.key == req.key) {
-            Some(call) if call.text.body == req.body => Ok(Step::Join),
-            Some(_) => Err(answers::key_reused()),
-            None => Ok(Step::Fresh),
+            Some(call) if call.text.body == req.body => Ok(KeyLookup::Join),
+            Some(_) => Err(refusals::key_reused()),
+            None => Ok(KeyLookup::New),
         }
     }
 
@@ -88,44 +90,52 @@
     }
 
     /// Checks whether a new call may start, and creates it.
-    fn check(&self, cx: &Cx<'_>, key: ProgramKey, req: &CallRequest) -> Result<Call, Refusal> {
+    fn check_new_call(
+        &self,
+        cx: &StepContext<'_>,
+        key: ProgramKey,
+        req: &CallRequest,
+    ) -> Result<Call, Refusal> {
         let program = &self.programs[key];
         check_state(cx, program)?;
 
         if program.in_doubt {
-            return Err(answers::platform_away(self.journal.retry_after()));
+            return Err(refusals::platform_unavailable(self.journal.retry_after()));
         }
 
         if program.running.is_some() {
-            return Err(answers::out_of_order(program.head(), "another call is under way"));
+            return Err(refusals::out_of_order(program.head(), "another call is under way"));
         }
 
         if req.after != program.head() {
-            return Err(answers::out_of_order(program.head(), "the call does not follow the head"));
+            return Err(refusals::out_of_order(
+                program.head(),
+                "the call does not follow the head",
+            ));
         }
 
-        let call = self.make(key, req)?;
+        let call = self.build_call(key, req)?;
         self.check_limits(cx, program, &call)?;
 
         Ok(call)
     }
 
     /// Creates a call from a request.
-    fn make(&self, key: ProgramKey, req: &CallRequest) -> Result<Call, Refusal> {
+    fn build_call(&self, key: ProgramKey, req: &CallRequest) -> Result<Call, Refusal> {
         let program = &self.programs[key];
         let template = self.cfg.as_ref().and_then(|cfg| cfg.template(&program.template));
-        let template = template.ok_or_else(|| answers::bad_request("the template is gone"))?;
+        let template = template.ok_or_else(|| refusals::bad_request("the template is gone"))?;
         let target = template.targets.iter().find(|target| target.name == req.target);
         let target =
-            target.ok_or_else(|| answers::bad_request("the template has no such target"))?;
+            target.ok_or_else(|| refusals::bad_request("the template has no such target"))?;
         let kind = kind_of(template, target, req);
         let input: Arc<str> = Arc::from(&*req.input);
 
         let (prompt, output, texts) = match kind {
-            Kind::Turn { max_tokens } => (
+            WorkKind::Turn { max_tokens } => (
                 program.history.plus(estimate(&input)),
                 Tokens(u64::from(max_tokens)),
-                Some(program.texts()),
+                Some(program.texts_hash()),
             ),
             _ => (Tokens(0), Tokens(0), None),
         };
@@ -144,7 +154,7 @@
             number: program.head() + 1,
             callers: Vec::new(),
             key: KeyId(0),
-            stage: Stage::Admitting,
+            stage: Stage::AwaitingAdmission,
             prompt,
             reserved: prompt.plus(output),
             target: None,
@@ -158,33 +168,38 @@
     }
 
     /// Checks a call against the limits of its program.
-    fn check_limits(&self, cx: &Cx<'_>, program: &Program, call: &Call) -> Result<(), Refusal> {
-        let cfg = self.cfg.as_ref().ok_or_else(answers::leaving)?;
+    fn check_limits(
+        &self,
+        cx: &StepContext<'_>,
+        program: &Program,
+        call: &Call,
+    ) -> Result<(), Refusal> {
+        let cfg = self.cfg.as_ref().ok_or_else(refusals::home_moving)?;
         let max_calls = cfg.template(&program.template).map_or(0, |t| t.max_calls);
 
         if program.head() + program.openings >= max_calls {
-            return Err(answers::exhausted());
+            return Err(refusals::budget_exhausted());
         }
 
         if self.suspects.is_quarantined(&call.digest) {
-            return Err(answers::quarantined(Ran::No));
+            return Err(refusals::quarantined(Ran::No));
         }
 
-        if call.reserved > self.accounts[program.account].left() {
-            return Err(answers::exhausted());
+        if call.reserved > self.accounts[program.account].available() {
+            return Err(refusals::budget_exhausted());
         }
 
         // A call that must run at most once cannot be sent without a durable intent. It is
         // refused here, before it counts against the tenant's rate.
-        if matches!(call.kind, Kind::Once(_)) && self.journal.is_away(cx.now) {
-            return Err(answers::platform_away(self.journal.retry_after()));
+        if matches!(call.kind, WorkKind::NonIdempotent(_)) && self.journal.is_unavailable(cx.now) {
+            return Err(refusals::platform_unavailable(self.journal.retry_after()));
         }
 
         Ok(())
     }
 
     /// Starts a call.
-    fn start(&mut self, cx: &mut Cx<'_>, caller: Caller, mut call: Call) {
+    fn start(&mut self, cx: &mut StepContext<'_>, caller: Caller, mut call: Call) {
         let program = call.program;
         call.callers.push(caller);
         call.key = caller.key;
@@ -199,10 +214,15 @@
     }
 
     /// Adopts the calls in a tail that a caller returned.
-    fn adopt_tail(&mut self, cx: &Cx<'_>, key: ProgramKey, text: &str) -> Result<(), Refusal> {
+    fn adopt_tail(
+        &mut self,
+        cx: &StepContext<'_>,
+        key: ProgramKey,
+        text: &str,
+    ) -> Result<(), Refusal> {
         let program = &mut self.programs[key];
         let tail = tail::unseal(&self.options.seal_key, program, text)
-            .map_err(|_| answers::bad_request("the tail is not one of this program"))?;
+            .map_err(|_| refusals::bad_request("the tail is not one of this program"))?;
 
         // While a call is running here, it continues this host's own history, so the tail is
         // older or has diverged.
@@ -212,24 +232,24 @@
 
         let head = program.head();
         let adopted = tail::adopt(program, tail).map_err(|error| match error {
-            TailError::Forged => answers::bad_request("the tail is not one of this program"),
-            TailError::Diverged => answers::out_of_order(head, "the history went on otherwise"),
+            TailError::Forged => refusals::bad_request("the tail is not one of this program"),
+            TailError::Diverged => refusals::out_of_order(head, "the history went on otherwise"),
         })?;
 
-        if adopted.settled {
-            self.journal_settled(key, head);
+        if adopted.outcome_found {
+            self.journal_adopted_outcome(key, head);
         }
 
         for number in adopted.appended {
             self.programs[key].open_intent = None;
-            self.journal_turn(cx, key, number, Waiter::Record(key, CallId::default(), number));
+            self.journal_turn(cx, key, number, Waiter::Outcome(key, CallId::default(), number));
         }
 
         Ok(())
     }
 
     /// Journals the outcome of an intent that a tail contained.
-    fn journal_settled(&mut self, key: ProgramKey, number: u32) {
+    fn journal_adopted_outcome(&mut self, key: ProgramKey, number: u32) {
         let program = &mut self.programs[key];
         let Some((attempt, _)) = program.open_intent.take() else { return };
         let record = &mut program.calls[number as usize - 1];
@@ -239,29 +259,31 @@
 
         // The platform has the intent but not its outcome yet.
         program.stored = number - 1;
-        self.append(key, Entry::Outcome(entry), Waiter::Record(key, CallId::default(), number));
+        self.append(key, Entry::Outcome(entry), Waiter::Outcome(key, CallId::default(), number));
     }
 }
 
 /// Checks that a program accepts calls.
-fn check_state(cx: &Cx<'_>, program: &Program) -> Result<(), Refusal> {
+fn check_state(cx: &StepContext<'_>, program: &Program) -> Result<(), Refusal> {
     match program.state {
-        ProgramState::Opening => Err(answers::leaving()),
-        ProgramState::Ended if cx.now >= program.deadline => Err(answers::deadline(Ran::No)),
-        ProgramState::Ended => Err(answers::not_found()),
-        ProgramState::Open if cx.now >= program.deadline => Err(answers::deadline(Ran::No)),
+        ProgramState::Opening => Err(refusals::home_moving()),
+        ProgramState::Ended if cx.now >= program.deadline => {
+            Err(refusals::deadline_passed(Ran::No))
+        }
+        ProgramState::Ended => Err(refusals::not_found()),
+        ProgramState::Open if cx.now >= program.deadline => Err(refusals::deadline_passed(Ran::No)),
         ProgramState::Open => Ok(()),
     }
 }
 
 /// Returns the kind of work that a call to this target asks for.
-fn kind_of(template: &Template, target: &TemplateTarget, req: &CallRequest) -> Kind {
+fn kind_of(template: &Template, target: &TemplateTarget, req: &CallRequest) -> WorkKind {
     match &target.operation {
-        Some(operation) if target.idempotent => Kind::Repeatable(operation.clone()),
-        Some(operation) => Kind::Once(operation.clone()),
+        Some(operation) if target.idempotent => WorkKind::Idempotent(operation.clone()),
+        Some(operation) => WorkKind::NonIdempotent(operation.clone()),
         None => {
             let limit = template.max_output_tokens;
-            Kind::Turn { max_tokens: req.max_tokens.unwrap_or(limit).min(limit) }
+            WorkKind::Turn { max_tokens: req.max_tokens.unwrap_or(limit).min(limit) }
         }
     }
 }
--- a/crates/policy/src/programs/checkpoint.rs
+++ b/crates/policy/src/programs/checkpoint.rs
@@ -13,7 +13,7 @@
 use camphorwalk_core::platform::{Check, ObjectName, RowKey, RowVersion, Transaction, Write};
 use serde::{Deserialize, Serialize};
 
-use super::entries::{CallText, OpenedEntry, Recorded, journal_key};
+use super::entries::{CallText, OpenedEntry, RecordedOutcome, journal_key};
 
 /// The table of checkpoint rows.
 const CHECKPOINT: &str = "checkpoint";
@@ -62,18 +62,18 @@
     /// The request of the call.
     pub call: CallText,
     /// The outcome of the call.
-    pub outcome: Recorded,
+    pub outcome: RecordedOutcome,
 }
 
 /// A transaction that shortens a journal.
 #[derive(Clone, Debug)]
-pub(super) enum Upkeep {
+pub(super) enum Maintenance {
     /// Replaces the checkpoint row.
     Checkpoint {
         /// The partition of the checkpoint.
         partition: PartitionId,
         /// The id of the lease term in which the images were made.
-        tenure: u64,
+        term: u64,
         /// The new content; the transaction id is filled in when it is sent.
         row: Arc<CheckpointRow>,
         /// The expected current version of the row.
@@ -84,7 +84,7 @@
         /// The partition of the journal.
         partition: PartitionId,
         /// The id of the lease term in which the checkpoint was made or read.
-        tenure: u64,
+        term: u64,
         /// The first row to delete.
         from: u64,
         /// The last row to delete.
@@ -92,7 +92,7 @@
     },
 }
 
-impl Upkeep {
+impl Maintenance {
     /// Returns the partition that it applies to.
     pub fn partition(&self) -> PartitionId {
         match self {
@@ -101,9 +101,9 @@
     }
 
     /// Returns the id of the lease term that it belongs to.
-    pub fn tenure(&self) -> u64 {
+    pub fn term(&self) -> u64 {
         match self {
-            Self::Checkpoint { tenure, .. } | Self::Trim { tenure, .. } => *tenure,
+            Self::Checkpoint { term, .. } | Self::Trim { term, .. } => *term,
         }
     }
 
@@ -113,12 +113,13 @@
     }
 
     /// Builds the transaction, without the check of the lease row.
-    pub fn transaction(&self, witness: &str) -> Transaction {
+    pub fn transaction(&self, transaction_id: &str) -> Transaction {
         let mut transaction = Transaction::default();
 
         match self {
             Self::Checkpoint { row, version, .. } => {
-                let row = CheckpointRow { witness: witness.into(), ..CheckpointRow::clone(row) };
+                let row =
+                    CheckpointRow { witness: transaction_id.into(), ..CheckpointRow::clone(row) };
                 let value = serde_json::to_string(&row).expect("checkpoints are plain data");
 
                 // A delayed write of an older checkpoint would refer to journal rows that have
@@ -139,10 +140,10 @@
 
     /// Returns the deletions that remain after this transaction.
     pub fn rest(&self) -> Option<Self> {
-        let Self::Trim { partition, tenure, upto, .. } = *self else { return None };
+        let Self::Trim { partition, term, upto, .. } = *self else { return None };
         let from = self.trimmed_to() + 1;
 
-        (from <= upto).then_some(Self::Trim { partition, tenure, from, upto })
+        (from <= upto).then_some(Self::Trim { partition, term, from, upto })
     }
 
     /// Returns the last row that this transaction deletes.
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -5,9 +5,9 @@
 use camphorwalk_core::units::Tokens;
 
 use super::entries::{Entry, OutcomeEntry};
-use super::journal::{Fate, Pending, Waiter};
+use super::journal::{Pending, Waiter, WriteOutcome};
 use super::state::{ProgramKey, Stage};
-use super::{Cx, ProgramNext, ProgramOp, Programs, answers};
+use super::{ProgramNext, ProgramOp, Programs, StepContext, refusals};
 use crate::wire::CallId;
 
 impl Programs {
@@ -16,16 +16,11 @@
         let program = &self.programs[key];
 
         // The journal of an orphan's partition belongs to another host.
-        let Some(tenure) = self.tenures.get(&program.partition).filter(|_| !program.orphan) else {
+        let Some(term) = self.terms.get(&program.partition).filter(|_| !program.orphan) else {
             return;
         };
 
-        self.journal.push(Pending {
-            partition: program.partition,
-            tenure: tenure.id,
-            entry,
-            waiter,
-        });
+        self.journal.push(Pending { partition: program.partition, term: term.id, entry, waiter });
     }
 
     /// Returns the partition that a program's id falls into.
@@ -34,60 +29,65 @@
     }
 
     /// Sends the next transaction if it is due.
-    pub(super) fn flush(&mut self, cx: &mut Cx<'_>) {
-        if let Some(transaction) = self.journal.next(cx.now, &self.tenures) {
-            self.writing = Some(self.platform(cx, PlatformOp::Commit(transaction)));
+    pub(super) fn flush(&mut self, cx: &mut StepContext<'_>) {
+        if let Some(transaction) = self.journal.next_transaction(cx.now, &self.terms) {
+            self.commit_op = Some(self.platform(cx, PlatformOp::Commit(transaction)));
         }
     }
 
     /// Handles a reply of the platform.
-    pub(super) fn on_platform(&mut self, cx: &mut Cx<'_>, op: ProgramOp, reply: PlatformReply) {
-        if self.scans.contains_key(&op) {
+    pub(super) fn on_platform(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        op: ProgramOp,
+        reply: PlatformReply,
+    ) {
+        if self.reads.contains_key(&op) {
             return self.on_read(cx, op, reply);
         }
 
-        if self.puts.contains_key(&op) {
+        if self.object_writes.contains_key(&op) {
             return self.on_put(cx, op, reply);
         }
 
         // Late and duplicate replies are ignored.
-        if self.writing != Some(op) {
+        if self.commit_op != Some(op) {
             return;
         }
 
-        self.writing = None;
-        let resolved = self.journal.on_reply(cx.now, reply, &mut self.tenures);
+        self.commit_op = None;
+        let result = self.journal.on_reply(cx.now, reply, &mut self.terms);
 
-        for (pending, fate) in resolved.fates {
-            match fate {
-                Fate::Durable => self.durable(cx, pending),
-                Fate::Refused => self.refused(cx, pending),
-                Fate::InDoubt => self.in_doubt(cx, pending),
+        for (pending, outcome) in result.outcomes {
+            match outcome {
+                WriteOutcome::Durable => self.entry_durable(cx, pending),
+                WriteOutcome::Rejected => self.entry_rejected(cx, pending),
+                WriteOutcome::InDoubt => self.entry_in_doubt(cx, pending),
             }
         }
 
-        for (partition, epoch) in resolved.fenced {
+        for (partition, epoch) in result.fenced {
             cx.out.push(ProgramNext::Fenced { partition, epoch });
-            self.lost(cx, partition);
+            self.partition_lost(cx, partition);
         }
 
-        for partition in resolved.behind {
-            self.read_again(cx, partition);
+        for partition in result.incomplete {
+            self.restart_recovery(cx, partition);
         }
 
-        if let Some((upkeep, version)) = resolved.upkeep {
-            self.upkeep_done(&upkeep, version);
+        if let Some((maintenance, version)) = result.maintenance {
+            self.maintenance_done(&maintenance, version);
         }
 
-        for (partition, bytes) in resolved.appended {
+        for (partition, bytes) in result.appended {
             self.journal_grew(cx, partition, bytes);
         }
 
-        self.read_unblocked(cx);
+        self.start_unblocked_reads(cx);
     }
 
     /// Handles an entry that became durable.
-    fn durable(&mut self, cx: &mut Cx<'_>, pending: Pending) {
+    fn entry_durable(&mut self, cx: &mut StepContext<'_>, pending: Pending) {
         self.raise_grant(&pending.entry);
 
         match (pending.waiter, pending.entry) {
@@ -97,10 +97,10 @@
             (Waiter::Intent(key, call), Entry::Intent(entry)) => {
                 self.intent_durable(cx, key, call, entry.attempt);
             }
-            (Waiter::Grant(_, call), _) if self.stage(call) == Some(Stage::Granting) => {
+            (Waiter::Grant(_, call), _) if self.stage(call) == Some(Stage::AwaitingGrant) => {
                 self.reserve(cx, call);
             }
-            (Waiter::Record(key, call, number), _) => {
+            (Waiter::Outcome(key, call, number), _) => {
                 self.record_durable(cx, key, call, number);
             }
             (Waiter::End(key), _) => self.end_durable(cx, key),
@@ -119,19 +119,19 @@
         if let Some(key) = self.index.get(&program)
             && let Some(account) = self.accounts.get_mut(self.programs[*key].account)
         {
-            account.granted(granted);
+            account.raise_grant(granted);
         }
     }
 
     /// Sends the call whose intent became durable, unless it was abandoned meanwhile.
     fn intent_durable(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         key: ProgramKey,
         call: CallId,
         attempt: Box<str>,
     ) {
-        if self.stage(call) == Some(Stage::Intending) {
+        if self.stage(call) == Some(Stage::JournalingIntent) {
             return self.dispatch(cx, call);
         }
 
@@ -144,7 +144,13 @@
     }
 
     /// Marks a finished call as durable and answers its callers.
-    fn record_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey, call: CallId, number: u32) {
+    fn record_durable(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        key: ProgramKey,
+        call: CallId,
+        number: u32,
+    ) {
         if let Some(program) = self.programs.get_mut(key) {
             program.stored = program.stored.max(number);
         }
@@ -153,40 +159,40 @@
     }
 
     /// Handles an entry that the platform rejected. Facts are written again later.
-    fn refused(&mut self, cx: &mut Cx<'_>, pending: Pending) {
+    fn entry_rejected(&mut self, cx: &mut StepContext<'_>, pending: Pending) {
         match pending.waiter {
-            Waiter::Open(key) => self.opening_refused(cx, key),
+            Waiter::Open(key) => self.opening_rejected(cx, key),
             Waiter::Intent(key, call) => {
-                self.fail_asking(cx, call);
+                self.abandon_unstored(cx, call);
 
                 if let Some(program) = self.programs.get_mut(key) {
                     program.in_doubt = false;
                 }
             }
-            Waiter::Grant(_, call) => self.fail_asking(cx, call),
-            Waiter::Record(_, call, _) => self.answer_recorded(cx, call),
+            Waiter::Grant(_, call) => self.abandon_unstored(cx, call),
+            Waiter::Outcome(_, call, _) => self.answer_recorded(cx, call),
             Waiter::End(key) => self.end_not_stored(cx, key),
             Waiter::Nobody => {}
         }
     }
 
     /// Handles an entry whose write has an unknown outcome.
-    fn in_doubt(&mut self, cx: &mut Cx<'_>, pending: Pending) {
+    fn entry_in_doubt(&mut self, cx: &mut StepContext<'_>, pending: Pending) {
         match pending.waiter {
             Waiter::Open(key) => self.opening_in_doubt(cx, key),
             // The call is abandoned and never sent, whether or not its intent takes effect.
-            Waiter::Intent(_, call) | Waiter::Grant(_, call) => self.fail_asking(cx, call),
-            Waiter::Record(_, call, _) => self.answer_recorded(cx, call),
+            Waiter::Intent(_, call) | Waiter::Grant(_, call) => self.abandon_unstored(cx, call),
+            Waiter::Outcome(_, call, _) => self.answer_recorded(cx, call),
             Waiter::End(key) => self.end_not_stored(cx, key),
             Waiter::Nobody => {}
         }
     }
 
     /// Abandons a call whose intent or grant was not stored.
-    fn fail_asking(&mut self, cx: &mut Cx<'_>, call: CallId) {
-        if matches!(self.stage(call), Some(Stage::Intending | Stage::Granting)) {
-            let refusal = answers::platform_away(self.journal.retry_after());
-            self.drop_call(cx, call, refusal);
+    fn abandon_unstored(&mut self, cx: &mut StepContext<'_>, call: CallId) {
+        if matches!(self.stage(call), Some(Stage::JournalingIntent | Stage::AwaitingGrant)) {
+            let refusal = refusals::platform_unavailable(self.journal.retry_after());
+            self.abandon_call(cx, call, refusal);
         }
     }
 }
--- a/crates/policy/src/programs/compaction.rs
+++ b/crates/policy/src/programs/compaction.rs
@@ -8,10 +8,10 @@
 use camphorwalk_core::platform::{ObjectName, PlatformOp, PlatformReply, RowVersion};
 use camphorwalk_core::time::Instant;
 
-use super::checkpoint::{CheckpointRow, ImageCall, ProgramImage, Upkeep};
+use super::checkpoint::{CheckpointRow, ImageCall, Maintenance, ProgramImage};
 use super::entries::{CallText, OpenedEntry};
-use super::state::{Kind, Program, ProgramKey, ProgramState, Stage};
-use super::{Cx, ProgramOp, Programs};
+use super::state::{Program, ProgramKey, ProgramState, Stage, WorkKind};
+use super::{ProgramOp, Programs, StepContext};
 
 /// Journal bytes after which a checkpoint is made. If the last checkpoint was larger, its size
 /// is the threshold instead, so that checkpoints at most double the bytes written.
@@ -21,34 +21,34 @@
 const PART_BYTES: usize = 256 * 1024;
 
 /// The wait before the next checkpoint after the platform failed to store an object.
-const PAUSE: Duration = Duration::from_secs(5);
+const CHECKPOINT_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// How much a partition's journal has grown, and the checkpoint in progress.
 #[derive(Debug, Default)]
 pub(super) struct Compaction {
     /// Bytes of the rows written since the last checkpoint.
-    pub since: usize,
+    pub bytes_since_checkpoint: usize,
     /// Bytes of the last checkpoint.
-    pub last: usize,
+    pub last_checkpoint_bytes: usize,
     /// The first journal row that may still exist.
-    pub first: u64,
+    pub first_row: u64,
     /// The current version of the checkpoint row.
     pub version: RowVersion,
     /// The earliest time to start the next checkpoint.
     not_before: Instant,
     /// The checkpoint in progress.
-    work: Option<Work>,
+    build: Option<CheckpointBuild>,
 }
 
 /// A checkpoint in progress.
 #[derive(Debug)]
-struct Work {
+struct CheckpointBuild {
     /// Programs whose images are not written yet, parents before their children.
     programs: VecDeque<ProgramId>,
     /// The checkpoint row, completed as objects are stored.
     row: CheckpointRow,
     /// Journal bytes that the checkpoint will cover.
-    since: usize,
+    covered_bytes: usize,
     /// The object write in progress.
     op: Option<ProgramOp>,
 }
@@ -73,30 +73,36 @@
     }
 
     /// Counts rows appended to a journal and starts a checkpoint if they exceed the threshold.
-    pub(super) fn journal_grew(&mut self, cx: &mut Cx<'_>, partition: PartitionId, bytes: usize) {
-        let Some(tenure) = self.tenures.get(&partition) else { return };
+    pub(super) fn journal_grew(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        partition: PartitionId,
+        bytes: usize,
+    ) {
+        let Some(term) = self.terms.get(&partition) else { return };
         let compaction = self.compactions.entry(partition).or_default();
-        compaction.since += bytes;
-        let due = compaction.since > compaction.last.max(self.checkpoint_bytes);
+        compaction.bytes_since_checkpoint += bytes;
+        let due = compaction.bytes_since_checkpoint
+            > compaction.last_checkpoint_bytes.max(self.checkpoint_bytes);
 
-        if !due || compaction.work.is_some() || cx.now < compaction.not_before {
+        if !due || compaction.build.is_some() || cx.now < compaction.not_before {
             return;
         }
 
-        let upto = tenure.next - 1;
-        let programs = self.in_order(partition);
+        let upto = term.next_row - 1;
+        let programs = self.parents_first(partition);
         let compaction = self.compactions.entry(partition).or_default();
-        compaction.work = Some(Work {
+        compaction.build = Some(CheckpointBuild {
             programs,
             row: CheckpointRow { upto, ..CheckpointRow::default() },
-            since: compaction.since,
+            covered_bytes: compaction.bytes_since_checkpoint,
             op: None,
         });
-        self.next_part(cx, partition);
+        self.write_next_part(cx, partition);
     }
 
     /// Returns the programs of a partition, parents before their children.
-    fn in_order(&self, partition: PartitionId) -> VecDeque<ProgramId> {
+    fn parents_first(&self, partition: PartitionId) -> VecDeque<ProgramId> {
         let programs = self.index.values().map(|key| &self.programs[*key]);
         let mut ids: Vec<_> =
             programs.filter(|p| p.partition == partition).map(|p| (p.depth, p.id)).collect();
@@ -106,29 +112,33 @@
     }
 
     /// Writes the next object of images, or updates the checkpoint row after the last one.
-    fn next_part(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
-        let Some(content) = self.part(cx, partition) else {
+    fn write_next_part(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
+        let Some(content) = self.next_part_content(cx, partition) else {
             return self.finish_checkpoint(partition);
         };
 
         let bytes = content.len();
         let op = self.platform(cx, PlatformOp::PutObject(content.into()));
-        self.puts.insert(op, partition);
+        self.object_writes.insert(op, partition);
 
-        if let Some(work) = self.compactions.get_mut(&partition).and_then(|c| c.work.as_mut()) {
-            work.op = Some(op);
-            work.row.bytes += bytes;
+        if let Some(build) = self.compactions.get_mut(&partition).and_then(|c| c.build.as_mut()) {
+            build.op = Some(op);
+            build.row.bytes += bytes;
         }
     }
 
     /// Builds the content of the next object, with one image per line.
-    fn part(&mut self, cx: &Cx<'_>, partition: PartitionId) -> Option<Vec<u8>> {
-        let upto = self.tenures.get(&partition)?.next - 1;
+    fn next_part_content(
+        &mut self,
+        cx: &StepContext<'_>,
+        partition: PartitionId,
+    ) -> Option<Vec<u8>> {
+        let upto = self.terms.get(&partition)?.next_row - 1;
         let mut content = Vec::new();
 
         while content.len() < PART_BYTES.min(self.checkpoint_bytes) {
-            let work = self.compactions.get_mut(&partition)?.work.as_mut()?;
-            let Some(id) = work.programs.pop_front() else { break };
+            let build = self.compactions.get_mut(&partition)?.build.as_mut()?;
+            let Some(id) = build.programs.pop_front() else { break };
 
             // A program that was removed meanwhile needs no image. One that was opened later is
             // covered by journal rows that the checkpoint keeps.
@@ -143,7 +153,7 @@
 
     /// Builds the image of a program from what the journal holds of it, without entries that
     /// are not durable yet.
-    fn image(&self, cx: &Cx<'_>, key: ProgramKey, upto: u64) -> Option<ProgramImage> {
+    fn image(&self, cx: &StepContext<'_>, key: ProgramKey, upto: u64) -> Option<ProgramImage> {
         let program = &self.programs[key];
 
         if program.state == ProgramState::Opening {
@@ -153,8 +163,8 @@
         let account = self.accounts[program.account];
         // An open intent was counted as a call with an unknown outcome when this host recovered
         // the program; the journal does not hold that outcome.
-        let inferred = u32::from(program.open_intent.is_some());
-        let calls = program.calls.iter().take((program.stored - inferred) as usize);
+        let unstored_intents = u32::from(program.open_intent.is_some());
+        let calls = program.calls.iter().take((program.stored - unstored_intents) as usize);
 
         Some(ProgramImage {
             upto,
@@ -170,7 +180,7 @@
                 repeatable: program.repeatable,
                 budget: account.budget,
                 granted: account.granted,
-                left: program.left(cx.now),
+                left: program.time_left(cx.now),
             },
             openings: program.openings,
             calls: calls
@@ -193,80 +203,80 @@
         }
 
         let call = self.calls.get(program.running?)?;
-        let sent = call.stage == Stage::Running && matches!(call.kind, Kind::Once(_));
+        let sent = call.stage == Stage::Running && matches!(call.kind, WorkKind::NonIdempotent(_));
 
         call.attempt.filter(|_| sent).map(|a| (a.to_string().into(), call.text.clone()))
     }
 
     /// Handles the reply to the write of an object.
-    pub(super) fn on_put(&mut self, cx: &mut Cx<'_>, op: ProgramOp, reply: PlatformReply) {
-        let Some(partition) = self.puts.remove(&op) else { return };
+    pub(super) fn on_put(&mut self, cx: &mut StepContext<'_>, op: ProgramOp, reply: PlatformReply) {
+        let Some(partition) = self.object_writes.remove(&op) else { return };
         let Some(compaction) = self.compactions.get_mut(&partition) else { return };
-        let Some(work) = compaction.work.as_mut().filter(|work| work.op == Some(op)) else {
+        let Some(build) = compaction.build.as_mut().filter(|build| build.op == Some(op)) else {
             return;
         };
 
         // A checkpoint is not urgent: it is started again after a pause.
         let PlatformReply::Stored(name) = reply else {
-            compaction.work = None;
-            compaction.not_before = cx.now + PAUSE;
+            compaction.build = None;
+            compaction.not_before = cx.now + CHECKPOINT_RETRY_DELAY;
             return;
         };
 
-        work.op = None;
-        work.row.parts.push(name);
-        self.next_part(cx, partition);
+        build.op = None;
+        build.row.parts.push(name);
+        self.write_next_part(cx, partition);
     }
 
     /// Queues the update of the checkpoint row after all objects are stored.
     fn finish_checkpoint(&mut self, partition: PartitionId) {
-        let Some(tenure) = self.tenures.get(&partition) else { return };
+        let Some(term) = self.terms.get(&partition) else { return };
         let Some(compaction) = self.compactions.get_mut(&partition) else { return };
-        let Some(work) = &compaction.work else { return };
+        let Some(build) = &compaction.build else { return };
 
-        self.journal.push_upkeep(Upkeep::Checkpoint {
+        self.journal.push_maintenance(Maintenance::Checkpoint {
             partition,
-            tenure: tenure.id,
-            row: Arc::new(work.row.clone()),
+            term: term.id,
+            row: Arc::new(build.row.clone()),
             version: compaction.version,
         });
     }
 
     /// Handles maintenance that completed: an updated checkpoint row or deleted journal rows.
-    pub(super) fn upkeep_done(&mut self, upkeep: &Upkeep, version: RowVersion) {
-        let partition = upkeep.partition();
-        let current = self.tenures.get(&partition).is_some_and(|t| t.id == upkeep.tenure());
+    pub(super) fn maintenance_done(&mut self, maintenance: &Maintenance, version: RowVersion) {
+        let partition = maintenance.partition();
+        let current = self.terms.get(&partition).is_some_and(|t| t.id == maintenance.term());
         let Some(compaction) = self.compactions.get_mut(&partition).filter(|_| current) else {
             return;
         };
 
-        if let Some(rest) = upkeep.rest() {
-            return self.journal.push_upkeep(rest);
+        if let Some(rest) = maintenance.rest() {
+            return self.journal.push_maintenance(rest);
         }
 
-        let Upkeep::Checkpoint { row, tenure, .. } = upkeep else { return };
-        let Some(work) = compaction.work.take() else { return };
-        let (from, upto) = (compaction.first, row.upto);
+        let Maintenance::Checkpoint { row, term, .. } = maintenance else { return };
+        let Some(build) = compaction.build.take() else { return };
+        let (from, upto) = (compaction.first_row, row.upto);
         compaction.version = version;
-        compaction.since -= work.since;
-        compaction.last = row.bytes;
-        compaction.first = upto + 1;
+        compaction.bytes_since_checkpoint -= build.covered_bytes;
+        compaction.last_checkpoint_bytes = row.bytes;
+        compaction.first_row = upto + 1;
 
         if from <= upto {
-            self.journal.push_upkeep(Upkeep::Trim { partition, tenure: *tenure, from, upto });
+            self.journal.push_maintenance(Maintenance::Trim { partition, term: *term, from, upto });
         }
     }
 }
 
 /// Parses the images in an object; returns `None` if the content is invalid.
-pub(super) fn images(content: &[u8]) -> Option<Vec<ProgramImage>> {
+pub(super) fn parse_images(content: &[u8]) -> Option<Vec<ProgramImage>> {
     let lines = content.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
 
     lines.map(|line| serde_json::from_slice(line).ok()).collect()
 }
 
 /// Parses a checkpoint row and returns the names of its objects with it.
-pub(super) fn parts_of(value: &str) -> Option<(VecDeque<ObjectName>, CheckpointRow)> {
+pub(super) fn parse_checkpoint(value: &str) -> Option<(VecDeque<ObjectName>, CheckpointRow)> {
     let row: CheckpointRow = serde_json::from_str(value).ok()?;
 
     Some((row.parts.iter().cloned().collect(), row))
--- a/crates/policy/src/programs/lookup.rs
+++ b/crates/policy/src/programs/config_index.rs
@@ -8,7 +8,7 @@
 
 /// A configuration with an index of its tenants and templates.
 #[derive(Debug)]
-pub(super) struct Lookup {
+pub(super) struct ConfigIndex {
     /// The indexed configuration.
     cfg: Arc<Config>,
     /// The position of each tenant in the configuration.
@@ -17,7 +17,7 @@
     templates: Map<Box<str>, usize>,
 }
 
-impl Lookup {
+impl ConfigIndex {
     /// Builds the index of a configuration.
     pub fn new(cfg: Arc<Config>) -> Self {
         let tenant_ids = cfg.tenants.iter().map(|t| TenantId::from_name(&t.name));
--- a/crates/policy/src/programs/entries.rs
+++ b/crates/policy/src/programs/entries.rs
@@ -54,7 +54,7 @@
 
 /// The only field read from a row to find out which transaction wrote it.
 #[derive(Debug, Deserialize)]
-pub(super) struct Witness {
+pub(super) struct TransactionId {
     /// The unique id of the transaction.
     pub witness: Box<str>,
 }
@@ -112,7 +112,7 @@
         match self {
             Self::Intent(intent) => intent.call.input.len(),
             Self::Turn(turn) => turn.call.input.len() + turn.outcome.text_bytes(),
-            Self::Outcome(entry) => entry.outcome.as_ref().map_or(0, Recorded::text_bytes),
+            Self::Outcome(entry) => entry.outcome.as_ref().map_or(0, RecordedOutcome::text_bytes),
             Self::Opened(_) | Self::Granted(_) | Self::Settled { .. } | Self::Ended { .. } => 0,
         }
     }
@@ -177,7 +177,7 @@
     /// The name of the intent.
     pub attempt: Box<str>,
     /// The outcome; `None` if the call was certainly not sent or not run.
-    pub outcome: Option<Recorded>,
+    pub outcome: Option<RecordedOutcome>,
 }
 
 /// A finished call that may be repeated.
@@ -189,7 +189,7 @@
     /// The request of the call.
     pub call: CallText,
     /// The outcome of the call.
-    pub outcome: Recorded,
+    pub outcome: RecordedOutcome,
     /// The family's grant: the total that it may spend until a later entry raises it.
     pub granted: Tokens,
     /// The time left until the deadline when the entry was made.
@@ -225,7 +225,7 @@
 /// The outcome of a call in its program's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub(super) enum Recorded {
+pub(super) enum RecordedOutcome {
     /// The call ran.
     Done {
         /// The output as JSON text.
@@ -242,7 +242,7 @@
     Unknown,
 }
 
-impl Recorded {
+impl RecordedOutcome {
     /// Returns the length of the outcome's text in bytes.
     fn text_bytes(&self) -> usize {
         match self {
--- a/crates/policy/src/programs/settle.rs
+++ b/crates/policy/src/programs/grant_release.rs
@@ -14,29 +14,29 @@
 
 impl Programs {
     /// Starts to release the unspent grants of a partition that is about to be released.
-    pub(super) fn settle_partition(&mut self, partition: PartitionId) {
-        if self.tenures.contains_key(&partition) {
-            self.settling.insert(partition);
+    pub(super) fn start_grant_release(&mut self, partition: PartitionId) {
+        if self.terms.contains_key(&partition) {
+            self.releasing_grants.insert(partition);
         }
     }
 
     /// Journals unspent grants as free in partitions that are about to be released and are
     /// idle. A later call must be granted tokens again; its unspent grant is released once the
     /// partition is idle again.
-    pub(super) fn settle_idle(&mut self) {
-        if self.settling.is_empty() {
+    pub(super) fn release_idle_grants(&mut self) {
+        if self.releasing_grants.is_empty() {
             return;
         }
 
         let busy = self.busy_partitions();
 
-        for key in self.unsettled(&busy) {
+        for key in self.roots_with_unspent_grants(&busy) {
             let program = &self.programs[key];
             let account = &mut self.accounts[program.account];
 
             // From now on no attempt is sent without a new durable grant, so the entry is valid
             // no matter when it becomes durable.
-            account.give_up_grant();
+            account.drop_unspent_grant();
             let (program, spent) = (program.id, account.spent);
             self.append(key, Entry::Settled { program, spent }, Waiter::Nobody);
         }
@@ -44,14 +44,14 @@
 
     /// Returns the root programs with unspent grants in idle partitions that are about to be
     /// released.
-    fn unsettled(&self, busy: &Set<PartitionId>) -> Vec<ProgramKey> {
+    fn roots_with_unspent_grants(&self, busy: &Set<PartitionId>) -> Vec<ProgramKey> {
         let settles = |key: &ProgramKey| {
             let program = &self.programs[*key];
             let account = &self.accounts[program.account];
 
             program.root == program.id
                 && program.state == ProgramState::Open
-                && self.settling.contains(&program.partition)
+                && self.releasing_grants.contains(&program.partition)
                 && !busy.contains(&program.partition)
                 && account.granted > account.spent
         };
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -11,9 +11,9 @@
 use camphorwalk_core::platform::{Check, PlatformReply, Row, RowVersion, Transaction, Write};
 use camphorwalk_core::time::Instant;
 
-use super::checkpoint::Upkeep;
+use super::checkpoint::Maintenance;
 use super::entries::{Entry, JournalRow, journal_key, lease_key};
-use super::flight::{Flight, FlightRow, bears, stands};
+use super::in_flight::{InFlight, InFlightRow, contains_row, version_written_by};
 use super::state::ProgramKey;
 use crate::wire::CallId;
 
@@ -33,7 +33,7 @@
 /// The period during which this host holds a partition's lease, with its write position in the
 /// journal.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Tenure {
+pub(super) struct LeaseTerm {
     /// A number unique within this process. By its own clock this host can lose a lease and
     /// then find that it still holds it, with the same epoch. Entries made before that are void
     /// because their programs were dropped from memory.
@@ -43,7 +43,7 @@
     /// The version of the lease row; every journal write checks it.
     pub lease: RowVersion,
     /// The sequence number of the next row to write.
-    pub next: u64,
+    pub next_row: u64,
 }
 
 /// Who is notified when the outcome of an entry is known.
@@ -58,7 +58,7 @@
     /// A call that requests a place once its family's larger grant is durable.
     Grant(ProgramKey, CallId),
     /// A call that is answered once its outcome, with this call number, is durable.
-    Record(ProgramKey, CallId, u32),
+    Outcome(ProgramKey, CallId, u32),
     /// A program whose end must be durable.
     End(ProgramKey),
 }
@@ -69,7 +69,7 @@
     /// The partition whose journal it belongs to.
     pub partition: PartitionId,
     /// The id of the lease term in which it was made. It is void in any other.
-    pub tenure: u64,
+    pub term: u64,
     /// The entry to write.
     pub entry: Entry,
     /// Who is notified of the outcome.
@@ -78,12 +78,12 @@
 
 /// The outcome of writing an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
+pub(super) enum WriteOutcome {
     /// The platform has stored the entry.
     Durable,
     /// The platform rejected the entry and certainly stored nothing. Entries that record facts
     /// are written again later.
-    Refused,
+    Rejected,
     /// The platform's answer was lost, so the entry may take effect now or later. The same
     /// transaction is sent again until its outcome is known; this outcome is reported only
     /// once.
@@ -92,18 +92,18 @@
 
 /// What a reply of the platform changed.
 #[derive(Debug, Default)]
-pub(super) struct Resolved {
+pub(super) struct TransactionResult {
     /// Entries with their outcomes, in order.
-    pub fates: Vec<(Pending, Fate)>,
+    pub outcomes: Vec<(Pending, WriteOutcome)>,
     /// Partitions whose lease another host took.
     pub fenced: Vec<(PartitionId, Epoch)>,
     /// Partitions whose journal contains a row unknown to this host, although it holds the
     /// lease: the state read from the journal is incomplete.
-    pub behind: Vec<PartitionId>,
+    pub incomplete: Vec<PartitionId>,
     /// Bytes of the rows appended to each partition's journal.
     pub appended: Vec<(PartitionId, usize)>,
     /// The maintenance that completed, with the version of the row it wrote.
-    pub upkeep: Option<(Upkeep, RowVersion)>,
+    pub maintenance: Option<(Maintenance, RowVersion)>,
 }
 
 /// The queued entries and the one transaction in flight.
@@ -112,74 +112,74 @@
     /// Identifies this run of the process in transaction ids.
     session: u64,
     /// The number of transactions created so far.
-    made: u64,
+    transactions_made: u64,
     /// The minimum time between two transactions, in which entries are collected.
-    interval: Duration,
+    commit_interval: Duration,
     /// Entries not sent yet, in order.
-    waiting: Vec<Pending>,
+    queued: Vec<Pending>,
     /// Checkpoint updates and deletions not sent yet.
-    upkeep: VecDeque<Upkeep>,
+    maintenance: VecDeque<Maintenance>,
     /// Whether the last transaction was maintenance; queued entries then go first.
-    upkept: bool,
+    last_was_maintenance: bool,
     /// The transaction whose outcome is awaited.
-    flight: Option<Flight>,
+    in_flight: Option<InFlight>,
     /// The earliest time to send the next transaction.
-    due: Instant,
+    not_before: Instant,
     /// The current backoff; zero while the platform answers.
     backoff: Duration,
     /// How many of the next transactions are limited to one partition. Used after a conflict
     /// that named no row, to find out which lease is gone.
-    alone: usize,
+    single_partition_rounds: usize,
 }
 
 impl Journal {
     /// Creates a journal with nothing to write.
-    pub fn new(session: u64, interval: Duration) -> Self {
+    pub fn new(session: u64, commit_interval: Duration) -> Self {
         Self {
             session,
-            made: 0,
-            interval,
-            waiting: Vec::new(),
-            upkeep: VecDeque::new(),
-            upkept: false,
-            flight: None,
-            due: Instant::default(),
+            transactions_made: 0,
+            commit_interval,
+            queued: Vec::new(),
+            maintenance: VecDeque::new(),
+            last_was_maintenance: false,
+            in_flight: None,
+            not_before: Instant::default(),
             backoff: Duration::ZERO,
-            alone: 0,
+            single_partition_rounds: 0,
         }
     }
 
     /// Queues an entry.
     pub fn push(&mut self, pending: Pending) {
-        self.waiting.push(pending);
+        self.queued.push(pending);
     }
 
     /// Queues maintenance of a partition's journal.
-    pub fn push_upkeep(&mut self, upkeep: Upkeep) {
-        self.upkeep.push_back(upkeep);
+    pub fn push_maintenance(&mut self, maintenance: Maintenance) {
+        self.maintenance.push_back(maintenance);
     }
 
     /// Returns whether the last transaction failed, or its answer was lost, and no retry is
     /// due.
-    pub fn is_away(&self, now: Instant) -> bool {
-        self.in_doubt() || (!self.backoff.is_zero() && now < self.due)
+    pub fn is_unavailable(&self, now: Instant) -> bool {
+        self.in_doubt() || (!self.backoff.is_zero() && now < self.not_before)
     }
 
     /// Returns whether the outcome of the transaction in flight is unknown.
     pub fn in_doubt(&self) -> bool {
-        self.flight.as_ref().is_some_and(|flight| flight.in_doubt)
+        self.in_flight.as_ref().is_some_and(|in_flight| in_flight.in_doubt)
     }
 
     /// Returns whether the transaction in flight writes to a partition's journal or checkpoint.
     pub fn is_writing(&self, partition: PartitionId) -> bool {
-        self.flight.as_ref().is_some_and(|f| f.rows.iter().any(|row| row.partition == partition))
+        self.in_flight.as_ref().is_some_and(|f| f.rows.iter().any(|row| row.partition == partition))
     }
 
     /// Returns the partition of each entry that is not durable yet, with repetitions.
     pub fn partitions(&self) -> impl Iterator<Item = PartitionId> + '_ {
-        let sent = self.flight.iter().flat_map(|flight| &flight.entries);
+        let sent = self.in_flight.iter().flat_map(|in_flight| &in_flight.entries);
 
-        sent.chain(&self.waiting).map(|pending| pending.partition)
+        sent.chain(&self.queued).map(|pending| pending.partition)
     }
 
     /// Returns how long a caller should wait before it tries again.
@@ -189,76 +189,76 @@
 
     /// Returns when the next transaction is due.
     pub fn wake_at(&self) -> Option<Instant> {
-        let idle = match &self.flight {
-            Some(flight) => !flight.sent,
-            None => !self.waiting.is_empty() || !self.upkeep.is_empty(),
+        let idle = match &self.in_flight {
+            Some(in_flight) => !in_flight.sent,
+            None => !self.queued.is_empty() || !self.maintenance.is_empty(),
         };
 
-        idle.then_some(self.due)
+        idle.then_some(self.not_before)
     }
 
     /// Drops queued entries and maintenance of a partition; the transaction in flight stays.
     pub fn drop_partition(&mut self, partition: PartitionId) {
-        self.waiting.retain(|pending| pending.partition != partition);
-        self.upkeep.retain(|upkeep| upkeep.partition() != partition);
+        self.queued.retain(|pending| pending.partition != partition);
+        self.maintenance.retain(|maintenance| maintenance.partition() != partition);
     }
 
     /// Returns the transaction to send now, if any.
-    pub fn next(
+    pub fn next_transaction(
         &mut self,
         now: Instant,
-        tenures: &BTreeMap<PartitionId, Tenure>,
+        terms: &BTreeMap<PartitionId, LeaseTerm>,
     ) -> Option<Transaction> {
-        if now < self.due {
+        if now < self.not_before {
             return None;
         }
 
-        if let Some(flight) = &mut self.flight {
-            if flight.sent {
+        if let Some(in_flight) = &mut self.in_flight {
+            if in_flight.sent {
                 return None;
             }
 
-            flight.sent = true;
-            return Some(flight.transaction.clone());
+            in_flight.sent = true;
+            return Some(in_flight.transaction.clone());
         }
 
-        self.drop_void(tenures);
-        let flight = self.gather_upkeep(tenures).or_else(|| self.gather(tenures))?;
-        self.upkept = flight.upkeep.is_some();
-        let transaction = flight.transaction.clone();
-        self.due = now + self.interval;
-        self.flight = Some(flight);
+        self.drop_stale_terms(terms);
+        let in_flight = self.next_maintenance(terms).or_else(|| self.next_append(terms))?;
+        self.last_was_maintenance = in_flight.maintenance.is_some();
+        let transaction = in_flight.transaction.clone();
+        self.not_before = now + self.commit_interval;
+        self.in_flight = Some(in_flight);
 
         Some(transaction)
     }
 
     /// Drops what was queued in an earlier lease term: another host may have continued that
     /// journal since.
-    fn drop_void(&mut self, tenures: &BTreeMap<PartitionId, Tenure>) {
-        let holds = |partition, tenure| tenures.get(&partition).is_some_and(|t| t.id == tenure);
-        self.waiting.retain(|p| holds(p.partition, p.tenure));
-        self.upkeep.retain(|u| holds(u.partition(), u.tenure()));
+    fn drop_stale_terms(&mut self, terms: &BTreeMap<PartitionId, LeaseTerm>) {
+        let holds = |partition, term| terms.get(&partition).is_some_and(|t| t.id == term);
+        self.queued.retain(|p| holds(p.partition, p.term));
+        self.maintenance.retain(|u| holds(u.partition(), u.term()));
     }
 
     /// Returns the next maintenance, unless queued entries go first.
-    fn gather_upkeep(&mut self, tenures: &BTreeMap<PartitionId, Tenure>) -> Option<Flight> {
-        if self.upkept && !self.waiting.is_empty() {
+    fn next_maintenance(&mut self, terms: &BTreeMap<PartitionId, LeaseTerm>) -> Option<InFlight> {
+        if self.last_was_maintenance && !self.queued.is_empty() {
             return None;
         }
 
-        let upkeep = self.upkeep.pop_front()?;
-        let partition = upkeep.partition();
-        let tenure = tenures[&partition];
-        let witness = self.witness();
-        let mut transaction = upkeep.transaction(&witness);
-        transaction.checks.push(Check { key: lease_key(partition), version: tenure.lease });
+        let maintenance = self.maintenance.pop_front()?;
+        let partition = maintenance.partition();
+        let term = terms[&partition];
+        let transaction_id = self.next_transaction_id();
+        let mut transaction = maintenance.transaction(&transaction_id);
+        transaction.checks.push(Check { key: lease_key(partition), version: term.lease });
 
-        let row = FlightRow { partition, tenure, key: upkeep.key(), appended: None };
-        Some(Flight {
+        let row = InFlightRow { partition, term, key: maintenance.key(), appended: None };
+        Some(InFlight {
             transaction,
-            witness,
+            transaction_id,
             entries: Vec::new(),
-            upkeep: Some(upkeep),
+            maintenance: Some(maintenance),
             rows: vec![row],
             in_doubt: false,
             sent: true,
@@ -266,20 +266,22 @@
     }
 
     /// Creates a unique id for the next transaction.
-    fn witness(&mut self) -> Box<str> {
-        self.made += 1;
+    fn next_transaction_id(&mut self) -> Box<str> {
+        self.transactions_made += 1;
 
-        format!("{:016x}-{:x}", self.session, self.made).into()
+        format!("{:016x}-{:x}", self.session, self.transactions_made).into()
     }
 
     /// Takes as many queued entries as fit into one transaction.
-    fn gather(&mut self, tenures: &BTreeMap<PartitionId, Tenure>) -> Option<Flight> {
-        let only = (self.alone > 0).then(|| self.waiting.first().map(|p| p.partition)).flatten();
+    fn next_append(&mut self, terms: &BTreeMap<PartitionId, LeaseTerm>) -> Option<InFlight> {
+        let only = (self.single_partition_rounds > 0)
+            .then(|| self.queued.first().map(|p| p.partition))
+            .flatten();
         let mut bytes = 0;
         let mut entries = Vec::new();
         let mut rest = Vec::new();
 
-        for pending in self.waiting.drain(..) {
+        for pending in self.queued.drain(..) {
             let fits = bytes < MAX_BATCH_BYTES && only.is_none_or(|p| p == pending.partition);
 
             if fits {
@@ -290,54 +292,54 @@
             }
         }
 
-        self.waiting = rest;
-        self.alone = self.alone.saturating_sub(1);
+        self.queued = rest;
+        self.single_partition_rounds = self.single_partition_rounds.saturating_sub(1);
 
-        if entries.is_empty() { None } else { Some(self.flight_of(entries, tenures)) }
+        if entries.is_empty() { None } else { Some(self.append_transaction(entries, terms)) }
     }
 
     /// Builds the transaction that appends `entries`.
-    fn flight_of(
+    fn append_transaction(
         &mut self,
         entries: Vec<Pending>,
-        tenures: &BTreeMap<PartitionId, Tenure>,
-    ) -> Flight {
-        let witness = self.witness();
+        terms: &BTreeMap<PartitionId, LeaseTerm>,
+    ) -> InFlight {
+        let transaction_id = self.next_transaction_id();
         let mut rows = BTreeMap::<PartitionId, Vec<Entry>>::new();
 
         for pending in &entries {
             rows.entry(pending.partition).or_default().push(pending.entry.clone());
         }
 
-        let mut flight = Flight {
+        let mut in_flight = InFlight {
             transaction: Transaction::default(),
-            witness,
+            transaction_id,
             entries,
-            upkeep: None,
+            maintenance: None,
             rows: Vec::new(),
             in_doubt: false,
             sent: true,
         };
 
         for (partition, entries) in rows {
-            let tenure = tenures[&partition];
-            let key = journal_key(partition, tenure.next);
-            let row = JournalRow { witness: flight.witness.clone(), entries };
+            let term = terms[&partition];
+            let key = journal_key(partition, term.next_row);
+            let row = JournalRow { witness: in_flight.transaction_id.clone(), entries };
             let value = serde_json::to_string(&row).expect("journal rows are plain data");
-            let tx = &mut flight.transaction;
+            let tx = &mut in_flight.transaction;
 
             // A host that was paused past the end of its lease could otherwise append to a
             // journal that the next home host has already read, and that host would not know of
             // an acknowledged call. The version of the lease row changes with each holder, so
             // checking it fences the append.
-            tx.checks.push(Check { key: lease_key(partition), version: tenure.lease });
+            tx.checks.push(Check { key: lease_key(partition), version: term.lease });
             tx.checks.push(Check { key: key.clone(), version: RowVersion::ABSENT });
             let appended = Some(value.len());
             tx.writes.push(Write { key: key.clone(), value: Some(value.into()) });
-            flight.rows.push(FlightRow { partition, tenure, key, appended });
+            in_flight.rows.push(InFlightRow { partition, term, key, appended });
         }
 
-        flight
+        in_flight
     }
 
     /// Handles the platform's reply to the transaction in flight.
@@ -345,77 +347,81 @@
         &mut self,
         now: Instant,
         reply: PlatformReply,
-        tenures: &mut BTreeMap<PartitionId, Tenure>,
-    ) -> Resolved {
-        let Some(flight) = &mut self.flight else { return Resolved::default() };
+        terms: &mut BTreeMap<PartitionId, LeaseTerm>,
+    ) -> TransactionResult {
+        let Some(in_flight) = &mut self.in_flight else { return TransactionResult::default() };
 
         match reply {
-            PlatformReply::Committed(version) => self.committed(version, tenures),
-            PlatformReply::Conflict(rows) => self.conflict(now, &rows, tenures),
+            PlatformReply::Committed(version) => self.on_committed(version, terms),
+            PlatformReply::Conflict(rows) => self.on_conflict(now, &rows, terms),
             // Once an answer was lost, the first sending may still take effect, whatever a
             // later sending returns. So a rejection is final only if no answer was lost.
-            PlatformReply::Unavailable if !flight.in_doubt => self.refused(now),
-            _ => self.doubted(now),
+            PlatformReply::Unavailable if !in_flight.in_doubt => self.on_rejected(now),
+            _ => self.on_lost_answer(now),
         }
     }
 
     /// Handles a transaction that took effect.
-    fn committed(
+    fn on_committed(
         &mut self,
         version: RowVersion,
-        tenures: &mut BTreeMap<PartitionId, Tenure>,
-    ) -> Resolved {
-        let Some(flight) = self.flight.take() else { return Resolved::default() };
-        let mut resolved = Resolved::default();
+        terms: &mut BTreeMap<PartitionId, LeaseTerm>,
+    ) -> TransactionResult {
+        let Some(in_flight) = self.in_flight.take() else { return TransactionResult::default() };
+        let mut resolved = TransactionResult::default();
         self.backoff = Duration::ZERO;
 
-        for row in &flight.rows {
-            if let (Some(bytes), Some(tenure)) = (row.appended, tenures.get_mut(&row.partition))
-                && tenure.id == row.tenure.id
+        for row in &in_flight.rows {
+            if let (Some(bytes), Some(term)) = (row.appended, terms.get_mut(&row.partition))
+                && term.id == row.term.id
             {
-                tenure.next = row.tenure.next + 1;
+                term.next_row = row.term.next_row + 1;
                 resolved.appended.push((row.partition, bytes));
             }
         }
 
-        resolved.fates = flight.entries.into_iter().map(|p| (p, Fate::Durable)).collect();
-        resolved.upkeep = flight.upkeep.map(|upkeep| (upkeep, version));
+        resolved.outcomes =
+            in_flight.entries.into_iter().map(|p| (p, WriteOutcome::Durable)).collect();
+        resolved.maintenance = in_flight.maintenance.map(|maintenance| (maintenance, version));
         resolved
     }
 
     /// Handles a conflict: this sending did not take effect, but an earlier one may have.
-    fn conflict(
+    fn on_conflict(
         &mut self,
         now: Instant,
         found: &[Row],
-        tenures: &mut BTreeMap<PartitionId, Tenure>,
-    ) -> Resolved {
-        let Some(flight) = &self.flight else { return Resolved::default() };
+        terms: &mut BTreeMap<PartitionId, LeaseTerm>,
+    ) -> TransactionResult {
+        let Some(in_flight) = &self.in_flight else { return TransactionResult::default() };
 
         // An earlier sending may have taken effect although its answer was lost. Only this
         // transaction can have written its id, so a row that contains the id proves that it
         // did.
-        let ours = flight.rows.iter().find_map(|row| bears(found, &row.key, &flight.witness));
+        let written = in_flight
+            .rows
+            .iter()
+            .find_map(|row| version_written_by(found, &row.key, &in_flight.transaction_id));
 
-        if let Some(version) = ours {
-            return self.committed(version, tenures);
+        if let Some(version) = written {
+            return self.on_committed(version, terms);
         }
 
-        let Some(flight) = self.flight.take() else { return Resolved::default() };
-        let mut resolved = Resolved::default();
+        let Some(in_flight) = self.in_flight.take() else { return TransactionResult::default() };
+        let mut resolved = TransactionResult::default();
         let mut renewed = false;
         self.backoff = Duration::ZERO;
-        self.due = now;
+        self.not_before = now;
 
-        for row in &flight.rows {
-            let current = tenures.get(&row.partition).filter(|t| t.id == row.tenure.id);
-            let taken = stands(found, &lease_key(row.partition));
+        for row in &in_flight.rows {
+            let current = terms.get(&row.partition).filter(|t| t.id == row.term.id);
+            let lease_taken = contains_row(found, &lease_key(row.partition));
 
             match current {
                 // The lease was renewed while the transaction was in flight.
-                Some(tenure) if tenure.lease != row.tenure.lease => renewed = true,
-                Some(tenure) if taken => resolved.fenced.push((row.partition, tenure.epoch)),
-                Some(_) if stands(found, &row.key) => resolved.behind.push(row.partition),
+                Some(term) if term.lease != row.term.lease => renewed = true,
+                Some(term) if lease_taken => resolved.fenced.push((row.partition, term.epoch)),
+                Some(_) if contains_row(found, &row.key) => resolved.incomplete.push(row.partition),
                 _ => {}
             }
         }
@@ -423,70 +429,71 @@
         // A lease row that no longer exists is not named in the conflict. Each partition is
         // then written in a transaction of its own, and one that still conflicts has lost its
         // lease.
-        if resolved.fenced.is_empty() && resolved.behind.is_empty() && !renewed {
-            match flight.rows.as_slice() {
+        if resolved.fenced.is_empty() && resolved.incomplete.is_empty() && !renewed {
+            match in_flight.rows.as_slice() {
                 // A conflict of an earlier lease term says nothing about the current one.
                 // Reporting it as fenced would leave a partition that was just acquired again
                 // without a home host.
-                [row] if tenures.get(&row.partition).is_some_and(|now| now.id == row.tenure.id) => {
-                    resolved.fenced.push((row.partition, row.tenure.epoch));
+                [row] if terms.get(&row.partition).is_some_and(|now| now.id == row.term.id) => {
+                    resolved.fenced.push((row.partition, row.term.epoch));
                 }
                 [_] => {}
-                many => self.alone = many.len(),
+                many => self.single_partition_rounds = many.len(),
             }
         }
 
         // The transaction cannot take effect later either, because a row version never recurs.
-        self.put_back(flight);
+        self.requeue(in_flight);
         resolved
     }
 
     /// Handles a rejection: the platform certainly did nothing.
-    fn refused(&mut self, now: Instant) -> Resolved {
-        let Some(flight) = self.flight.take() else { return Resolved::default() };
-        self.put_back(flight);
-        let fates = self.refuse_waiting();
+    fn on_rejected(&mut self, now: Instant) -> TransactionResult {
+        let Some(in_flight) = self.in_flight.take() else { return TransactionResult::default() };
+        self.requeue(in_flight);
+        let outcomes = self.reject_queued();
         self.back_off(now);
 
-        Resolved { fates, ..Resolved::default() }
+        TransactionResult { outcomes, ..TransactionResult::default() }
     }
 
     /// Handles a lost answer: the transaction may take effect now or later.
-    fn doubted(&mut self, now: Instant) -> Resolved {
+    fn on_lost_answer(&mut self, now: Instant) -> TransactionResult {
         self.back_off(now);
-        let Some(flight) = &mut self.flight else { return Resolved::default() };
-        let first = !flight.in_doubt;
-        flight.in_doubt = true;
-        flight.sent = false;
+        let Some(in_flight) = &mut self.in_flight else { return TransactionResult::default() };
+        let first = !in_flight.in_doubt;
+        in_flight.in_doubt = true;
+        in_flight.sent = false;
 
-        let told = if first { flight.entries.as_slice() } else { &[] };
-        let mut fates: Vec<_> = told.iter().map(|p| (p.clone(), Fate::InDoubt)).collect();
-        fates.append(&mut self.refuse_waiting());
+        let reported = if first { in_flight.entries.as_slice() } else { &[] };
+        let mut outcomes: Vec<_> =
+            reported.iter().map(|p| (p.clone(), WriteOutcome::InDoubt)).collect();
+        outcomes.append(&mut self.reject_queued());
 
-        Resolved { fates, ..Resolved::default() }
+        TransactionResult { outcomes, ..TransactionResult::default() }
     }
 
     /// Reports all queued entries as rejected and keeps only those that record facts.
-    fn refuse_waiting(&mut self) -> Vec<(Pending, Fate)> {
-        let fates = self.waiting.iter().map(|p| (p.clone(), Fate::Refused)).collect();
-        self.waiting.retain(|p| p.entry.is_fact());
+    fn reject_queued(&mut self) -> Vec<(Pending, WriteOutcome)> {
+        let outcomes = self.queued.iter().map(|p| (p.clone(), WriteOutcome::Rejected)).collect();
+        self.queued.retain(|p| p.entry.is_fact());
 
-        fates
+        outcomes
     }
 
     /// Puts the contents of a transaction back at the front of the queue.
-    fn put_back(&mut self, mut flight: Flight) {
-        flight.entries.append(&mut self.waiting);
-        self.waiting = flight.entries;
+    fn requeue(&mut self, mut in_flight: InFlight) {
+        in_flight.entries.append(&mut self.queued);
+        self.queued = in_flight.entries;
 
-        if let Some(upkeep) = flight.upkeep {
-            self.upkeep.push_front(upkeep);
+        if let Some(maintenance) = in_flight.maintenance {
+            self.maintenance.push_front(maintenance);
         }
     }
 
     /// Doubles the backoff before the next attempt.
     fn back_off(&mut self, now: Instant) {
         self.backoff = (self.backoff * 2).clamp(FIRST_BACKOFF, MAX_BACKOFF);
-        self.due = now + self.backoff;
+        self.not_before = now + self.backoff;
     }
 }
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -3,13 +3,13 @@
 use camphorwalk_core::calls::Ran;
 use camphorwalk_core::ids::{KeyId, Ticket};
 
-use super::state::{Kind, Stage};
-use super::{Cx, Programs, answers};
+use super::state::{Stage, WorkKind};
+use super::{Programs, StepContext, refusals};
 use crate::wire::CallId;
 
 impl Programs {
     /// Handles a caller that disconnected.
-    pub(super) fn caller_gone(&mut self, cx: &mut Cx<'_>, ticket: Ticket) {
+    pub(super) fn caller_gone(&mut self, cx: &mut StepContext<'_>, ticket: Ticket) {
         for recovering in self.recovering.values_mut() {
             recovering.parked.retain(|parked| parked.ticket != ticket);
         }
@@ -22,7 +22,7 @@
     }
 
     /// Ends the calls of an API key that was withdrawn, as far as they can be ended.
-    pub(super) fn key_withdrawn(&mut self, cx: &mut Cx<'_>, key: KeyId) {
+    pub(super) fn key_withdrawn(&mut self, cx: &mut StepContext<'_>, key: KeyId) {
         self.refuse_parked(cx, key);
 
         let calls: Vec<_> = self
@@ -38,7 +38,7 @@
     }
 
     /// Refuses the parked requests of an API key.
-    fn refuse_parked(&mut self, cx: &mut Cx<'_>, key: KeyId) {
+    fn refuse_parked(&mut self, cx: &mut StepContext<'_>, key: KeyId) {
         let mut withdrawn = Vec::new();
 
         for recovering in self.recovering.values_mut() {
@@ -46,29 +46,29 @@
         }
 
         for parked in withdrawn {
-            let ran = answers::ran_unseen(&parked.request);
-            self.refuse(cx, parked.ticket, answers::unauthorized(ran));
+            let ran = refusals::ran_if_not_looked_up(&parked.request);
+            self.refuse(cx, parked.ticket, refusals::unauthorized(ran));
         }
     }
 
     /// Refuses the callers of a call that use this API key; the call continues for the others.
-    fn withdraw(&mut self, cx: &mut Cx<'_>, id: CallId, key: KeyId) {
+    fn withdraw(&mut self, cx: &mut StepContext<'_>, id: CallId, key: KeyId) {
         let call = &mut self.calls[id];
         let gone: Vec<_> = call.callers.extract_if(.., |caller| caller.key == key).collect();
         let unsent = call.callers.is_empty()
             && !call.may_have_run
-            && !matches!(call.stage, Stage::Running | Stage::Recording);
+            && !matches!(call.stage, Stage::Running | Stage::JournalingOutcome);
         let ran = if unsent { Ran::No } else { Ran::Maybe };
 
         for caller in gone {
-            self.refuse(cx, caller.ticket, answers::unauthorized(ran));
+            self.refuse(cx, caller.ticket, refusals::unauthorized(ran));
         }
 
         self.caller_left(cx, id);
     }
 
     /// Ends a call that has no callers left, if it can be ended.
-    fn caller_left(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    fn caller_left(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let call = &mut self.calls[id];
 
         // The call continues under the API key of a remaining caller.
@@ -79,11 +79,11 @@
 
         match call.stage {
             // Work that must not be repeated runs to its end, so that its outcome is recorded.
-            Stage::Running if matches!(call.kind, Kind::Turn { .. }) => {
+            Stage::Running if matches!(call.kind, WorkKind::Turn { .. }) => {
                 self.cancel_unwanted(cx, id);
             }
-            Stage::Running | Stage::Recording => {}
-            _ => self.drop_call(cx, id, answers::leaving()),
+            Stage::Running | Stage::JournalingOutcome => {}
+            _ => self.abandon_call(cx, id, refusals::home_moving()),
         }
     }
 }
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -8,38 +8,38 @@
 
 use super::entries::Entry;
 use super::journal::Waiter;
-use super::state::{Kind, ProgramKey, ProgramState, Stage};
+use super::state::{ProgramKey, ProgramState, Stage, WorkKind};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
+use super::{ProgramNext, Programs, StepContext, refusals};
 use crate::wire::CallId;
 
 /// How long an ended program stays in memory, to answer repeats. After that it appears not to
 /// exist.
-pub(super) const REMEMBERED: Duration = Duration::from_secs(60);
+pub(super) const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
 impl Programs {
     /// Ends a program at its caller's request.
     pub(super) fn end(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         ticket: Ticket,
         tenant: TenantId,
         program: ProgramId,
     ) {
-        let Some(key) = self.visible(tenant, program) else {
-            return self.refuse(cx, ticket, answers::not_found());
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return self.refuse(cx, ticket, refusals::not_found());
         };
 
         match self.programs[key].state {
-            ProgramState::Opening => self.refuse(cx, ticket, answers::leaving()),
+            ProgramState::Opening => self.refuse(cx, ticket, refusals::home_moving()),
             ProgramState::Ended if self.programs[key].end_stored => {
                 self.answer(cx, ticket, Reply::Ended);
             }
             ProgramState::Open | ProgramState::Ended => {
-                self.programs[key].ending.push(ticket);
-                self.end_family(cx, key, &answers::not_found());
+                self.programs[key].ending_tickets.push(ticket);
+                self.end_family(cx, key, &refusals::not_found());
 
-                if self.journal.is_away(cx.now) {
+                if self.journal.is_unavailable(cx.now) {
                     self.end_not_stored(cx, key);
                 }
             }
@@ -47,7 +47,7 @@
     }
 
     /// Ends a program and all its descendants.
-    fn end_family(&mut self, cx: &mut Cx<'_>, key: ProgramKey, reason: &Refusal) {
+    fn end_family(&mut self, cx: &mut StepContext<'_>, key: ProgramKey, reason: &Refusal) {
         if self.programs[key].state != ProgramState::Open {
             return;
         }
@@ -60,7 +60,7 @@
             }
         }
 
-        let forget_at = cx.now + REMEMBERED;
+        let forget_at = cx.now + ENDED_RETENTION;
         let program = &mut self.programs[key];
         program.state = ProgramState::Ended;
         program.forget_at = Some(forget_at);
@@ -76,9 +76,9 @@
     }
 
     /// Stops the call of a program that ended.
-    fn stop_call(&mut self, cx: &mut Cx<'_>, id: CallId, reason: &Refusal) {
+    fn stop_call(&mut self, cx: &mut StepContext<'_>, id: CallId, reason: &Refusal) {
         if self.calls[id].stage != Stage::Running {
-            return self.drop_call(cx, id, reason.clone());
+            return self.abandon_call(cx, id, reason.clone());
         }
 
         // The call was sent. If it must not be repeated, it runs to its end and is recorded.
@@ -88,28 +88,28 @@
     }
 
     /// Cancels a call that has no callers left, if its kind allows that.
-    pub(super) fn cancel_unwanted(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    pub(super) fn cancel_unwanted(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let call = &self.calls[id];
 
-        if let (Kind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
+        if let (WorkKind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
             cx.out.push(ProgramNext::Cancel { attempt });
         }
     }
 
     /// Handles the end of a program that became durable.
-    pub(super) fn end_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    pub(super) fn end_durable(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
         program.end_stored = true;
 
-        for ticket in std::mem::take(&mut program.ending) {
+        for ticket in std::mem::take(&mut program.ending_tickets) {
             self.answer(cx, ticket, Reply::Ended);
         }
     }
 
     /// Refuses the callers that wait for an end that is not durable; it is written later.
-    pub(super) fn end_not_stored(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    pub(super) fn end_not_stored(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.ending);
+        let tickets = std::mem::take(&mut program.ending_tickets);
         let after = self.journal.retry_after();
 
         for ticket in tickets {
@@ -122,11 +122,11 @@
     }
 
     /// Ends a program at its deadline, or removes an ended one after its retention.
-    pub(super) fn program_due(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    pub(super) fn program_due(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get(key) else { return };
 
         if program.state == ProgramState::Open && cx.now >= program.deadline {
-            return self.end_family(cx, key, &answers::deadline(Ran::No));
+            return self.end_family(cx, key, &refusals::deadline_passed(Ran::No));
         }
 
         let Some(forget_at) = program.forget_at.filter(|_| program.state == ProgramState::Ended)
@@ -140,7 +140,7 @@
 
         // A call that must not be repeated is still running and must be recorded.
         if program.running.is_some() {
-            return self.timers.set(cx.now + REMEMBERED, Timer::Program(key));
+            return self.timers.set(cx.now + ENDED_RETENTION, Timer::Program(key));
         }
 
         self.remove_program(key);
@@ -176,24 +176,24 @@
     }
 
     /// Drops a partition whose lease this host lost.
-    pub(super) fn lost(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    pub(super) fn partition_lost(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         if let Some(recovering) = self.recovering.remove(&partition) {
-            self.scans.retain(|_, (of, _)| *of != partition);
+            self.reads.retain(|_, (of, _)| *of != partition);
 
             for parked in recovering.parked {
-                self.refuse(cx, parked.ticket, answers::not_served(&parked.request));
+                self.refuse(cx, parked.ticket, refusals::not_served(&parked.request));
             }
         }
 
-        self.tenures.remove(&partition);
+        self.terms.remove(&partition);
         self.compactions.remove(&partition);
-        self.settling.remove(&partition);
+        self.releasing_grants.remove(&partition);
         self.journal.drop_partition(partition);
         self.drop_programs(cx, partition);
     }
 
     /// Removes the programs of a partition and answers the callers that wait for them.
-    fn drop_programs(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    fn drop_programs(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         let keys: Vec<_> = self
             .index
             .values()
@@ -203,7 +203,7 @@
         let recording: Vec<_> = self
             .calls
             .iter()
-            .filter(|(_, call)| call.stage == Stage::Recording)
+            .filter(|(_, call)| call.stage == Stage::JournalingOutcome)
             .filter(|(_, call)| self.programs[call.program].partition == partition)
             .map(|(id, _)| id)
             .collect();
@@ -220,23 +220,24 @@
 
     /// Removes a program whose partition was lost. A call that was sent is kept until it is
     /// answered, because the target may run it.
-    fn drop_program(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    fn drop_program(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let program = &mut self.programs[key];
         let id = program.id;
-        let waiting: Vec<_> = program.opening.drain(..).chain(program.ending.drain(..)).collect();
+        let waiting: Vec<_> =
+            program.opening_tickets.drain(..).chain(program.ending_tickets.drain(..)).collect();
         let running = program.running;
         program.orphan = true;
         self.index.remove(&id);
 
         // The opening or end may have become durable.
         for ticket in waiting {
-            self.refuse(cx, ticket, answers::leaving().ran(Ran::Maybe));
+            self.refuse(cx, ticket, refusals::home_moving().ran(Ran::Maybe));
         }
 
         match running {
             Some(call) if self.calls[call].stage == Stage::Running => {}
             Some(call) => {
-                self.drop_call(cx, call, answers::leaving());
+                self.abandon_call(cx, call, refusals::home_moving());
                 self.remove_program(key);
             }
             None => self.remove_program(key),
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -16,7 +16,7 @@
 use super::journal::Waiter;
 use super::state::{Program, ProgramKey, ProgramState};
 use super::timers::Timer;
-use super::{Cx, Programs, answers};
+use super::{Programs, StepContext, refusals};
 
 /// What a new program inherits from its parent.
 struct Lineage {
@@ -34,7 +34,7 @@
     /// Opens a program. The opening is durable before it is answered.
     pub(super) fn open(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         ticket: Ticket,
         tenant: TenantId,
         open: OpenRequest,
@@ -52,7 +52,7 @@
     /// Answers the opening of a program that already exists.
     fn reopen(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         ticket: Ticket,
         tenant: TenantId,
         open: &OpenRequest,
@@ -62,15 +62,15 @@
         let repeat = program.repeatable && open.repeatable && program.body == body_digest(open);
 
         if program.tenant != tenant || !repeat {
-            return self.refuse(cx, ticket, answers::key_reused());
+            return self.refuse(cx, ticket, refusals::key_reused());
         }
 
         if program.state != ProgramState::Opening {
-            let reply = self.opened(cx, known);
+            let reply = self.opened_reply(cx, known);
             return self.answer(cx, ticket, reply);
         }
 
-        program.opening.push(ticket);
+        program.opening_tickets.push(ticket);
 
         if self.journal.in_doubt() {
             self.opening_in_doubt(cx, known);
@@ -80,26 +80,26 @@
     /// Validates an opening against the configuration and the parent.
     fn prepare(
         &self,
-        cx: &Cx<'_>,
+        cx: &StepContext<'_>,
         tenant: TenantId,
         open: &OpenRequest,
     ) -> Result<OpenedEntry, Refusal> {
-        let cfg = self.cfg.as_ref().ok_or_else(answers::leaving)?;
+        let cfg = self.cfg.as_ref().ok_or_else(refusals::home_moving)?;
         let template = cfg.template(&open.template).filter(|template| !template.withdrawn);
         let assistant = cfg.assistant(tenant, &open.template);
 
         let (Some(template), Some(assistant)) = (template, assistant) else {
-            return Err(answers::bad_request("no such template for this tenant"));
+            return Err(refusals::bad_request("no such template for this tenant"));
         };
 
         if open.deadline.is_zero() || open.deadline > template.max_deadline {
-            return Err(answers::bad_request("the deadline is not within the template's limit"));
+            return Err(refusals::bad_request("the deadline is not within the template's limit"));
         }
 
         let lineage = self.lineage(tenant, open)?;
 
-        if self.journal.is_away(cx.now) {
-            return Err(answers::platform_away(self.journal.retry_after()));
+        if self.journal.is_unavailable(cx.now) {
+            return Err(refusals::platform_unavailable(self.journal.retry_after()));
         }
 
         let left = match lineage.deadline {
@@ -134,17 +134,17 @@
         let Some(id) = open.parent else {
             return Ok(Lineage { root: open.program, depth: 0, account: None, deadline: None });
         };
-        let cfg = self.cfg.as_ref().ok_or_else(answers::leaving)?;
+        let cfg = self.cfg.as_ref().ok_or_else(refusals::home_moving)?;
 
         if cfg.partition(id) != cfg.partition(open.program) {
-            return Err(answers::bad_request("a sub-agent must be in its parent's partition"));
+            return Err(refusals::bad_request("a sub-agent must be in its parent's partition"));
         }
 
-        let key = self.visible(tenant, id).ok_or_else(answers::not_found)?;
+        let key = self.tenant_program(tenant, id).ok_or_else(refusals::not_found)?;
         let parent = &self.programs[key];
 
         if parent.state != ProgramState::Open {
-            return Err(answers::not_found());
+            return Err(refusals::not_found());
         }
 
         // The root's template limits the depth of the family, so that no combination of
@@ -154,7 +154,7 @@
         let max_depth = cfg.template(&root.template).map_or(0, |t| t.max_depth);
 
         if depth > max_depth {
-            return Err(answers::bad_request("the template allows no deeper sub-agent"));
+            return Err(refusals::bad_request("the template allows no deeper sub-agent"));
         }
 
         // Openings count as calls of the parent, so an endless loop of openings reaches the
@@ -162,7 +162,7 @@
         let max_calls = cfg.template(&parent.template).map_or(0, |t| t.max_calls);
 
         if parent.head() + parent.openings >= max_calls {
-            return Err(answers::exhausted());
+            return Err(refusals::budget_exhausted());
         }
 
         Ok(Lineage {
@@ -174,17 +174,21 @@
     }
 
     /// Adds the program in state `Opening` and journals the opening.
-    fn start_opening(&mut self, cx: &mut Cx<'_>, ticket: Ticket, entry: OpenedEntry) {
+    fn start_opening(&mut self, cx: &mut StepContext<'_>, ticket: Ticket, entry: OpenedEntry) {
         let key = self.insert_program(cx, &entry);
         let program = &mut self.programs[key];
         program.state = ProgramState::Opening;
-        program.opening.push(ticket);
+        program.opening_tickets.push(ticket);
 
         self.append(key, Entry::Opened(entry), Waiter::Open(key));
     }
 
     /// Adds a program that is being opened or was read from the journal.
-    pub(super) fn insert_program(&mut self, cx: &mut Cx<'_>, entry: &OpenedEntry) -> ProgramKey {
+    pub(super) fn insert_program(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        entry: &OpenedEntry,
+    ) -> ProgramKey {
         // The journal may hold an earlier program with the same id that has ended and was
         // removed.
         if let Some(former) = self.index.get(&entry.program) {
@@ -221,12 +225,12 @@
             running: None,
             children: Vec::new(),
             openings: 0,
-            upto: 0,
+            image_row: 0,
             in_doubt: false,
             open_intent: None,
             orphan: false,
-            opening: Vec::new(),
-            ending: Vec::new(),
+            opening_tickets: Vec::new(),
+            ending_tickets: Vec::new(),
             end_stored: false,
             forget_at: None,
         });
@@ -244,18 +248,23 @@
     }
 
     /// Returns the answer to an opening.
-    pub(super) fn opened(&self, cx: &Cx<'_>, key: ProgramKey) -> Reply {
+    pub(super) fn opened_reply(&self, cx: &StepContext<'_>, key: ProgramKey) -> Reply {
         let program = &self.programs[key];
 
         Reply::Opened(Opened {
             program: program.id,
-            budget_tokens: self.accounts[program.account].left(),
-            deadline: program.left(cx.now),
+            budget_tokens: self.accounts[program.account].available(),
+            deadline: program.time_left(cx.now),
         })
     }
 
     /// Handles an opening that became durable.
-    pub(super) fn opening_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey, granted: Tokens) {
+    pub(super) fn opening_durable(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        key: ProgramKey,
+        granted: Tokens,
+    ) {
         let Some(program) = self.programs.get_mut(key) else { return };
 
         if program.state == ProgramState::Opening {
@@ -263,26 +272,26 @@
         }
 
         let (account, deadline) = (program.account, program.deadline);
-        let tickets = std::mem::take(&mut program.opening);
+        let tickets = std::mem::take(&mut program.opening_tickets);
 
         // The timer may have fired while the opening was in doubt, so it is set again.
         self.timers.set(deadline, Timer::Program(key));
 
         if let Some(account) = self.accounts.get_mut(account) {
-            account.granted(granted);
+            account.raise_grant(granted);
         }
 
         for ticket in tickets {
-            let reply = self.opened(cx, key);
+            let reply = self.opened_reply(cx, key);
             self.answer(cx, ticket, reply);
         }
     }
 
     /// Handles an opening that the platform rejected and certainly did not store.
-    pub(super) fn opening_refused(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    pub(super) fn opening_rejected(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.opening);
-        let refusal = answers::platform_away(self.journal.retry_after());
+        let tickets = std::mem::take(&mut program.opening_tickets);
+        let refusal = refusals::platform_unavailable(self.journal.retry_after());
 
         for ticket in tickets {
             self.refuse(cx, ticket, refusal.clone());
@@ -292,13 +301,13 @@
     }
 
     /// Handles an opening whose outcome is unknown; the waiting callers are refused.
-    pub(super) fn opening_in_doubt(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    pub(super) fn opening_in_doubt(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.opening);
+        let tickets = std::mem::take(&mut program.opening_tickets);
         let after = self.journal.retry_after();
 
         // The refusal must not say "not run": the program may exist, and a repeat finds it.
-        let mut refusal = answers::platform_away(after).ran(Ran::Maybe);
+        let mut refusal = refusals::platform_unavailable(after).ran(Ran::Maybe);
         refusal.code = Code::OutcomeUnknown;
 
         for ticket in tickets {
--- a/crates/policy/src/programs/answers.rs
+++ b/crates/policy/src/programs/refusals.rs
@@ -5,23 +5,23 @@
 use camphorwalk_core::calls::{Code, Ran, Refusal, Request};
 
 /// How long a caller should wait while a program's home host changes.
-const MOVING_RETRY: Duration = Duration::from_millis(500);
+const MOVING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The home host of the program is another host or is not ready yet.
-pub(super) fn leaving() -> Refusal {
-    Refusal::not_run(Code::Leaving, "the program's home is moving").retry_after(MOVING_RETRY)
+pub(super) fn home_moving() -> Refusal {
+    Refusal::not_run(Code::Leaving, "the program's home is moving").retry_after(MOVING_RETRY_AFTER)
 }
 
 /// Like [`home_moving`], for a request that this host could not look up.
 pub(super) fn not_served(request: &Request) -> Refusal {
-    leaving().ran(ran_unseen(request))
+    home_moving().ran(ran_if_not_looked_up(request))
 }
 
 /// Returns whether a request that was not looked up may have run.
 ///
 /// The call's idempotency key may have run in an earlier request. If a caller that repeats a
 /// deposit were told "not run", it could pay a second time by other means.
-pub(super) fn ran_unseen(request: &Request) -> Ran {
+pub(super) fn ran_if_not_looked_up(request: &Request) -> Ran {
     match request {
         Request::Call(_) => Ran::Maybe,
         _ => Ran::No,
@@ -52,24 +52,24 @@
 }
 
 /// The call needs the platform, which is unavailable.
-pub(super) fn platform_away(after: Duration) -> Refusal {
+pub(super) fn platform_unavailable(after: Duration) -> Refusal {
     Refusal::not_run(Code::PlatformUnavailable, "the platform cannot record the call now")
         .retry_after(after)
 }
 
 /// The call may have run.
-pub(super) fn unknown() -> Refusal {
+pub(super) fn outcome_unknown() -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, "the call may have run; it is not repeated")
         .ran(Ran::Maybe)
 }
 
 /// The target ran the call and reported a failure.
-pub(super) fn failed(message: &str) -> Refusal {
+pub(super) fn target_failed(message: &str) -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, format!("the target failed: {message}")).ran(Ran::Yes)
 }
 
 /// The program's deadline has passed.
-pub(super) fn deadline(ran: Ran) -> Refusal {
+pub(super) fn deadline_passed(ran: Ran) -> Refusal {
     Refusal::not_run(Code::Deadline, "the program's deadline has passed").ran(ran)
 }
 
@@ -79,7 +79,7 @@
 }
 
 /// The budget does not cover the call.
-pub(super) fn exhausted() -> Refusal {
+pub(super) fn budget_exhausted() -> Refusal {
     Refusal::not_run(Code::BudgetExhausted, "the program's budget does not cover the call")
 }
 
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -8,13 +8,13 @@
 use camphorwalk_core::ids::{KeyId, ProgramId, TenantId, Ticket};
 use camphorwalk_core::units::Tokens;
 
-use super::entries::Recorded;
-use super::state::{Parked, Program, ProgramKey, ProgramState};
-use super::{Cx, Programs, answers, tail};
+use super::entries::RecordedOutcome;
+use super::state::{ParkedRequest, Program, ProgramKey, ProgramState};
+use super::{Programs, StepContext, refusals, tail};
 
 /// A request together with its sender.
 #[derive(Debug)]
-pub(super) struct Asked {
+pub(super) struct IncomingRequest {
     /// Identifies the request in the answer.
     pub ticket: Ticket,
     /// The tenant that sent it.
@@ -27,14 +27,14 @@
 
 impl Programs {
     /// Serves a request, parks it while its partition is being read, or refuses it.
-    pub(super) fn request(&mut self, cx: &mut Cx<'_>, asked: Asked) {
+    pub(super) fn request(&mut self, cx: &mut StepContext<'_>, asked: IncomingRequest) {
         let program = asked.request.program();
 
         let Some(partition) = self.cfg.as_ref().map(|cfg| cfg.partition(program)) else {
-            return self.refuse(cx, asked.ticket, answers::not_served(&asked.request));
+            return self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
         };
 
-        if self.tenures.contains_key(&partition) {
+        if self.terms.contains_key(&partition) {
             return self.serve(cx, asked);
         }
 
@@ -42,12 +42,12 @@
             return self.park(cx, partition, asked);
         }
 
-        self.refuse(cx, asked.ticket, answers::not_served(&asked.request));
+        self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
     }
 
     /// Serves a request for a program whose home is this host.
-    pub(super) fn serve(&mut self, cx: &mut Cx<'_>, asked: Asked) {
-        let Asked { ticket, tenant, key, request } = asked;
+    pub(super) fn serve(&mut self, cx: &mut StepContext<'_>, asked: IncomingRequest) {
+        let IncomingRequest { ticket, tenant, key, request } = asked;
 
         match request {
             Request::Open(open) => self.open(cx, ticket, tenant, open),
@@ -69,16 +69,20 @@
     }
 
     /// Returns the program if it belongs to the tenant; otherwise it appears not to exist.
-    pub(super) fn visible(&self, tenant: TenantId, program: ProgramId) -> Option<ProgramKey> {
+    pub(super) fn tenant_program(
+        &self,
+        tenant: TenantId,
+        program: ProgramId,
+    ) -> Option<ProgramKey> {
         let key = *self.index.get(&program)?;
 
         (self.programs[key].tenant == tenant).then_some(key)
     }
 
     /// Returns the state of a program as its caller sees it.
-    fn view(&self, cx: &Cx<'_>, tenant: TenantId, program: ProgramId) -> Reply {
-        let Some(key) = self.visible(tenant, program) else {
-            return Reply::Refused(answers::not_found());
+    fn view(&self, cx: &StepContext<'_>, tenant: TenantId, program: ProgramId) -> Reply {
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return Reply::Refused(refusals::not_found());
         };
         let program = &self.programs[key];
         let state = if program.state == ProgramState::Ended { "ended" } else { "open" };
@@ -88,20 +92,20 @@
             template: program.template.clone(),
             state: state.into(),
             head: program.head(),
-            budget_left_tokens: self.accounts[program.account].left(),
-            deadline_left: program.left(cx.now),
+            budget_left_tokens: self.accounts[program.account].available(),
+            deadline_left: program.time_left(cx.now),
         })
     }
 
     /// Returns the outcome of the call with this idempotency key.
     fn outcome(&self, tenant: TenantId, program: ProgramId, call: &str) -> Reply {
-        let Some(key) = self.visible(tenant, program) else {
-            return Reply::Refused(answers::not_found());
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return Reply::Refused(refusals::not_found());
         };
         let program = &self.programs[key];
 
         if let Some(number) = program.find(call) {
-            return Reply::Outcome(match self.recorded(program, number) {
+            return Reply::Outcome(match self.call_result(program, number) {
                 Ok(called) => CallOutcome::Done(called),
                 Err(refusal) => CallOutcome::Failed(refusal),
             });
@@ -111,14 +115,14 @@
 
         match running.filter(|running| &*running.text.key == call) {
             Some(_) => Reply::Outcome(CallOutcome::Running),
-            None => Reply::Refused(answers::not_found()),
+            None => Reply::Refused(refusals::not_found()),
         }
     }
 
     /// Returns the finished calls of a program, beginning at number `from`.
     fn history(&self, tenant: TenantId, program: ProgramId, from: u32) -> Reply {
-        let Some(key) = self.visible(tenant, program) else {
-            return Reply::Refused(answers::not_found());
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return Reply::Refused(refusals::not_found());
         };
         let skipped = from.max(1) - 1;
         let program = &self.programs[key];
@@ -139,35 +143,35 @@
     }
 
     /// Returns the result of a finished call; repeats of the call get the same.
-    pub(super) fn recorded(&self, program: &Program, number: u32) -> Result<Called, Refusal> {
+    pub(super) fn call_result(&self, program: &Program, number: u32) -> Result<Called, Refusal> {
         let record = &program.calls[number as usize - 1];
         let stored = number <= program.stored;
 
         match &record.outcome {
-            Recorded::Done { output, usage } => Ok(Called {
+            RecordedOutcome::Done { output, usage } => Ok(Called {
                 call: number,
                 output: text(output),
                 usage: *usage,
                 stored,
                 tail: if stored { None } else { tail::seal(&self.options.seal_key, program) },
             }),
-            Recorded::Failed { message } => Err(answers::failed(message)),
-            Recorded::Unknown => Err(answers::unknown()),
+            RecordedOutcome::Failed { message } => Err(refusals::target_failed(message)),
+            RecordedOutcome::Unknown => Err(refusals::outcome_unknown()),
         }
     }
 
     /// Returns the reply for a finished call.
-    pub(super) fn recorded_reply(&self, program: ProgramKey, number: u32) -> Reply {
-        match self.recorded(&self.programs[program], number) {
+    pub(super) fn call_result_reply(&self, program: ProgramKey, number: u32) -> Reply {
+        match self.call_result(&self.programs[program], number) {
             Ok(called) => Reply::Called(called),
             Err(refusal) => Reply::Refused(refusal),
         }
     }
 }
 
-impl Asked {
+impl IncomingRequest {
     /// Restores the request from a parked one.
-    pub fn unparked(parked: Parked) -> Self {
+    pub fn unparked(parked: ParkedRequest) -> Self {
         Self {
             ticket: parked.ticket,
             tenant: parked.tenant,
@@ -178,11 +182,11 @@
 }
 
 /// Returns the text that a program's history shows as the output of a call.
-fn output_text(outcome: &Recorded) -> Box<str> {
+fn output_text(outcome: &RecordedOutcome) -> Box<str> {
     match outcome {
-        Recorded::Done { output, .. } => text(output),
-        Recorded::Failed { message } => error_text(&answers::failed(message)),
-        Recorded::Unknown => error_text(&answers::unknown()),
+        RecordedOutcome::Done { output, .. } => text(output),
+        RecordedOutcome::Failed { message } => error_text(&refusals::target_failed(message)),
+        RecordedOutcome::Unknown => error_text(&refusals::outcome_unknown()),
     }
 }
 
@@ -197,6 +201,6 @@
 }
 
 /// Returns the tokens that count against the budget.
-pub(super) fn spent(usage: &Usage) -> Tokens {
+pub(super) fn counted_tokens(usage: &Usage) -> Tokens {
     usage.prompt_tokens.plus(usage.output_tokens)
 }
--- a/crates/policy/src/programs/retry.rs
+++ b/crates/policy/src/programs/retry.rs
@@ -9,16 +9,16 @@
 const EARNED_MILLIS: u64 = 100;
 
 /// The maximum that can be saved, in thousandths of a retry.
-const MOST_MILLIS: u64 = 10_000;
+const MAX_MILLIS: u64 = 10_000;
 
 /// The cost of one retry, in thousandths of a retry.
 const RETRY_MILLIS: u64 = 1_000;
 
 /// The number of crashes after which a request is quarantined.
-const CRASHES: u8 = 2;
+const QUARANTINE_CRASHES: u8 = 2;
 
 /// The maximum number of suspects, and of quarantined requests, kept in memory.
-const REMEMBERED: usize = 4_096;
+const MAX_TRACKED: usize = 4_096;
 
 /// A token bucket for retries, filled by first attempts.
 ///
@@ -33,12 +33,12 @@
 impl RetryBudget {
     /// Creates a full bucket.
     pub fn new() -> Self {
-        Self { millis: MOST_MILLIS }
+        Self { millis: MAX_MILLIS }
     }
 
     /// Adds the share of a retry that one first attempt earns.
     pub fn earn(&mut self) {
-        self.millis = (self.millis + EARNED_MILLIS).min(MOST_MILLIS);
+        self.millis = (self.millis + EARNED_MILLIS).min(MAX_MILLIS);
     }
 
     /// Takes one retry; returns `false` if the bucket does not hold one.
@@ -55,7 +55,7 @@
 
 /// The consequence of a crash for the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Crash {
+pub(super) enum CrashResult {
     /// The request is a suspect. It may be tried once more, alone at its target.
     Suspect,
     /// A second target crashed under the request. It is never sent again.
@@ -89,29 +89,29 @@
     /// Counts a crash of a target while it ran this request. Of several requests that were
     /// running only one caused the crash. The others are cleared by their second attempt, which
     /// each makes alone at its target.
-    pub fn crashed(&mut self, request: Digest) -> Crash {
+    pub fn record_crash(&mut self, request: Digest) -> CrashResult {
         let crashes = self.crashes.entry(request).or_default();
         *crashes += 1;
 
-        if *crashes >= CRASHES {
-            self.cleared(&request);
+        if *crashes >= QUARANTINE_CRASHES {
+            self.clear(&request);
             self.quarantine(request);
-            return Crash::Quarantine;
+            return CrashResult::Quarantine;
         }
 
         self.order.push_back(request);
 
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_TRACKED
             && let Some(oldest) = self.order.pop_front()
         {
             self.crashes.remove(&oldest);
         }
 
-        Crash::Suspect
+        CrashResult::Suspect
     }
 
     /// Clears a suspect that finished without a crash.
-    pub fn cleared(&mut self, request: &Digest) {
+    pub fn clear(&mut self, request: &Digest) {
         if self.crashes.remove(request).is_some() {
             self.order.retain(|other| other != request);
         }
@@ -125,7 +125,7 @@
 
         self.quarantine_order.push_back(request);
 
-        if self.quarantine_order.len() > REMEMBERED
+        if self.quarantine_order.len() > MAX_TRACKED
             && let Some(oldest) = self.quarantine_order.pop_front()
         {
             self.quarantined.remove(&oldest);
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -16,8 +16,8 @@
 
 use super::budget::AccountKey;
 use super::compaction::Compaction;
-use super::entries::{CallText, Recorded};
-use super::journal::Tenure;
+use super::entries::{CallText, RecordedOutcome};
+use super::journal::LeaseTerm;
 use crate::wire::CallId;
 
 slotmap::new_key_type! {
@@ -35,7 +35,7 @@
 
 /// A request that waits until its partition's journal has been read.
 #[derive(Debug)]
-pub(super) struct Parked {
+pub(super) struct ParkedRequest {
     /// Identifies the request in the answer.
     pub ticket: Ticket,
     /// The tenant that sent it.
@@ -50,19 +50,19 @@
 
 /// A partition whose journal is being read.
 #[derive(Debug)]
-pub(super) struct Recovering {
+pub(super) struct Recovery {
     /// The lease term; `next_row` is one past the last row read so far.
-    pub tenure: Tenure,
+    pub term: LeaseTerm,
     /// The next read to issue.
-    pub reading: Reading,
+    pub next_read: ReadStep,
     /// State of the checkpoint that was read, or the default if there is none.
     pub compaction: Compaction,
     /// The last journal row that the checkpoint covers.
-    pub upto: u64,
+    pub checkpoint_row: u64,
     /// The key of the last row read; empty before the first.
-    pub after: Box<str>,
+    pub last_key: Box<str>,
     /// Requests that arrived while the journal is being read.
-    pub parked: Vec<Parked>,
+    pub parked: Vec<ParkedRequest>,
     /// Whether reading has not started because a write of this host to the journal is in
     /// progress.
     pub blocked: bool,
@@ -72,7 +72,7 @@
 
 /// The next read of a recovery.
 #[derive(Debug)]
-pub(super) enum Reading {
+pub(super) enum ReadStep {
     /// Read the checkpoint row.
     Checkpoint,
     /// Read the checkpoint's objects, in this order.
@@ -122,7 +122,7 @@
     /// The lifecycle state.
     pub state: ProgramState,
     /// Finished calls in order; call number `n` is at index `n - 1`.
-    pub calls: Vec<Record>,
+    pub calls: Vec<FinishedCall>,
     /// How many of `calls` are durable on the platform.
     pub stored: u32,
     /// Tokens of all inputs and outputs so far, each counted once.
@@ -136,7 +136,7 @@
     /// How many sub-agents the program has opened.
     pub openings: u32,
     /// The last journal row covered by the program's checkpoint image.
-    pub upto: u64,
+    pub image_row: u64,
     /// Whether the write of an intent that will never be sent may still take effect. Until that
     /// is known no later entry of this program may be journaled, so calls are refused.
     pub in_doubt: bool,
@@ -147,9 +147,9 @@
     /// that call is answered.
     pub orphan: bool,
     /// Callers that wait for the opening to become durable.
-    pub opening: Vec<Ticket>,
+    pub opening_tickets: Vec<Ticket>,
     /// Callers that wait for the end to become durable.
-    pub ending: Vec<Ticket>,
+    pub ending_tickets: Vec<Ticket>,
     /// Whether the end of the program is durable.
     pub end_stored: bool,
     /// When an ended program is removed from memory.
@@ -158,16 +158,16 @@
 
 /// A finished call in a program's history.
 #[derive(Clone, Debug)]
-pub(super) struct Record {
+pub(super) struct FinishedCall {
     /// The request of the call.
     pub call: CallText,
     /// The outcome.
-    pub outcome: Recorded,
+    pub outcome: RecordedOutcome,
     /// The hash chain of the history up to and including this call.
     pub hash: Digest,
     /// The hash of the texts alone up to and including this call. It is equal for two programs
     /// with equal prompts.
-    pub texts: Digest,
+    pub texts_hash: Digest,
     /// The name of its intent, if the call had one and this host saw the outcome.
     pub attempt: Option<Box<str>>,
 }
@@ -195,27 +195,27 @@
     }
 
     /// Appends a finished call and returns its number.
-    pub fn append(&mut self, call: CallText, outcome: Recorded) -> u32 {
+    pub fn append(&mut self, call: CallText, outcome: RecordedOutcome) -> u32 {
         let before = self.hash_at(self.head()).unwrap_or_default();
-        let hash = chain(&before, &call, &outcome);
+        let hash = chain_hash(&before, &call, &outcome);
         let mut tokens = estimate(&call.input);
-        let mut texts = digest(&[&self.texts(), call.input.as_bytes()]);
+        let mut texts_hash = digest(&[&self.texts_hash(), call.input.as_bytes()]);
 
-        if let Recorded::Done { output, usage } = &outcome {
+        if let RecordedOutcome::Done { output, usage } = &outcome {
             tokens = tokens.plus(estimate(output));
-            texts = digest(&[&texts, output.as_bytes()]);
+            texts_hash = digest(&[&texts_hash, output.as_bytes()]);
             self.attained = self.attained.plus(usage.prompt_tokens).plus(usage.output_tokens);
         }
 
         self.history = self.history.plus(tokens);
 
         // An engine's count overrides a lower estimate.
-        if let Recorded::Done { usage, .. } = &outcome {
+        if let RecordedOutcome::Done { usage, .. } = &outcome {
             let counted = usage.prompt_tokens.plus(usage.output_tokens);
             self.history = self.history.max(counted);
         }
 
-        self.calls.push(Record { call, outcome, hash, texts, attempt: None });
+        self.calls.push(FinishedCall { call, outcome, hash, texts_hash, attempt: None });
 
         self.head()
     }
@@ -228,8 +228,8 @@
     }
 
     /// Returns the hash of all texts in the history.
-    pub fn texts(&self) -> Digest {
-        self.calls.last().map(|record| record.texts).unwrap_or_default()
+    pub fn texts_hash(&self) -> Digest {
+        self.calls.last().map(|record| record.texts_hash).unwrap_or_default()
     }
 
     /// Returns the prompt of a model turn: all earlier inputs and outputs, then the new input.
@@ -239,7 +239,7 @@
         for record in &self.calls {
             parts.push(record.call.input.clone());
 
-            if let Recorded::Done { output, .. } = &record.outcome {
+            if let RecordedOutcome::Done { output, .. } = &record.outcome {
                 parts.push(output.clone());
             }
         }
@@ -249,17 +249,17 @@
     }
 
     /// Returns the time left until the deadline.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline - now
     }
 }
 
 /// Returns the hash of a history after this call is appended to it.
-pub(super) fn chain(before: &Digest, call: &CallText, outcome: &Recorded) -> Digest {
+pub(super) fn chain_hash(before: &Digest, call: &CallText, outcome: &RecordedOutcome) -> Digest {
     let (kind, text): (&[u8], &str) = match outcome {
-        Recorded::Done { output, .. } => (b"done", output),
-        Recorded::Failed { message } => (b"failed", message),
-        Recorded::Unknown => (b"unknown", ""),
+        RecordedOutcome::Done { output, .. } => (b"done", output),
+        RecordedOutcome::Failed { message } => (b"failed", message),
+        RecordedOutcome::Unknown => (b"unknown", ""),
     };
 
     digest(&[
@@ -275,33 +275,33 @@
 
 /// The kind of work that a call asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum WorkKind {
     /// A model turn on an engine.
     Turn {
         /// The maximum number of tokens to generate.
         max_tokens: u32,
     },
     /// A service operation that is safe to run again.
-    Repeatable(Box<str>),
+    Idempotent(Box<str>),
     /// A service operation that must run at most once.
-    Once(Box<str>),
+    NonIdempotent(Box<str>),
 }
 
 /// The stage that a call has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Waits for the tenant's rate limit.
-    Admitting,
+    AwaitingAdmission,
     /// Waits until a larger budget grant is durable.
-    Granting,
+    AwaitingGrant,
     /// Waits for a place at a target.
-    Placing,
+    AwaitingPlace,
     /// Holds a place and waits until its intent is durable.
-    Intending,
+    JournalingIntent,
     /// Sent to a target.
     Running,
     /// Finished; waits until its outcome is durable.
-    Recording,
+    JournalingOutcome,
 }
 
 /// A caller that waits for a call's answer.
@@ -323,7 +323,7 @@
     /// The request of the call.
     pub text: CallText,
     /// The kind of work.
-    pub kind: Kind,
+    pub kind: WorkKind,
     /// The pool whose targets can serve the call.
     pub pool: PoolId,
     /// The number the call gets in the history when it finishes.
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -5,21 +5,21 @@
 use camphorwalk_core::calls::{Code, Ran, Refusal, Usage};
 use camphorwalk_core::ids::{AttemptId, TargetId};
 
-use super::budget::Reserve;
+use super::budget::Reservation;
 use super::entries::{Entry, GrantedEntry, IntentEntry};
 use super::journal::Waiter;
-use super::state::{Kind, ProgramState, Stage};
+use super::state::{ProgramState, Stage, WorkKind};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
+use super::{ProgramNext, Programs, StepContext, refusals};
 use crate::wire::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
 
 /// How long a call waits for its intent or grant to become durable.
-const ASK_WAIT: Duration = Duration::from_secs(1);
+const JOURNAL_WAIT: Duration = Duration::from_secs(1);
 
 impl Programs {
     /// Handles the result of the rate check.
-    pub(super) fn on_verdict(&mut self, cx: &mut Cx<'_>, id: CallId, verdict: Verdict) {
-        if self.stage(id) != Some(Stage::Admitting) {
+    pub(super) fn on_admission(&mut self, cx: &mut StepContext<'_>, id: CallId, verdict: Verdict) {
+        if self.stage(id) != Some(Stage::AwaitingAdmission) {
             return;
         }
 
@@ -27,28 +27,28 @@
             Verdict::Admitted => self.reserve(cx, id),
             Verdict::Refused { retry_after } => {
                 let refusal = Refusal::not_run(Code::OverRate, "the tenant is over its rate");
-                self.drop_call(cx, id, refusal.retry_after(retry_after));
+                self.abandon_call(cx, id, refusal.retry_after(retry_after));
             }
         }
     }
 
     /// Reserves the tokens of the next attempt, then requests a place.
-    pub(super) fn reserve(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    pub(super) fn reserve(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let call = &self.calls[id];
         let (program, tokens) = (call.program, call.reserved);
         let account = self.programs[program].account;
 
         match self.accounts[account].reserve(tokens) {
-            Reserve::Reserved => self.place(cx, id),
-            Reserve::Exhausted => self.drop_call(cx, id, answers::exhausted()),
-            Reserve::NeedsGrant if self.journal.is_away(cx.now) => {
-                let refusal = answers::platform_away(self.journal.retry_after());
-                self.drop_call(cx, id, refusal);
+            Reservation::Reserved => self.request_place(cx, id),
+            Reservation::Exhausted => self.abandon_call(cx, id, refusals::budget_exhausted()),
+            Reservation::NeedsGrant if self.journal.is_unavailable(cx.now) => {
+                let refusal = refusals::platform_unavailable(self.journal.retry_after());
+                self.abandon_call(cx, id, refusal);
             }
-            Reserve::NeedsGrant => {
+            Reservation::NeedsGrant => {
                 let granted = self.accounts[account].grant_for(tokens);
                 let root = self.programs[program].root;
-                self.set_stage(cx, id, Stage::Granting, Some(ASK_WAIT));
+                self.set_stage(cx, id, Stage::AwaitingGrant, Some(JOURNAL_WAIT));
                 let entry = GrantedEntry { program: root, granted };
                 self.append(program, Entry::Granted(entry), Waiter::Grant(program, id));
             }
@@ -56,8 +56,8 @@
     }
 
     /// Requests a place at a target.
-    fn place(&mut self, cx: &mut Cx<'_>, id: CallId) {
-        self.set_stage(cx, id, Stage::Placing, None);
+    fn request_place(&mut self, cx: &mut StepContext<'_>, id: CallId) {
+        self.set_stage(cx, id, Stage::AwaitingPlace, None);
         let call = &self.calls[id];
         let program = &self.programs[call.program];
 
@@ -71,7 +71,7 @@
                 attained: program.attained,
                 prompt: call.prompt,
                 output: call.reserved.minus(call.prompt),
-                deadline_left: program.left(cx.now),
+                deadline_left: program.time_left(cx.now),
                 avoid: call.avoid,
                 suspect: call.suspect,
             },
@@ -79,22 +79,27 @@
     }
 
     /// Handles a request for a place that cannot be granted in time.
-    pub(super) fn on_unplaced(&mut self, cx: &mut Cx<'_>, id: CallId, retry_after: Duration) {
-        if self.stage(id) != Some(Stage::Placing) {
+    pub(super) fn on_unplaced(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        retry_after: Duration,
+    ) {
+        if self.stage(id) != Some(Stage::AwaitingPlace) {
             return;
         }
 
         // The stage changes first, so that `abandon_call` does not release a place that the
         // call does not have.
-        self.release(id);
-        self.calls[id].stage = Stage::Admitting;
+        self.release_tokens(id);
+        self.calls[id].stage = Stage::AwaitingAdmission;
         let refusal = Refusal::not_run(Code::Overloaded, "no target can serve the call in time");
-        self.drop_call(cx, id, refusal.retry_after(retry_after));
+        self.abandon_call(cx, id, refusal.retry_after(retry_after));
     }
 
     /// Handles a place that was granted.
-    pub(super) fn on_placed(&mut self, cx: &mut Cx<'_>, id: CallId, target: TargetId) {
-        if self.stage(id) != Some(Stage::Placing) {
+    pub(super) fn on_placed(&mut self, cx: &mut StepContext<'_>, id: CallId, target: TargetId) {
+        if self.stage(id) != Some(Stage::AwaitingPlace) {
             return;
         }
 
@@ -109,14 +114,14 @@
             // home host would not know of the call, and a repeat would run it again, for
             // example as a second deposit. So the intent must be durable before anything is
             // sent.
-            Kind::Once(_) => self.intend(cx, id, attempt),
-            Kind::Turn { .. } | Kind::Repeatable(_) => self.dispatch(cx, id),
+            WorkKind::NonIdempotent(_) => self.journal_intent(cx, id, attempt),
+            WorkKind::Turn { .. } | WorkKind::Idempotent(_) => self.dispatch(cx, id),
         }
     }
 
     /// Journals the intent to send a call.
-    fn intend(&mut self, cx: &mut Cx<'_>, id: CallId, attempt: AttemptId) {
-        self.set_stage(cx, id, Stage::Intending, Some(ASK_WAIT));
+    fn journal_intent(&mut self, cx: &mut StepContext<'_>, id: CallId, attempt: AttemptId) {
+        self.set_stage(cx, id, Stage::JournalingIntent, Some(JOURNAL_WAIT));
         let call = &self.calls[id];
         let key = call.program;
         let program = &mut self.programs[key];
@@ -128,27 +133,29 @@
             program: program.id,
             attempt: attempt.to_string().into(),
             call: call.text.clone(),
-            left: program.left(cx.now),
+            left: program.time_left(cx.now),
         };
         self.append(key, Entry::Intent(entry), Waiter::Intent(key, id));
     }
 
     /// Sends a call to its target.
-    pub(super) fn dispatch(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    pub(super) fn dispatch(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         self.set_stage(cx, id, Stage::Running, None);
         let call = &self.calls[id];
         let program = &self.programs[call.program];
         let (Some(attempt), Some(target)) = (call.attempt, call.target) else { return };
 
         let work = match &call.kind {
-            Kind::Turn { max_tokens } => {
+            WorkKind::Turn { max_tokens } => {
                 Work::Generate { prompt: program.prompt(&call.text.input), max_tokens: *max_tokens }
             }
-            Kind::Repeatable(operation) | Kind::Once(operation) => Work::Operation {
-                operation: operation.clone(),
-                key: call.text.key.clone(),
-                input: Box::from(&*call.text.input),
-            },
+            WorkKind::Idempotent(operation) | WorkKind::NonIdempotent(operation) => {
+                Work::Operation {
+                    operation: operation.clone(),
+                    key: call.text.key.clone(),
+                    input: Box::from(&*call.text.input),
+                }
+            }
         };
 
         cx.out.push(ProgramNext::Dispatch(Dispatch {
@@ -161,7 +168,7 @@
             number: call.number,
             work,
             stream: call.callers.iter().find(|caller| caller.stream).map(|c| c.ticket),
-            timeout: program.left(cx.now),
+            timeout: program.time_left(cx.now),
         }));
         self.attempts.insert(attempt, id);
     }
@@ -169,7 +176,12 @@
     /// Abandons a call that is not at a target, and refuses its callers.
     ///
     /// If an earlier attempt may have run, the refusal says so instead of "not run".
-    pub(super) fn drop_call(&mut self, cx: &mut Cx<'_>, id: CallId, mut refusal: Refusal) {
+    pub(super) fn abandon_call(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        mut refusal: Refusal,
+    ) {
         let Some(call) = self.calls.get(id) else { return };
         let program = call.program;
 
@@ -178,27 +190,27 @@
         }
 
         match call.stage {
-            Stage::Placing => self.release(id),
-            Stage::Intending => {
-                self.release(id);
+            Stage::AwaitingPlace => self.release_tokens(id),
+            Stage::JournalingIntent => {
+                self.release_tokens(id);
                 // The intent may still become durable, but the call is never sent.
                 self.programs[program].in_doubt = true;
             }
             _ => {}
         }
 
-        if matches!(self.calls[id].stage, Stage::Placing | Stage::Intending) {
-            self.vacate(cx, id, PlaceEndKind::NotSent, None);
+        if matches!(self.calls[id].stage, Stage::AwaitingPlace | Stage::JournalingIntent) {
+            self.release_place(cx, id, PlaceEndKind::NotSent, None);
         }
 
         self.answer_callers(cx, id, &refusal);
-        self.forget_call(id);
+        self.remove_call(id);
     }
 
     /// Releases the place of a call, or withdraws its request for one.
-    pub(super) fn vacate(
+    pub(super) fn release_place(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         id: CallId,
         how: PlaceEndKind,
         usage: Option<&Usage>,
@@ -219,7 +231,12 @@
     }
 
     /// Refuses all callers of a call.
-    pub(super) fn answer_callers(&mut self, cx: &mut Cx<'_>, id: CallId, refusal: &Refusal) {
+    pub(super) fn answer_callers(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        refusal: &Refusal,
+    ) {
         let callers = std::mem::take(&mut self.calls[id].callers);
 
         for caller in callers {
@@ -228,7 +245,7 @@
     }
 
     /// Removes a call, so that its program can accept the next one.
-    pub(super) fn forget_call(&mut self, id: CallId) {
+    pub(super) fn remove_call(&mut self, id: CallId) {
         let Some(call) = self.calls.remove(id) else { return };
 
         if let Some(program) = self.programs.get_mut(call.program)
@@ -243,7 +260,7 @@
     }
 
     /// Returns the tokens reserved for an attempt that was not sent.
-    pub(super) fn release(&mut self, id: CallId) {
+    pub(super) fn release_tokens(&mut self, id: CallId) {
         let call = &self.calls[id];
 
         if let Some(account) = self.accounts.get_mut(self.programs[call.program].account) {
@@ -259,7 +276,7 @@
     /// Moves a call to a stage that may last for at most `limit`.
     pub(super) fn set_stage(
         &mut self,
-        cx: &Cx<'_>,
+        cx: &StepContext<'_>,
         id: CallId,
         stage: Stage,
         limit: Option<Duration>,
@@ -275,7 +292,7 @@
     }
 
     /// Handles a call that has been in its stage for too long.
-    pub(super) fn stage_timed_out(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    pub(super) fn stage_timed_out(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let Some(call) = self.calls.get(id) else { return };
 
         if call.stage_until.is_none_or(|until| until > cx.now) {
@@ -283,11 +300,11 @@
         }
 
         match call.stage {
-            Stage::Granting | Stage::Intending => {
-                let refusal = answers::platform_away(self.journal.retry_after());
-                self.drop_call(cx, id, refusal);
+            Stage::AwaitingGrant | Stage::JournalingIntent => {
+                let refusal = refusals::platform_unavailable(self.journal.retry_after());
+                self.abandon_call(cx, id, refusal);
             }
-            Stage::Recording => self.answer_recorded(cx, id),
+            Stage::JournalingOutcome => self.answer_recorded(cx, id),
             _ => {}
         }
     }
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -16,14 +16,14 @@
 use serde_with::serde_as;
 use sha2::Sha256;
 
-use super::entries::{CallText, Recorded};
-use super::state::{Program, chain};
+use super::entries::{CallText, RecordedOutcome};
+use super::state::{Program, chain_hash};
 
 /// The length of the message authentication code before the content.
-const SEAL_BYTES: usize = 32;
+const MAC_BYTES: usize = 32;
 
 /// Separates these codes from other uses of the same secret.
-const PURPOSE: &[u8] = b"camphorwalk tail 1";
+const MAC_DOMAIN: &[u8] = b"camphorwalk tail 1";
 
 /// The calls of a program that are not durable yet.
 #[serde_as]
@@ -48,7 +48,7 @@
     /// The request of the call.
     call: CallText,
     /// The outcome of the call.
-    outcome: Recorded,
+    outcome: RecordedOutcome,
 }
 
 /// The reason why a tail was rejected.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Adopted {
     /// Whether the tail supplied the outcome of the last call, an intent without one.
-    pub settled: bool,
+    pub outcome_found: bool,
     /// The numbers of the calls that were appended.
     pub appended: Vec<u32>,
 }
@@ -100,12 +100,12 @@
 pub(super) fn unseal(secret: &[u8; 32], program: &Program, text: &str) -> Result<Tail, TailError> {
     let bytes = STANDARD_NO_PAD.decode(text).map_err(|_| TailError::Forged)?;
 
-    if bytes.len() < SEAL_BYTES {
+    if bytes.len() < MAC_BYTES {
         return Err(TailError::Forged);
     }
 
     // Without this check a caller could forge a history that no engine produced.
-    let (seal, content) = bytes.split_at(SEAL_BYTES);
+    let (seal, content) = bytes.split_at(MAC_BYTES);
     mac(secret, content).verify_slice(seal).map_err(|_| TailError::Forged)?;
     let tail: Tail = serde_json::from_slice(content).map_err(|_| TailError::Forged)?;
 
@@ -124,10 +124,10 @@
     for (offset, turn) in tail.turns.into_iter().enumerate() {
         let number = tail.base + offset as u32 + 1;
 
-        if plan.settles == Some(number) {
+        if plan.resolves == Some(number) {
             program.pop_unknown();
             program.append(turn.call, turn.outcome);
-            adopted.settled = true;
+            adopted.outcome_found = true;
         } else if number > program.head() {
             adopted.appended.push(program.append(turn.call, turn.outcome));
         }
@@ -137,23 +137,23 @@
 }
 
 /// How a tail is applied to a program.
-struct Plan {
+struct AdoptionPlan {
     /// The call with an unknown outcome that the tail resolves.
-    settles: Option<u32>,
+    resolves: Option<u32>,
 }
 
 /// Checks that a tail matches the program's history, and returns how to apply it.
-fn plan(program: &Program, tail: &Tail) -> Result<Plan, TailError> {
+fn plan(program: &Program, tail: &Tail) -> Result<AdoptionPlan, TailError> {
     if program.hash_at(tail.base) != Some(tail.base_hash) {
         return Err(TailError::Diverged);
     }
 
     let mut hash = tail.base_hash;
-    let mut settles = None;
+    let mut resolves = None;
 
     for (offset, turn) in tail.turns.iter().enumerate() {
         let number = tail.base + offset as u32 + 1;
-        hash = chain(&hash, &turn.call, &turn.outcome);
+        hash = chain_hash(&hash, &turn.call, &turn.outcome);
 
         // The rest of the tail is new to this host.
         let Some(known) = program.calls.get(number as usize - 1) else { break };
@@ -166,20 +166,20 @@
         // outcome. The authentication code proves that the outcome is genuine.
         let lost = program.open_intent.is_some() && number == program.head();
 
-        if !(lost && known.call == turn.call && known.outcome == Recorded::Unknown) {
+        if !(lost && known.call == turn.call && known.outcome == RecordedOutcome::Unknown) {
             return Err(TailError::Diverged);
         }
 
-        settles = Some(number);
+        resolves = Some(number);
     }
 
-    Ok(Plan { settles })
+    Ok(AdoptionPlan { resolves })
 }
 
 /// Returns a message authentication code that has processed the content.
 fn mac(secret: &[u8; 32], content: &[u8]) -> Hmac<Sha256> {
     let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("any key length will do");
-    mac.update(PURPOSE);
+    mac.update(MAC_DOMAIN);
     mac.update(content);
 
     mac
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -7,21 +7,22 @@
 use camphorwalk_policy::wire::AttemptEnd;
 
 use crate::fixture::{
-    BUDGET, Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, lost, open_child,
+    BUDGET, HomeHost, Mode, PARTITION, PROGRAM, Platform, call, call_request, connection_lost,
+    open_child,
 };
 
 /// Returns the tokens that a program may still spend.
-fn left(home: &mut Home, platform: &mut Platform, program: ProgramId) -> u64 {
-    let ticket = home.ask(platform, Request::View { program });
+fn left(home: &mut HomeHost, platform: &mut Platform, program: ProgramId) -> u64 {
+    let ticket = home.send(platform, Request::View { program });
 
     match home.reply(ticket) {
         Reply::View(view) => view.budget_left_tokens.0,
-        reply => panic!("the view was answered {reply:?}"),
+        reply => panic!("expected a view, got {reply:?}"),
     }
 }
 
 /// Returns the end of a turn that used this many tokens.
-fn took(prompt: u64, output: u64) -> AttemptEnd {
+fn used(prompt: u64, output: u64) -> AttemptEnd {
     let usage = Usage {
         prompt_tokens: Tokens(prompt),
         cached_tokens: Tokens(0),
@@ -32,13 +33,13 @@
 }
 
 #[test]
-fn a_turn_is_settled_with_what_it_took() {
+fn a_finished_turn_is_charged_its_actual_usage() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    home.ask(platform, call("model", "k1", 0));
+    home.send(platform, call("model", "k1", 0));
     let reserved = left(&mut home, platform, PROGRAM);
-    home.finish(platform, took(3, 20));
+    home.end_attempt(platform, used(3, 20));
 
     assert_eq!(reserved, BUDGET - 2 - 100);
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 23);
@@ -46,19 +47,19 @@
 
 /// Runs turns that use all their reserved tokens until one is refused. Returns the refusal, the
 /// number of turns that ran and the tokens they used.
-fn turns_until_refused(home: &mut Home, platform: &mut Platform) -> (Refusal, u32, u64) {
+fn turns_until_refused(home: &mut HomeHost, platform: &mut Platform) -> (Refusal, u32, u64) {
     let (mut ran, mut spent) = (0, 0);
 
     loop {
-        let ticket = home.ask(platform, call("model", &format!("k{ran}"), ran));
+        let ticket = home.send(platform, call("model", &format!("k{ran}"), ran));
 
-        if home.sent.len() as u32 == ran {
+        if home.dispatches.len() as u32 == ran {
             return (home.refusal(ticket), ran, spent);
         }
 
-        let place = home.placed.last().expect("a place was asked for");
+        let place = home.placed.last().expect("the call must have requested a place");
         spent += place.prompt.0 + place.output.0;
-        home.finish(platform, took(place.prompt.0, place.output.0));
+        home.end_attempt(platform, used(place.prompt.0, place.output.0));
         ran += 1;
     }
 }
@@ -68,7 +69,7 @@
 #[test]
 fn a_turn_that_could_pass_the_budget_is_refused() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     let (refusal, _, spent) = turns_until_refused(&mut home, platform);
 
@@ -80,10 +81,10 @@
 #[test]
 fn a_lost_attempt_counts_as_spent() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, AttemptEnd::Lost { streamed: true, crashed: false });
 
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 102);
 }
@@ -92,13 +93,13 @@
 #[test]
 fn sub_agents_spend_their_parents_budget() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
     let child = ProgramId(8);
-    home.ask(platform, open_child(child, PROGRAM));
+    home.send(platform, open_child(child, PROGRAM));
 
     let turn = CallRequest { program: child, ..call_request("model", "k1", 0) };
-    home.ask(platform, Request::Call(turn));
-    home.finish(platform, took(3, 20));
+    home.send(platform, Request::Call(turn));
+    home.end_attempt(platform, used(3, 20));
 
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 23);
     assert_eq!(left(&mut home, platform, child), BUDGET - 23);
@@ -108,14 +109,14 @@
 /// must count the whole grant as spent, or the family could exceed its budget. This costs at
 /// most one chunk.
 #[test]
-fn the_next_home_takes_the_grant_for_spent() {
+fn the_next_home_counts_the_whole_grant_as_spent() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    old.ask(platform, call("model", "k1", 0));
-    old.finish(platform, took(3, 20));
-    old.ask(platform, call("model", "k2", 1));
+    let mut old = HomeHost::with_program(platform, 1);
+    old.send(platform, call("model", "k1", 0));
+    old.end_attempt(platform, used(3, 20));
+    old.send(platform, call("model", "k2", 1));
 
-    let mut new = Home::new(platform, 2);
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - 23 - BUDGET / 8);
 }
@@ -123,10 +124,10 @@
 /// While the platform is unavailable turns continue only within the durable grant. Anything
 /// spent beyond it would be unknown to the next home host.
 #[test]
-fn turns_stop_at_the_grant_while_the_platform_is_away() {
+fn turns_stop_at_the_grant_while_the_platform_is_unavailable() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    platform.mode = Mode::Away;
+    let mut home = HomeHost::with_program(platform, 1);
+    platform.mode = Mode::Unavailable;
 
     let (refusal, ran, spent) = turns_until_refused(&mut home, platform);
 
@@ -136,29 +137,29 @@
 }
 
 #[test]
-fn a_program_has_a_limit_of_calls() {
+fn the_number_of_calls_of_a_program_is_limited() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     for number in 0..40 {
-        home.run(platform, call("look", &format!("k{number}"), number), "\"seen\"");
+        home.run_call(platform, call("look", &format!("k{number}"), number), "\"seen\"");
     }
 
-    let refused = home.ask(platform, call("look", "k40", 40));
+    let refused = home.send(platform, call("look", "k40", 40));
     assert_eq!(home.refusal(refused).code, Code::BudgetExhausted);
 }
 
 /// Every retry reserves tokens like a first attempt. Otherwise a turn that keeps failing could
 /// exceed the budget.
 #[test]
-fn each_retry_is_paid_for() {
+fn each_retry_reserves_tokens() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, lost(false));
+    home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, connection_lost(false));
 
-    assert_eq!(home.sent.len(), 2);
+    assert_eq!(home.dispatches.len(), 2);
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 2 * 102);
 }
 
@@ -168,21 +169,21 @@
 #[test]
 fn a_planned_change_of_home_costs_nothing() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    old.ask(platform, call("model", "k1", 0));
-    old.finish(platform, took(3, 20));
+    let mut old = HomeHost::with_program(platform, 1);
+    old.send(platform, call("model", "k1", 0));
+    old.end_attempt(platform, used(3, 20));
 
     platform.mode = Mode::Hang;
-    old.event(platform, ProgramEvent::Settle { partition: PARTITION });
-    old.pass(platform, 100);
+    old.process(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.advance(platform, 100);
     let busy = old.programs.busy_partitions().len();
-    platform.mode = Mode::Up;
+    platform.mode = Mode::Normal;
     old.release(platform);
-    old.ask(platform, call("model", "k2", 1));
-    old.finish(platform, took(30, 20));
-    old.pass(platform, 100);
+    old.send(platform, call("model", "k2", 1));
+    old.end_attempt(platform, used(30, 20));
+    old.advance(platform, 100);
     let idle = old.programs.busy_partitions().len();
-    let mut new = Home::new(platform, 2);
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!((busy, idle), (1, 0));
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - 23 - 50);
@@ -191,14 +192,14 @@
 /// A running turn may continue after the partition was released, so its grant must not be
 /// journaled as free; the next home host counts it as spent.
 #[test]
-fn a_running_turn_is_not_settled() {
+fn the_grant_of_a_running_turn_is_not_released() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    old.ask(platform, call("model", "k1", 0));
+    let mut old = HomeHost::with_program(platform, 1);
+    old.send(platform, call("model", "k1", 0));
 
-    old.event(platform, ProgramEvent::Settle { partition: PARTITION });
-    old.pass(platform, 100);
-    let mut new = Home::new(platform, 2);
+    old.process(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.advance(platform, 100);
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - BUDGET / 8);
 }
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -5,24 +5,24 @@
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::wire::AttemptEnd;
 
-use crate::fixture::{Home, PROGRAM, Platform, call, done};
+use crate::fixture::{HomeHost, PROGRAM, Platform, call, done};
 
 /// When the only caller of a model turn disconnects, the attempt is cancelled and the program
 /// accepts the next call.
 #[test]
 fn a_turn_that_nobody_waits_for_is_cancelled() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let ticket = home.ask(platform, call("model", "k1", 0));
+    let mut home = HomeHost::with_program(platform, 1);
+    let ticket = home.send(platform, call("model", "k1", 0));
 
-    home.event(platform, ProgramEvent::CallerGone { ticket });
+    home.process(platform, ProgramEvent::CallerGone { ticket });
     let cancelled = home.cancelled;
-    home.finish(platform, AttemptEnd::Cancelled);
-    let next = home.run(platform, call("model", "k2", 0), "\"text\"");
+    home.end_attempt(platform, AttemptEnd::Cancelled);
+    let next = home.run_call(platform, call("model", "k2", 0), "\"text\"");
 
     assert_eq!(cancelled, 1);
     assert_eq!(next.call, 1);
-    assert_eq!(home.vacated.len(), 2);
+    assert_eq!(home.released.len(), 2);
 }
 
 /// When the only caller of a deposit disconnects, the deposit still runs to its end, and its
@@ -30,12 +30,12 @@
 #[test]
 fn a_deposit_that_nobody_waits_for_is_recorded() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let ticket = home.ask(platform, call("deposit", "k1", 0));
+    let mut home = HomeHost::with_program(platform, 1);
+    let ticket = home.send(platform, call("deposit", "k1", 0));
 
-    home.event(platform, ProgramEvent::CallerGone { ticket });
-    home.finish(platform, done("\"paid\""));
-    let outcome = home.ask(platform, Request::Outcome { program: PROGRAM, key: "k1".into() });
+    home.process(platform, ProgramEvent::CallerGone { ticket });
+    home.end_attempt(platform, done("\"paid\""));
+    let outcome = home.send(platform, Request::Outcome { program: PROGRAM, key: "k1".into() });
 
     assert_eq!(home.cancelled, 0);
     assert!(matches!(home.reply(outcome), Reply::Outcome(CallOutcome::Done(_))));
@@ -46,14 +46,14 @@
 #[test]
 fn a_withdrawn_key_ends_its_turns() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let running = home.ask_as(platform, ("inkwick", 5), call("model", "k1", 0));
+    let mut home = HomeHost::with_program(platform, 1);
+    let running = home.send_as(platform, ("inkwick", 5), call("model", "k1", 0));
 
-    home.event(platform, ProgramEvent::KeyWithdrawn(KeyId(5)));
-    home.finish(platform, AttemptEnd::Cancelled);
+    home.process(platform, ProgramEvent::KeyWithdrawn(KeyId(5)));
+    home.end_attempt(platform, AttemptEnd::Cancelled);
     home.hold_places = true;
-    let waiting = home.ask_as(platform, ("inkwick", 6), call("model", "k2", 0));
-    home.event(platform, ProgramEvent::KeyWithdrawn(KeyId(6)));
+    let waiting = home.send_as(platform, ("inkwick", 6), call("model", "k2", 0));
+    home.process(platform, ProgramEvent::KeyWithdrawn(KeyId(6)));
 
     assert_eq!(home.cancelled, 1);
     let (running, waiting) = (home.refusal(running), home.refusal(waiting));
@@ -64,15 +64,15 @@
 /// Withdrawing an API key refuses its caller at once, but a deposit runs to its end and is
 /// recorded. A caller that joined with another key still gets the answer.
 #[test]
-fn a_withdrawn_key_leaves_others_their_answer() {
+fn a_withdrawn_key_does_not_affect_other_callers() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let first = home.ask_as(platform, ("inkwick", 5), call("deposit", "k1", 0));
-    let joined = home.ask_as(platform, ("inkwick", 6), call("deposit", "k1", 0));
+    let mut home = HomeHost::with_program(platform, 1);
+    let first = home.send_as(platform, ("inkwick", 5), call("deposit", "k1", 0));
+    let joined = home.send_as(platform, ("inkwick", 6), call("deposit", "k1", 0));
 
-    home.event(platform, ProgramEvent::KeyWithdrawn(KeyId(5)));
+    home.process(platform, ProgramEvent::KeyWithdrawn(KeyId(5)));
     let refusal = home.refusal(first);
-    home.finish(platform, done("\"paid\""));
+    home.end_attempt(platform, done("\"paid\""));
 
     assert_eq!((refusal.code, refusal.ran), (Code::Unauthorized, Ran::Maybe));
     assert_eq!(home.called(joined).call, 1);
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -57,7 +57,7 @@
         "tenants": [tenant("inkwick", BUDGET), tenant("inzira", SMALL_BUDGET)],
     });
 
-    Arc::new(serde_json::from_value(cfg).expect("the configuration is well formed"))
+    Arc::new(serde_json::from_value(cfg).expect("the test configuration must be valid"))
 }
 
 /// Returns the id of a tenant.
@@ -69,14 +69,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Operations succeed.
-    Up,
+    Normal,
     /// Operations are rejected without effect.
-    Away,
+    Unavailable,
     /// Transactions take effect, but their answers are lost.
-    AnswersLost,
+    DropAnswers,
     /// Transactions are lost, and the caller cannot tell.
-    RequestsLost,
-    /// Operations neither take effect nor return until [`Home::release`].
+    DropRequests,
+    /// Operations neither take effect nor return until [`HomeHost::release`].
     Hang,
 }
 
@@ -87,7 +87,7 @@
     pub objects: BTreeMap<ObjectName, Box<[u8]>>,
     pub version: u64,
     pub mode: Mode,
-    /// Whether writes of objects hang until [`Home::release`].
+    /// Whether writes of objects hang until [`HomeHost::release`].
     pub hold_objects: bool,
 }
 
@@ -97,7 +97,7 @@
             rows: BTreeMap::new(),
             objects: BTreeMap::new(),
             version: 0,
-            mode: Mode::Up,
+            mode: Mode::Normal,
             hold_objects: false,
         }
     }
@@ -116,15 +116,15 @@
         match (self.mode, op) {
             (Mode::Hang, _) => None,
             (_, PlatformOp::PutObject(_)) if self.hold_objects => None,
-            (Mode::Away, _) => Some(PlatformReply::Unavailable),
-            (Mode::AnswersLost, PlatformOp::Commit(tx)) => {
+            (Mode::Unavailable, _) => Some(PlatformReply::Unavailable),
+            (Mode::DropAnswers, PlatformOp::Commit(tx)) => {
                 self.commit(tx);
                 Some(PlatformReply::Unknown)
             }
-            (Mode::RequestsLost, PlatformOp::Commit(_)) => Some(PlatformReply::Unknown),
+            (Mode::DropRequests, PlatformOp::Commit(_)) => Some(PlatformReply::Unknown),
             (_, PlatformOp::Commit(tx)) => Some(self.commit(tx)),
             (_, PlatformOp::Snapshot { .. } | PlatformOp::Changes { .. }) => {
-                unreachable!("a home never asks for changes")
+                unreachable!("programs never issue these operations")
             }
             (_, PlatformOp::Scan { table, prefix, after, limit }) => {
                 Some(self.scan(table, prefix, after, *limit))
@@ -185,17 +185,17 @@
 /// A host under test. Rate checks and requests for places succeed unless a test holds them
 /// back.
 #[derive(Debug)]
-pub struct Home {
+pub struct HomeHost {
     pub programs: Programs,
     pub now: Instant,
     pub answers: Vec<(Ticket, Reply)>,
-    pub sent: Vec<Dispatch>,
+    pub dispatches: Vec<Dispatch>,
     pub cancelled: usize,
-    pub over: Vec<ProgramId>,
+    pub ended: Vec<ProgramId>,
     pub quarantined: Vec<[u8; 32]>,
     pub fenced: usize,
     pub placed: Vec<PlaceRequest>,
-    pub vacated: Vec<CallId>,
+    pub released: Vec<CallId>,
     pub hanging: Vec<(ProgramOp, PlatformOp)>,
     /// All operations sent to the platform.
     pub requests: Vec<PlatformOp>,
@@ -207,7 +207,7 @@
     tickets: u64,
 }
 
-impl Home {
+impl HomeHost {
     /// Creates a host that holds the partition and has read its journal.
     pub fn new(platform: &mut Platform, session: u64) -> Self {
         let host = HostId(session);
@@ -221,13 +221,13 @@
             programs: Programs::new(options),
             now: Instant::from_millis(1_000),
             answers: Vec::new(),
-            sent: Vec::new(),
+            dispatches: Vec::new(),
             cancelled: 0,
-            over: Vec::new(),
+            ended: Vec::new(),
             quarantined: Vec::new(),
             fenced: 0,
             placed: Vec::new(),
-            vacated: Vec::new(),
+            released: Vec::new(),
             hanging: Vec::new(),
             requests: Vec::new(),
             hold_places: false,
@@ -236,7 +236,7 @@
             tickets: 0,
         };
 
-        home.event(platform, ProgramEvent::Config(config()));
+        home.process(platform, ProgramEvent::Config(config()));
         home.acquire(platform);
         home
     }
@@ -244,7 +244,7 @@
     /// Creates a host that holds the partition, with `PROGRAM` open.
     pub fn with_program(platform: &mut Platform, session: u64) -> Self {
         let mut home = Self::new(platform, session);
-        home.ask(platform, open(PROGRAM));
+        home.send(platform, open(PROGRAM));
 
         home
     }
@@ -252,29 +252,29 @@
     /// Takes over the partition's lease.
     pub fn acquire(&mut self, platform: &mut Platform) {
         self.lease = platform.take_lease(PARTITION);
-        self.regain(platform);
+        self.reacquire(platform);
     }
 
     /// Reports the lease as acquired again, with the same epoch and version.
-    pub fn regain(&mut self, platform: &mut Platform) {
+    pub fn reacquire(&mut self, platform: &mut Platform) {
         let (epoch, lease) = self.lease;
-        self.event(platform, ProgramEvent::Acquired { partition: PARTITION, epoch, lease });
+        self.process(platform, ProgramEvent::Acquired { partition: PARTITION, epoch, lease });
     }
 
     /// Processes an event and all events that follow from it immediately.
-    pub fn event(&mut self, platform: &mut Platform, event: ProgramEvent) {
+    pub fn process(&mut self, platform: &mut Platform, event: ProgramEvent) {
         let mut events = vec![event];
 
         while let Some(event) = events.pop() {
             let mut out = Vec::new();
             self.programs.step(self.now, event, &mut out);
             let new: Vec<_> =
-                out.into_iter().filter_map(|next| self.next(platform, next)).collect();
+                out.into_iter().filter_map(|next| self.execute(platform, next)).collect();
             events.extend(new.into_iter().rev());
         }
     }
 
-    fn next(&mut self, platform: &mut Platform, next: ProgramNext) -> Option<ProgramEvent> {
+    fn execute(&mut self, platform: &mut Platform, next: ProgramNext) -> Option<ProgramEvent> {
         match next {
             ProgramNext::Answer { ticket, reply } => self.answers.push((ticket, reply)),
             ProgramNext::Admit { call, .. } if !self.hold_places => {
@@ -293,12 +293,12 @@
                     None => self.hanging.push((op, request)),
                 }
             }
-            ProgramNext::Dispatch(dispatch) => self.sent.push(dispatch),
+            ProgramNext::Dispatch(dispatch) => self.dispatches.push(dispatch),
             ProgramNext::Cancel { .. } => self.cancelled += 1,
-            ProgramNext::Over { program } => self.over.push(program),
+            ProgramNext::Over { program } => self.ended.push(program),
             ProgramNext::Quarantine { digest } => self.quarantined.push(digest),
             ProgramNext::Fenced { .. } => self.fenced += 1,
-            ProgramNext::Vacate { call, .. } => self.vacated.push(call),
+            ProgramNext::Vacate { call, .. } => self.released.push(call),
             ProgramNext::Admit { .. } => {}
         }
 
@@ -308,25 +308,27 @@
     /// Runs the platform operations that hang and delivers their replies.
     pub fn release(&mut self, platform: &mut Platform) {
         for (op, request) in std::mem::take(&mut self.hanging) {
-            let reply = platform.run(&request).expect("the platform answers");
-            self.event(platform, ProgramEvent::Platform { op, reply });
+            let reply = platform
+                .run(&request)
+                .expect("the platform must not hang when its operations are released");
+            self.process(platform, ProgramEvent::Platform { op, reply });
         }
     }
 
     /// Advances the time and fires all timers that become due.
-    pub fn pass(&mut self, platform: &mut Platform, millis: u64) {
+    pub fn advance(&mut self, platform: &mut Platform, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
 
         while let Some(at) = self.programs.wake_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.event(platform, ProgramEvent::Wake);
+            self.process(platform, ProgramEvent::Wake);
         }
 
         self.now = until;
     }
 
     /// Sends a request with a tenant and API key, and returns its ticket.
-    pub fn ask_as(
+    pub fn send_as(
         &mut self,
         platform: &mut Platform,
         who: (&str, u64),
@@ -335,28 +337,28 @@
         self.tickets += 1;
         let ticket = Ticket { entry: self.host, request: RequestId(self.tickets) };
         let (tenant, key) = (tenant(who.0), KeyId(who.1));
-        self.event(platform, ProgramEvent::Request { ticket, tenant, key, request });
-        self.pass(platform, 10);
+        self.process(platform, ProgramEvent::Request { ticket, tenant, key, request });
+        self.advance(platform, 10);
 
         ticket
     }
 
     /// Sends a request of tenant `inkwick` and returns its ticket.
-    pub fn ask(&mut self, platform: &mut Platform, request: Request) -> Ticket {
-        self.ask_as(platform, ("inkwick", 1), request)
+    pub fn send(&mut self, platform: &mut Platform, request: Request) -> Ticket {
+        self.send_as(platform, ("inkwick", 1), request)
     }
 
     /// Ends the most recent attempt.
-    pub fn finish(&mut self, platform: &mut Platform, end: AttemptEnd) {
-        let attempt = self.sent.last().expect("an attempt was sent").attempt;
-        self.event(platform, ProgramEvent::Ended { attempt, end });
-        self.pass(platform, 10);
+    pub fn end_attempt(&mut self, platform: &mut Platform, end: AttemptEnd) {
+        let attempt = self.dispatches.last().expect("an attempt was sent").attempt;
+        self.process(platform, ProgramEvent::Ended { attempt, end });
+        self.advance(platform, 10);
     }
 
     /// Runs a call to its end; the target answers with `output`.
-    pub fn run(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
-        let ticket = self.ask(platform, request);
-        self.finish(platform, done(output));
+    pub fn run_call(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
+        let ticket = self.send(platform, request);
+        self.end_attempt(platform, done(output));
 
         self.called(ticket)
     }
@@ -374,7 +376,7 @@
     pub fn refusal(&self, ticket: Ticket) -> Refusal {
         match self.reply(ticket) {
             Reply::Refused(refusal) => refusal.clone(),
-            reply => panic!("the request was answered {reply:?}"),
+            reply => panic!("expected a refusal, got {reply:?}"),
         }
     }
 
@@ -382,17 +384,17 @@
     pub fn called(&self, ticket: Ticket) -> Called {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
-            reply => panic!("the call was answered {reply:?}"),
+            reply => panic!("expected the result of a call, got {reply:?}"),
         }
     }
 
     /// Returns the finished calls of `PROGRAM`.
     pub fn history(&mut self, platform: &mut Platform) -> Vec<HistoryCall> {
-        let ticket = self.ask(platform, Request::History { program: PROGRAM, from: 1 });
+        let ticket = self.send(platform, Request::History { program: PROGRAM, from: 1 });
 
         match self.reply(ticket) {
             Reply::History { calls } => calls.clone(),
-            reply => panic!("the history was answered {reply:?}"),
+            reply => panic!("expected a history, got {reply:?}"),
         }
     }
 }
@@ -442,12 +444,12 @@
 
 /// Returns a request that opens a sub-agent.
 pub fn open_child(child: ProgramId, parent: ProgramId) -> Request {
-    let Request::Open(request) = open(child) else { unreachable!("it is an opening") };
+    let Request::Open(request) = open(child) else { unreachable!("open() returns an opening") };
 
     Request::Open(OpenRequest { parent: Some(parent), ..request })
 }
 
 /// Returns the end of an attempt whose connection broke, with or without a crash of its target.
-pub fn lost(crashed: bool) -> AttemptEnd {
+pub fn connection_lost(crashed: bool) -> AttemptEnd {
     AttemptEnd::Lost { streamed: false, crashed }
 }
--- a/crates/policy/tests/programs_home/fuzz.rs
+++ b/crates/policy/tests/programs_home/fuzz.rs
@@ -10,8 +10,8 @@
 
 use crate::fixture::Mode;
 use crate::oracle;
-use crate::targets::Fate;
-use crate::world::{HOSTS, PROGRAMS, Weather, World};
+use crate::targets::SimulatedOutcome;
+use crate::world::{HOSTS, PROGRAMS, PlatformMode, World};
 
 /// The default number of cases.
 const CASES: u32 = 600;
@@ -34,8 +34,8 @@
         lag: u32,
         with_tail: bool,
     },
-    HangUp(usize),
-    Withdraw {
+    Disconnect(usize),
+    WithdrawKey {
         host: usize,
         key: u64,
     },
@@ -44,10 +44,10 @@
         count: usize,
     },
     RunAll,
-    Pass(u64),
-    Reach {
+    AdvanceTime(u64),
+    EndAttempt {
         index: usize,
-        fate: Fate,
+        outcome: SimulatedOutcome,
     },
     TakeOver {
         host: usize,
@@ -57,16 +57,16 @@
         host: usize,
         partition: u16,
     },
-    Regain(u16),
-    Settle(u16),
-    Die(usize),
+    Reacquire(u16),
+    ReleaseGrants(u16),
+    Crash(usize),
     Pause {
         host: usize,
         paused: bool,
     },
-    Weather(Weather),
-    Land,
-    Deny,
+    SetPlatformMode(PlatformMode),
+    ApplyLateCommit,
+    DenyNext,
 }
 
 /// Generates actions independently of the state under test.
@@ -82,20 +82,20 @@
 
     fn transitions(_: &()) -> BoxedStrategy<Action> {
         let host = 0..HOSTS;
-        let fate = prop_oneof![
-            12 => Just(Fate::Done),
-            1 => Just(Fate::Failed),
-            2 => Just(Fate::Lost),
-            1 => Just(Fate::Crashed),
-            1 => Just(Fate::NotSent),
-            1 => Just(Fate::Refused),
+        let outcome = prop_oneof![
+            12 => Just(SimulatedOutcome::Done),
+            1 => Just(SimulatedOutcome::Failed),
+            2 => Just(SimulatedOutcome::Lost),
+            1 => Just(SimulatedOutcome::Crashed),
+            1 => Just(SimulatedOutcome::NotSent),
+            1 => Just(SimulatedOutcome::Refused),
         ];
-        let weather = prop_oneof![
-            8 => Just(Weather::Mode(Mode::Up)),
-            1 => Just(Weather::Mode(Mode::Away)),
-            1 => Just(Weather::Mode(Mode::AnswersLost)),
-            1 => Just(Weather::Mode(Mode::RequestsLost)),
-            1 => Just(Weather::Late),
+        let platform_mode = prop_oneof![
+            8 => Just(PlatformMode::Mode(Mode::Normal)),
+            1 => Just(PlatformMode::Mode(Mode::Unavailable)),
+            1 => Just(PlatformMode::Mode(Mode::DropAnswers)),
+            1 => Just(PlatformMode::Mode(Mode::DropRequests)),
+            1 => Just(PlatformMode::Late),
         ];
 
         let call = (
@@ -111,24 +111,24 @@
             20 => call.prop_map(|(host, program, key, lag, with_tail)| {
                 Action::Call { host, program, key, lag, with_tail }
             }),
-            1 => (0..8usize).prop_map(Action::HangUp),
-            1 => (host.clone(), 0..4u64).prop_map(|(host, key)| Action::Withdraw { host, key }),
+            1 => (0..8usize).prop_map(Action::Disconnect),
+            1 => (host.clone(), 0..4u64).prop_map(|(host, key)| Action::WithdrawKey { host, key }),
             8 => (host.clone(), 1..6usize).prop_map(|(host, count)| Action::Run { host, count }),
             40 => Just(Action::RunAll),
-            8 => prop_oneof![Just(10u64), Just(60), Just(300), Just(1_500)].prop_map(Action::Pass),
-            30 => (0..4usize, fate).prop_map(|(index, fate)| Action::Reach { index, fate }),
+            8 => prop_oneof![Just(10u64), Just(60), Just(300), Just(1_500)].prop_map(Action::AdvanceTime),
+            30 => (0..4usize, outcome).prop_map(|(index, outcome)| Action::EndAttempt { index, outcome }),
             3 => (host.clone(), 0..2u16)
                 .prop_map(|(host, partition)| Action::TakeOver { host, partition }),
             1 => (host.clone(), 0..2u16)
                 .prop_map(|(host, partition)| Action::Expire { host, partition }),
-            2 => (0..2u16).prop_map(Action::Regain),
-            2 => (0..2u16).prop_map(Action::Settle),
-            1 => host.clone().prop_map(Action::Die),
+            2 => (0..2u16).prop_map(Action::Reacquire),
+            2 => (0..2u16).prop_map(Action::ReleaseGrants),
+            1 => host.clone().prop_map(Action::Crash),
             3 => (host, prop::bool::weighted(0.2))
                 .prop_map(|(host, paused)| Action::Pause { host, paused }),
-            4 => weather.prop_map(Action::Weather),
-            2 => Just(Action::Land),
-            1 => Just(Action::Deny),
+            4 => platform_mode.prop_map(Action::SetPlatformMode),
+            2 => Just(Action::ApplyLateCommit),
+            1 => Just(Action::DenyNext),
         ]
         .boxed()
     }
@@ -163,21 +163,21 @@
                 let host = host.unwrap_or(world.holder(program));
                 world.call(host, program, key, lag, with_tail);
             }
-            Action::HangUp(index) => world.hang_up(index),
-            Action::Withdraw { host, key } => world.withdraw(host, key),
+            Action::Disconnect(index) => world.disconnect_caller(index),
+            Action::WithdrawKey { host, key } => world.withdraw_key(host, key),
             Action::Run { host, count } => world.run(host, count),
             Action::RunAll => (0..HOSTS).for_each(|host| world.run(host, usize::MAX)),
-            Action::Pass(millis) => world.pass(millis),
-            Action::Reach { index, fate } => world.reach(index, fate),
+            Action::AdvanceTime(millis) => world.advance(millis),
+            Action::EndAttempt { index, outcome } => world.end_attempt(index, outcome),
             Action::TakeOver { host, partition } => world.take_over(host, partition),
             Action::Expire { host, partition } => world.expire(host, partition),
-            Action::Settle(partition) => world.settle_grants(partition),
-            Action::Regain(partition) => world.regain(partition),
-            Action::Die(host) => world.die(host),
+            Action::ReleaseGrants(partition) => world.release_grants(partition),
+            Action::Reacquire(partition) => world.reacquire(partition),
+            Action::Crash(host) => world.crash(host),
             Action::Pause { host, paused } => world.pause(host, paused),
-            Action::Weather(weather) => world.set_weather(weather),
-            Action::Land => world.land(),
-            Action::Deny => world.deny(),
+            Action::SetPlatformMode(platform_mode) => world.set_platform_mode(platform_mode),
+            Action::ApplyLateCommit => world.apply_late_commit(),
+            Action::DenyNext => world.deny_next(),
         }
 
         world
@@ -188,7 +188,7 @@
     }
 
     fn teardown(mut world: World) {
-        let histories = world.settle();
+        let histories = world.finish();
 
         oracle::check(&world);
         world.check_answers();
