--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -5,21 +5,23 @@
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::wire::AttemptEnd;
 
-use crate::fixture::{Home, Mode, PARTITION, Platform, call, call_with_tail, done, lost};
+use crate::fixture::{
+    HomeHost, Mode, PARTITION, Platform, call, call_with_tail, connection_lost, done,
+};
 
 /// A deposit must not be sent before its intent is durable. If the host crashed in between, the
 /// next home host could not know of the deposit, and a repeat would take it twice.
 #[test]
 fn nothing_is_sent_before_the_intent_is_durable() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
     platform.mode = Mode::Hang;
 
-    let ticket = home.ask(platform, call("deposit", "k1", 0));
-    let sent_before = home.sent.len();
-    platform.mode = Mode::Up;
+    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let sent_before = home.dispatches.len();
+    platform.mode = Mode::Normal;
     home.release(platform);
-    home.finish(platform, done("\"paid\""));
+    home.end_attempt(platform, done("\"paid\""));
 
     assert_eq!(sent_before, 0);
     assert_eq!(home.called(ticket).call, 1);
@@ -30,21 +32,21 @@
 #[test]
 fn a_refused_intent_is_not_run_and_may_be_tried_again() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    platform.mode = Mode::Away;
+    let mut home = HomeHost::with_program(platform, 1);
+    platform.mode = Mode::Unavailable;
 
-    let first = home.ask(platform, call("deposit", "k1", 0));
-    let second = home.ask(platform, call("deposit", "k1", 0));
-    platform.mode = Mode::Up;
-    home.pass(platform, 5_000);
-    let third = home.run(platform, call("deposit", "k1", 0), "\"paid\"");
+    let first = home.send(platform, call("deposit", "k1", 0));
+    let second = home.send(platform, call("deposit", "k1", 0));
+    platform.mode = Mode::Normal;
+    home.advance(platform, 5_000);
+    let third = home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
 
     for ticket in [first, second] {
         let refusal = home.refusal(ticket);
         assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
         assert!(refusal.retry_after.is_some());
     }
-    assert_eq!((third.call, home.sent.len()), (1, 1));
+    assert_eq!((third.call, home.dispatches.len()), (1, 1));
 }
 
 /// The write of an intent takes effect but its answer is lost. The call is abandoned and its
@@ -54,23 +56,23 @@
 #[test]
 fn an_intent_in_doubt_is_never_sent() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    platform.mode = Mode::AnswersLost;
-
-    let ticket = home.ask(platform, call("deposit", "k1", 0));
-    let blocked = home.ask(platform, call("model", "k2", 0));
-    platform.mode = Mode::Away;
-    home.pass(platform, 1_000);
-    platform.mode = Mode::Up;
-    home.pass(platform, 5_000);
-    let settled = home.run(platform, call("model", "k2", 0), "\"text\"");
-    let mut new = Home::new(platform, 2);
-    let again = new.run(platform, call("deposit", "k1", 1), "\"paid\"");
+    let mut home = HomeHost::with_program(platform, 1);
+    platform.mode = Mode::DropAnswers;
+
+    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let blocked = home.send(platform, call("model", "k2", 0));
+    platform.mode = Mode::Unavailable;
+    home.advance(platform, 1_000);
+    platform.mode = Mode::Normal;
+    home.advance(platform, 5_000);
+    let unblocked = home.run_call(platform, call("model", "k2", 0), "\"text\"");
+    let mut new = HomeHost::new(platform, 2);
+    let again = new.run_call(platform, call("deposit", "k1", 1), "\"paid\"");
 
     assert_eq!(home.refusal(ticket).ran, Ran::No);
     assert_eq!(home.refusal(blocked).code, Code::PlatformUnavailable);
-    assert_eq!((settled.stored, home.fenced), (true, 0));
-    assert_eq!((home.sent.len(), new.sent.len()), (1, 1));
+    assert_eq!((unblocked.stored, home.fenced), (true, 0));
+    assert_eq!((home.dispatches.len(), new.dispatches.len()), (1, 1));
     assert_eq!(again.call, 2);
 }
 
@@ -79,17 +81,17 @@
 #[test]
 fn an_intent_without_outcome_is_not_repeated_by_the_next_home() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    old.ask(platform, call("deposit", "k1", 0));
+    let mut old = HomeHost::with_program(platform, 1);
+    old.send(platform, call("deposit", "k1", 0));
 
-    let mut new = Home::new(platform, 2);
-    let repeat = new.ask(platform, call("deposit", "k1", 0));
-    let next = new.run(platform, call("model", "k2", 1), "\"text\"");
+    let mut new = HomeHost::new(platform, 2);
+    let repeat = new.send(platform, call("deposit", "k1", 0));
+    let next = new.run_call(platform, call("model", "k2", 1), "\"text\"");
 
     let refusal = new.refusal(repeat);
     assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
     assert_eq!(next.call, 2);
-    assert_eq!((old.sent.len(), new.sent.len()), (1, 1));
+    assert_eq!((old.dispatches.len(), new.dispatches.len()), (1, 1));
 }
 
 /// A fenced host still passes on a complete answer. It cannot store the outcome, but the answer
@@ -97,21 +99,21 @@
 #[test]
 fn a_fenced_home_passes_the_answer_on_with_a_tail() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    let ticket = old.ask(platform, call("deposit", "k1", 0));
-    let mut new = Home::new(platform, 2);
+    let mut old = HomeHost::with_program(platform, 1);
+    let ticket = old.send(platform, call("deposit", "k1", 0));
+    let mut new = HomeHost::new(platform, 2);
 
-    old.finish(platform, done("\"paid\""));
-    old.pass(platform, 1_000);
+    old.end_attempt(platform, done("\"paid\""));
+    old.advance(platform, 1_000);
     let answer = old.called(ticket);
     let request = call_with_tail("model", "k2", 1, answer.tail.clone());
-    new.run(platform, request, "\"text\"");
-    let settled = new.ask(platform, call("deposit", "k1", 0));
+    new.run_call(platform, request, "\"text\"");
+    let repeat = new.send(platform, call("deposit", "k1", 0));
 
     assert!(!answer.stored);
     assert_eq!(old.fenced, 1);
-    assert_eq!(&*new.called(settled).output, "\"paid\"");
-    let mut third = Home::new(platform, 3);
+    assert_eq!(&*new.called(repeat).output, "\"paid\"");
+    let mut third = HomeHost::new(platform, 3);
     assert_eq!(&*third.history(platform)[0].output, "\"paid\"");
 }
 
@@ -120,12 +122,12 @@
 #[test]
 fn a_call_that_was_not_sent_may_be_tried_again() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let first = home.ask(platform, call("deposit", "k1", 0));
-    home.finish(platform, AttemptEnd::NotSent);
-    let second = home.run(platform, call("deposit", "k1", 0), "\"paid\"");
-    let mut new = Home::new(platform, 2);
+    let first = home.send(platform, call("deposit", "k1", 0));
+    home.end_attempt(platform, AttemptEnd::NotSent);
+    let second = home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!(home.refusal(first).ran, Ran::No);
     assert_eq!(second.call, 1);
@@ -137,34 +139,34 @@
 #[test]
 fn a_lost_answer_is_never_repeated() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let first = home.ask(platform, call("deposit", "k1", 0));
-    home.finish(platform, lost(false));
-    let repeat = home.ask(platform, call("deposit", "k1", 0));
-    let mut new = Home::new(platform, 2);
-    let moved = new.ask(platform, call("deposit", "k1", 0));
+    let first = home.send(platform, call("deposit", "k1", 0));
+    home.end_attempt(platform, connection_lost(false));
+    let repeat = home.send(platform, call("deposit", "k1", 0));
+    let mut new = HomeHost::new(platform, 2);
+    let moved = new.send(platform, call("deposit", "k1", 0));
 
     for refusal in [home.refusal(first), home.refusal(repeat), new.refusal(moved)] {
         assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
     }
-    assert_eq!((home.sent.len(), new.sent.len()), (1, 0));
+    assert_eq!((home.dispatches.len(), new.dispatches.len()), (1, 0));
 }
 
 /// The platform becomes unavailable while a deposit runs. The caller still gets the answer,
 /// marked as not stored, and the outcome is journaled once the platform is available again.
 #[test]
-fn an_outcome_is_written_when_the_platform_is_back() {
+fn an_outcome_is_written_when_the_platform_is_available_again() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let ticket = home.ask(platform, call("deposit", "k1", 0));
-    platform.mode = Mode::Away;
+    let mut home = HomeHost::with_program(platform, 1);
+    let ticket = home.send(platform, call("deposit", "k1", 0));
+    platform.mode = Mode::Unavailable;
 
-    home.finish(platform, done("\"paid\""));
+    home.end_attempt(platform, done("\"paid\""));
     let answer = home.called(ticket);
-    platform.mode = Mode::Up;
-    home.pass(platform, 5_000);
-    let mut new = Home::new(platform, 2);
+    platform.mode = Mode::Normal;
+    home.advance(platform, 5_000);
+    let mut new = HomeHost::new(platform, 2);
 
     assert!(!answer.stored);
     assert_eq!(&*new.history(platform)[0].output, "\"paid\"");
@@ -173,38 +175,38 @@
 /// The partition is lost while the write of an intent hangs. The caller is told "not run", so
 /// the late reply to that write must not send the call.
 #[test]
-fn a_late_commit_after_the_partition_went_sends_nothing() {
+fn a_late_commit_after_the_partition_was_lost_sends_nothing() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
     platform.mode = Mode::Hang;
-    let ticket = home.ask(platform, call("deposit", "k1", 0));
+    let ticket = home.send(platform, call("deposit", "k1", 0));
 
-    home.event(platform, ProgramEvent::Lost { partition: PARTITION });
-    platform.mode = Mode::Up;
+    home.process(platform, ProgramEvent::Lost { partition: PARTITION });
+    platform.mode = Mode::Normal;
     home.release(platform);
 
     let refusal = home.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::No));
-    assert!(home.sent.is_empty());
-    assert_eq!(home.vacated.len(), 1);
+    assert!(home.dispatches.is_empty());
+    assert_eq!(home.released.len(), 1);
 }
 
 /// By its own clock the host loses its lease and then finds that it still holds it, while a
 /// write has an unknown outcome. If it read the journal before that write was resolved, it
 /// could miss the row, and its next write would conflict.
 #[test]
-fn a_lease_that_is_found_again_waits_for_a_write_in_doubt() {
+fn a_reacquired_lease_waits_for_a_write_in_doubt() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    home.ask(platform, call("model", "k1", 0));
-    platform.mode = Mode::RequestsLost;
-    home.finish(platform, done("\"text\""));
-
-    home.event(platform, ProgramEvent::Lost { partition: PARTITION });
-    home.regain(platform);
-    platform.mode = Mode::Up;
-    home.pass(platform, 1_000);
-    let next = home.run(platform, call("model", "k2", 1), "\"more\"");
+    let mut home = HomeHost::with_program(platform, 1);
+    home.send(platform, call("model", "k1", 0));
+    platform.mode = Mode::DropRequests;
+    home.end_attempt(platform, done("\"text\""));
+
+    home.process(platform, ProgramEvent::Lost { partition: PARTITION });
+    home.reacquire(platform);
+    platform.mode = Mode::Normal;
+    home.advance(platform, 1_000);
+    let next = home.run_call(platform, call("model", "k2", 1), "\"more\"");
 
     assert_eq!((next.call, next.stored, home.fenced), (2, true, 0));
 }
--- a/crates/policy/tests/programs_home/opening.rs
+++ b/crates/policy/tests/programs_home/opening.rs
@@ -3,20 +3,20 @@
 use camphorwalk_core::calls::{Code, Ran, Reply, Request};
 use camphorwalk_core::ids::ProgramId;
 
-use crate::fixture::{Home, Mode, PROGRAM, Platform, call, done, open, open_child};
+use crate::fixture::{HomeHost, Mode, PROGRAM, Platform, call, done, open, open_child};
 
 /// The first write of an opening is lost and the retry takes effect. The caller is told that
 /// the program may be open, and a repeat of the opening must find it.
 #[test]
 fn an_opening_in_doubt_is_found_by_a_repeat() {
     let platform = &mut Platform::new();
-    let mut home = Home::new(platform, 1);
-    platform.mode = Mode::RequestsLost;
+    let mut home = HomeHost::new(platform, 1);
+    platform.mode = Mode::DropRequests;
 
-    let first = home.ask(platform, open(PROGRAM));
-    platform.mode = Mode::Up;
-    home.pass(platform, 1_000);
-    let repeat = home.ask(platform, open(PROGRAM));
+    let first = home.send(platform, open(PROGRAM));
+    platform.mode = Mode::Normal;
+    home.advance(platform, 1_000);
+    let repeat = home.send(platform, open(PROGRAM));
 
     let refusal = home.refusal(first);
     assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn an_opening_is_refused_while_the_platform_is_away() {
+fn an_opening_is_refused_while_the_platform_is_unavailable() {
     let platform = &mut Platform::new();
-    let mut home = Home::new(platform, 1);
-    platform.mode = Mode::Away;
+    let mut home = HomeHost::new(platform, 1);
+    platform.mode = Mode::Unavailable;
 
-    let ticket = home.ask(platform, open(PROGRAM));
+    let ticket = home.send(platform, open(PROGRAM));
 
     let refusal = home.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
@@ -38,35 +38,35 @@
 }
 
 #[test]
-fn sub_agents_have_a_depth_and_end_with_their_parent() {
+fn sub_agents_have_a_depth_limit_and_end_with_their_parent() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
     let (child, grandchild) = (ProgramId(8), ProgramId(9));
 
-    let opened = home.ask(platform, open_child(child, PROGRAM));
-    let deeper = home.ask(platform, open_child(grandchild, child));
-    let end = home.ask(platform, Request::End { program: PROGRAM });
+    let opened = home.send(platform, open_child(child, PROGRAM));
+    let deeper = home.send(platform, open_child(grandchild, child));
+    let end = home.send(platform, Request::End { program: PROGRAM });
 
     assert!(matches!(home.reply(opened), Reply::Opened(_)));
     assert_eq!(home.refusal(deeper).code, Code::BadRequest);
     assert_eq!(home.reply(end), &Reply::Ended);
-    assert_eq!(home.over, [child, PROGRAM]);
+    assert_eq!(home.ended, [child, PROGRAM]);
 }
 
 /// An ended program accepts no new calls, but answers repeats, also on the next home host. A
 /// deposit that was running when the program ended is recorded.
 #[test]
-fn an_ended_program_takes_no_calls_but_answers_repeats() {
+fn an_ended_program_accepts_no_calls_but_answers_repeats() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let deposit = home.ask(platform, call("deposit", "k1", 0));
+    let mut home = HomeHost::with_program(platform, 1);
+    let deposit = home.send(platform, call("deposit", "k1", 0));
 
-    home.ask(platform, Request::End { program: PROGRAM });
-    home.finish(platform, done("\"paid\""));
-    let repeat = home.ask(platform, call("deposit", "k1", 0));
-    let mut new = Home::new(platform, 2);
-    let moved = new.ask(platform, call("deposit", "k1", 0));
-    let other = new.ask(platform, call("model", "k2", 1));
+    home.send(platform, Request::End { program: PROGRAM });
+    home.end_attempt(platform, done("\"paid\""));
+    let repeat = home.send(platform, call("deposit", "k1", 0));
+    let mut new = HomeHost::new(platform, 2);
+    let moved = new.send(platform, call("deposit", "k1", 0));
+    let other = new.send(platform, call("model", "k2", 1));
 
     assert_eq!(home.refusal(deposit).ran, Ran::Maybe);
     assert_eq!(home.called(repeat).call, 1);
@@ -80,15 +80,15 @@
 #[test]
 fn a_deadline_ends_the_program_and_a_late_answer_is_recorded() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let deposit = home.ask(platform, call("deposit", "k1", 0));
+    let mut home = HomeHost::with_program(platform, 1);
+    let deposit = home.send(platform, call("deposit", "k1", 0));
 
-    home.pass(platform, 60_000);
-    home.finish(platform, done("\"paid\""));
-    let repeat = home.ask(platform, call("deposit", "k1", 0));
-    let late = home.ask(platform, call("model", "k2", 1));
-    home.pass(platform, 130_000);
-    let forgotten = home.ask(platform, call("deposit", "k1", 0));
+    home.advance(platform, 60_000);
+    home.end_attempt(platform, done("\"paid\""));
+    let repeat = home.send(platform, call("deposit", "k1", 0));
+    let late = home.send(platform, call("model", "k2", 1));
+    home.advance(platform, 130_000);
+    let forgotten = home.send(platform, call("deposit", "k1", 0));
 
     assert_eq!(
         (home.refusal(deposit).code, home.refusal(deposit).ran),
@@ -104,18 +104,18 @@
 #[test]
 fn an_end_is_confirmed_once_it_is_durable() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    platform.mode = Mode::Away;
+    let mut home = HomeHost::with_program(platform, 1);
+    platform.mode = Mode::Unavailable;
 
-    let first = home.ask(platform, Request::End { program: PROGRAM });
-    let second = home.ask(platform, Request::End { program: PROGRAM });
-    platform.mode = Mode::Up;
-    home.pass(platform, 1_000);
-    let third = home.ask(platform, Request::End { program: PROGRAM });
+    let first = home.send(platform, Request::End { program: PROGRAM });
+    let second = home.send(platform, Request::End { program: PROGRAM });
+    platform.mode = Mode::Normal;
+    home.advance(platform, 1_000);
+    let third = home.send(platform, Request::End { program: PROGRAM });
 
     for refusal in [home.refusal(first), home.refusal(second)] {
         assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::Maybe));
     }
     assert_eq!(home.reply(third), &Reply::Ended);
-    assert_eq!(home.over, [PROGRAM]);
+    assert_eq!(home.ended, [PROGRAM]);
 }
--- a/crates/policy/tests/programs_home/oracle.rs
+++ b/crates/policy/tests/programs_home/oracle.rs
@@ -10,22 +10,25 @@
 
 /// A request that was sent by a caller.
 #[derive(Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub program: ProgramId,
     /// The idempotency key, for a call.
     pub key: Option<Box<str>>,
     pub host: usize,
     pub session: u64,
     pub reply: Option<Reply>,
-    pub gone: bool,
+    pub disconnected: bool,
 }
 
 /// Checks an answer of a host that holds the program's partition. An earlier holder that has
 /// not noticed its loss cannot know what runs on the next home host, so it is not checked.
-pub fn check_answer(ledger: &[(ProgramId, Box<str>)], sent: &Sent, reply: &Reply) {
+pub fn check_answer(ledger: &[(ProgramId, Box<str>)], sent: &SentRequest, reply: &Reply) {
     if let (Some(key), Reply::Refused(refusal)) = (&sent.key, reply) {
         let ran = ledger.contains(&(sent.program, key.clone()));
-        assert!(!ran || refusal.ran != Ran::No, "{key} ran, and {refusal:?}");
+        assert!(
+            !ran || refusal.ran != Ran::No,
+            "call {key} ran but was refused as not run: {refusal:?}"
+        );
     }
 }
 
@@ -35,18 +38,24 @@
     assert_eq!(once.len(), world.ledger.len(), "an operation ran twice: {:?}", world.ledger);
 
     for tokens in world.tokens.values() {
-        assert!(*tokens <= SMALL_BUDGET, "{tokens} tokens were spent of {SMALL_BUDGET}");
+        assert!(
+            *tokens <= SMALL_BUDGET,
+            "{tokens} tokens were spent with a budget of {SMALL_BUDGET}"
+        );
     }
 
     for run in world.ledger.iter().chain(&world.turns) {
-        assert!(!denied(world, run), "{run:?} ran, and all who asked were told it did not");
+        assert!(
+            !answered_not_run(world, run),
+            "{run:?} ran, but every request for it was answered as not run"
+        );
     }
 }
 
 /// Returns whether every request for a call was answered "not run".
-fn denied(world: &World, (program, key): &(ProgramId, Box<str>)) -> bool {
+fn answered_not_run(world: &World, (program, key): &(ProgramId, Box<str>)) -> bool {
     let mut asked = world
-        .sent
+        .requests
         .values()
         .filter(|sent| sent.program == *program && sent.key.as_ref() == Some(key));
 
@@ -58,12 +67,15 @@
 pub fn check_histories(world: &World, histories: &BTreeMap<ProgramId, Vec<HistoryCall>>) {
     for (program, calls) in histories {
         for call in calls {
-            assert!(call.input.contains(&program.to_string()), "{program} has {call:?}");
+            assert!(
+                call.input.contains(&program.to_string()),
+                "the history of {program} contains a foreign call: {call:?}"
+            );
             assert!(calls.iter().filter(|other| other.key == call.key).count() == 1);
         }
     }
 
-    for sent in world.sent.values() {
+    for sent in world.requests.values() {
         let Some(Reply::Called(called)) = &sent.reply else { continue };
 
         if called.stored {
@@ -74,6 +86,6 @@
 
     for (program, key) in &world.ledger {
         let recorded = histories[program].iter().any(|call| call.key == *key);
-        assert!(recorded, "{program} {key} ran and is not recorded");
+        assert!(recorded, "call {key} of {program} ran but is not recorded");
     }
 }
--- a/crates/policy/tests/programs_home/order.rs
+++ b/crates/policy/tests/programs_home/order.rs
@@ -3,16 +3,16 @@
 use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
 use camphorwalk_policy::programs::ProgramEvent;
 
-use crate::fixture::{Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, done};
+use crate::fixture::{HomeHost, Mode, PARTITION, PROGRAM, Platform, call, call_request, done};
 
 #[test]
 fn calls_follow_the_head() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let first = home.run(platform, call("model", "k1", 0), "\"one\"");
-    let stale = home.ask(platform, call("model", "k2", 0));
-    let second = home.run(platform, call("deposit", "k2", 1), "\"two\"");
+    let first = home.run_call(platform, call("model", "k1", 0), "\"one\"");
+    let stale = home.send(platform, call("model", "k2", 0));
+    let second = home.run_call(platform, call("deposit", "k2", 1), "\"two\"");
 
     assert_eq!((first.call, first.stored), (1, true));
     assert_eq!((second.call, second.stored), (2, true));
@@ -25,50 +25,50 @@
 #[test]
 fn a_repeat_gets_the_recorded_answer() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let first = home.run(platform, call("deposit", "k1", 0), "\"paid\"");
+    let mut home = HomeHost::with_program(platform, 1);
+    let first = home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
 
-    let again = home.ask(platform, call("deposit", "k1", 0));
+    let again = home.send(platform, call("deposit", "k1", 0));
 
     assert_eq!(home.called(again), first);
-    assert_eq!(home.sent.len(), 1);
+    assert_eq!(home.dispatches.len(), 1);
 }
 
 #[test]
 fn a_repeat_joins_the_call_that_runs() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let first = home.ask(platform, call("deposit", "k1", 0));
-    let joined = home.ask(platform, call("deposit", "k1", 0));
-    let other = home.ask(platform, call("deposit", "k2", 0));
-    home.finish(platform, done("\"paid\""));
+    let first = home.send(platform, call("deposit", "k1", 0));
+    let joined = home.send(platform, call("deposit", "k1", 0));
+    let other = home.send(platform, call("deposit", "k2", 0));
+    home.end_attempt(platform, done("\"paid\""));
 
     assert_eq!(home.called(first), home.called(joined));
     assert_eq!(home.refusal(other).code, Code::OutOfOrder);
-    assert_eq!(home.sent.len(), 1);
+    assert_eq!(home.dispatches.len(), 1);
 }
 
 #[test]
 fn a_key_with_another_body_is_refused() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    home.run(platform, call("deposit", "k1", 0), "\"paid\"");
+    let mut home = HomeHost::with_program(platform, 1);
+    home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
     let mut other = call_request("deposit", "k1", 1);
     other.body = [1; 32];
 
-    let ticket = home.ask(platform, Request::Call(other));
+    let ticket = home.send(platform, Request::Call(other));
 
     assert_eq!(home.refusal(ticket).code, Code::KeyReused);
 }
 
 #[test]
-fn another_tenants_program_looks_like_none() {
+fn another_tenants_program_appears_not_to_exist() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let theirs = home.ask_as(platform, ("inzira", 2), call("model", "k1", 0));
-    let none = home.ask_as(platform, ("inzira", 2), Request::View { program: PROGRAM });
+    let theirs = home.send_as(platform, ("inzira", 2), call("model", "k1", 0));
+    let none = home.send_as(platform, ("inzira", 2), Request::View { program: PROGRAM });
 
     assert_eq!(home.refusal(theirs), home.refusal(none));
     assert_eq!(home.refusal(none).code, Code::NotFound);
@@ -77,13 +77,13 @@
 #[test]
 fn a_new_home_reads_the_history_and_outcomes() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    let first = old.run(platform, call("deposit", "k1", 0), "\"paid\"");
-    old.run(platform, call("model", "k2", 1), "\"text\"");
+    let mut old = HomeHost::with_program(platform, 1);
+    let first = old.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
+    old.run_call(platform, call("model", "k2", 1), "\"text\"");
     let before = old.history(platform);
 
-    let mut new = Home::new(platform, 2);
-    let outcome = new.ask(platform, Request::Outcome { program: PROGRAM, key: "k1".into() });
+    let mut new = HomeHost::new(platform, 2);
+    let outcome = new.send(platform, Request::Outcome { program: PROGRAM, key: "k1".into() });
 
     assert_eq!(new.history(platform), before);
     assert_eq!(new.reply(outcome), &Reply::Outcome(CallOutcome::Done(first)));
@@ -95,15 +95,15 @@
 #[test]
 fn a_call_that_cannot_be_looked_up_may_have_run() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    home.run(platform, call("deposit", "k1", 0), "\"paid\"");
+    let mut home = HomeHost::with_program(platform, 1);
+    home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
 
-    home.event(platform, ProgramEvent::Lost { partition: PARTITION });
-    let gone = home.ask(platform, call("deposit", "k1", 0));
-    platform.mode = Mode::Away;
+    home.process(platform, ProgramEvent::Lost { partition: PARTITION });
+    let gone = home.send(platform, call("deposit", "k1", 0));
+    platform.mode = Mode::Unavailable;
     home.acquire(platform);
-    let parked = home.ask(platform, call("deposit", "k1", 0));
-    home.pass(platform, 2_000);
+    let parked = home.send(platform, call("deposit", "k1", 0));
+    home.advance(platform, 2_000);
 
     for refusal in [home.refusal(gone), home.refusal(parked)] {
         assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::Maybe));
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -5,21 +5,23 @@
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::wire::AttemptEnd;
 
-use crate::fixture::{Home, PROGRAM, Platform, call, call_request, done, lost, open};
+use crate::fixture::{
+    HomeHost, PROGRAM, Platform, call, call_request, connection_lost, done, open,
+};
 
 /// A lost turn is retried on another target, and the target that failed is avoided.
 #[test]
 fn a_turn_is_retried_elsewhere() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, lost(false));
-    home.finish(platform, done("\"text\""));
+    let ticket = home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, connection_lost(false));
+    home.end_attempt(platform, done("\"text\""));
 
     assert_eq!(home.called(ticket).call, 1);
-    assert_eq!(home.placed[1].avoid, Some(home.sent[0].target));
-    assert_eq!((home.placed.len(), home.vacated.len()), (2, 2));
+    assert_eq!(home.placed[1].avoid, Some(home.dispatches[0].target));
+    assert_eq!((home.placed.len(), home.released.len()), (2, 2));
 }
 
 /// After a part of the answer was streamed there is no retry: the caller would get the text of
@@ -27,14 +29,14 @@
 #[test]
 fn a_turn_is_not_retried_once_a_part_was_streamed() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    let ticket = home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, AttemptEnd::Lost { streamed: true, crashed: false });
 
     let refusal = home.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
-    assert_eq!(home.sent.len(), 1);
+    assert_eq!(home.dispatches.len(), 1);
 }
 
 /// When all targets fail, retries are limited to one per ten first attempts, after a burst of
@@ -42,38 +44,38 @@
 #[test]
 fn retries_have_a_budget() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     for number in 0..30 {
-        home.ask(platform, call("look", &format!("k{number}"), 0));
-        let mut tries = home.sent.len();
+        home.send(platform, call("look", &format!("k{number}"), 0));
+        let mut tries = home.dispatches.len();
 
         loop {
-            home.finish(platform, AttemptEnd::Failed { message: "no".into() });
+            home.end_attempt(platform, AttemptEnd::Failed { message: "no".into() });
 
-            if home.sent.len() == tries {
+            if home.dispatches.len() == tries {
                 break;
             }
 
-            tries = home.sent.len();
+            tries = home.dispatches.len();
         }
     }
 
-    assert_eq!(home.sent.len(), 30 + 12);
+    assert_eq!(home.dispatches.len(), 30 + 12);
 }
 
 /// An attempt is lost and its retry finds no target. The call may have run, so "not run" must
 /// not be reported.
 #[test]
-fn not_run_is_not_said_after_a_lost_attempt() {
+fn not_run_is_not_reported_after_a_lost_attempt() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, lost(false));
+    let mut home = HomeHost::with_program(platform, 1);
+    let ticket = home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, connection_lost(false));
 
-    home.finish(platform, AttemptEnd::Refused { message: "full".into() });
-    while home.sent.len() > home.vacated.len() {
-        home.finish(platform, AttemptEnd::NotSent);
+    home.end_attempt(platform, AttemptEnd::Refused { message: "full".into() });
+    while home.dispatches.len() > home.released.len() {
+        home.end_attempt(platform, AttemptEnd::NotSent);
     }
 
     let refusal = home.refusal(ticket);
@@ -85,23 +87,23 @@
 #[test]
 fn a_request_that_crashes_two_targets_is_quarantined() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    home.ask(platform, open(ProgramId(8)));
+    let mut home = HomeHost::with_program(platform, 1);
+    home.send(platform, open(ProgramId(8)));
     let again = |program, key: &str| {
         let first = call_request("model", "k1", 0);
         Request::Call(CallRequest { program, key: key.into(), ..first })
     };
 
-    let first = home.ask(platform, again(PROGRAM, "k1"));
-    home.finish(platform, lost(true));
-    home.finish(platform, lost(true));
-    let second = home.ask(platform, again(ProgramId(8), "k2"));
+    let first = home.send(platform, again(PROGRAM, "k1"));
+    home.end_attempt(platform, connection_lost(true));
+    home.end_attempt(platform, connection_lost(true));
+    let second = home.send(platform, again(ProgramId(8), "k2"));
 
     assert!(!home.placed[0].suspect && home.placed[1].suspect);
     let refusals = [home.refusal(first), home.refusal(second)];
     assert_eq!(refusals.clone().map(|r| r.code), [Code::Quarantined, Code::Quarantined]);
     assert_eq!(refusals.map(|r| r.ran), [Ran::Maybe, Ran::No]);
-    assert_eq!((home.sent.len(), home.quarantined.len()), (2, 1));
+    assert_eq!((home.dispatches.len(), home.quarantined.len()), (2, 1));
 }
 
 /// A request that was running when another one crashed a target must not be quarantined. Its
@@ -109,12 +111,12 @@
 #[test]
 fn an_innocent_suspect_is_cleared() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     for number in 0..3 {
-        let ticket = home.ask(platform, call("look", &format!("k{number}"), number));
-        home.finish(platform, lost(true));
-        home.finish(platform, done("\"seen\""));
+        let ticket = home.send(platform, call("look", &format!("k{number}"), number));
+        home.end_attempt(platform, connection_lost(true));
+        home.end_attempt(platform, done("\"seen\""));
         assert_eq!(home.called(ticket).call, number + 1);
     }
 
@@ -123,18 +125,18 @@
 
 /// A quarantine announced by another host applies on this host too.
 #[test]
-fn a_quarantine_found_elsewhere_holds_here() {
+fn a_quarantine_of_another_host_applies_here() {
     let platform = &mut Platform::new();
-    let mut other = Home::with_program(platform, 1);
-    other.ask(platform, call("model", "k1", 0));
-    other.finish(platform, lost(true));
-    other.finish(platform, lost(true));
+    let mut other = HomeHost::with_program(platform, 1);
+    other.send(platform, call("model", "k1", 0));
+    other.end_attempt(platform, connection_lost(true));
+    other.end_attempt(platform, connection_lost(true));
     let digest = other.quarantined[0];
-    let mut home = Home::new(platform, 2);
+    let mut home = HomeHost::new(platform, 2);
 
-    home.event(platform, ProgramEvent::Quarantined(digest));
-    let ticket = home.ask(platform, call("model", "k1", 0));
+    home.process(platform, ProgramEvent::Quarantined(digest));
+    let ticket = home.send(platform, call("model", "k1", 0));
 
     assert_eq!(home.refusal(ticket).code, Code::Quarantined);
-    assert!(home.sent.is_empty());
+    assert!(home.dispatches.is_empty());
 }
--- a/crates/policy/tests/programs_home/tails.rs
+++ b/crates/policy/tests/programs_home/tails.rs
@@ -5,15 +5,15 @@
 use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
 use camphorwalk_core::ids::ProgramId;
 
-use crate::fixture::{Home, Mode, PROGRAM, Platform, call, call_request, call_with_tail, open};
+use crate::fixture::{HomeHost, Mode, PROGRAM, Platform, call, call_request, call_with_tail, open};
 
 /// Returns a home host with two turns that are not stored, and their tail.
-fn unstored(platform: &mut Platform) -> (Home, Option<Box<str>>) {
-    let mut home = Home::with_program(platform, 1);
-    platform.mode = Mode::Away;
-    home.run(platform, call("model", "k1", 0), "\"one\"");
-    let second = home.run(platform, call("model", "k2", 1), "\"two\"");
-    platform.mode = Mode::Up;
+fn home_with_unstored_turns(platform: &mut Platform) -> (HomeHost, Option<Box<str>>) {
+    let mut home = HomeHost::with_program(platform, 1);
+    platform.mode = Mode::Unavailable;
+    home.run_call(platform, call("model", "k1", 0), "\"one\"");
+    let second = home.run_call(platform, call("model", "k2", 1), "\"two\"");
+    platform.mode = Mode::Normal;
 
     assert!(!second.stored);
     (home, second.tail)
@@ -24,12 +24,12 @@
 #[test]
 fn a_new_home_adopts_the_tail() {
     let platform = &mut Platform::new();
-    let (_, tail) = unstored(platform);
-    let mut new = Home::new(platform, 2);
+    let (_, tail) = home_with_unstored_turns(platform);
+    let mut new = HomeHost::new(platform, 2);
 
-    let third = new.run(platform, call_with_tail("model", "k3", 2, tail), "\"three\"");
+    let third = new.run_call(platform, call_with_tail("model", "k3", 2, tail), "\"three\"");
     let history = new.history(platform);
-    let mut next = Home::new(platform, 3);
+    let mut next = HomeHost::new(platform, 3);
 
     assert_eq!((third.call, third.stored), (3, true));
     assert_eq!(next.history(platform), history);
@@ -43,9 +43,9 @@
 #[test]
 fn a_tail_that_is_known_changes_nothing() {
     let platform = &mut Platform::new();
-    let (mut home, tail) = unstored(platform);
+    let (mut home, tail) = home_with_unstored_turns(platform);
 
-    let third = home.run(platform, call_with_tail("model", "k3", 2, tail), "\"three\"");
+    let third = home.run_call(platform, call_with_tail("model", "k3", 2, tail), "\"three\"");
 
     assert_eq!(third.call, 3);
     assert_eq!(home.history(platform).len(), 3);
@@ -54,14 +54,14 @@
 /// Another caller continued from the stored head meanwhile. The tail no longer fits the history
 /// and is refused with the current head; a repeat of a recorded call is still answered.
 #[test]
-fn a_tail_of_another_course_is_refused() {
+fn a_tail_of_a_diverged_history_is_refused() {
     let platform = &mut Platform::new();
-    let (_, tail) = unstored(platform);
-    let mut new = Home::new(platform, 2);
-    new.run(platform, call("model", "other", 0), "\"other\"");
+    let (_, tail) = home_with_unstored_turns(platform);
+    let mut new = HomeHost::new(platform, 2);
+    new.run_call(platform, call("model", "other", 0), "\"other\"");
 
-    let ticket = new.ask(platform, call_with_tail("model", "k3", 2, tail.clone()));
-    let repeat = new.ask(platform, call_with_tail("model", "other", 0, tail));
+    let ticket = new.send(platform, call_with_tail("model", "k3", 2, tail.clone()));
+    let repeat = new.send(platform, call_with_tail("model", "other", 0, tail));
 
     let refusal = new.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::OutOfOrder, Ran::No));
@@ -72,8 +72,11 @@
 
 /// Changes the output inside a tail without renewing its authentication code.
 fn forge(tail: &str) -> Box<str> {
-    let mut bytes = STANDARD_NO_PAD.decode(tail).expect("a tail is base64");
-    let at = bytes.windows(4).position(|part| part == b"\"one").expect("the output is there");
+    let mut bytes = STANDARD_NO_PAD.decode(tail).expect("a tail must be valid base64");
+    let at = bytes
+        .windows(4)
+        .position(|part| part == b"\"one")
+        .expect("the tail must contain the output");
     bytes[at..at + 4].copy_from_slice(b"\"two");
 
     STANDARD_NO_PAD.encode(bytes).into()
@@ -84,18 +87,18 @@
 #[test]
 fn a_tail_of_a_former_program_is_refused() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    home.run(platform, call("model", "k1", 0), "\"one\"");
-    platform.mode = Mode::Away;
-    let tail = home.run(platform, call("model", "k2", 1), "\"two\"").tail;
-    platform.mode = Mode::Up;
-    home.pass(platform, 200_000);
-    home.ask(platform, open(PROGRAM));
-    home.run(platform, call("model", "other", 0), "\"other\"");
-
-    let ticket = home.ask(platform, call_with_tail("model", "k3", 2, tail));
+    let mut home = HomeHost::with_program(platform, 1);
+    home.run_call(platform, call("model", "k1", 0), "\"one\"");
+    platform.mode = Mode::Unavailable;
+    let tail = home.run_call(platform, call("model", "k2", 1), "\"two\"").tail;
+    platform.mode = Mode::Normal;
+    home.advance(platform, 200_000);
+    home.send(platform, open(PROGRAM));
+    home.run_call(platform, call("model", "other", 0), "\"other\"");
+
+    let ticket = home.send(platform, call_with_tail("model", "k3", 2, tail));
     let history = home.history(platform);
-    let mut new = Home::new(platform, 2);
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!(home.refusal(ticket).code, Code::OutOfOrder);
     assert_eq!(history.len(), 1);
@@ -107,15 +110,15 @@
 #[test]
 fn a_forged_tail_is_refused() {
     let platform = &mut Platform::new();
-    let (_, tail) = unstored(platform);
-    let mut new = Home::new(platform, 2);
+    let (_, tail) = home_with_unstored_turns(platform);
+    let mut new = HomeHost::new(platform, 2);
     let other = ProgramId(8);
-    new.ask(platform, open(other));
-    let forged = forge(tail.as_deref().expect("there is a tail"));
+    new.send(platform, open(other));
+    let forged = forge(tail.as_deref().expect("the answer must carry a tail"));
 
-    let changed = new.ask(platform, call_with_tail("model", "k3", 2, Some(forged)));
+    let changed = new.send(platform, call_with_tail("model", "k3", 2, Some(forged)));
     let elsewhere = CallRequest { program: other, tail, ..call_request("model", "k3", 2) };
-    let elsewhere = new.ask(platform, Request::Call(elsewhere));
+    let elsewhere = new.send(platform, Request::Call(elsewhere));
 
     for ticket in [changed, elsewhere] {
         let refusal = new.refusal(ticket);
@@ -127,15 +130,15 @@
 /// The platform hangs. The answer must be returned after the wait of half a second, as not
 /// stored and with a tail, and not be delayed until the platform answers.
 #[test]
-fn a_slow_platform_does_not_hold_the_answer() {
+fn a_slow_platform_does_not_delay_the_answer() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let ticket = home.ask(platform, call("model", "k1", 0));
+    let mut home = HomeHost::with_program(platform, 1);
+    let ticket = home.send(platform, call("model", "k1", 0));
     platform.mode = Mode::Hang;
 
-    home.finish(platform, crate::fixture::done("\"one\""));
+    home.end_attempt(platform, crate::fixture::done("\"one\""));
     let early = home.answers.iter().any(|(to, _)| *to == ticket);
-    home.pass(platform, 500);
+    home.advance(platform, 500);
 
     assert!(!early);
     let answer = home.called(ticket);
@@ -145,14 +148,14 @@
 /// Without the tail the next home host does not know the turns that were not stored. It refuses
 /// the call and reports its own head, so that the caller sees what is missing.
 #[test]
-fn without_the_tail_the_next_home_tells_its_head() {
+fn without_the_tail_the_next_home_reports_its_head() {
     let platform = &mut Platform::new();
-    unstored(platform);
-    let mut new = Home::new(platform, 2);
+    home_with_unstored_turns(platform);
+    let mut new = HomeHost::new(platform, 2);
 
-    let ticket = new.ask(platform, call("model", "k3", 2));
+    let ticket = new.send(platform, call("model", "k3", 2));
 
     assert_eq!(new.refusal(ticket).head, Some(0));
-    let view = new.ask(platform, Request::View { program: PROGRAM });
+    let view = new.send(platform, Request::View { program: PROGRAM });
     assert!(matches!(new.reply(view), camphorwalk_core::calls::Reply::View(v) if v.head == 0));
 }
--- a/crates/policy/tests/programs_home/targets.rs
+++ b/crates/policy/tests/programs_home/targets.rs
@@ -7,7 +7,7 @@
 
 /// How an attempt ends.
 #[derive(Clone, Copy, Debug)]
-pub enum Fate {
+pub enum SimulatedOutcome {
     Done,
     Failed,
     Lost,
@@ -39,9 +39,10 @@
 /// Returns a complete answer to a dispatch.
 pub fn done(dispatch: &Dispatch, prompt: u64) -> AttemptEnd {
     let (key, output) = match &dispatch.work {
-        Work::Generate { prompt, max_tokens } => {
-            (key_of(prompt.last().expect("a prompt has an input")), u64::from(*max_tokens))
-        }
+        Work::Generate { prompt, max_tokens } => (
+            key_of(prompt.last().expect("every prompt ends with an input")),
+            u64::from(*max_tokens),
+        ),
         Work::Operation { key, .. } => (key.clone(), 0),
     };
 
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -15,8 +15,8 @@
 use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, Verdict, Work};
 
 use crate::fixture::{Mode, Platform, config, tenant};
-use crate::oracle::{self, Sent};
-use crate::targets::{Fate, done, key_of, prompt_tokens, tag};
+use crate::oracle::{self, SentRequest};
+use crate::targets::{SimulatedOutcome, done, key_of, prompt_tokens, tag};
 
 /// The number of hosts.
 pub const HOSTS: usize = 3;
@@ -35,7 +35,7 @@
 
 /// How the platform treats transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weather {
+pub enum PlatformMode {
     Mode(Mode),
     /// The answer is lost, and the transaction takes effect later.
     Late,
@@ -57,15 +57,15 @@
 pub struct World {
     hosts: Vec<Host>,
     pub platform: Platform,
-    weather: Weather,
-    late: Vec<Transaction>,
+    platform_mode: PlatformMode,
+    late_commits: Vec<Transaction>,
     now: Instant,
     sessions: u64,
     /// Attempts on their way to a target, with the host and session that sent them.
-    air: Vec<(usize, u64, Dispatch)>,
+    in_transit: Vec<(usize, u64, Dispatch)>,
     /// Whether the next rate check or request for a place is refused.
-    deny: bool,
-    pub sent: BTreeMap<u64, Sent>,
+    deny_next: bool,
+    pub requests: BTreeMap<u64, SentRequest>,
     /// Calls that ran at the service (`ledger`) and at the engine (`turns`).
     pub ledger: Vec<(ProgramId, Box<str>)>,
     pub turns: Vec<(ProgramId, Box<str>)>,
@@ -74,7 +74,7 @@
     /// The most recent lease holder of each partition, with its session and lease.
     holders: [(usize, u64, Epoch, RowVersion); 2],
     /// Whether each partition's holder has processed its acquisition.
-    told: [bool; 2],
+    notified: [bool; 2],
     /// The last call number and tail that the caller of each program has seen.
     seen: BTreeMap<ProgramId, (u32, Option<Box<str>>)>,
 }
@@ -84,18 +84,18 @@
         let mut world = Self {
             hosts: Vec::new(),
             platform: Platform::new(),
-            weather: Weather::Mode(Mode::Up),
-            late: Vec::new(),
+            platform_mode: PlatformMode::Mode(Mode::Normal),
+            late_commits: Vec::new(),
             now: Instant::from_millis(1_000),
             sessions: 0,
-            air: Vec::new(),
-            deny: false,
-            sent: BTreeMap::new(),
+            in_transit: Vec::new(),
+            deny_next: false,
+            requests: BTreeMap::new(),
             ledger: Vec::new(),
             turns: Vec::new(),
             tokens: BTreeMap::new(),
             holders: [(0, 0, Epoch(0), RowVersion(0)); 2],
-            told: [false; 2],
+            notified: [false; 2],
             seen: BTreeMap::new(),
         };
 
@@ -123,7 +123,7 @@
     }
 
     /// Replaces a crashed process by a new one. Attempts that it sent remain on their way.
-    pub fn die(&mut self, host: usize) {
+    pub fn crash(&mut self, host: usize) {
         self.hosts[host] = self.start_host();
     }
 
@@ -136,18 +136,18 @@
         self.holders[usize::from(PROGRAMS[program].partition(2).0)].0
     }
 
-    pub fn set_weather(&mut self, weather: Weather) {
-        self.weather = weather;
+    pub fn set_platform_mode(&mut self, platform_mode: PlatformMode) {
+        self.platform_mode = platform_mode;
     }
 
-    pub fn deny(&mut self) {
-        self.deny = true;
+    pub fn deny_next(&mut self) {
+        self.deny_next = true;
     }
 
     /// Applies the oldest transaction whose answer was lost, if it does not conflict by now.
-    pub fn land(&mut self) {
-        if !self.late.is_empty() {
-            let transaction = self.late.remove(0);
+    pub fn apply_late_commit(&mut self) {
+        if !self.late_commits.is_empty() {
+            let transaction = self.late_commits.remove(0);
             self.platform.commit(&transaction);
         }
     }
@@ -157,13 +157,13 @@
         let (epoch, lease) = self.platform.take_lease(PartitionId(partition));
         let session = self.hosts[host].session;
         self.holders[usize::from(partition)] = (host, session, epoch, lease);
-        self.told[usize::from(partition)] = false;
+        self.notified[usize::from(partition)] = false;
         self.acquired(partition);
     }
 
     /// Lets a lease expire by its holder's clock, after which the holder finds that it still
     /// has it.
-    pub fn regain(&mut self, partition: u16) {
+    pub fn reacquire(&mut self, partition: u16) {
         let (host, session, ..) = self.holders[usize::from(partition)];
 
         if self.hosts[host].session == session {
@@ -173,7 +173,7 @@
     }
 
     /// Announces to the holder of a partition that it is about to release it.
-    pub fn settle_grants(&mut self, partition: u16) {
+    pub fn release_grants(&mut self, partition: u16) {
         let (host, ..) = self.holders[usize::from(partition)];
         let event = ProgramEvent::Settle { partition: PartitionId(partition) };
         self.hosts[host].mailbox.push_back(event);
@@ -193,8 +193,8 @@
     }
 
     /// Sends a request to a host and returns its number.
-    pub fn ask(&mut self, host: usize, program: ProgramId, request: Request) -> u64 {
-        let number = self.sent.len() as u64 + 1;
+    pub fn send(&mut self, host: usize, program: ProgramId, request: Request) -> u64 {
+        let number = self.requests.len() as u64 + 1;
         let key = match &request {
             Request::Call(call) => Some(call.key.clone()),
             _ => None,
@@ -207,8 +207,8 @@
             request,
         };
         let session = self.hosts[host].session;
-        let sent = Sent { program, key, host, session, reply: None, gone: false };
-        self.sent.insert(number, sent);
+        let sent = SentRequest { program, key, host, session, reply: None, disconnected: false };
+        self.requests.insert(number, sent);
         self.hosts[host].mailbox.push_back(event);
 
         number
@@ -223,7 +223,7 @@
             parent: (program == 1).then_some(PROGRAMS[0]),
             repeatable: true,
         });
-        self.ask(host, PROGRAMS[program], request);
+        self.send(host, PROGRAMS[program], request);
     }
 
     /// Sends a call that follows the last one its caller has seen, or an older one if `lag` is
@@ -244,12 +244,12 @@
             tail: tail.filter(|_| with_tail),
             body: digest(&[key.as_bytes()]),
         });
-        self.ask(host, program, request);
+        self.send(host, program, request);
     }
 
     /// Disconnects the caller of a request that was not answered.
-    pub fn hang_up(&mut self, index: usize) {
-        let open: Vec<_> = self.sent.iter().filter(|(_, sent)| sent.reply.is_none()).collect();
+    pub fn disconnect_caller(&mut self, index: usize) {
+        let open: Vec<_> = self.requests.iter().filter(|(_, sent)| sent.reply.is_none()).collect();
 
         if open.is_empty() {
             return;
@@ -257,8 +257,8 @@
 
         let number = *open[index % open.len()].0;
         let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
-        let Some(sent) = self.sent.get_mut(&number) else { return };
-        sent.gone = true;
+        let Some(sent) = self.requests.get_mut(&number) else { return };
+        sent.disconnected = true;
         let host = &mut self.hosts[sent.host];
 
         if host.session == sent.session {
@@ -267,12 +267,12 @@
     }
 
     /// Withdraws an API key at a host.
-    pub fn withdraw(&mut self, host: usize, key: u64) {
+    pub fn withdraw_key(&mut self, host: usize, key: u64) {
         self.hosts[host].mailbox.push_back(ProgramEvent::KeyWithdrawn(KeyId(key)));
     }
 
     /// Advances the time of all hosts.
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
 
         for host in 0..HOSTS {
@@ -294,7 +294,7 @@
 
             if let ProgramEvent::Acquired { partition, epoch, .. } = &event {
                 let at = usize::from(partition.0);
-                self.told[at] |= self.holders[at].2 == *epoch;
+                self.notified[at] |= self.holders[at].2 == *epoch;
             }
 
             // The call may be abandoned while this refusal is on its way, so its place is
@@ -306,17 +306,17 @@
             self.hosts[host].programs.step(self.now, event, &mut out);
 
             for next in out {
-                self.next(host, next);
+                self.execute(host, next);
             }
         }
     }
 
-    fn next(&mut self, host: usize, next: ProgramNext) {
+    fn execute(&mut self, host: usize, next: ProgramNext) {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answered(ticket.request.0, reply),
+            ProgramNext::Answer { ticket, reply } => self.record_answer(ticket.request.0, reply),
             ProgramNext::Admit { call, .. } => {
                 let retry_after = Duration::from_secs(1);
-                let verdict = match std::mem::take(&mut self.deny) {
+                let verdict = match std::mem::take(&mut self.deny_next) {
                     true => Verdict::Refused { retry_after },
                     false => Verdict::Admitted,
                 };
@@ -324,7 +324,10 @@
             }
             ProgramNext::Place { call, .. } => self.place(host, call),
             ProgramNext::Vacate { call, .. } => {
-                assert!(self.hosts[host].places.remove(&call), "a place was vacated twice");
+                assert!(
+                    self.hosts[host].places.remove(&call),
+                    "the place of a call was released twice"
+                );
             }
             ProgramNext::Platform { op, request } => {
                 let reply = self.platform_reply(&request);
@@ -332,7 +335,7 @@
             }
             ProgramNext::Dispatch(dispatch) => {
                 let session = self.hosts[host].session;
-                self.air.push((host, session, dispatch));
+                self.in_transit.push((host, session, dispatch));
             }
             ProgramNext::Cancel { .. }
             | ProgramNext::Over { .. }
@@ -342,10 +345,10 @@
     }
 
     fn place(&mut self, host: usize, call: CallId) {
-        let denied = std::mem::take(&mut self.deny);
+        let denied = std::mem::take(&mut self.deny_next);
         let host = &mut self.hosts[host];
 
-        assert!(host.places.insert(call), "a place was asked for twice");
+        assert!(host.places.insert(call), "a call requested a place twice");
 
         if denied {
             let retry_after = Duration::from_secs(1);
@@ -356,24 +359,24 @@
     }
 
     fn platform_reply(&mut self, request: &PlatformOp) -> PlatformReply {
-        match (self.weather, request) {
-            (Weather::Late, PlatformOp::Commit(transaction)) => {
-                self.late.push(transaction.clone());
+        match (self.platform_mode, request) {
+            (PlatformMode::Late, PlatformOp::Commit(transaction)) => {
+                self.late_commits.push(transaction.clone());
                 return PlatformReply::Unknown;
             }
-            (Weather::Late, _) => self.platform.mode = Mode::Up,
-            (Weather::Mode(mode), _) => self.platform.mode = mode,
+            (PlatformMode::Late, _) => self.platform.mode = Mode::Normal,
+            (PlatformMode::Mode(mode), _) => self.platform.mode = mode,
         }
 
         self.platform.run(request).unwrap_or(PlatformReply::Unknown)
     }
 
-    fn answered(&mut self, number: u64, reply: Reply) {
-        let sent = self.sent.get_mut(&number).expect("an answer belongs to a request");
+    fn record_answer(&mut self, number: u64, reply: Reply) {
+        let sent = self.requests.get_mut(&number).expect("every answer must belong to a request");
         assert!(sent.reply.is_none(), "a request was answered twice");
         let partition = usize::from(sent.program.partition(2).0);
         let (host, session, ..) = self.holders[partition];
-        let holder = self.told[partition] && (host, session) == (sent.host, sent.session);
+        let holder = self.notified[partition] && (host, session) == (sent.host, sent.session);
 
         if holder {
             oracle::check_answer(&self.ledger, sent, &reply);
@@ -397,25 +400,25 @@
     }
 
     /// Lets an attempt end in the given way and reports the end to the host that sent it.
-    pub fn reach(&mut self, index: usize, fate: Fate) {
-        if self.air.is_empty() {
+    pub fn end_attempt(&mut self, index: usize, outcome: SimulatedOutcome) {
+        if self.in_transit.is_empty() {
             return;
         }
 
-        let (host, session, dispatch) = self.air.remove(index % self.air.len());
-        let end = match fate {
-            Fate::NotSent => AttemptEnd::NotSent,
-            Fate::Refused => AttemptEnd::Refused { message: "full".into() },
-            Fate::Failed => self.work(&dispatch, || AttemptEnd::Failed { message: "no".into() }),
-            Fate::Lost => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: false })
+        let (host, session, dispatch) = self.in_transit.remove(index % self.in_transit.len());
+        let end = match outcome {
+            SimulatedOutcome::NotSent => AttemptEnd::NotSent,
+            SimulatedOutcome::Refused => AttemptEnd::Refused { message: "full".into() },
+            SimulatedOutcome::Failed => {
+                self.run_at_target(&dispatch, || AttemptEnd::Failed { message: "no".into() })
             }
-            Fate::Crashed => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: true })
-            }
-            Fate::Done => {
+            SimulatedOutcome::Lost => self
+                .run_at_target(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: false }),
+            SimulatedOutcome::Crashed => self
+                .run_at_target(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: true }),
+            SimulatedOutcome::Done => {
                 let prompt = prompt_tokens(&dispatch);
-                self.work(&dispatch, || done(&dispatch, prompt))
+                self.run_at_target(&dispatch, || done(&dispatch, prompt))
             }
         };
 
@@ -426,17 +429,24 @@
     }
 
     /// Runs an attempt at its target.
-    fn work(&mut self, dispatch: &Dispatch, end: impl FnOnce() -> AttemptEnd) -> AttemptEnd {
+    fn run_at_target(
+        &mut self,
+        dispatch: &Dispatch,
+        end: impl FnOnce() -> AttemptEnd,
+    ) -> AttemptEnd {
         let program = dispatch.program;
 
         match &dispatch.work {
             Work::Operation { key, .. } => self.ledger.push((program, key.clone())),
             Work::Generate { prompt, max_tokens } => {
                 let own = program.to_string();
-                assert!(prompt.iter().all(|part| part.contains(&own)), "a prompt was mixed");
+                assert!(
+                    prompt.iter().all(|part| part.contains(&own)),
+                    "a prompt contains text of another program"
+                );
                 let tokens = prompt_tokens(dispatch) + u64::from(*max_tokens);
                 *self.tokens.entry(program.partition(2)).or_default() += tokens;
-                let input = prompt.last().expect("a prompt has an input");
+                let input = prompt.last().expect("every prompt ends with an input");
                 self.turns.push((program, key_of(input)));
             }
         }
@@ -446,26 +456,26 @@
 
     /// Lets all pending work finish, moves both partitions to a new host and returns the
     /// histories there.
-    pub fn settle(&mut self) -> BTreeMap<ProgramId, Vec<HistoryCall>> {
-        self.weather = Weather::Mode(Mode::Up);
-        self.deny = false;
+    pub fn finish(&mut self) -> BTreeMap<ProgramId, Vec<HistoryCall>> {
+        self.platform_mode = PlatformMode::Mode(Mode::Normal);
+        self.deny_next = false;
 
         for host in 0..HOSTS {
             self.pause(host, false);
         }
 
         self.quiesce();
-        self.die(0);
+        self.crash(0);
         self.take_over(0, 0);
         self.take_over(0, 1);
         self.quiesce();
         let asked = PROGRAMS
-            .map(|program| (program, self.ask(0, program, Request::History { program, from: 1 })));
+            .map(|program| (program, self.send(0, program, Request::History { program, from: 1 })));
         self.quiesce();
 
         asked
             .into_iter()
-            .filter_map(|(program, number)| match self.sent[&number].reply.clone() {
+            .filter_map(|(program, number)| match self.requests[&number].reply.clone() {
                 Some(Reply::History { calls }) => Some((program, calls)),
                 _ => None,
             })
@@ -479,25 +489,28 @@
                 self.run(host, usize::MAX);
             }
 
-            while !self.air.is_empty() {
-                self.reach(0, Fate::Done);
+            while !self.in_transit.is_empty() {
+                self.end_attempt(0, SimulatedOutcome::Done);
             }
 
-            self.land();
-            self.pass(100);
+            self.apply_late_commit();
+            self.advance(100);
         }
     }
 
     /// Checks that every request was answered, unless its host crashed or its caller
     /// disconnected, and that every place was released.
     pub fn check_answers(&self) {
-        for (number, sent) in &self.sent {
+        for (number, sent) in &self.requests {
             let alive = self.hosts[sent.host].session == sent.session;
-            assert!(sent.reply.is_some() || sent.gone || !alive, "{number}: {sent:?}");
+            assert!(
+                sent.reply.is_some() || sent.disconnected || !alive,
+                "request {number} was not answered: {sent:?}"
+            );
         }
 
         for host in &self.hosts {
-            assert!(host.places.is_empty(), "a place is still held");
+            assert!(host.places.is_empty(), "a place was not released");
         }
     }
 }
