--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -135,7 +135,7 @@
             return self.dispatch(cx, call);
         }
 
-        // The callers were told "not run", so the call is never sent, and the journal records
+        // The callers got the answer "not run", so the call is never sent, and the journal records
         // that.
         let Some(program) = self.programs.get_mut(key) else { return };
         program.in_doubt = false;
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -325,7 +325,7 @@
             let term = terms[&partition];
             let key = journal_key(partition, term.next_row);
             let row = JournalRow { witness: in_flight.transaction_id.clone(), entries };
-            let value = serde_json::to_string(&row).expect("journal rows are plain data");
+            let value = serde_json::to_string(&row).expect("a journal row serializes to JSON");
             let tx = &mut in_flight.transaction;
 
             // A host that was paused past the end of its lease could otherwise append to a
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -89,7 +89,7 @@
         base_hash: program.hash_at(program.stored)?,
         turns,
     };
-    let content = serde_json::to_vec(&tail).expect("tails are plain data");
+    let content = serde_json::to_vec(&tail).expect("a tail serializes to JSON");
     let mut bytes = mac(secret, &content).finalize().into_bytes().to_vec();
     bytes.extend_from_slice(&content);
 
@@ -178,7 +178,7 @@
 
 /// Returns a message authentication code that has processed the content.
 fn mac(secret: &[u8; 32], content: &[u8]) -> Hmac<Sha256> {
-    let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("any key length will do");
+    let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC accepts keys of any length");
     mac.update(MAC_DOMAIN);
     mac.update(content);
 
--- a/crates/policy/tests/programs_home/fuzz.rs
+++ b/crates/policy/tests/programs_home/fuzz.rs
@@ -115,8 +115,10 @@
             1 => (host.clone(), 0..4u64).prop_map(|(host, key)| Action::WithdrawKey { host, key }),
             8 => (host.clone(), 1..6usize).prop_map(|(host, count)| Action::Run { host, count }),
             40 => Just(Action::RunAll),
-            8 => prop_oneof![Just(10u64), Just(60), Just(300), Just(1_500)].prop_map(Action::AdvanceTime),
-            30 => (0..4usize, outcome).prop_map(|(index, outcome)| Action::EndAttempt { index, outcome }),
+            8 => prop_oneof![Just(10u64), Just(60), Just(300), Just(1_500)]
+                .prop_map(Action::AdvanceTime),
+            30 => (0..4usize, outcome)
+                .prop_map(|(index, outcome)| Action::EndAttempt { index, outcome }),
             3 => (host.clone(), 0..2u16)
                 .prop_map(|(host, partition)| Action::TakeOver { host, partition }),
             1 => (host.clone(), 0..2u16)
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -95,7 +95,7 @@
 }
 
 /// A fenced host still passes on a complete answer. It cannot store the outcome, but the answer
-/// carries a tail with which the new home host learns the outcome and journals it.
+/// carries a tail from which the new home host adopts and journals the outcome.
 #[test]
 fn a_fenced_home_passes_the_answer_on_with_a_tail() {
     let platform = &mut Platform::new();
@@ -117,8 +117,8 @@
     assert_eq!(&*third.history(platform)[0].output, "\"paid\"");
 }
 
-/// The intent is durable, but the attempt was certainly never sent. The caller is told "not
-/// run" and the key may run again; the next home host must see only one call.
+/// The intent is durable, but the attempt was certainly never sent. The call is answered with
+/// "not run" and the key may run again; the next home host must see only one call.
 #[test]
 fn a_call_that_was_not_sent_may_be_tried_again() {
     let platform = &mut Platform::new();
@@ -134,8 +134,8 @@
     assert_eq!(new.history(platform).len(), 1);
 }
 
-/// The connection breaks after a deposit was sent. This caller, any repeat, and callers of the
-/// next home host are told that it may have run; it is never sent again.
+/// The connection breaks after a deposit was sent. This call and all its repeats, also on the
+/// next home host, are answered with "may have run"; the deposit is never sent again.
 #[test]
 fn a_lost_answer_is_never_repeated() {
     let platform = &mut Platform::new();
@@ -172,8 +172,8 @@
     assert_eq!(&*new.history(platform)[0].output, "\"paid\"");
 }
 
-/// The partition is lost while the write of an intent hangs. The caller is told "not run", so
-/// the late reply to that write must not send the call.
+/// The partition is lost while the write of an intent hangs. The call is answered with "not
+/// run", so the late reply to that write must not send it.
 #[test]
 fn a_late_commit_after_the_partition_was_lost_sends_nothing() {
     let platform = &mut Platform::new();
--- a/crates/policy/tests/programs_home/opening.rs
+++ b/crates/policy/tests/programs_home/opening.rs
@@ -5,8 +5,8 @@
 
 use crate::fixture::{HomeHost, Mode, PROGRAM, Platform, call, done, open, open_child};
 
-/// The first write of an opening is lost and the retry takes effect. The caller is told that
-/// the program may be open, and a repeat of the opening must find it.
+/// The first write of an opening is lost and the retry takes effect. The caller gets the answer
+/// that the program may be open, and a repeat of the opening must find it.
 #[test]
 fn an_opening_in_doubt_is_found_by_a_repeat() {
     let platform = &mut Platform::new();
