--- a/crates/policy/src/programs/checkpoint.rs
+++ b/crates/policy/src/programs/checkpoint.rs
@@ -120,7 +120,8 @@
             Self::Checkpoint { row, version, .. } => {
                 let row =
                     CheckpointRow { witness: transaction_id.into(), ..CheckpointRow::clone(row) };
-                let value = serde_json::to_string(&row).expect("a checkpoint row serializes to JSON");
+                let value =
+                    serde_json::to_string(&row).expect("a checkpoint row serializes to JSON");
 
                 // A delayed write of an older checkpoint would refer to journal rows that have
                 // been deleted since. The check of the row's version rejects it.
--- a/crates/policy/src/programs/compaction.rs
+++ b/crates/policy/src/programs/compaction.rs
@@ -143,7 +143,8 @@
             // A program that was removed meanwhile needs no image. One that was opened later is
             // covered by journal rows that the checkpoint keeps.
             if let Some(image) = self.index.get(&id).and_then(|key| self.image(cx, *key, upto)) {
-                serde_json::to_writer(&mut content, &image).expect("a program image serializes to JSON");
+                serde_json::to_writer(&mut content, &image)
+                    .expect("a program image serializes to JSON");
                 content.push(b'\n');
             }
         }
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -178,7 +178,8 @@
 
 /// Returns a message authentication code that has processed the content.
 fn mac(secret: &[u8; 32], content: &[u8]) -> Hmac<Sha256> {
-    let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC accepts keys of any length");
+    let mut mac =
+        <Hmac<Sha256> as Mac>::new_from_slice(secret).expect("HMAC accepts keys of any length");
     mac.update(MAC_DOMAIN);
     mac.update(content);
 
