--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -49,8 +49,8 @@
     assert_eq!((third.call, home.dispatches.len()), (1, 1));
 }
 
-/// The write of an intent takes effect but its answer is lost. The call is abandoned and its
-/// caller is told "not run", so it must never be sent, even when a retried write shows that the
+/// The write of an intent takes effect but its answer is lost. The call is abandoned and
+/// answered with "not run", so it must never be sent, even when a retried write shows that the
 /// intent is durable. A rejection of a retry in between proves nothing. The home host then
 /// journals that the call did not run, and the key may run on a new home host.
 #[test]
