--- a/crates/policy/src/programs/budget.rs
+++ b/crates/policy/src/programs/budget.rs
@@ -21,8 +21,9 @@
     pub(super) struct AccountKey;
 }
 
-/// A grant exceeds what is spent by up to one eighth of the budget. A larger part would let
-/// more turns run while the platform is unavailable, but cost more when a home host crashes.
+/// A new grant exceeds what is spent and reserved by one eighth of the budget, or by the next
+/// need if that is larger. A larger part would let more turns run while the platform is
+/// unavailable, but cost more when a home host crashes.
 const CHUNK_DIVISOR: u64 = 8;
 
 /// The result of reserving tokens.
