--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -32,7 +32,7 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::{Digest, Map, Set};
 use camphorwalk_core::ids::{
-    AttemptId, Epoch, HostId, KeyId, PartitionId, ProgramId, TargetId, TenantId, Ticket,
+    AttemptId, Epoch, HostId, KeyId, PartitionId, ProgramId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion};
 use camphorwalk_core::time::Instant;
@@ -46,7 +46,7 @@
 use self::retry::{RetryBudget, Suspects};
 use self::state::{Call, Program, ProgramKey, ProgramState, Recovery};
 use self::timers::{Timer, Timers};
-use crate::wire::{AttemptEnd, CallId, Dispatch, PlaceEnd, PlaceRequest, Verdict};
+use crate::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRelease, PlaceRequest, Verdict};
 
 /// Identifies a platform operation whose reply [`Programs`] waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -167,7 +167,7 @@
         /// The call that held or requested the place.
         call: CallId,
         /// How the place was used.
-        end: PlaceEnd,
+        end: PlaceRelease,
     },
     /// Send an attempt to a target.
     Dispatch(Dispatch),
@@ -332,11 +332,11 @@
     /// #     commit_interval: std::time::Duration::from_millis(10),
     /// # };
     /// use camphorwalk_core::calls::Request;
-    /// use camphorwalk_core::ids::{KeyId, ProgramId, RequestId, TenantId, Ticket};
+    /// use camphorwalk_core::ids::{KeyId, ProgramId, RequestId, TenantId, RequestOrigin};
     /// use camphorwalk_core::time::Instant;
-    /// use camphorwalk_policy::programs::{ProgramEvent, ProgramNext};
+    /// use camphorwalk_policy::programs::{ProgramEvent, ProgramAction};
     ///
-    /// let ticket = Ticket { entry: HostId::from_name("a1"), request: RequestId(1) };
+    /// let ticket = RequestOrigin { entry: HostId::from_name("a1"), request: RequestId(1) };
     /// let event = ProgramEvent::Request {
     ///     ticket,
     ///     tenant: TenantId::from_name("inkwick"),
@@ -376,7 +376,7 @@
             ProgramEvent::Unplaced { call, retry_after } => {
                 self.on_unplaced(cx, call, retry_after);
             }
-            ProgramEvent::Ended { attempt, end } => self.on_ended(cx, attempt, end),
+            ProgramEvent::Ended { attempt, outcome } => self.on_ended(cx, attempt, outcome),
             ProgramEvent::Platform { op, reply } => self.on_platform(cx, op, reply),
             ProgramEvent::KeyWithdrawn(key) => self.key_withdrawn(cx, key),
             ProgramEvent::Quarantined(digest) => self.suspects.quarantine(digest),
@@ -461,7 +461,7 @@
     /// Emits the answer to a request.
     fn answer(&mut self, cx: &mut StepContext<'_>, ticket: Ticket, reply: Reply) {
         self.tickets.remove(&ticket);
-        cx.out.push(ProgramNext::Answer { ticket, reply });
+        cx.out.push(ProgramAction::Answer { ticket, reply });
     }
 
     /// Answers a request with a refusal.
@@ -473,7 +473,7 @@
     fn platform(&mut self, cx: &mut StepContext<'_>, request: PlatformOp) -> ProgramOp {
         self.last_op += 1;
         let op = ProgramOp(self.last_op);
-        cx.out.push(ProgramNext::Platform { op, request });
+        cx.out.push(ProgramAction::Platform { op, request });
 
         op
     }
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -7,7 +7,7 @@
 
 use camphorwalk_core::calls::{CallRequest, Ran, Refusal};
 use camphorwalk_core::config::{Template, TemplateTarget};
-use camphorwalk_core::ids::{KeyId, PoolId, TenantId, Ticket};
+use camphorwalk_core::ids::{KeyId, PoolId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
 
 use super::entries::{CallText, Entry, OutcomeEntry};
@@ -210,7 +210,7 @@
 
         self.tickets.insert(caller.ticket, id);
         self.retries.earn();
-        cx.out.push(ProgramNext::Admit { call: id, tenant });
+        cx.out.push(ProgramAction::Admit { call: id, tenant });
     }
 
     /// Adopts the calls in a tail that a caller returned.
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -15,7 +15,7 @@
 use super::entries::{Entry, JournalRow, journal_key, lease_key};
 use super::in_flight::{InFlight, InFlightRow, contains_row, version_written_by};
 use super::state::ProgramKey;
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 /// The maximum bytes of entries in one transaction.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -1,7 +1,7 @@
 //! Handling of callers that disconnected and of API keys that were withdrawn.
 
 use camphorwalk_core::calls::Ran;
-use camphorwalk_core::ids::{KeyId, Ticket};
+use camphorwalk_core::ids::{KeyId, RequestOrigin};
 
 use super::state::{Stage, WorkKind};
 use super::{Programs, StepContext, refusals};
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
-use camphorwalk_core::ids::{PartitionId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{PartitionId, ProgramId, RequestOrigin, TenantId};
 
 use super::entries::Entry;
 use super::journal::Waiter;
@@ -71,7 +71,7 @@
             self.stop_call(cx, call, reason);
         }
 
-        cx.out.push(ProgramNext::Over { program: id });
+        cx.out.push(ProgramAction::ProgramEnded { program: id });
         self.append(key, Entry::Ended { program: id }, Waiter::End(key));
     }
 
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -7,7 +7,7 @@
 
 use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
-use camphorwalk_core::ids::{ClassId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{ClassId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::calls::{
     CallOutcome, Called, HistoryCall, ProgramView, Refusal, Reply, Request, Usage,
 };
-use camphorwalk_core::ids::{KeyId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{KeyId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
 
 use super::entries::RecordedOutcome;
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::calls::Request;
 use camphorwalk_core::hash::{Digest, digest};
 use camphorwalk_core::ids::{
-    AttemptId, ClassId, KeyId, PartitionId, PoolId, ProgramId, TargetId, TenantId, Ticket,
+    AttemptId, ClassId, KeyId, PartitionId, PoolId, ProgramId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::ObjectName;
 use camphorwalk_core::time::Instant;
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -61,7 +61,7 @@
         let call = &self.calls[id];
         let program = &self.programs[call.program];
 
-        cx.out.push(ProgramNext::Place {
+        cx.out.push(ProgramAction::Place {
             call: id,
             request: PlaceRequest {
                 pool: call.pool,
@@ -158,7 +158,7 @@
             }
         };
 
-        cx.out.push(ProgramNext::Dispatch(Dispatch {
+        cx.out.push(ProgramAction::Dispatch(Dispatch {
             attempt,
             call: id,
             target,
@@ -166,7 +166,7 @@
             key: call.key,
             program: program.id,
             number: call.number,
-            work,
+            payload,
             stream: call.callers.iter().find(|caller| caller.stream).map(|c| c.ticket),
             timeout: program.time_left(cx.now),
         }));
@@ -212,20 +212,20 @@
         &mut self,
         cx: &mut StepContext<'_>,
         id: CallId,
-        how: PlaceEndKind,
+        outcome: PlaceOutcome,
         usage: Option<&Usage>,
     ) {
         let call = &self.calls[id];
         let program = &self.programs[call.program];
         let usage = usage.copied().unwrap_or_default();
 
-        cx.out.push(ProgramNext::Vacate {
+        cx.out.push(ProgramAction::ReleasePlace {
             call: id,
-            end: PlaceEnd {
-                how,
-                computed: usage.prompt_tokens.minus(usage.cached_tokens),
+            end: PlaceRelease {
+                outcome,
+                computed_prompt: usage.prompt_tokens.minus(usage.cached_tokens),
                 output: usage.output_tokens,
-                program_over: program.state == ProgramState::Ended,
+                program_ended: program.state == ProgramState::Ended,
             },
         });
     }
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -10,7 +10,7 @@
 
 use camphorwalk_core::config::TargetKind;
 use camphorwalk_core::ids::{HostId, PoolId, ProgramId, TargetId, ZoneId};
-use camphorwalk_core::messages::live::{AskLive, Over};
+use camphorwalk_core::messages::live::{EndedPrograms, EndedQuery};
 use camphorwalk_core::messages::{Body, PeerMessage};
 
 use super::{Action, Scheduler};
@@ -26,13 +26,13 @@
 
         if watched != self.watched {
             self.watched.clone_from(&watched);
-            out.push(Action::Watch(watched));
+            out.push(Action::WatchEngines(watched));
         }
     }
 
     /// Returns the engines of this zone whose pool's queue this host keeps.
     fn engines_kept_here(&self) -> Vec<TargetId> {
-        let Some(config) = &self.board.config else {
+        let Some(config) = &self.state.config else {
             return Vec::new();
         };
 
@@ -40,8 +40,8 @@
             .targets
             .iter()
             .filter(|t| t.kind == TargetKind::Engine)
-            .filter(|t| ZoneId::from_name(&t.zone) == self.board.zone)
-            .filter(|t| self.board.keeper(PoolId::from_name(&t.pool)) == self.board.me)
+            .filter(|t| ZoneId::from_name(&t.zone) == self.state.zone)
+            .filter(|t| self.state.keeper(PoolId::from_name(&t.pool)) == self.state.me)
             .map(|t| TargetId::from_name(&t.name))
             .collect()
     }
@@ -62,31 +62,31 @@
         // One message for each home; a home that is not known now is asked next time.
         let mut by_home = BTreeMap::<HostId, Vec<ProgramId>>::new();
         for program in asked {
-            let partition = program.partition(self.board.partitions());
+            let partition = program.partition(self.state.partitions());
             if let Some(home) = self.home_of(partition) {
                 by_home.entry(home).or_default().push(program);
             }
         }
         for (home, programs) in by_home {
-            if home == self.board.me {
+            if home == self.state.me {
                 let over = self.over_of(programs);
                 self.on_over(target, over, out);
             } else {
-                let ask = AskLive { target: target.0, programs: to_bytes(&programs) };
-                out.push(Action::Send { to: home, message: Body::AskLive(ask).into() });
+                let ask = EndedQuery { target: target.0, programs: to_bytes(&programs) };
+                out.push(Action::Send { to: home, message: Body::EndedQuery(ask).into() });
             }
         }
     }
 
     /// Another host asks which programs are over.
-    pub(super) fn on_ask_live(&mut self, from: HostId, ask: &AskLive, out: &mut Vec<Action>) {
+    pub(super) fn on_ask_live(&mut self, from: HostId, ask: &EndedQuery, out: &mut Vec<Action>) {
         let over = self.over_of(from_bytes(&ask.programs));
         if over.is_empty() {
             return;
         }
 
-        let over = Over { target: ask.target, programs: to_bytes(&over) };
-        let message: PeerMessage = Body::Over(over).into();
+        let over = EndedPrograms { target: ask.target, programs: to_bytes(&over) };
+        let message: PeerMessage = Body::EndedPrograms(over).into();
         out.push(Action::Send { to: from, message });
     }
 
@@ -97,7 +97,7 @@
         programs: Vec<ProgramId>,
         out: &mut Vec<Action>,
     ) {
-        out.extend(programs.into_iter().map(|program| Action::FreeAt { target, program }));
+        out.extend(programs.into_iter().map(|program| Action::FreeProgramAt { target, program }));
     }
 
     /// Returns those of the programs that this host, as their home, knows to be over.
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -4,19 +4,19 @@
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
 use camphorwalk_core::config::Config;
-use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, Ticket};
+use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, RequestOrigin};
 use camphorwalk_core::messages::forward::Answer;
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 
 use super::{Action, Event, OpId, Scheduler, Waiting};
-use crate::configs::{ConfigEvent, ConfigNext};
+use crate::configs::{ConfigAction, ConfigEvent};
 use crate::leases::rows::SessionRow;
-use crate::leases::{Busy, Holder, LeaseEvent, LeaseName, LeaseNext, Wanted};
-use crate::membership::{Member, MembershipNext};
-use crate::programs::{ProgramEvent, ProgramNext};
-use crate::queue::{QueueEvent, QueueNext};
-use crate::slices::{self, SliceEvent, SliceHost, SliceNext, TakeId};
+use crate::leases::{Busy, Holder, LeaseAction, LeaseEvent, LeaseName, Wanted};
+use crate::membership::{Member, MembershipAction};
+use crate::programs::{ProgramAction, ProgramEvent};
+use crate::queue::{QueueAction, QueueEvent};
+use crate::slices::{self, SliceAction, SliceEvent, SliceHost, TakeId};
 
 /// An event for one controller.
 #[derive(Clone, Debug)]
@@ -37,14 +37,14 @@
             }
             Event::CallerGone(request) => self.on_caller_gone(request, out),
             Event::Peer { from, message } => self.on_peer(now, from, message, out),
-            Event::Unsent { to, message } => self.on_unsent(now, to, message, out),
+            Event::SendFailed { to, message } => self.on_unsent(now, to, message, out),
             Event::PeerDown(host) => self.on_peer_down(host, out),
             Event::Platform { op, reply } => self.work.push_back(match op {
                 OpId::Lease(op) => Work::Lease(LeaseEvent::Platform { op, reply }),
                 OpId::Config(op) => Work::Config(ConfigEvent::Platform { op, reply }),
                 OpId::Program(op) => Work::Program(ProgramEvent::Platform { op, reply }),
             }),
-            Event::Hosts(hosts) => {
+            Event::HostList(hosts) => {
                 let mut next = Vec::new();
                 for host in hosts {
                     let (name, zone) = (&host.name, &host.zone);
@@ -52,8 +52,8 @@
                 }
                 self.on_membership(now, next, out);
             }
-            Event::Ended { attempt, end } => {
-                self.work.push_back(Work::Program(ProgramEvent::Ended { attempt, end }));
+            Event::AttemptEnded { attempt, outcome } => {
+                self.work.push_back(Work::Program(ProgramEvent::Ended { attempt, outcome }));
             }
             Event::Load { target, report } => {
                 self.work.push_back(Work::Queue(QueueEvent::Load { target, report }));
@@ -61,8 +61,10 @@
             Event::Evicted { target, program } => {
                 self.work.push_back(Work::Queue(QueueEvent::Evicted { target, program }));
             }
-            Event::Held { target, programs } => self.on_held(target, programs, out),
-            Event::Operator { ask, request } => self.on_operator(now, ask, request, out),
+            Event::HeldPrograms { target, programs } => self.on_held(target, programs, out),
+            Event::Operator { request_id, request } => {
+                self.on_operator(now, request_id, request, out)
+            }
             Event::Drain => self.drain(),
             Event::Wake => {}
         }
@@ -70,7 +72,7 @@
 
     /// Starts leaving.
     pub(super) fn drain(&mut self) {
-        self.board.leaving = true;
+        self.state.leaving = true;
         self.membership.leave();
         self.work.push_back(Work::Lease(LeaseEvent::Leave));
     }
@@ -142,45 +144,45 @@
         }
     }
 
-    fn on_lease(&mut self, now: Instant, next: LeaseNext, out: &mut Vec<Action>) {
+    fn on_lease(&mut self, now: Instant, next: LeaseAction, out: &mut Vec<Action>) {
         match next {
-            LeaseNext::Platform { op, request } => {
+            LeaseAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Lease(op), request });
             }
-            LeaseNext::Acquired { name: LeaseName::Partition(partition), epoch, version } => {
-                self.board.homes.insert(partition);
+            LeaseAction::Acquired { name: LeaseName::Partition(partition), epoch, version } => {
+                self.state.held_partitions.insert(partition);
                 let event = ProgramEvent::Acquired { partition, epoch, lease: version };
                 self.work.push_back(Work::Program(event));
                 self.tell_homes(out);
             }
-            LeaseNext::Acquired { name: LeaseName::Column(column), epoch, .. } => {
-                let until = self.board.leases_until;
+            LeaseAction::Acquired { name: LeaseName::Column(column), epoch, .. } => {
+                let until = self.state.leases_valid_until;
                 let event = if epoch == Epoch::FIRST {
-                    SliceEvent::First { column, until }
+                    SliceEvent::FirstOwned { column, until }
                 } else {
                     SliceEvent::Owned { column, until, fresh: true }
                 };
                 self.work.push_back(Work::Slice(event));
             }
-            LeaseNext::Lost { name: LeaseName::Partition(partition) } => {
-                self.board.homes.remove(&partition);
+            LeaseAction::Lost { name: LeaseName::Partition(partition) } => {
+                self.state.held_partitions.remove(&partition);
                 self.work.push_back(Work::Program(ProgramEvent::Lost { partition }));
             }
-            LeaseNext::Lost { name: LeaseName::Column(column) } => {
+            LeaseAction::Lost { name: LeaseName::Column(column) } => {
                 self.work.push_back(Work::Slice(SliceEvent::Lost { column }));
             }
-            LeaseNext::Renewed { until } => {
-                self.board.leases_until = until;
+            LeaseAction::Renewed { until } => {
+                self.state.leases_valid_until = until;
                 for column in self.leases.columns() {
                     let event = SliceEvent::Owned { column, until, fresh: false };
                     self.work.push_back(Work::Slice(event));
                 }
             }
-            LeaseNext::Seen { routes, hosts } => self.on_tables(now, routes, hosts, out),
-            LeaseNext::Settle { partition } => {
-                self.work.push_back(Work::Program(ProgramEvent::Settle { partition }));
+            LeaseAction::Seen { routes, hosts } => self.on_tables(now, routes, hosts, out),
+            LeaseAction::Settle { partition } => {
+                self.work.push_back(Work::Program(ProgramEvent::ReleaseGrants { partition }));
             }
-            LeaseNext::Left => out.push(Action::Left),
+            LeaseAction::Left => out.push(Action::ShutdownReady),
         }
     }
 
@@ -193,7 +195,7 @@
     ) {
         for (name, holder) in routes {
             if let LeaseName::Partition(partition) = name {
-                self.board.learn_route(partition, holder);
+                self.state.learn_route(partition, holder);
             }
         }
 
@@ -202,20 +204,20 @@
             let (name, zone) = (&host.host, &host.zone);
             self.membership.learn(name, zone, host.peer_address, host.leaving, &mut next);
         }
-        self.board.sessions = hosts;
+        self.state.sessions = hosts;
         self.on_membership(now, next, out);
     }
 
-    fn on_config(&mut self, now: Instant, next: ConfigNext, out: &mut Vec<Action>) {
+    fn on_config(&mut self, now: Instant, next: ConfigAction, out: &mut Vec<Action>) {
         match next {
-            ConfigNext::Platform { op, request } => {
+            ConfigAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Config(op), request });
             }
-            ConfigNext::Adopted(config) => {
+            ConfigAction::Adopted(config) => {
                 self.adopted_at = now;
                 // A key that is taken out of the declarations is withdrawn like one that is named:
                 // what waits or streams under it ends.
-                for key in self.board.adopt(&config) {
+                for key in self.state.adopt(&config) {
                     self.work.push_back(Work::Program(ProgramEvent::KeyWithdrawn(key)));
                 }
                 self.work.push_back(Work::Lease(LeaseEvent::Wanted(wanted(&config))));
@@ -225,52 +227,56 @@
                 out.push(Action::Adopted(config));
                 self.update_watched(out);
             }
-            ConfigNext::KeyWithdrawn(key) => {
+            ConfigAction::KeyWithdrawn(key) => {
                 self.work.push_back(Work::Program(ProgramEvent::KeyWithdrawn(key)));
                 out.push(Action::KeyWithdrawn(key));
             }
-            ConfigNext::Published { ask, answer } => self.on_published(ask, answer, out),
+            ConfigAction::Published { request_id, answer } => {
+                self.on_published(request_id, answer, out)
+            }
         }
     }
 
-    fn on_program(&mut self, now: Instant, next: ProgramNext, out: &mut Vec<Action>) {
+    fn on_program(&mut self, now: Instant, next: ProgramAction, out: &mut Vec<Action>) {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answer(ticket, reply, out),
-            ProgramNext::Admit { call, tenant } => {
+            ProgramAction::Answer { ticket, reply } => self.answer(ticket, reply, out),
+            ProgramAction::Admit { call, tenant } => {
                 self.next_take += 1;
                 let take = TakeId(self.next_take);
                 self.takes.insert(take, call);
                 self.work.push_back(Work::Slice(SliceEvent::Take { take, tenant }));
             }
-            ProgramNext::Place { call, request } => self.ask(now, call, request, out),
-            ProgramNext::Vacate { call, end } => self.vacate(call, end, out),
-            ProgramNext::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
-            ProgramNext::Cancel { attempt } => out.push(Action::Cancel(attempt)),
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Place { call, request } => self.ask(now, call, request, out),
+            ProgramAction::ReleasePlace { call, end } => self.vacate(call, end, out),
+            ProgramAction::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
+            ProgramAction::Cancel { attempt } => out.push(Action::Cancel(attempt)),
+            ProgramAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Program(op), request });
             }
-            ProgramNext::Over { program } => out.push(Action::Free(program)),
-            ProgramNext::Quarantine { digest } => self.quarantine(digest),
+            ProgramAction::ProgramEnded { program } => out.push(Action::FreeProgram(program)),
+            ProgramAction::Quarantine { digest } => self.quarantine(digest),
             // The tables say who holds it now; what is left is to look.
-            ProgramNext::Fenced { .. } => self.work.push_back(Work::Lease(LeaseEvent::Suspect)),
+            ProgramAction::Fenced { .. } => self.work.push_back(Work::Lease(LeaseEvent::Suspect)),
         }
     }
 
-    fn on_queue(&mut self, next: QueueNext, out: &mut Vec<Action>) {
+    fn on_queue(&mut self, next: QueueAction, out: &mut Vec<Action>) {
         match next {
-            QueueNext::Grant { asker, target } => self.grant(asker, target, out),
-            QueueNext::Refuse { asker, retry_after } => self.refuse_ask(asker, retry_after, out),
+            QueueAction::Grant { request_id, target } => self.grant(request_id, target, out),
+            QueueAction::Refuse { request_id, retry_after } => {
+                self.refuse_ask(request_id, retry_after, out)
+            }
         }
     }
 
-    fn on_slice(&mut self, next: SliceNext, out: &mut Vec<Action>) {
+    fn on_slice(&mut self, next: SliceAction, out: &mut Vec<Action>) {
         match next {
-            SliceNext::Verdict { take, verdict } => {
+            SliceAction::Verdict { take, verdict } => {
                 if let Some(call) = self.takes.remove(&take) {
                     self.work.push_back(Work::Program(ProgramEvent::Verdict { call, verdict }));
                 }
             }
-            SliceNext::Send { to, message } => {
+            SliceAction::Send { to, message } => {
                 out.push(Action::Send { to, message: Body::Slices(message).into() });
             }
         }
@@ -279,17 +285,17 @@
     pub(super) fn on_membership(
         &mut self,
         now: Instant,
-        next: Vec<MembershipNext>,
+        next: Vec<MembershipAction>,
         out: &mut Vec<Action>,
     ) {
         for item in next {
             match item {
-                MembershipNext::Address { host, address } => {
-                    out.push(Action::Address { host, address });
+                MembershipAction::Address { host, address } => {
+                    out.push(Action::SetPeerAddress { host, address });
                 }
-                MembershipNext::Gossip { to, news } => self.gossip(now, to, news, out),
-                MembershipNext::Changed => self.on_alive_changed(out),
-                MembershipNext::Gone(host) => self.on_gone(now, host, out),
+                MembershipAction::Gossip { to, news } => self.gossip(now, to, news, out),
+                MembershipAction::Changed => self.on_alive_changed(out),
+                MembershipAction::Gone(host) => self.on_gone(now, host, out),
             }
         }
     }
@@ -297,23 +303,23 @@
     fn on_alive_changed(&mut self, out: &mut Vec<Action>) {
         let stays = |m: &&&Member| !m.leaving;
         let alive = self.membership.alive();
-        self.board.alive = alive.iter().filter(stays).map(|m| (m.host, m.zone)).collect();
+        self.state.live_hosts = alive.iter().filter(stays).map(|m| (m.host, m.zone)).collect();
 
-        let me = SliceHost { host: self.board.me, zone: self.board.zone };
+        let me = SliceHost { host: self.state.me, zone: self.state.zone };
         // A leaving host pools no tenant: its slices are asked back, level included, while it
         // is still there to return them.
-        let others = self.board.alive.iter();
+        let others = self.state.live_hosts.iter();
         let mut hosts: Vec<_> =
             others.map(|(host, zone)| SliceHost { host: *host, zone: *zone }).collect();
-        hosts.extend((!self.board.leaving).then_some(me));
+        hosts.extend((!self.state.leaving).then_some(me));
         hosts.sort_unstable_by_key(|h| h.host);
         self.work.push_back(Work::Slice(SliceEvent::Hosts(hosts)));
         self.update_watched(out);
     }
 
     /// Answers a request, on this host or through the host that it came from.
-    pub(super) fn answer(&mut self, ticket: Ticket, reply: Reply, out: &mut Vec<Action>) {
-        if ticket.entry == self.board.me {
+    pub(super) fn answer(&mut self, ticket: RequestOrigin, reply: Reply, out: &mut Vec<Action>) {
+        if ticket.entry == self.state.me {
             self.answer_here(ticket.request, reply, out);
             return;
         }
@@ -341,7 +347,7 @@
 fn wanted(config: &Config) -> Vec<Wanted> {
     let partitions = (0..config.fleet.partitions)
         .map(|p| Wanted { name: LeaseName::Partition(PartitionId(p)), zone: None });
-    let columns = slices::columns(config)
+    let columns = slices::column_zones(config)
         .into_iter()
         .map(|(column, zone)| Wanted { name: LeaseName::Column(column), zone: Some(zone) });
 
--- a/crates/policy/tests/entry_routes.rs
+++ b/crates/policy/tests/entry_routes.rs
@@ -4,30 +4,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use camphorwalk_core::entry::{CallLimits, Repeat, Route, Routing, ServiceShare};
-use camphorwalk_core::messages::entry::CrashNews;
+use camphorwalk_core::entry::{CallLimits, RetryPolicy, Route, Routing, WeightedService};
+use camphorwalk_core::messages::entry::CrashReport;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::crashes::{Crashes, Fingerprint};
 use camphorwalk_policy::entry::routes::{Adoption, RouteTable, adoption, service};
 use camphorwalk_policy::entry::turns::{Turn, TurnCache, TurnKey};
 
 fn route(hostname: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
-    let services =
-        services.iter().map(|(s, weight)| ServiceShare { service: (*s).into(), weight: *weight });
+    let services = services
+        .iter()
+        .map(|(s, weight)| WeightedService { service: (*s).into(), weight: *weight });
 
     Route {
         name: prefix.into(),
         hostname: hostname.into(),
         prefix: prefix.into(),
         services: services.collect(),
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         max_targets: 1,
         timeout: None,
         latency_objective: Duration::from_millis(200),
         rank: 0,
         public: true,
         sticky: false,
-        keeps: None,
+        turn_retention: None,
     }
 }
 
@@ -120,16 +121,16 @@
     let call = Fingerprint(5);
     let mut here = Crashes::default();
     let mut there = Crashes::default();
-    here.count(now, call);
-    here.count(now, call);
+    here.record(now, call);
+    here.record(now, call);
 
-    for news in here.take_news() {
-        there.hear(now, news);
+    for news in here.take_updates() {
+        there.record_remote(now, news);
     }
-    there.count(now, call);
-    here.hear(now, CrashNews { call: 5, crashes: 1 });
+    there.record(now, call);
+    here.record_remote(now, CrashReport { call: 5, crashes: 1 });
 
-    assert!(there.is_barred(call));
-    assert!(here.is_barred(call));
-    assert!(here.take_news().is_empty());
+    assert!(there.is_blocked(call));
+    assert!(here.is_blocked(call));
+    assert!(here.take_updates().is_empty());
 }
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -4,7 +4,7 @@
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{
     BUDGET, HomeHost, Mode, PARTITION, PROGRAM, Platform, call, call_request, connection_lost,
@@ -29,7 +29,7 @@
         output_tokens: Tokens(output),
     };
 
-    AttemptEnd::Done { output: "\"text\"".into(), usage }
+    AttemptOutcome::Done { output: "\"text\"".into(), usage }
 }
 
 #[test]
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -10,7 +10,7 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, TenantId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::{
     ObjectName, PlatformOp, PlatformReply, Row, RowKey, RowVersion, Transaction,
@@ -18,9 +18,9 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::{
-    ProgramEvent, ProgramNext, ProgramOp, ProgramOptions, Programs,
+    ProgramAction, ProgramEvent, ProgramOp, ProgramOptions, Programs,
 };
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
+use camphorwalk_policy::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRequest, Verdict};
 
 /// The partition of all programs in these tests.
 pub const PARTITION: PartitionId = PartitionId(0);
@@ -276,16 +276,16 @@
 
     fn execute(&mut self, platform: &mut Platform, next: ProgramNext) -> Option<ProgramEvent> {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answers.push((ticket, reply)),
-            ProgramNext::Admit { call, .. } if !self.hold_places => {
+            ProgramAction::Answer { ticket, reply } => self.answers.push((ticket, reply)),
+            ProgramAction::Admit { call, .. } if !self.hold_places => {
                 return Some(ProgramEvent::Verdict { call, verdict: Verdict::Admitted });
             }
-            ProgramNext::Place { call, request } => {
+            ProgramAction::Place { call, request } => {
                 self.placed.push(request);
                 let target = TargetId(self.placed.len() as u64);
                 return (!self.hold_places).then_some(ProgramEvent::Placed { call, target });
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 self.requests.push(request.clone());
 
                 match platform.run(&request) {
@@ -333,9 +333,9 @@
         platform: &mut Platform,
         who: (&str, u64),
         request: Request,
-    ) -> Ticket {
+    ) -> RequestOrigin {
         self.tickets += 1;
-        let ticket = Ticket { entry: self.host, request: RequestId(self.tickets) };
+        let ticket = RequestOrigin { entry: self.host, request: RequestId(self.tickets) };
         let (tenant, key) = (tenant(who.0), KeyId(who.1));
         self.process(platform, ProgramEvent::Request { ticket, tenant, key, request });
         self.advance(platform, 10);
@@ -439,7 +439,7 @@
 pub fn done(output: &str) -> AttemptEnd {
     let usage = Usage { prompt_tokens: Tokens(10), output_tokens: Tokens(20), ..Usage::default() };
 
-    AttemptEnd::Done { output: output.into(), usage }
+    AttemptOutcome::Done { output: output.into(), usage }
 }
 
 /// Returns a request that opens a sub-agent.
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -3,7 +3,7 @@
 
 use camphorwalk_core::calls::{Code, Ran};
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{
     HomeHost, Mode, PARTITION, Platform, call, call_with_tail, connection_lost, done,
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{
     HomeHost, PROGRAM, Platform, call, call_request, connection_lost, done, open,
--- a/crates/policy/tests/programs_home/targets.rs
+++ b/crates/policy/tests/programs_home/targets.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, Dispatch};
 
 /// How an attempt ends.
 #[derive(Clone, Copy, Debug)]
@@ -28,11 +28,11 @@
 
 /// Returns the number of tokens in a dispatch's prompt.
 pub fn prompt_tokens(dispatch: &Dispatch) -> u64 {
-    match &dispatch.work {
-        Work::Generate { prompt, .. } => {
+    match &dispatch.payload {
+        AttemptPayload::Generate { prompt, .. } => {
             prompt.iter().map(|part| (part.len() as u64).div_ceil(4)).sum()
         }
-        Work::Operation { .. } => 0,
+        AttemptPayload::Operation { .. } => 0,
     }
 }
 
@@ -46,7 +46,7 @@
         Work::Operation { key, .. } => (key.clone(), 0),
     };
 
-    AttemptEnd::Done {
+    AttemptOutcome::Done {
         output: tag(dispatch.program, &format!("{key} {}", dispatch.attempt)),
         usage: Usage {
             prompt_tokens: Tokens(prompt),
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -7,12 +7,12 @@
 use camphorwalk_core::calls::{CallRequest, HistoryCall, OpenRequest, Reply, Request};
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId,
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion, Transaction};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::programs::{ProgramEvent, ProgramNext, ProgramOptions, Programs};
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, Verdict, Work};
+use camphorwalk_policy::programs::{ProgramAction, ProgramEvent, ProgramOptions, Programs};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, CallId, Dispatch, Verdict};
 
 use crate::fixture::{Mode, Platform, config, tenant};
 use crate::oracle::{self, SentRequest};
@@ -175,7 +175,7 @@
     /// Announces to the holder of a partition that it is about to release it.
     pub fn release_grants(&mut self, partition: u16) {
         let (host, ..) = self.holders[usize::from(partition)];
-        let event = ProgramEvent::Settle { partition: PartitionId(partition) };
+        let event = ProgramEvent::ReleaseGrants { partition: PartitionId(partition) };
         self.hosts[host].mailbox.push_back(event);
     }
 
@@ -199,7 +199,7 @@
             Request::Call(call) => Some(call.key.clone()),
             _ => None,
         };
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let event = ProgramEvent::Request {
             ticket,
             tenant: tenant("inzira"),
@@ -329,18 +329,18 @@
                     "the place of a call was released twice"
                 );
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 let reply = self.platform_reply(&request);
                 self.hosts[host].mailbox.push_back(ProgramEvent::Platform { op, reply });
             }
-            ProgramNext::Dispatch(dispatch) => {
+            ProgramAction::Dispatch(dispatch) => {
                 let session = self.hosts[host].session;
                 self.in_transit.push((host, session, dispatch));
             }
-            ProgramNext::Cancel { .. }
-            | ProgramNext::Over { .. }
-            | ProgramNext::Quarantine { .. }
-            | ProgramNext::Fenced { .. } => {}
+            ProgramAction::Cancel { .. }
+            | ProgramAction::ProgramEnded { .. }
+            | ProgramAction::Quarantine { .. }
+            | ProgramAction::Fenced { .. } => {}
         }
     }
 
@@ -423,7 +423,7 @@
         };
 
         if self.hosts[host].session == session {
-            let event = ProgramEvent::Ended { attempt: dispatch.attempt, end };
+            let event = ProgramEvent::Ended { attempt: dispatch.attempt, outcome };
             self.hosts[host].mailbox.push_back(event);
         }
     }
@@ -436,9 +436,9 @@
     ) -> AttemptEnd {
         let program = dispatch.program;
 
-        match &dispatch.work {
-            Work::Operation { key, .. } => self.ledger.push((program, key.clone())),
-            Work::Generate { prompt, max_tokens } => {
+        match &dispatch.payload {
+            AttemptPayload::Operation { key, .. } => self.ledger.push((program, key.clone())),
+            AttemptPayload::Generate { prompt, max_tokens } => {
                 let own = program.to_string();
                 assert!(
                     prompt.iter().all(|part| part.contains(&own)),
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -17,11 +17,11 @@
 use camphorwalk_core::platform::HostListing;
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::ConfigVersion;
-use camphorwalk_policy::configs::OperatorId;
+use camphorwalk_policy::configs::OperatorRequestId;
 use camphorwalk_policy::scheduler::{
-    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
+    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, SchedulerTimes,
 };
-use camphorwalk_policy::wire::Dispatch;
+use camphorwalk_policy::shared_types::Dispatch;
 
 use crate::record::{Record, Submission};
 use faults::Trap;
@@ -194,17 +194,17 @@
 
     /// Returns the configuration version in force at a host.
     pub fn version(&self, host: usize) -> u64 {
-        let board = self.hosts[host].scheduler.board();
+        let state = self.hosts[host].scheduler.state();
 
-        board.config.as_ref().map_or(0, |config| config.version.0)
+        state.config.as_ref().map_or(0, |config| config.version.0)
     }
 
     /// Returns the running host that holds a program's partition and was heard of last.
     pub fn home(&self, program: ProgramId) -> Option<usize> {
         let holds = |host: &&(usize, &Host)| {
-            let board = host.1.scheduler.board();
-            let partition: PartitionId = program.partition(board.partitions());
-            host.1.state != State::Down && board.homes.contains(&partition)
+            let state = host.1.scheduler.state();
+            let partition: PartitionId = program.partition(state.partitions());
+            host.1.state != State::Down && state.held_partitions.contains(&partition)
         };
         let hosts: Vec<_> = self.hosts.iter().enumerate().collect();
 
@@ -212,7 +212,7 @@
         hosts
             .iter()
             .filter(holds)
-            .max_by_key(|(_, host)| host.scheduler.board().leases_until)
+            .max_by_key(|(_, host)| host.scheduler.state().leases_valid_until)
             .map(|(index, _)| *index)
     }
 
@@ -301,7 +301,7 @@
         if let OperatorRequest::Withdraw { key } = &request {
             self.record.withdrawn.push((self.now, host, KeyId::from_name(key)));
         }
-        self.deliver(host, Event::Operator { ask: OperatorId(ask), request });
+        self.deliver(host, Event::Operator { request_id: OperatorRequestId(ask), request });
 
         ask
     }
@@ -406,12 +406,14 @@
                 self.hosts[host].withdrawn.insert(key);
                 self.record.heard_withdrawn.push((self.now, host, key));
             }
-            Action::OperatorAnswer { ask, reply } => {
-                self.record.operators.insert(ask.0, *reply);
-            }
-            Action::Left => self.hosts[host].left = true,
-            Action::Address { .. } | Action::Free(_) | Action::FreeAt { .. } | Action::Watch(_) => {
+            Action::OperatorAnswer { request_id, reply } => {
+                self.record.operators.insert(request_id.0, *reply);
             }
+            Action::ShutdownReady => self.hosts[host].left = true,
+            Action::SetPeerAddress { .. }
+            | Action::FreeProgram(_)
+            | Action::FreeProgramAt { .. }
+            | Action::WatchEngines(_) => {}
         }
     }
 
@@ -439,7 +441,7 @@
 
     fn tell_hosts(&mut self, host: usize) {
         let listings = self.hosts.iter().enumerate().map(|(i, h)| listing(i, &h.name, &h.zone));
-        let event = Event::Hosts(listings.collect());
+        let event = Event::HostList(listings.collect());
         self.add_event(self.now, host, event);
     }
 }
@@ -464,7 +466,7 @@
         peer_address: listing.peer_address,
         session,
         seal_key: [7; 32],
-        times: Times::default(),
+        times: SchedulerTimes::default(),
         read_config: |bytes| camphorwalk_declare::unbundle(bytes).map_err(|e| e.to_string().into()),
         write_config: camphorwalk_declare::bundle,
     })
