--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -69,7 +69,7 @@
     },
     /// A partition is about to be released. Budget grants that its program families have not
     /// spent are journaled as free; the partition is busy until those entries are durable.
-    Settle {
+    ReleaseGrants {
         /// The partition to be released.
         partition: PartitionId,
     },
@@ -81,7 +81,7 @@
     /// A caller sent a request for a program whose home may be this host.
     Request {
         /// Identifies the request in the answer.
-        ticket: Ticket,
+        ticket: RequestOrigin,
         /// The tenant that the API key belongs to.
         tenant: TenantId,
         /// The API key that the caller sent.
@@ -92,23 +92,23 @@
     /// A caller disconnected before it was answered.
     CallerGone {
         /// The ticket of its request.
-        ticket: Ticket,
+        ticket: RequestOrigin,
     },
-    /// The result of [`ProgramNext::Admit`].
+    /// The result of [`ProgramAction::Admit`].
     Verdict {
         /// The call that asked for admission.
         call: CallId,
         /// Whether the tenant's rate admits the call.
         verdict: Verdict,
     },
-    /// The result of [`ProgramNext::Place`]: the call has a place at this target.
+    /// The result of [`ProgramAction::Place`]: the call has a place at this target.
     Placed {
         /// The call that was waiting for a place.
         call: CallId,
         /// The target where the call has a place.
         target: TargetId,
     },
-    /// The result of [`ProgramNext::Place`]: no target can serve the call in time.
+    /// The result of [`ProgramAction::Place`]: no target can serve the call in time.
     Unplaced {
         /// The call that was waiting for a place.
         call: CallId,
@@ -120,9 +120,9 @@
         /// The attempt that ended.
         attempt: AttemptId,
         /// How it ended.
-        end: AttemptEnd,
+        outcome: AttemptOutcome,
     },
-    /// The reply to [`ProgramNext::Platform`].
+    /// The reply to [`ProgramAction::Platform`].
     Platform {
         /// The operation that completed.
         op: ProgramOp,
@@ -139,11 +139,11 @@
 
 /// An action that the caller of [`Programs::step`] must carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ProgramNext {
+pub enum ProgramAction {
     /// Answer a request; each request is answered exactly once.
     Answer {
         /// The ticket of the request.
-        ticket: Ticket,
+        ticket: RequestOrigin,
         /// The answer to send.
         reply: Reply,
     },
@@ -163,7 +163,7 @@
     },
     /// Release a place, or withdraw the request for one. Emitted exactly once for each `Place`
     /// that is not answered by `Unplaced`.
-    Vacate {
+    ReleasePlace {
         /// The call that held or requested the place.
         call: CallId,
         /// How the place was used.
@@ -184,7 +184,7 @@
         request: PlatformOp,
     },
     /// A program ended. Engines can free what they hold for it.
-    Over {
+    ProgramEnded {
         /// The program that ended.
         program: ProgramId,
     },
@@ -252,7 +252,7 @@
     /// The call of each attempt that was sent and has not ended.
     attempts: Map<AttemptId, CallId>,
     /// The call that each caller is waiting for.
-    tickets: Map<Ticket, CallId>,
+    tickets: Map<RequestOrigin, CallId>,
     /// Journal entries that are not durable yet.
     journal: Journal,
     /// Pending timers.
@@ -274,7 +274,7 @@
     /// The current time.
     now: Instant,
     /// Receives the actions to carry out.
-    out: &'a mut Vec<ProgramNext>,
+    out: &'a mut Vec<ProgramAction>,
 }
 
 impl Programs {
@@ -347,9 +347,9 @@
     /// Programs::new(options).step(Instant::from_millis(5), event, &mut out);
     ///
     /// // This host is not the home of any partition yet.
-    /// assert!(matches!(out[..], [ProgramNext::Answer { .. }]));
+    /// assert!(matches!(out[..], [ProgramAction::Answer { .. }]));
     /// ```
-    pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramNext>) {
+    pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramAction>) {
         let cx = &mut StepContext { now, out };
 
         // Timers run before the event. A host that was paused past a deadline must not act on
@@ -365,7 +365,7 @@
             ProgramEvent::Acquired { partition, epoch, lease } => {
                 self.lease_acquired(cx, partition, epoch, lease);
             }
-            ProgramEvent::Settle { partition } => self.start_grant_release(partition),
+            ProgramEvent::ReleaseGrants { partition } => self.start_grant_release(partition),
             ProgramEvent::Lost { partition } => self.partition_lost(cx, partition),
             ProgramEvent::Request { ticket, tenant, key, request } => {
                 self.request(cx, IncomingRequest { ticket, tenant, key, request });
@@ -459,13 +459,13 @@
     }
 
     /// Emits the answer to a request.
-    fn answer(&mut self, cx: &mut StepContext<'_>, ticket: Ticket, reply: Reply) {
+    fn answer(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin, reply: Reply) {
         self.tickets.remove(&ticket);
         cx.out.push(ProgramAction::Answer { ticket, reply });
     }
 
     /// Answers a request with a refusal.
-    fn refuse(&mut self, cx: &mut StepContext<'_>, ticket: Ticket, refusal: Refusal) {
+    fn refuse(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin, refusal: Refusal) {
         self.answer(cx, ticket, Reply::Refused(refusal));
     }
 
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -13,8 +13,8 @@
 use super::requests::counted_tokens;
 use super::retry::CrashResult;
 use super::state::{ProgramKey, ProgramState, Stage, WorkKind};
-use super::{ProgramNext, Programs, StepContext, refusals};
-use crate::wire::{AttemptEnd, CallId, PlaceEndKind};
+use super::{ProgramAction, Programs, StepContext, refusals};
+use crate::shared_types::{AttemptOutcome, CallId, PlaceOutcome};
 
 /// How long an answer is delayed until its outcome is durable; after that it is marked as not
 /// stored.
@@ -29,7 +29,7 @@
         &mut self,
         cx: &mut StepContext<'_>,
         attempt: AttemptId,
-        end: AttemptEnd,
+        outcome: AttemptOutcome,
     ) {
         // Each attempt ends once; a late or duplicate end is ignored.
         let Some(id) = self.attempts.remove(&attempt) else { return };
@@ -38,19 +38,21 @@
             return;
         }
 
-        match end {
-            AttemptEnd::Done { output, usage } => self.on_answered(cx, id, output.into(), usage),
+        match outcome {
+            AttemptOutcome::Done { output, usage } => {
+                self.on_answered(cx, id, output.into(), usage)
+            }
             // A target that refuses connections fails at once, so it always looks idle. If it
             // were not reported as crashed, every call would be sent there first.
-            AttemptEnd::NotSent => {
-                self.on_not_run(cx, id, PlaceEndKind::Crashed, "it cannot be reached");
+            AttemptOutcome::NotSent => {
+                self.on_not_run(cx, id, PlaceOutcome::Crashed, "it cannot be reached");
             }
-            AttemptEnd::Refused { message } => {
-                self.on_not_run(cx, id, PlaceEndKind::Failed, &message);
+            AttemptOutcome::Refused { message } => {
+                self.on_not_run(cx, id, PlaceOutcome::Failed, &message);
             }
-            AttemptEnd::Failed { message } => self.on_failed(cx, id, &message),
-            AttemptEnd::Lost { streamed, crashed } => self.on_lost(cx, id, streamed, crashed),
-            AttemptEnd::Cancelled => self.on_cancelled(cx, id),
+            AttemptOutcome::Failed { message } => self.on_failed(cx, id, &message),
+            AttemptOutcome::Lost { streamed, crashed } => self.on_lost(cx, id, streamed, crashed),
+            AttemptOutcome::Cancelled => self.on_cancelled(cx, id),
         }
     }
 
@@ -63,7 +65,7 @@
         usage: Usage,
     ) {
         self.charge(id, Some(&usage));
-        self.release_place(cx, id, PlaceEndKind::Finished, Some(&usage));
+        self.release_place(cx, id, PlaceOutcome::Finished, Some(&usage));
         let digest = self.calls[id].digest;
         self.suspects.clear(&digest);
         self.record_outcome(cx, id, RecordedOutcome::Done { output, usage });
@@ -74,11 +76,11 @@
         &mut self,
         cx: &mut StepContext<'_>,
         id: CallId,
-        how: PlaceEndKind,
+        outcome: PlaceOutcome,
         message: &str,
     ) {
         self.release_tokens(id);
-        self.release_place(cx, id, how, None);
+        self.release_place(cx, id, outcome, None);
 
         if matches!(self.calls[id].kind, WorkKind::NonIdempotent(_)) {
             self.journal_not_run(id);
@@ -93,7 +95,7 @@
     /// Handles a call that the target ran and reported as failed.
     fn on_failed(&mut self, cx: &mut StepContext<'_>, id: CallId, message: &str) {
         self.charge(id, None);
-        self.release_place(cx, id, PlaceEndKind::Failed, None);
+        self.release_place(cx, id, PlaceOutcome::Failed, None);
         self.calls[id].may_have_run = true;
 
         if matches!(self.calls[id].kind, WorkKind::NonIdempotent(_)) {
@@ -111,9 +113,9 @@
 
     /// Handles an attempt that may or may not have run.
     fn on_lost(&mut self, cx: &mut StepContext<'_>, id: CallId, streamed: bool, crashed: bool) {
-        let how = if crashed { PlaceEndKind::Crashed } else { PlaceEndKind::Failed };
+        let outcome = if crashed { PlaceOutcome::Crashed } else { PlaceOutcome::Failed };
         self.charge(id, None);
-        self.release_place(cx, id, how, None);
+        self.release_place(cx, id, outcome, None);
         self.calls[id].may_have_run = true;
         let quarantined = crashed && self.record_crash(cx, id);
 
@@ -135,7 +137,7 @@
     /// Handles an attempt that this host cancelled.
     fn on_cancelled(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         self.charge(id, None);
-        self.release_place(cx, id, PlaceEndKind::Failed, None);
+        self.release_place(cx, id, PlaceOutcome::Failed, None);
         self.calls[id].may_have_run = true;
 
         if matches!(self.calls[id].kind, WorkKind::NonIdempotent(_)) {
@@ -157,7 +159,7 @@
         match self.suspects.record_crash(digest) {
             CrashResult::Suspect => false,
             CrashResult::Quarantine => {
-                cx.out.push(ProgramNext::Quarantine { digest });
+                cx.out.push(ProgramAction::Quarantine { digest });
                 true
             }
         }
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -15,8 +15,8 @@
 use super::retry::request_digest;
 use super::state::{Call, Caller, Program, ProgramKey, ProgramState, Stage, WorkKind, estimate};
 use super::tail::{self, TailError};
-use super::{ProgramNext, Programs, StepContext, refusals};
-use crate::wire::CallId;
+use super::{ProgramAction, Programs, StepContext, refusals};
+use crate::shared_types::CallId;
 
 /// What is known about a call's idempotency key.
 enum KeyLookup {
@@ -33,7 +33,7 @@
     pub(super) fn call(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         key: KeyId,
         mut req: CallRequest,
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -7,8 +7,8 @@
 use super::entries::{Entry, OutcomeEntry};
 use super::journal::{Pending, Waiter, WriteOutcome};
 use super::state::{ProgramKey, Stage};
-use super::{ProgramNext, ProgramOp, Programs, StepContext, refusals};
-use crate::wire::CallId;
+use super::{ProgramAction, ProgramOp, Programs, StepContext, refusals};
+use crate::shared_types::CallId;
 
 impl Programs {
     /// Queues an entry for a program's journal.
@@ -67,7 +67,7 @@
         }
 
         for (partition, epoch) in result.fenced {
-            cx.out.push(ProgramNext::Fenced { partition, epoch });
+            cx.out.push(ProgramAction::Fenced { partition, epoch });
             self.partition_lost(cx, partition);
         }
 
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -5,11 +5,11 @@
 
 use super::state::{Stage, WorkKind};
 use super::{Programs, StepContext, refusals};
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 impl Programs {
     /// Handles a caller that disconnected.
-    pub(super) fn caller_gone(&mut self, cx: &mut StepContext<'_>, ticket: Ticket) {
+    pub(super) fn caller_gone(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin) {
         for recovering in self.recovering.values_mut() {
             recovering.parked.retain(|parked| parked.ticket != ticket);
         }
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -10,8 +10,8 @@
 use super::journal::Waiter;
 use super::state::{ProgramKey, ProgramState, Stage, WorkKind};
 use super::timers::Timer;
-use super::{ProgramNext, Programs, StepContext, refusals};
-use crate::wire::CallId;
+use super::{ProgramAction, Programs, StepContext, refusals};
+use crate::shared_types::CallId;
 
 /// How long an ended program stays in memory, to answer repeats. After that it appears not to
 /// exist.
@@ -22,7 +22,7 @@
     pub(super) fn end(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         program: ProgramId,
     ) {
@@ -92,7 +92,7 @@
         let call = &self.calls[id];
 
         if let (WorkKind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
-            cx.out.push(ProgramNext::Cancel { attempt });
+            cx.out.push(ProgramAction::Cancel { attempt });
         }
     }
 
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -35,7 +35,7 @@
     pub(super) fn open(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: OpenRequest,
     ) {
@@ -53,7 +53,7 @@
     fn reopen(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: &OpenRequest,
         known: ProgramKey,
@@ -174,7 +174,12 @@
     }
 
     /// Adds the program in state `Opening` and journals the opening.
-    fn start_opening(&mut self, cx: &mut StepContext<'_>, ticket: Ticket, entry: OpenedEntry) {
+    fn start_opening(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        ticket: RequestOrigin,
+        entry: OpenedEntry,
+    ) {
         let key = self.insert_program(cx, &entry);
         let program = &mut self.programs[key];
         program.state = ProgramState::Opening;
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(super) struct IncomingRequest {
     /// Identifies the request in the answer.
-    pub ticket: Ticket,
+    pub ticket: RequestOrigin,
     /// The tenant that sent it.
     pub tenant: TenantId,
     /// The API key it was sent with.
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -18,7 +18,7 @@
 use super::compaction::Compaction;
 use super::entries::{CallText, RecordedOutcome};
 use super::journal::LeaseTerm;
-use crate::wire::CallId;
+use crate::shared_types::CallId;
 
 slotmap::new_key_type! {
     /// Key of a program in memory.
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(super) struct ParkedRequest {
     /// Identifies the request in the answer.
-    pub ticket: Ticket,
+    pub ticket: RequestOrigin,
     /// The tenant that sent it.
     pub tenant: TenantId,
     /// The API key it was sent with.
@@ -147,9 +147,9 @@
     /// that call is answered.
     pub orphan: bool,
     /// Callers that wait for the opening to become durable.
-    pub opening_tickets: Vec<Ticket>,
+    pub opening_tickets: Vec<RequestOrigin>,
     /// Callers that wait for the end to become durable.
-    pub ending_tickets: Vec<Ticket>,
+    pub ending_tickets: Vec<RequestOrigin>,
     /// Whether the end of the program is durable.
     pub end_stored: bool,
     /// When an ended program is removed from memory.
@@ -308,7 +308,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Caller {
     /// Identifies the request in the answer.
-    pub ticket: Ticket,
+    pub ticket: RequestOrigin,
     /// The API key that the request was sent with.
     pub key: KeyId,
     /// Whether the caller wants the answer streamed.
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -10,8 +10,10 @@
 use super::journal::Waiter;
 use super::state::{ProgramState, Stage, WorkKind};
 use super::timers::Timer;
-use super::{ProgramNext, Programs, StepContext, refusals};
-use crate::wire::{CallId, Dispatch, PlaceEnd, PlaceEndKind, PlaceRequest, Verdict, Work};
+use super::{ProgramAction, Programs, StepContext, refusals};
+use crate::shared_types::{
+    AttemptPayload, CallId, Dispatch, PlaceOutcome, PlaceRelease, PlaceRequest, Verdict,
+};
 
 /// How long a call waits for its intent or grant to become durable.
 const JOURNAL_WAIT: Duration = Duration::from_secs(1);
@@ -145,12 +147,13 @@
         let program = &self.programs[call.program];
         let (Some(attempt), Some(target)) = (call.attempt, call.target) else { return };
 
-        let work = match &call.kind {
-            WorkKind::Turn { max_tokens } => {
-                Work::Generate { prompt: program.prompt(&call.text.input), max_tokens: *max_tokens }
-            }
+        let payload = match &call.kind {
+            WorkKind::Turn { max_tokens } => AttemptPayload::Generate {
+                prompt: program.prompt(&call.text.input),
+                max_tokens: *max_tokens,
+            },
             WorkKind::Idempotent(operation) | WorkKind::NonIdempotent(operation) => {
-                Work::Operation {
+                AttemptPayload::Operation {
                     operation: operation.clone(),
                     key: call.text.key.clone(),
                     input: Box::from(&*call.text.input),
@@ -200,7 +203,7 @@
         }
 
         if matches!(self.calls[id].stage, Stage::AwaitingPlace | Stage::JournalingIntent) {
-            self.release_place(cx, id, PlaceEndKind::NotSent, None);
+            self.release_place(cx, id, PlaceOutcome::NotSent, None);
         }
 
         self.answer_callers(cx, id, &refusal);
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the end of a turn that used this many tokens.
-fn used(prompt: u64, output: u64) -> AttemptEnd {
+fn used(prompt: u64, output: u64) -> AttemptOutcome {
     let usage = Usage {
         prompt_tokens: Tokens(prompt),
         cached_tokens: Tokens(0),
@@ -84,7 +84,7 @@
     let mut home = HomeHost::with_program(platform, 1);
 
     home.send(platform, call("model", "k1", 0));
-    home.end_attempt(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    home.end_attempt(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 102);
 }
@@ -174,7 +174,7 @@
     old.end_attempt(platform, used(3, 20));
 
     platform.mode = Mode::Hang;
-    old.process(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.process(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
     old.advance(platform, 100);
     let busy = old.programs.busy_partitions().len();
     platform.mode = Mode::Normal;
@@ -197,7 +197,7 @@
     let mut old = HomeHost::with_program(platform, 1);
     old.send(platform, call("model", "k1", 0));
 
-    old.process(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.process(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
     old.advance(platform, 100);
     let mut new = HomeHost::new(platform, 2);
 
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -17,7 +17,7 @@
 
     home.process(platform, ProgramEvent::CallerGone { ticket });
     let cancelled = home.cancelled;
-    home.end_attempt(platform, AttemptEnd::Cancelled);
+    home.end_attempt(platform, AttemptOutcome::Cancelled);
     let next = home.run_call(platform, call("model", "k2", 0), "\"text\"");
 
     assert_eq!(cancelled, 1);
@@ -50,7 +50,7 @@
     let running = home.send_as(platform, ("inkwick", 5), call("model", "k1", 0));
 
     home.process(platform, ProgramEvent::KeyWithdrawn(KeyId(5)));
-    home.end_attempt(platform, AttemptEnd::Cancelled);
+    home.end_attempt(platform, AttemptOutcome::Cancelled);
     home.hold_places = true;
     let waiting = home.send_as(platform, ("inkwick", 6), call("model", "k2", 0));
     home.process(platform, ProgramEvent::KeyWithdrawn(KeyId(6)));
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -188,7 +188,7 @@
 pub struct HomeHost {
     pub programs: Programs,
     pub now: Instant,
-    pub answers: Vec<(Ticket, Reply)>,
+    pub answers: Vec<(RequestOrigin, Reply)>,
     pub dispatches: Vec<Dispatch>,
     pub cancelled: usize,
     pub ended: Vec<ProgramId>,
@@ -269,13 +269,13 @@
             let mut out = Vec::new();
             self.programs.step(self.now, event, &mut out);
             let new: Vec<_> =
-                out.into_iter().filter_map(|next| self.execute(platform, next)).collect();
+                out.into_iter().filter_map(|action| self.execute(platform, action)).collect();
             events.extend(new.into_iter().rev());
         }
     }
 
-    fn execute(&mut self, platform: &mut Platform, next: ProgramNext) -> Option<ProgramEvent> {
-        match next {
+    fn execute(&mut self, platform: &mut Platform, action: ProgramAction) -> Option<ProgramEvent> {
+        match action {
             ProgramAction::Answer { ticket, reply } => self.answers.push((ticket, reply)),
             ProgramAction::Admit { call, .. } if !self.hold_places => {
                 return Some(ProgramEvent::Verdict { call, verdict: Verdict::Admitted });
@@ -293,13 +293,13 @@
                     None => self.hanging.push((op, request)),
                 }
             }
-            ProgramNext::Dispatch(dispatch) => self.dispatches.push(dispatch),
-            ProgramNext::Cancel { .. } => self.cancelled += 1,
-            ProgramNext::Over { program } => self.ended.push(program),
-            ProgramNext::Quarantine { digest } => self.quarantined.push(digest),
-            ProgramNext::Fenced { .. } => self.fenced += 1,
-            ProgramNext::Vacate { call, .. } => self.released.push(call),
-            ProgramNext::Admit { .. } => {}
+            ProgramAction::Dispatch(dispatch) => self.dispatches.push(dispatch),
+            ProgramAction::Cancel { .. } => self.cancelled += 1,
+            ProgramAction::ProgramEnded { program } => self.ended.push(program),
+            ProgramAction::Quarantine { digest } => self.quarantined.push(digest),
+            ProgramAction::Fenced { .. } => self.fenced += 1,
+            ProgramAction::ReleasePlace { call, .. } => self.released.push(call),
+            ProgramAction::Admit { .. } => {}
         }
 
         None
@@ -344,18 +344,18 @@
     }
 
     /// Sends a request of tenant `inkwick` and returns its ticket.
-    pub fn send(&mut self, platform: &mut Platform, request: Request) -> Ticket {
+    pub fn send(&mut self, platform: &mut Platform, request: Request) -> RequestOrigin {
         self.send_as(platform, ("inkwick", 1), request)
     }
 
     /// Ends the most recent attempt.
-    pub fn end_attempt(&mut self, platform: &mut Platform, end: AttemptEnd) {
+    pub fn end_attempt(&mut self, platform: &mut Platform, outcome: AttemptOutcome) {
         let attempt = self.dispatches.last().expect("an attempt was sent").attempt;
-        self.process(platform, ProgramEvent::Ended { attempt, end });
+        self.process(platform, ProgramEvent::Ended { attempt, outcome });
         self.advance(platform, 10);
     }
 
-    /// Runs a call to its end; the target answers with `output`.
+    /// Runs a call to its outcome; the target answers with `output`.
     pub fn run_call(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
         let ticket = self.send(platform, request);
         self.end_attempt(platform, done(output));
@@ -364,7 +364,7 @@
     }
 
     /// Returns the reply to a request, and checks that there is exactly one.
-    pub fn reply(&self, ticket: Ticket) -> &Reply {
+    pub fn reply(&self, ticket: RequestOrigin) -> &Reply {
         let mut replies = self.answers.iter().filter(|(to, _)| *to == ticket);
         let (_, reply) = replies.next().expect("the request was answered");
         assert!(replies.next().is_none(), "the request was answered twice");
@@ -373,7 +373,7 @@
     }
 
     /// Returns the refusal of a request; panics on any other reply.
-    pub fn refusal(&self, ticket: Ticket) -> Refusal {
+    pub fn refusal(&self, ticket: RequestOrigin) -> Refusal {
         match self.reply(ticket) {
             Reply::Refused(refusal) => refusal.clone(),
             reply => panic!("expected a refusal, got {reply:?}"),
@@ -381,7 +381,7 @@
     }
 
     /// Returns the result of a call; panics on any other reply.
-    pub fn called(&self, ticket: Ticket) -> Called {
+    pub fn called(&self, ticket: RequestOrigin) -> Called {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
             reply => panic!("expected the result of a call, got {reply:?}"),
@@ -436,7 +436,7 @@
 }
 
 /// Returns the end of an attempt that was answered completely.
-pub fn done(output: &str) -> AttemptEnd {
+pub fn done(output: &str) -> AttemptOutcome {
     let usage = Usage { prompt_tokens: Tokens(10), output_tokens: Tokens(20), ..Usage::default() };
 
     AttemptOutcome::Done { output: output.into(), usage }
@@ -450,6 +450,6 @@
 }
 
 /// Returns the end of an attempt whose connection broke, with or without a crash of its target.
-pub fn connection_lost(crashed: bool) -> AttemptEnd {
-    AttemptEnd::Lost { streamed: false, crashed }
+pub fn connection_lost(crashed: bool) -> AttemptOutcome {
+    AttemptOutcome::Lost { streamed: false, crashed }
 }
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -125,7 +125,7 @@
     let mut home = HomeHost::with_program(platform, 1);
 
     let first = home.send(platform, call("deposit", "k1", 0));
-    home.end_attempt(platform, AttemptEnd::NotSent);
+    home.end_attempt(platform, AttemptOutcome::NotSent);
     let second = home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
     let mut new = HomeHost::new(platform, 2);
 
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -32,7 +32,7 @@
     let mut home = HomeHost::with_program(platform, 1);
 
     let ticket = home.send(platform, call("model", "k1", 0));
-    home.end_attempt(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    home.end_attempt(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     let refusal = home.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
@@ -51,7 +51,7 @@
         let mut tries = home.dispatches.len();
 
         loop {
-            home.end_attempt(platform, AttemptEnd::Failed { message: "no".into() });
+            home.end_attempt(platform, AttemptOutcome::Failed { message: "no".into() });
 
             if home.dispatches.len() == tries {
                 break;
@@ -73,9 +73,9 @@
     let ticket = home.send(platform, call("model", "k1", 0));
     home.end_attempt(platform, connection_lost(false));
 
-    home.end_attempt(platform, AttemptEnd::Refused { message: "full".into() });
+    home.end_attempt(platform, AttemptOutcome::Refused { message: "full".into() });
     while home.dispatches.len() > home.released.len() {
-        home.end_attempt(platform, AttemptEnd::NotSent);
+        home.end_attempt(platform, AttemptOutcome::NotSent);
     }
 
     let refusal = home.refusal(ticket);
--- a/crates/policy/tests/programs_home/targets.rs
+++ b/crates/policy/tests/programs_home/targets.rs
@@ -37,13 +37,13 @@
 }
 
 /// Returns a complete answer to a dispatch.
-pub fn done(dispatch: &Dispatch, prompt: u64) -> AttemptEnd {
-    let (key, output) = match &dispatch.work {
-        Work::Generate { prompt, max_tokens } => (
+pub fn done(dispatch: &Dispatch, prompt: u64) -> AttemptOutcome {
+    let (key, output) = match &dispatch.payload {
+        AttemptPayload::Generate { prompt, max_tokens } => (
             key_of(prompt.last().expect("every prompt ends with an input")),
             u64::from(*max_tokens),
         ),
-        Work::Operation { key, .. } => (key.clone(), 0),
+        AttemptPayload::Operation { key, .. } => (key.clone(), 0),
     };
 
     AttemptOutcome::Done {
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -256,7 +256,7 @@
         }
 
         let number = *open[index % open.len()].0;
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let Some(sent) = self.requests.get_mut(&number) else { return };
         sent.disconnected = true;
         let host = &mut self.hosts[sent.host];
@@ -305,16 +305,16 @@
 
             self.hosts[host].programs.step(self.now, event, &mut out);
 
-            for next in out {
-                self.execute(host, next);
+            for action in out {
+                self.execute(host, action);
             }
         }
     }
 
-    fn execute(&mut self, host: usize, next: ProgramNext) {
-        match next {
-            ProgramNext::Answer { ticket, reply } => self.record_answer(ticket.request.0, reply),
-            ProgramNext::Admit { call, .. } => {
+    fn execute(&mut self, host: usize, action: ProgramAction) {
+        match action {
+            ProgramAction::Answer { ticket, reply } => self.record_answer(ticket.request.0, reply),
+            ProgramAction::Admit { call, .. } => {
                 let retry_after = Duration::from_secs(1);
                 let verdict = match std::mem::take(&mut self.deny_next) {
                     true => Verdict::Refused { retry_after },
@@ -322,8 +322,8 @@
                 };
                 self.hosts[host].mailbox.push_back(ProgramEvent::Verdict { call, verdict });
             }
-            ProgramNext::Place { call, .. } => self.place(host, call),
-            ProgramNext::Vacate { call, .. } => {
+            ProgramAction::Place { call, .. } => self.place(host, call),
+            ProgramAction::ReleasePlace { call, .. } => {
                 assert!(
                     self.hosts[host].places.remove(&call),
                     "the place of a call was released twice"
@@ -400,27 +400,30 @@
     }
 
     /// Lets an attempt end in the given way and reports the end to the host that sent it.
-    pub fn end_attempt(&mut self, index: usize, outcome: SimulatedOutcome) {
+    pub fn end_attempt(&mut self, index: usize, simulated: SimulatedOutcome) {
         if self.in_transit.is_empty() {
             return;
         }
 
         let (host, session, dispatch) = self.in_transit.remove(index % self.in_transit.len());
-        let end = match outcome {
-            SimulatedOutcome::NotSent => AttemptEnd::NotSent,
-            SimulatedOutcome::Refused => AttemptEnd::Refused { message: "full".into() },
-            SimulatedOutcome::Failed => {
-                self.run_at_target(&dispatch, || AttemptEnd::Failed { message: "no".into() })
-            }
-            SimulatedOutcome::Lost => self
-                .run_at_target(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: false }),
-            SimulatedOutcome::Crashed => self
-                .run_at_target(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: true }),
-            SimulatedOutcome::Done => {
-                let prompt = prompt_tokens(&dispatch);
-                self.run_at_target(&dispatch, || done(&dispatch, prompt))
-            }
-        };
+        let outcome =
+            match simulated {
+                SimulatedOutcome::NotSent => AttemptOutcome::NotSent,
+                SimulatedOutcome::Refused => AttemptOutcome::Refused { message: "full".into() },
+                SimulatedOutcome::Failed => self
+                    .run_at_target(&dispatch, || AttemptOutcome::Failed { message: "no".into() }),
+                SimulatedOutcome::Lost => self.run_at_target(&dispatch, || AttemptOutcome::Lost {
+                    streamed: false,
+                    crashed: false,
+                }),
+                SimulatedOutcome::Crashed => self.run_at_target(&dispatch, || {
+                    AttemptOutcome::Lost { streamed: false, crashed: true }
+                }),
+                SimulatedOutcome::Done => {
+                    let prompt = prompt_tokens(&dispatch);
+                    self.run_at_target(&dispatch, || done(&dispatch, prompt))
+                }
+            };
 
         if self.hosts[host].session == session {
             let event = ProgramEvent::Ended { attempt: dispatch.attempt, outcome };
@@ -432,8 +435,8 @@
     fn run_at_target(
         &mut self,
         dispatch: &Dispatch,
-        end: impl FnOnce() -> AttemptEnd,
-    ) -> AttemptEnd {
+        outcome: impl FnOnce() -> AttemptOutcome,
+    ) -> AttemptOutcome {
         let program = dispatch.program;
 
         match &dispatch.payload {
@@ -451,7 +454,7 @@
             }
         }
 
-        end()
+        outcome()
     }
 
     /// Lets all pending work finish, moves both partitions to a new host and returns the
