--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -1,5 +1,9 @@
 //! Programs on their home host: call order, history, budget, and at-most-once execution of
 //! calls that must not be repeated.
+//!
+//! Program ids are divided into partitions. The home host of a program is the host that holds
+//! the lease of its partition; it records the program in the partition's journal, which the
+//! next home host reads.
 
 mod attempts;
 mod budget;
@@ -91,7 +95,7 @@
     },
     /// A caller disconnected before it was answered.
     CallerGone {
-        /// The ticket of its request.
+        /// Identifies its request.
         ticket: RequestOrigin,
     },
     /// The result of [`ProgramAction::Admit`].
@@ -142,7 +146,7 @@
 pub enum ProgramAction {
     /// Answer a request; each request is answered exactly once.
     Answer {
-        /// The ticket of the request.
+        /// Identifies the request.
         ticket: RequestOrigin,
         /// The answer to send.
         reply: Reply,
