--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -1,24 +1,28 @@
-//! Programs at their home: order, history, budget, and at most one run of what may not be
-//! repeated.
+//! Programs on their home host: call order, history, budget, and at-most-once execution of
+//! calls that must not be repeated.
+//!
+//! Program ids are divided into partitions. The home host of a program is the host that holds
+//! the lease of its partition; it records the program in the partition's journal, which the
+//! next home host reads.
 
-mod answers;
 mod attempts;
 mod budget;
 mod calls;
 mod checkpoint;
 mod commits;
 mod compaction;
+mod config_index;
 mod entries;
-mod flight;
+mod grant_release;
+mod in_flight;
 mod journal;
 mod keys;
 mod lifecycle;
-mod lookup;
 mod open;
 mod recovery;
+mod refusals;
 mod requests;
 mod retry;
-mod settle;
 mod state;
 mod steps;
 mod tail;
@@ -40,164 +44,166 @@
 
 use self::budget::{Account, AccountKey};
 use self::compaction::{CHECKPOINT_BYTES, Compaction};
-use self::journal::{Journal, Tenure};
-use self::lookup::Lookup;
-use self::requests::Asked;
+use self::config_index::ConfigIndex;
+use self::journal::{Journal, LeaseTerm};
+use self::requests::IncomingRequest;
 use self::retry::{RetryBudget, Suspects};
-use self::state::{Call, Program, ProgramKey, ProgramState, Recovering};
+use self::state::{Call, Program, ProgramKey, ProgramState, Recovery};
 use self::timers::{Timer, Timers};
 use crate::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRelease, PlaceRequest, Verdict};
 
-/// A platform operation that the programs wait for.
+/// Identifies a platform operation whose reply [`Programs`] waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProgramOp(pub u64);
 
-/// Something that happened, as far as programs mind.
+/// Input to the state machine of [`Programs`].
 #[derive(Clone, Debug)]
 pub enum ProgramEvent {
-    /// This configuration is in force from now on.
+    /// A new configuration is in force.
     Config(Arc<Config>),
-    /// This host now holds a partition's lease: its journal is to be read.
+    /// This host acquired a partition's lease, or renewed it. After an acquisition it reads the
+    /// partition's journal.
     Acquired {
-        /// The partition.
+        /// The leased partition.
         partition: PartitionId,
-        /// The epoch of the lease.
+        /// The epoch of the lease; it increases with each new holder.
         epoch: Epoch,
-        /// The version of the lease row, which every journal write checks.
+        /// The version of the lease row; every journal write checks it.
         lease: RowVersion,
     },
-    /// A partition is about to be given back: what its families were granted and have not
-    /// spent is to be journaled as free. It is busy until that is durable.
+    /// A partition is about to be released. Budget grants that its program families have not
+    /// spent are journaled as free; the partition is busy until those entries are durable.
     ReleaseGrants {
-        /// The partition.
+        /// The partition to be released.
         partition: PartitionId,
     },
-    /// This host no longer holds a partition.
+    /// This host no longer holds a partition's lease.
     Lost {
-        /// The partition.
+        /// The partition that was lost.
         partition: PartitionId,
     },
-    /// A request for a program whose home this host is.
+    /// A caller sent a request for a program whose home may be this host.
     Request {
-        /// Where the answer goes.
+        /// Identifies the request in the answer.
         ticket: RequestOrigin,
-        /// The tenant whose key came with it.
+        /// The tenant that the API key belongs to.
         tenant: TenantId,
-        /// That key.
+        /// The API key that the caller sent.
         key: KeyId,
-        /// What it asks.
+        /// The request itself.
         request: Request,
     },
-    /// The caller of a request is gone.
+    /// A caller disconnected before it was answered.
     CallerGone {
-        /// The request.
+        /// Identifies its request.
         ticket: RequestOrigin,
     },
-    /// The answer to [`ProgramAction::Admit`].
+    /// The result of [`ProgramAction::Admit`].
     Verdict {
-        /// The call.
+        /// The call that asked for admission.
         call: CallId,
-        /// The answer.
+        /// Whether the tenant's rate admits the call.
         verdict: Verdict,
     },
-    /// The answer to [`ProgramAction::Place`]: the call may go to this target.
+    /// The result of [`ProgramAction::Place`]: the call has a place at this target.
     Placed {
-        /// The call.
+        /// The call that was waiting for a place.
         call: CallId,
-        /// The target.
+        /// The target where the call has a place.
         target: TargetId,
     },
-    /// The answer to [`ProgramAction::Place`]: it cannot be served in time.
+    /// The result of [`ProgramAction::Place`]: no target can serve the call in time.
     Unplaced {
-        /// The call.
+        /// The call that was waiting for a place.
         call: CallId,
-        /// When a later try can help.
+        /// How long to wait before a retry can succeed.
         retry_after: Duration,
     },
-    /// An attempt ended.
+    /// An attempt at a target ended.
     Ended {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// The platform answered [`ProgramAction::Platform`].
+    /// The reply to [`ProgramAction::Platform`].
     Platform {
-        /// The operation.
+        /// The operation that completed.
         op: ProgramOp,
-        /// The answer.
+        /// The platform's reply.
         reply: PlatformReply,
     },
-    /// A key was withdrawn: its calls that wait or stream are ended.
+    /// An API key was withdrawn. Its calls that wait or stream are ended.
     KeyWithdrawn(KeyId),
-    /// Another host found that the request with this digest crashes targets.
+    /// Another host quarantined the request with this digest because it crashes targets.
     Quarantined(Digest),
-    /// Time has passed; see [`Programs::wake_at`].
+    /// A timer is due; see [`Programs::wake_at`].
     Wake,
 }
 
-/// What to do next for a program.
+/// An action that the caller of [`Programs::step`] must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProgramAction {
-    /// Answer a request, once and for all.
+    /// Answer a request; each request is answered exactly once.
     Answer {
-        /// The request.
+        /// Identifies the request.
         ticket: RequestOrigin,
-        /// The answer.
+        /// The answer to send.
         reply: Reply,
     },
-    /// Ask whether the tenant may make one more call.
+    /// Check the tenant's rate for one more call; the result comes back as `Verdict`.
     Admit {
-        /// The call.
+        /// The call to admit.
         call: CallId,
-        /// The tenant.
+        /// The tenant whose rate applies.
         tenant: TenantId,
     },
-    /// Ask the pool's queue for a place at a target.
+    /// Request a place at a target from the pool's queue.
     Place {
-        /// The call.
+        /// The call that needs a place.
         call: CallId,
-        /// What it asks.
+        /// The requirements of the call.
         request: PlaceRequest,
     },
-    /// Give a place back, or withdraw the question for one. Said once for each `Place`
-    /// that was not answered by `Unplaced`.
+    /// Release a place, or withdraw the request for one. Emitted exactly once for each `Place`
+    /// that is not answered by `Unplaced`.
     ReleasePlace {
-        /// The call.
+        /// The call that held or requested the place.
         call: CallId,
         /// How the place was used.
         end: PlaceRelease,
     },
     /// Send an attempt to a target.
     Dispatch(Dispatch),
-    /// Cancel an attempt; its end is still told.
+    /// Cancel an attempt. Its end is still reported as `Ended`.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
     /// Run an operation on the platform.
     Platform {
-        /// The number to answer with.
+        /// The number that the reply must carry.
         op: ProgramOp,
-        /// The operation.
+        /// The operation to run.
         request: PlatformOp,
     },
-    /// A program is over: what engines hold for it is to be freed.
+    /// A program ended. Engines can free what they hold for it.
     ProgramEnded {
-        /// The program.
+        /// The program that ended.
         program: ProgramId,
     },
-    /// Tell every host that the request with this digest crashes targets.
+    /// Announce to all hosts that the request with this digest crashes targets.
     Quarantine {
-        /// The digest of the request.
+        /// The digest of the request; see `request_digest` in the `retry` module.
         digest: Digest,
     },
-    /// The platform refused a journal write because another host took the partition's
-    /// lease: this host is not its home any more, whatever its own clock says.
+    /// The platform rejected a journal write because another host took the partition's lease.
+    /// This host is no longer the partition's home, even if the lease looks valid by its own
+    /// clock.
     Fenced {
-        /// The partition.
+        /// The partition that was lost.
         partition: PartitionId,
-        /// The epoch that this host held.
+        /// The epoch of the lease that this host held.
         epoch: Epoch,
     },
 }
@@ -205,77 +211,78 @@
 /// Settings of [`Programs`].
 #[derive(Clone, Debug)]
 pub struct ProgramOptions {
-    /// The host this runs on.
+    /// The host that this state machine runs on.
     pub host: HostId,
-    /// A random number of this run of the process; attempts are numbered within it.
+    /// A random number that identifies this run of the process; attempt ids contain it.
     pub session: u64,
-    /// The fleet's secret that seals turns which are not stored yet.
+    /// The fleet-wide secret that seals turns which are not stored yet.
     pub seal_key: [u8; 32],
-    /// How long entries gather before they are written together.
+    /// How long entries are collected before they are written in one transaction.
     pub commit_interval: Duration,
 }
 
-/// The programs whose home this host is.
+/// State machine of all programs whose home is this host.
 #[derive(Debug)]
 pub struct Programs {
-    /// The settings.
+    /// The settings passed to [`Programs::new`].
     options: ProgramOptions,
-    /// The configuration in force, once there is one.
-    cfg: Option<Lookup>,
-    /// The partitions whose journal is read.
-    tenures: BTreeMap<PartitionId, Tenure>,
-    /// The partitions whose journal is being read.
-    recovering: BTreeMap<PartitionId, Recovering>,
-    /// The reads under way.
-    scans: Map<ProgramOp, (PartitionId, u64)>,
-    /// The objects being written.
-    puts: Map<ProgramOp, PartitionId>,
-    /// The partitions whose grants are journaled as free whenever nothing is under way.
-    settling: BTreeSet<PartitionId>,
-    /// How the journals have grown.
+    /// The configuration in force, once one has arrived.
+    cfg: Option<ConfigIndex>,
+    /// Partitions whose journal was read completely; requests for them are served.
+    terms: BTreeMap<PartitionId, LeaseTerm>,
+    /// Partitions whose journal is being read.
+    recovering: BTreeMap<PartitionId, Recovery>,
+    /// Reads in progress, each with its partition and lease term.
+    reads: Map<ProgramOp, (PartitionId, u64)>,
+    /// Checkpoint objects that are being written.
+    object_writes: Map<ProgramOp, PartitionId>,
+    /// Partitions that are about to be released: their unspent grants are journaled as free
+    /// whenever the partition is idle.
+    releasing_grants: BTreeSet<PartitionId>,
+    /// Journal growth and checkpoint state of each partition.
     compactions: BTreeMap<PartitionId, Compaction>,
-    /// The bytes of journal rows after which a checkpoint is made.
+    /// Journal bytes after which a checkpoint is made.
     checkpoint_bytes: usize,
-    /// The write under way.
-    writing: Option<ProgramOp>,
-    /// The programs, orphans included.
+    /// The commit in progress.
+    commit_op: Option<ProgramOp>,
+    /// All programs, including orphans.
     programs: SlotMap<ProgramKey, Program>,
-    /// The programs by id, without orphans.
+    /// Programs by id, excluding orphans.
     index: BTreeMap<ProgramId, ProgramKey>,
-    /// The budgets.
+    /// Budget accounts, one for each family of programs.
     accounts: SlotMap<AccountKey, Account>,
-    /// The calls under way.
+    /// Calls in progress.
     calls: SlotMap<CallId, Call>,
-    /// The call of each attempt that was sent.
+    /// The call of each attempt that was sent and has not ended.
     attempts: Map<AttemptId, CallId>,
-    /// The call that each caller waits for.
+    /// The call that each caller is waiting for.
     tickets: Map<RequestOrigin, CallId>,
-    /// Entries on their way to the platform.
+    /// Journal entries that are not durable yet.
     journal: Journal,
-    /// What is due when.
+    /// Pending timers.
     timers: Timers,
-    /// The retries that may be made.
+    /// Limits retries to a fraction of first attempts.
     retries: RetryBudget,
-    /// The requests that crash targets.
+    /// Requests that may have crashed targets.
     suspects: Suspects,
-    /// The number of the last tenure of a partition.
-    last_tenure: u64,
-    /// The number of the last platform operation.
+    /// The id of the most recent lease term.
+    last_term: u64,
+    /// The number of the most recent platform operation.
     last_op: u64,
-    /// The number of the last attempt.
+    /// The number of the most recent attempt.
     last_attempt: u64,
 }
 
-/// What a step reads and writes besides the state.
-struct Cx<'a> {
-    /// The time of the step.
+/// Context of one step.
+struct StepContext<'a> {
+    /// The current time.
     now: Instant,
-    /// What to do next.
+    /// Receives the actions to carry out.
     out: &'a mut Vec<ProgramAction>,
 }
 
 impl Programs {
-    /// Makes the home of no partitions.
+    /// Creates a state machine that is home of no partitions.
     ///
     /// ```
     /// use camphorwalk_core::ids::HostId;
@@ -294,14 +301,14 @@
             journal: Journal::new(options.session, options.commit_interval),
             options,
             cfg: None,
-            tenures: BTreeMap::new(),
+            terms: BTreeMap::new(),
             recovering: BTreeMap::new(),
-            scans: Map::default(),
-            puts: Map::default(),
-            settling: BTreeSet::new(),
+            reads: Map::default(),
+            object_writes: Map::default(),
+            releasing_grants: BTreeSet::new(),
             compactions: BTreeMap::new(),
             checkpoint_bytes: CHECKPOINT_BYTES,
-            writing: None,
+            commit_op: None,
             programs: SlotMap::with_key(),
             index: BTreeMap::new(),
             accounts: SlotMap::with_key(),
@@ -311,13 +318,13 @@
             timers: Timers::default(),
             retries: RetryBudget::new(),
             suspects: Suspects::default(),
-            last_tenure: 0,
+            last_term: 0,
             last_op: 0,
             last_attempt: 0,
         }
     }
 
-    /// Takes in an event and appends what to do next to `out`.
+    /// Processes an event and appends the resulting actions to `out`.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -343,31 +350,32 @@
     /// let mut out = Vec::new();
     /// Programs::new(options).step(Instant::from_millis(5), event, &mut out);
     ///
-    /// // This host is home of nothing yet.
+    /// // This host is not the home of any partition yet.
     /// assert!(matches!(out[..], [ProgramAction::Answer { .. }]));
     /// ```
     pub fn step(&mut self, now: Instant, event: ProgramEvent, out: &mut Vec<ProgramAction>) {
-        let cx = &mut Cx { now, out };
+        let cx = &mut StepContext { now, out };
 
-        // First: a host that was paused past a deadline must not act on an older event as if
-        // there were time left, for example send a call whose caller was promised an answer.
+        // Timers run before the event. A host that was paused past a deadline must not act on
+        // an older event as if there were time left: it could send a call whose caller was
+        // already refused.
         self.run_timers(cx);
 
         match event {
             ProgramEvent::Config(cfg) => {
-                self.cfg = Some(Lookup::new(cfg));
-                self.read_unblocked(cx);
+                self.cfg = Some(ConfigIndex::new(cfg));
+                self.start_unblocked_reads(cx);
             }
             ProgramEvent::Acquired { partition, epoch, lease } => {
-                self.acquired(cx, partition, epoch, lease);
+                self.lease_acquired(cx, partition, epoch, lease);
             }
-            ProgramEvent::ReleaseGrants { partition } => self.settle_partition(partition),
-            ProgramEvent::Lost { partition } => self.lost(cx, partition),
+            ProgramEvent::ReleaseGrants { partition } => self.start_grant_release(partition),
+            ProgramEvent::Lost { partition } => self.partition_lost(cx, partition),
             ProgramEvent::Request { ticket, tenant, key, request } => {
-                self.request(cx, Asked { ticket, tenant, key, request });
+                self.request(cx, IncomingRequest { ticket, tenant, key, request });
             }
             ProgramEvent::CallerGone { ticket } => self.caller_gone(cx, ticket),
-            ProgramEvent::Verdict { call, verdict } => self.on_verdict(cx, call, verdict),
+            ProgramEvent::Verdict { call, verdict } => self.on_admission(cx, call, verdict),
             ProgramEvent::Placed { call, target } => self.on_placed(cx, call, target),
             ProgramEvent::Unplaced { call, retry_after } => {
                 self.on_unplaced(cx, call, retry_after);
@@ -379,7 +387,7 @@
             ProgramEvent::Wake => {}
         }
 
-        self.settle_idle();
+        self.release_idle_grants();
         self.flush(cx);
     }
 
@@ -400,8 +408,7 @@
         [self.timers.next_at(), self.journal.wake_at()].into_iter().flatten().min()
     }
 
-    /// Returns the partitions that have calls under way, or entries on the way to the
-    /// platform.
+    /// Returns the partitions that have calls in progress or entries that are not durable yet.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -420,22 +427,22 @@
         calls.chain(self.journal.partitions()).collect()
     }
 
-    /// Returns whether any call is under way here.
+    /// Returns whether any call is in progress on this host.
     pub fn has_calls(&self) -> bool {
         !self.calls.is_empty()
     }
 
     /// Returns whether a program is open, or `None` if this host is not its home or has not
-    /// read its journal to the end.
+    /// finished reading its journal.
     pub fn is_open(&self, program: ProgramId) -> Option<bool> {
         let partition = self.cfg.as_ref()?.partition(program);
-        self.tenures.get(&partition)?;
+        self.terms.get(&partition)?;
         let open = |key: &ProgramKey| self.programs[*key].state == ProgramState::Open;
 
         Some(self.index.get(&program).is_some_and(open))
     }
 
-    /// Returns the programs that are open here.
+    /// Returns the programs that are open on this host.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -455,19 +462,19 @@
             .map(|(id, _)| *id)
     }
 
-    /// Answers a request.
-    fn answer(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, reply: Reply) {
+    /// Emits the answer to a request.
+    fn answer(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin, reply: Reply) {
         self.tickets.remove(&ticket);
         cx.out.push(ProgramAction::Answer { ticket, reply });
     }
 
-    /// Refuses a request.
-    fn refuse(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, refusal: Refusal) {
+    /// Answers a request with a refusal.
+    fn refuse(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin, refusal: Refusal) {
         self.answer(cx, ticket, Reply::Refused(refusal));
     }
 
-    /// Runs an operation on the platform and returns its number.
-    fn platform(&mut self, cx: &mut Cx<'_>, request: PlatformOp) -> ProgramOp {
+    /// Starts a platform operation and returns its number.
+    fn platform(&mut self, cx: &mut StepContext<'_>, request: PlatformOp) -> ProgramOp {
         self.last_op += 1;
         let op = ProgramOp(self.last_op);
         cx.out.push(ProgramAction::Platform { op, request });
@@ -475,8 +482,8 @@
         op
     }
 
-    /// Runs what is due.
-    fn run_timers(&mut self, cx: &mut Cx<'_>) {
+    /// Handles all timers that are due.
+    fn run_timers(&mut self, cx: &mut StepContext<'_>) {
         while let Some(timer) = self.timers.take_due(cx.now) {
             match timer {
                 Timer::Call(call) => self.stage_timed_out(cx, call),
--- a/crates/policy/src/programs/recovery.rs
+++ b/crates/policy/src/programs/recovery.rs
@@ -1,8 +1,9 @@
-//! Reading a partition's journal on its new home.
+//! Reading of a partition's checkpoint and journal on its new home host.
 //!
-//! Clocks of two hosts cannot be compared, so entries hold the time left. A new home counts
-//! it from the moment it reads the entry: the time between the last entry and the change of
-//! home is not counted, and a program may live that much longer than its caller waits.
+//! Clocks of different hosts cannot be compared, so entries hold the time left until the
+//! deadline. A new home host counts it from the moment it reads the entry. The time between the
+//! last entry and the change of home is not counted, so a program may run that much longer than
+//! its caller waits.
 
 use std::time::Duration;
 
@@ -10,80 +11,80 @@
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, Row, RowVersion};
 
 use super::checkpoint::{ProgramImage, checkpoint_key};
-use super::compaction::{Compaction, images, parts_of};
+use super::compaction::{Compaction, parse_checkpoint, parse_images};
 use super::entries::{
-    Entry, IntentEntry, JOURNAL, JournalRow, OutcomeEntry, Recorded, TurnEntry, journal_prefix,
-    sequence_of,
+    Entry, IntentEntry, JOURNAL, JournalRow, OutcomeEntry, RecordedOutcome, TurnEntry,
+    journal_prefix, sequence_of,
 };
-use super::journal::Tenure;
-use super::lifecycle::REMEMBERED;
-use super::requests::Asked;
-use super::state::{Parked, Program, ProgramKey, ProgramState, Reading, Recovering};
+use super::journal::LeaseTerm;
+use super::lifecycle::ENDED_RETENTION;
+use super::requests::IncomingRequest;
+use super::state::{ParkedRequest, Program, ProgramKey, ProgramState, ReadStep, Recovery};
 use super::timers::Timer;
-use super::{Cx, ProgramOp, Programs, answers};
+use super::{ProgramOp, Programs, StepContext, refusals};
 
-/// The rows read at once.
+/// The number of rows read at once.
 const PAGE_ROWS: u32 = 256;
 
-/// The wait before something is asked for again.
-const READ_RETRY: Duration = Duration::from_millis(200);
+/// The wait before a failed read is repeated.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// How long a request waits for the journal to be read.
-const PARK_WAIT: Duration = Duration::from_secs(2);
+const MAX_PARK_TIME: Duration = Duration::from_secs(2);
 
-/// The most requests that wait for one partition.
+/// The maximum number of requests that wait for one partition.
 const MAX_PARKED: usize = 256;
 
 impl Programs {
-    /// This host holds a partition's lease.
-    pub(super) fn acquired(
+    /// Handles a lease that this host acquired or renewed.
+    pub(super) fn lease_acquired(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         partition: PartitionId,
         epoch: Epoch,
         lease: RowVersion,
     ) {
-        let reading = self.recovering.get_mut(&partition).map(|r| &mut r.tenure);
-        let held = self.tenures.get_mut(&partition).or(reading);
+        let reading = self.recovering.get_mut(&partition).map(|r| &mut r.term);
+        let held = self.terms.get_mut(&partition).or(reading);
 
-        // The same lease, renewed: its row has a new version.
-        if let Some(tenure) = held.filter(|tenure| tenure.epoch == epoch) {
-            tenure.lease = lease;
+        // After a renewal only the version of the lease row changes.
+        if let Some(term) = held.filter(|term| term.epoch == epoch) {
+            term.lease = lease;
             return;
         }
 
-        self.lost(cx, partition);
-        self.last_tenure += 1;
-        let tenure = Tenure { id: self.last_tenure, epoch, lease, next: 1 };
-        let recovering = Recovering {
-            tenure,
-            reading: Reading::Checkpoint,
+        self.partition_lost(cx, partition);
+        self.last_term += 1;
+        let term = LeaseTerm { id: self.last_term, epoch, lease, next_row: 1 };
+        let recovering = Recovery {
+            term,
+            next_read: ReadStep::Checkpoint,
             compaction: Compaction::default(),
-            upto: 0,
-            after: "".into(),
+            checkpoint_row: 0,
+            last_key: "".into(),
             parked: Vec::new(),
             retry_at: None,
             blocked: true,
         };
         self.recovering.insert(partition, recovering);
-        self.read_unblocked(cx);
+        self.start_unblocked_reads(cx);
     }
 
-    /// Forgets a partition that this host still holds, and reads it anew.
-    pub(super) fn read_again(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
-        if let Some(Tenure { epoch, lease, .. }) = self.tenures.get(&partition).copied() {
-            self.lost(cx, partition);
-            self.acquired(cx, partition, epoch, lease);
+    /// Drops a partition that this host still holds and reads it again.
+    pub(super) fn restart_recovery(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
+        if let Some(LeaseTerm { epoch, lease, .. }) = self.terms.get(&partition).copied() {
+            self.partition_lost(cx, partition);
+            self.lease_acquired(cx, partition, epoch, lease);
         }
     }
 
-    /// Begins to read the journals that this host itself does not write to any more.
+    /// Starts to read the journals to which this host has no write in flight.
     ///
-    /// A lease can be lost and found again with the same version. A transaction of before,
-    /// whose answer was lost, could then take effect after the journal was read: the row
-    /// would be missing here, and what is written next would contradict it.
-    pub(super) fn read_unblocked(&mut self, cx: &mut Cx<'_>) {
-        // Without a configuration nobody knows what is in which partition.
+    /// A lease can be lost and acquired again with the same version. An earlier transaction of
+    /// this host whose answer was lost could then take effect after the journal was read. The
+    /// state here would lack that row, and later entries would contradict it.
+    pub(super) fn start_unblocked_reads(&mut self, cx: &mut StepContext<'_>) {
+        // The configuration maps programs to partitions.
         if self.cfg.is_none() {
             return;
         }
@@ -100,67 +101,74 @@
         }
     }
 
-    /// Asks for what is read next of a partition.
-    fn read(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    /// Issues the next read of a partition.
+    fn read(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
         recovering.retry_at = None;
         recovering.blocked = false;
-        let tenure = recovering.tenure.id;
+        let term = recovering.term.id;
 
-        let request = match &recovering.reading {
-            Reading::Checkpoint => PlatformOp::Read(vec![checkpoint_key(partition)]),
-            Reading::Parts(parts) => match parts.front() {
+        let request = match &recovering.next_read {
+            ReadStep::Checkpoint => PlatformOp::Read(vec![checkpoint_key(partition)]),
+            ReadStep::Parts(parts) => match parts.front() {
                 Some(name) => PlatformOp::GetObject(name.clone()),
                 None => return self.read_rows(cx, partition),
             },
-            Reading::Rows => PlatformOp::Scan {
+            ReadStep::Rows => PlatformOp::Scan {
                 table: JOURNAL.into(),
                 prefix: journal_prefix(partition),
-                after: recovering.after.clone(),
+                after: recovering.last_key.clone(),
                 limit: PAGE_ROWS,
             },
         };
 
         let op = self.platform(cx, request);
-        self.scans.insert(op, (partition, tenure));
+        self.reads.insert(op, (partition, term));
     }
 
-    /// Goes on to the journal's rows.
-    fn read_rows(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    /// Continues with the journal rows after the last checkpoint object.
+    fn read_rows(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         if let Some(recovering) = self.recovering.get_mut(&partition) {
-            recovering.reading = Reading::Rows;
+            recovering.next_read = ReadStep::Rows;
             self.read(cx, partition);
         }
     }
 
-    /// A part of a partition came in.
-    pub(super) fn on_read(&mut self, cx: &mut Cx<'_>, op: ProgramOp, reply: PlatformReply) {
-        let Some((partition, tenure)) = self.scans.remove(&op) else { return };
+    /// Handles the reply to a read.
+    pub(super) fn on_read(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        op: ProgramOp,
+        reply: PlatformReply,
+    ) {
+        let Some((partition, term)) = self.reads.remove(&op) else { return };
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
 
-        if recovering.tenure.id != tenure {
+        if recovering.term.id != term {
             return;
         }
 
-        match (&mut recovering.reading, reply) {
-            (Reading::Checkpoint, PlatformReply::Rows(rows)) => {
+        match (&mut recovering.next_read, reply) {
+            (ReadStep::Checkpoint, PlatformReply::Rows(rows)) => {
                 self.on_checkpoint(cx, partition, rows.into_iter().next());
             }
-            (Reading::Parts(parts), PlatformReply::Object(Some(content))) => {
-                let Some(images) = images(&content) else { return self.stall(cx, partition) };
+            (ReadStep::Parts(parts), PlatformReply::Object(Some(content))) => {
+                let Some(images) = parse_images(&content) else {
+                    return self.retry_read_later(cx, partition);
+                };
                 parts.pop_front();
                 images.into_iter().for_each(|image| self.load_image(cx, image));
                 self.read(cx, partition);
             }
-            (Reading::Rows, PlatformReply::Rows(rows)) => self.on_rows(cx, partition, rows),
-            _ => self.stall(cx, partition),
+            (ReadStep::Rows, PlatformReply::Rows(rows)) => self.on_rows(cx, partition, rows),
+            _ => self.retry_read_later(cx, partition),
         }
     }
 
-    /// Asks again later: the platform is away, or has something that cannot be read. A
-    /// partition that is not read in full is not served, as calls of it would be lost.
-    fn stall(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
-        let at = cx.now + READ_RETRY;
+    /// Schedules a retry: the platform is unavailable or returned data that cannot be read.
+    /// Until the partition is read completely it is not served, because calls would be missing.
+    fn retry_read_later(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
+        let at = cx.now + READ_RETRY_DELAY;
 
         if let Some(recovering) = self.recovering.get_mut(&partition) {
             recovering.retry_at = Some(at);
@@ -168,37 +176,42 @@
         }
     }
 
-    /// A partition's checkpoint row came in, if there is one.
-    fn on_checkpoint(&mut self, cx: &mut Cx<'_>, partition: PartitionId, row: Option<Row>) {
+    /// Handles the checkpoint row, if the partition has one.
+    fn on_checkpoint(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        partition: PartitionId,
+        row: Option<Row>,
+    ) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
-        recovering.reading = Reading::Rows;
-        recovering.compaction.first = 1;
+        recovering.next_read = ReadStep::Rows;
+        recovering.compaction.first_row = 1;
 
         if let Some(row) = &row {
-            let Some((parts, checkpoint)) = parts_of(&row.value) else {
-                recovering.reading = Reading::Checkpoint;
-                return self.stall(cx, partition);
+            let Some((parts, checkpoint)) = parse_checkpoint(&row.value) else {
+                recovering.next_read = ReadStep::Checkpoint;
+                return self.retry_read_later(cx, partition);
             };
-            recovering.reading = Reading::Parts(parts);
-            recovering.upto = checkpoint.upto;
-            recovering.tenure.next = checkpoint.upto + 1;
-            recovering.compaction.last = checkpoint.bytes;
-            recovering.compaction.first = checkpoint.upto + 1;
+            recovering.next_read = ReadStep::Parts(parts);
+            recovering.checkpoint_row = checkpoint.upto;
+            recovering.term.next_row = checkpoint.upto + 1;
+            recovering.compaction.last_checkpoint_bytes = checkpoint.bytes;
+            recovering.compaction.first_row = checkpoint.upto + 1;
         }
 
         recovering.compaction.version = row.map_or(RowVersion::ABSENT, |row| row.version);
         self.read(cx, partition);
     }
 
-    /// Takes in the image of a program.
-    fn load_image(&mut self, cx: &mut Cx<'_>, image: ProgramImage) {
+    /// Loads a program from its image.
+    fn load_image(&mut self, cx: &mut StepContext<'_>, image: ProgramImage) {
         let key = self.insert_program(cx, &image.opened);
         let parent = image.opened.parent.and_then(|id| self.index.get(&id).copied());
         let program = &mut self.programs[key];
-        program.upto = image.upto;
+        program.image_row = image.upto;
         program.openings = image.openings;
         program.open_intent = image.intent;
-        self.accounts[program.account].granted(image.opened.granted);
+        self.accounts[program.account].raise_grant(image.opened.granted);
 
         if image.ended {
             program.state = ProgramState::Ended;
@@ -208,48 +221,49 @@
             program.append(call.call, call.outcome);
         }
 
-        // Its parent's image counts this opening already.
+        // The image of the parent already counts this opening.
         if let Some(parent) = parent {
             self.programs[parent].openings -= 1;
         }
     }
 
-    /// Rows of a journal came in.
-    fn on_rows(&mut self, cx: &mut Cx<'_>, partition: PartitionId, rows: Vec<Row>) {
+    /// Handles a page of journal rows.
+    fn on_rows(&mut self, cx: &mut StepContext<'_>, partition: PartitionId, rows: Vec<Row>) {
         let whole = rows.len() < PAGE_ROWS as usize;
 
         for row in rows {
             if self.on_row(cx, partition, row).is_none() {
-                return self.stall(cx, partition);
+                return self.retry_read_later(cx, partition);
             }
         }
 
-        if whole { self.recovered(cx, partition) } else { self.read(cx, partition) }
+        if whole { self.finish_recovery(cx, partition) } else { self.read(cx, partition) }
     }
 
-    /// Takes in a row of a journal; `None` if it cannot be read.
-    fn on_row(&mut self, cx: &mut Cx<'_>, partition: PartitionId, row: Row) -> Option<()> {
+    /// Replays one journal row; returns `None` if it cannot be parsed.
+    fn on_row(&mut self, cx: &mut StepContext<'_>, partition: PartitionId, row: Row) -> Option<()> {
         let sequence = sequence_of(&row.key)?;
         let content: JournalRow = serde_json::from_str(&row.value).ok()?;
         let recovering = self.recovering.get_mut(&partition)?;
-        recovering.after = row.key.key;
-        recovering.compaction.first = recovering.compaction.first.min(sequence);
+        recovering.last_key = row.key.key;
+        recovering.compaction.first_row = recovering.compaction.first_row.min(sequence);
 
-        // The checkpoint holds it; it was not deleted yet.
-        if sequence <= recovering.upto {
+        // The checkpoint covers this row, which has not been deleted yet.
+        if sequence <= recovering.checkpoint_row {
             return Some(());
         }
 
-        recovering.compaction.since += row.value.len();
-        recovering.tenure.next = sequence + 1;
+        recovering.compaction.bytes_since_checkpoint += row.value.len();
+        recovering.term.next_row = sequence + 1;
 
         for entry in content.entries {
-            let known = self.index.get(&entry.program()).map(|key| self.programs[*key].upto);
+            let known = self.index.get(&entry.program()).map(|key| self.programs[*key].image_row);
 
-            // An image that was made later than this row holds the entry. What it grants
-            // counts all the same: the family's other rows may have settled it meanwhile.
+            // The program's image is newer than this row and covers the entry. Its grant is
+            // replayed all the same: grants belong to the family, and a `Settled` entry in
+            // another row may have lowered the grant in between.
             match known {
-                Some(upto) if upto >= sequence => self.replay_grant(&entry),
+                Some(image_row) if image_row >= sequence => self.replay_grant(&entry),
                 _ => self.replay(cx, entry),
             }
         }
@@ -257,13 +271,13 @@
         Some(())
     }
 
-    /// Takes in one entry of a journal.
-    fn replay(&mut self, cx: &mut Cx<'_>, entry: Entry) {
+    /// Replays one journal entry.
+    fn replay(&mut self, cx: &mut StepContext<'_>, entry: Entry) {
         match entry {
             Entry::Opened(opened) => {
                 let granted = opened.granted;
                 let key = self.insert_program(cx, &opened);
-                self.accounts[self.programs[key].account].granted(granted);
+                self.accounts[self.programs[key].account].raise_grant(granted);
             }
             Entry::Intent(intent) => self.replay_intent(cx, intent),
             Entry::Outcome(outcome) => self.replay_outcome(outcome),
@@ -277,22 +291,22 @@
         }
     }
 
-    /// Takes in what an entry says of its family's grant.
+    /// Replays the effect of an entry on its family's grant.
     fn replay_grant(&mut self, entry: &Entry) {
         let Some(key) = self.index.get(&entry.program()) else { return };
         let account = &mut self.accounts[self.programs[*key].account];
 
         match entry {
-            Entry::Turn(turn) => account.granted(turn.granted),
-            Entry::Granted(grant) => account.granted(grant.granted),
-            Entry::Settled { spent, .. } => account.settled(*spent),
-            Entry::Opened(opened) => account.granted(opened.granted),
+            Entry::Turn(turn) => account.raise_grant(turn.granted),
+            Entry::Granted(grant) => account.raise_grant(grant.granted),
+            Entry::Settled { spent, .. } => account.replay_settled(*spent),
+            Entry::Opened(opened) => account.raise_grant(opened.granted),
             Entry::Intent(_) | Entry::Outcome(_) | Entry::Ended { .. } => {}
         }
     }
 
-    /// Takes in an intent.
-    fn replay_intent(&mut self, cx: &mut Cx<'_>, intent: IntentEntry) {
+    /// Replays an intent.
+    fn replay_intent(&mut self, cx: &mut StepContext<'_>, intent: IntentEntry) {
         let Some(key) = self.index.get(&intent.program) else { return };
         let program = &mut self.programs[*key];
         close_intent(program);
@@ -300,12 +314,12 @@
         program.deadline = cx.now + intent.left;
     }
 
-    /// Takes in what became of an intent.
+    /// Replays the outcome of an intent.
     fn replay_outcome(&mut self, entry: OutcomeEntry) {
         let Some(key) = self.index.get(&entry.program) else { return };
         let program = &mut self.programs[*key];
 
-        // The outcome of an intent that was given up long ago says nothing new.
+        // An outcome that arrives after its intent was closed changes nothing.
         let Some((_, call)) = program.open_intent.take_if(|(name, _)| *name == entry.attempt)
         else {
             return;
@@ -316,20 +330,20 @@
         }
     }
 
-    /// Takes in a finished repeatable call.
-    fn replay_turn(&mut self, cx: &mut Cx<'_>, turn: TurnEntry) {
+    /// Replays a finished call that may be repeated.
+    fn replay_turn(&mut self, cx: &mut StepContext<'_>, turn: TurnEntry) {
         let Some(key) = self.index.get(&turn.program) else { return };
         let program = &mut self.programs[*key];
         close_intent(program);
         program.append(turn.call, turn.outcome);
         program.deadline = cx.now + turn.left;
-        self.accounts[program.account].granted(turn.granted);
+        self.accounts[program.account].raise_grant(turn.granted);
     }
 
-    /// A journal is read: its programs are served from now on.
-    fn recovered(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    /// Finishes a recovery and starts to serve the partition.
+    fn finish_recovery(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         let Some(recovering) = self.recovering.remove(&partition) else { return };
-        self.tenures.insert(partition, recovering.tenure);
+        self.terms.insert(partition, recovering.term);
         self.compactions.insert(partition, recovering.compaction);
 
         let keys: Vec<_> = self
@@ -340,33 +354,34 @@
             .collect();
 
         for key in keys {
-            self.recovered_program(cx, key);
+            self.finish_program_recovery(cx, key);
         }
 
         for parked in recovering.parked {
-            self.serve(cx, Asked::unparked(parked));
+            self.serve(cx, IncomingRequest::unparked(parked));
         }
     }
 
-    /// Makes a program ready that was read from a journal.
-    fn recovered_program(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    /// Prepares a program that was read from the journal.
+    fn finish_program_recovery(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let program = &mut self.programs[key];
 
-        // The former home may have sent the call, and may yet. It counts as run with an
-        // unknown outcome; sending it again could take a second deposit. Should the former
-        // home have seen the answer, its sealed tail settles the matter.
+        // The previous home host may have sent the call, or may still send it. The call is
+        // recorded with an unknown outcome, because sending it again could repeat a deposit,
+        // for example. If the previous host received the answer, the caller's sealed tail
+        // supplies the outcome later.
         if let Some((_, call)) = program.open_intent.clone() {
-            program.append(call, Recorded::Unknown);
+            program.append(call, RecordedOutcome::Unknown);
         }
 
         program.stored = program.head();
         let account = &mut self.accounts[program.account];
-        account.recovered();
+        account.spend_whole_grant();
 
         let due = match program.state {
             ProgramState::Ended => {
                 program.end_stored = true;
-                let at = cx.now + REMEMBERED;
+                let at = cx.now + ENDED_RETENTION;
                 program.forget_at = Some(at);
                 at
             }
@@ -375,16 +390,21 @@
         self.timers.set(due, Timer::Program(key));
     }
 
-    /// Lets a request wait until its partition's journal is read.
-    pub(super) fn park(&mut self, cx: &mut Cx<'_>, partition: PartitionId, asked: Asked) {
+    /// Parks a request until its partition's journal has been read.
+    pub(super) fn park(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        partition: PartitionId,
+        asked: IncomingRequest,
+    ) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
 
         if recovering.parked.len() >= MAX_PARKED {
-            return self.refuse(cx, asked.ticket, answers::not_served(&asked.request));
+            return self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
         }
 
-        let until = cx.now + PARK_WAIT;
-        recovering.parked.push(Parked {
+        let until = cx.now + MAX_PARK_TIME;
+        recovering.parked.push(ParkedRequest {
             ticket: asked.ticket,
             tenant: asked.tenant,
             key: asked.key,
@@ -394,15 +414,15 @@
         self.timers.set(until, Timer::Partition(partition));
     }
 
-    /// Something is due for a partition whose journal is being read.
-    pub(super) fn recovery_due(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    /// Refuses parked requests that waited too long, and retries a failed read that is due.
+    pub(super) fn recovery_due(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
         let late: Vec<_> =
             recovering.parked.extract_if(.., |parked| parked.until <= cx.now).collect();
         let retry = recovering.retry_at.is_some_and(|at| at <= cx.now);
 
         for parked in late {
-            self.refuse(cx, parked.ticket, answers::not_served(&parked.request));
+            self.refuse(cx, parked.ticket, refusals::not_served(&parked.request));
         }
 
         if retry {
@@ -411,10 +431,10 @@
     }
 }
 
-/// Takes an intent whose outcome never came for one with an unknown outcome, because the
-/// program went on after it.
+/// Records an intent without a journaled outcome as having an unknown outcome, because the
+/// program continued after it.
 fn close_intent(program: &mut Program) {
     if let Some((_, call)) = program.open_intent.take() {
-        program.append(call, Recorded::Unknown);
+        program.append(call, RecordedOutcome::Unknown);
     }
 }
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -1,4 +1,4 @@
-//! Requests as they come in, and those that only look.
+//! Dispatch of incoming requests, and the requests that only read.
 
 use std::sync::Arc;
 
@@ -8,33 +8,33 @@
 use camphorwalk_core::ids::{KeyId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
 
-use super::entries::Recorded;
-use super::state::{Parked, Program, ProgramKey, ProgramState};
-use super::{Cx, Programs, answers, tail};
+use super::entries::RecordedOutcome;
+use super::state::{ParkedRequest, Program, ProgramKey, ProgramState};
+use super::{Programs, StepContext, refusals, tail};
 
-/// A request with what came with it.
+/// A request together with its sender.
 #[derive(Debug)]
-pub(super) struct Asked {
-    /// Where the answer goes.
+pub(super) struct IncomingRequest {
+    /// Identifies the request in the answer.
     pub ticket: RequestOrigin,
-    /// The tenant.
+    /// The tenant that sent it.
     pub tenant: TenantId,
-    /// The key.
+    /// The API key it was sent with.
     pub key: KeyId,
-    /// What it asks.
+    /// The request itself.
     pub request: Request,
 }
 
 impl Programs {
-    /// Takes in a request.
-    pub(super) fn request(&mut self, cx: &mut Cx<'_>, asked: Asked) {
+    /// Serves a request, parks it while its partition is being read, or refuses it.
+    pub(super) fn request(&mut self, cx: &mut StepContext<'_>, asked: IncomingRequest) {
         let program = asked.request.program();
 
         let Some(partition) = self.cfg.as_ref().map(|cfg| cfg.partition(program)) else {
-            return self.refuse(cx, asked.ticket, answers::not_served(&asked.request));
+            return self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
         };
 
-        if self.tenures.contains_key(&partition) {
+        if self.terms.contains_key(&partition) {
             return self.serve(cx, asked);
         }
 
@@ -42,12 +42,12 @@
             return self.park(cx, partition, asked);
         }
 
-        self.refuse(cx, asked.ticket, answers::not_served(&asked.request));
+        self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
     }
 
-    /// Serves a request for a program whose home this host is.
-    pub(super) fn serve(&mut self, cx: &mut Cx<'_>, asked: Asked) {
-        let Asked { ticket, tenant, key, request } = asked;
+    /// Serves a request for a program whose home is this host.
+    pub(super) fn serve(&mut self, cx: &mut StepContext<'_>, asked: IncomingRequest) {
+        let IncomingRequest { ticket, tenant, key, request } = asked;
 
         match request {
             Request::Open(open) => self.open(cx, ticket, tenant, open),
@@ -68,17 +68,21 @@
         }
     }
 
-    /// Returns a tenant's program. Another tenant's looks like none.
-    pub(super) fn visible(&self, tenant: TenantId, program: ProgramId) -> Option<ProgramKey> {
+    /// Returns the program if it belongs to the tenant; otherwise it appears not to exist.
+    pub(super) fn tenant_program(
+        &self,
+        tenant: TenantId,
+        program: ProgramId,
+    ) -> Option<ProgramKey> {
         let key = *self.index.get(&program)?;
 
         (self.programs[key].tenant == tenant).then_some(key)
     }
 
-    /// Returns a program's state.
-    fn view(&self, cx: &Cx<'_>, tenant: TenantId, program: ProgramId) -> Reply {
-        let Some(key) = self.visible(tenant, program) else {
-            return Reply::Refused(answers::not_found());
+    /// Returns the state of a program as its caller sees it.
+    fn view(&self, cx: &StepContext<'_>, tenant: TenantId, program: ProgramId) -> Reply {
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return Reply::Refused(refusals::not_found());
         };
         let program = &self.programs[key];
         let state = if program.state == ProgramState::Ended { "ended" } else { "open" };
@@ -88,20 +92,20 @@
             template: program.template.clone(),
             state: state.into(),
             head: program.head(),
-            budget_left_tokens: self.accounts[program.account].left(),
-            deadline_left: program.left(cx.now),
+            budget_left_tokens: self.accounts[program.account].available(),
+            deadline_left: program.time_left(cx.now),
         })
     }
 
-    /// Returns a call's outcome.
+    /// Returns the outcome of the call with this idempotency key.
     fn outcome(&self, tenant: TenantId, program: ProgramId, call: &str) -> Reply {
-        let Some(key) = self.visible(tenant, program) else {
-            return Reply::Refused(answers::not_found());
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return Reply::Refused(refusals::not_found());
         };
         let program = &self.programs[key];
 
         if let Some(number) = program.find(call) {
-            return Reply::Outcome(match self.recorded(program, number) {
+            return Reply::Outcome(match self.call_result(program, number) {
                 Ok(called) => CallOutcome::Done(called),
                 Err(refusal) => CallOutcome::Failed(refusal),
             });
@@ -111,14 +115,14 @@
 
         match running.filter(|running| &*running.text.key == call) {
             Some(_) => Reply::Outcome(CallOutcome::Running),
-            None => Reply::Refused(answers::not_found()),
+            None => Reply::Refused(refusals::not_found()),
         }
     }
 
-    /// Returns a program's calls in order.
+    /// Returns the finished calls of a program, beginning at number `from`.
     fn history(&self, tenant: TenantId, program: ProgramId, from: u32) -> Reply {
-        let Some(key) = self.visible(tenant, program) else {
-            return Reply::Refused(answers::not_found());
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return Reply::Refused(refusals::not_found());
         };
         let skipped = from.max(1) - 1;
         let program = &self.programs[key];
@@ -138,36 +142,36 @@
         }
     }
 
-    /// Returns the answer to a finished call, as first given or to a repeat.
-    pub(super) fn recorded(&self, program: &Program, number: u32) -> Result<Called, Refusal> {
+    /// Returns the result of a finished call; repeats of the call get the same.
+    pub(super) fn call_result(&self, program: &Program, number: u32) -> Result<Called, Refusal> {
         let record = &program.calls[number as usize - 1];
         let stored = number <= program.stored;
 
         match &record.outcome {
-            Recorded::Done { output, usage } => Ok(Called {
+            RecordedOutcome::Done { output, usage } => Ok(Called {
                 call: number,
                 output: text(output),
                 usage: *usage,
                 stored,
                 tail: if stored { None } else { tail::seal(&self.options.seal_key, program) },
             }),
-            Recorded::Failed { message } => Err(answers::failed(message)),
-            Recorded::Unknown => Err(answers::unknown()),
+            RecordedOutcome::Failed { message } => Err(refusals::target_failed(message)),
+            RecordedOutcome::Unknown => Err(refusals::outcome_unknown()),
         }
     }
 
-    /// Returns the reply to a finished call.
-    pub(super) fn recorded_reply(&self, program: ProgramKey, number: u32) -> Reply {
-        match self.recorded(&self.programs[program], number) {
+    /// Returns the reply for a finished call.
+    pub(super) fn call_result_reply(&self, program: ProgramKey, number: u32) -> Reply {
+        match self.call_result(&self.programs[program], number) {
             Ok(called) => Reply::Called(called),
             Err(refusal) => Reply::Refused(refusal),
         }
     }
 }
 
-impl Asked {
-    /// Makes a request out of one that was parked.
-    pub fn unparked(parked: Parked) -> Self {
+impl IncomingRequest {
+    /// Restores the request from a parked one.
+    pub fn unparked(parked: ParkedRequest) -> Self {
         Self {
             ticket: parked.ticket,
             tenant: parked.tenant,
@@ -177,26 +181,26 @@
     }
 }
 
-/// Returns a call's output as its history shows it.
-fn output_text(outcome: &Recorded) -> Box<str> {
+/// Returns the text that a program's history shows as the output of a call.
+fn output_text(outcome: &RecordedOutcome) -> Box<str> {
     match outcome {
-        Recorded::Done { output, .. } => text(output),
-        Recorded::Failed { message } => error_text(&answers::failed(message)),
-        Recorded::Unknown => error_text(&answers::unknown()),
+        RecordedOutcome::Done { output, .. } => text(output),
+        RecordedOutcome::Failed { message } => error_text(&refusals::target_failed(message)),
+        RecordedOutcome::Unknown => error_text(&refusals::outcome_unknown()),
     }
 }
 
-/// Returns a refusal as the JSON that stands in place of an output.
+/// Returns a refusal as JSON, to be shown in place of an output.
 fn error_text(refusal: &Refusal) -> Box<str> {
     serde_json::json!({ "error": refusal }).to_string().into()
 }
 
-/// Copies a shared text.
+/// Copies a shared text into a string of its own.
 fn text(shared: &Arc<str>) -> Box<str> {
     Box::from(&**shared)
 }
 
 /// Returns the tokens that count against the budget.
-pub(super) fn spent(usage: &Usage) -> Tokens {
+pub(super) fn counted_tokens(usage: &Usage) -> Tokens {
     usage.prompt_tokens.plus(usage.output_tokens)
 }
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -1,27 +1,27 @@
-//! A call's steps up to its dispatch: rate, budget, place, intent.
+//! The steps of a call before it is sent: rate check, budget reservation, place, intent.
 
 use std::time::Duration;
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Usage};
 use camphorwalk_core::ids::{AttemptId, TargetId};
 
-use super::budget::Reserve;
+use super::budget::Reservation;
 use super::entries::{Entry, GrantedEntry, IntentEntry};
 use super::journal::Waiter;
-use super::state::{Kind, ProgramState, Stage};
+use super::state::{ProgramState, Stage, WorkKind};
 use super::timers::Timer;
-use super::{Cx, ProgramAction, Programs, answers};
+use super::{ProgramAction, Programs, StepContext, refusals};
 use crate::shared_types::{
     AttemptPayload, CallId, Dispatch, PlaceOutcome, PlaceRelease, PlaceRequest, Verdict,
 };
 
-/// How long a call waits for the platform to take its intent or grant.
-const ASK_WAIT: Duration = Duration::from_secs(1);
+/// How long a call waits for its intent or grant to become durable.
+const JOURNAL_WAIT: Duration = Duration::from_secs(1);
 
 impl Programs {
-    /// The tenant's rate was asked.
-    pub(super) fn on_verdict(&mut self, cx: &mut Cx<'_>, id: CallId, verdict: Verdict) {
-        if self.stage(id) != Some(Stage::Admitting) {
+    /// Handles the result of the rate check.
+    pub(super) fn on_admission(&mut self, cx: &mut StepContext<'_>, id: CallId, verdict: Verdict) {
+        if self.stage(id) != Some(Stage::AwaitingAdmission) {
             return;
         }
 
@@ -29,37 +29,37 @@
             Verdict::Admitted => self.reserve(cx, id),
             Verdict::Refused { retry_after } => {
                 let refusal = Refusal::not_run(Code::OverRate, "the tenant is over its rate");
-                self.drop_call(cx, id, refusal.retry_after(retry_after));
+                self.abandon_call(cx, id, refusal.retry_after(retry_after));
             }
         }
     }
 
-    /// Reserves what the next attempt may take, and asks for a place.
-    pub(super) fn reserve(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    /// Reserves the tokens of the next attempt, then requests a place.
+    pub(super) fn reserve(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let call = &self.calls[id];
         let (program, tokens) = (call.program, call.reserved);
         let account = self.programs[program].account;
 
         match self.accounts[account].reserve(tokens) {
-            Reserve::Reserved => self.place(cx, id),
-            Reserve::Exhausted => self.drop_call(cx, id, answers::exhausted()),
-            Reserve::NeedsGrant if self.journal.is_away(cx.now) => {
-                let refusal = answers::platform_away(self.journal.retry_after());
-                self.drop_call(cx, id, refusal);
+            Reservation::Reserved => self.request_place(cx, id),
+            Reservation::Exhausted => self.abandon_call(cx, id, refusals::budget_exhausted()),
+            Reservation::NeedsGrant if self.journal.is_unavailable(cx.now) => {
+                let refusal = refusals::platform_unavailable(self.journal.retry_after());
+                self.abandon_call(cx, id, refusal);
             }
-            Reserve::NeedsGrant => {
+            Reservation::NeedsGrant => {
                 let granted = self.accounts[account].grant_for(tokens);
                 let root = self.programs[program].root;
-                self.set_stage(cx, id, Stage::Granting, Some(ASK_WAIT));
+                self.set_stage(cx, id, Stage::AwaitingGrant, Some(JOURNAL_WAIT));
                 let entry = GrantedEntry { program: root, granted };
                 self.append(program, Entry::Granted(entry), Waiter::Grant(program, id));
             }
         }
     }
 
-    /// Asks for a place at a target.
-    fn place(&mut self, cx: &mut Cx<'_>, id: CallId) {
-        self.set_stage(cx, id, Stage::Placing, None);
+    /// Requests a place at a target.
+    fn request_place(&mut self, cx: &mut StepContext<'_>, id: CallId) {
+        self.set_stage(cx, id, Stage::AwaitingPlace, None);
         let call = &self.calls[id];
         let program = &self.programs[call.program];
 
@@ -73,29 +73,35 @@
                 attained: program.attained,
                 prompt: call.prompt,
                 output: call.reserved.minus(call.prompt),
-                deadline_left: program.left(cx.now),
+                deadline_left: program.time_left(cx.now),
                 avoid: call.avoid,
                 suspect: call.suspect,
             },
         });
     }
 
-    /// No place can be had in time.
-    pub(super) fn on_unplaced(&mut self, cx: &mut Cx<'_>, id: CallId, retry_after: Duration) {
-        if self.stage(id) != Some(Stage::Placing) {
+    /// Handles a request for a place that cannot be granted in time.
+    pub(super) fn on_unplaced(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        retry_after: Duration,
+    ) {
+        if self.stage(id) != Some(Stage::AwaitingPlace) {
             return;
         }
 
-        // Said first: a call that has no place is not to be vacated.
-        self.release(id);
-        self.calls[id].stage = Stage::Admitting;
+        // The stage changes first, so that `abandon_call` does not release a place that the
+        // call does not have.
+        self.release_tokens(id);
+        self.calls[id].stage = Stage::AwaitingAdmission;
         let refusal = Refusal::not_run(Code::Overloaded, "no target can serve the call in time");
-        self.drop_call(cx, id, refusal.retry_after(retry_after));
+        self.abandon_call(cx, id, refusal.retry_after(retry_after));
     }
 
-    /// The call has a place.
-    pub(super) fn on_placed(&mut self, cx: &mut Cx<'_>, id: CallId, target: TargetId) {
-        if self.stage(id) != Some(Stage::Placing) {
+    /// Handles a place that was granted.
+    pub(super) fn on_placed(&mut self, cx: &mut StepContext<'_>, id: CallId, target: TargetId) {
+        if self.stage(id) != Some(Stage::AwaitingPlace) {
             return;
         }
 
@@ -106,50 +112,53 @@
         call.attempt = Some(attempt);
 
         match call.kind {
-            // If the home died between the dispatch and its record, the next home would not
-            // know of the call, and a repeat would run it again: a second deposit. So the
-            // intent is durable before a byte is sent.
-            Kind::Once(_) => self.intend(cx, id, attempt),
-            Kind::Turn { .. } | Kind::Repeatable(_) => self.dispatch(cx, id),
+            // If this host crashed between the dispatch and the record of the outcome, the next
+            // home host would not know of the call, and a repeat would run it again, for
+            // example as a second deposit. So the intent must be durable before anything is
+            // sent.
+            WorkKind::NonIdempotent(_) => self.journal_intent(cx, id, attempt),
+            WorkKind::Turn { .. } | WorkKind::Idempotent(_) => self.dispatch(cx, id),
         }
     }
 
-    /// Journals that a call is about to be sent.
-    fn intend(&mut self, cx: &mut Cx<'_>, id: CallId, attempt: AttemptId) {
-        self.set_stage(cx, id, Stage::Intending, Some(ASK_WAIT));
+    /// Journals the intent to send a call.
+    fn journal_intent(&mut self, cx: &mut StepContext<'_>, id: CallId, attempt: AttemptId) {
+        self.set_stage(cx, id, Stage::JournalingIntent, Some(JOURNAL_WAIT));
         let call = &self.calls[id];
         let key = call.program;
         let program = &mut self.programs[key];
 
-        // Readers of the journal take an earlier intent for closed once another follows.
+        // When the journal is replayed, a later intent also closes the earlier one.
         program.open_intent = None;
 
         let entry = IntentEntry {
             program: program.id,
             attempt: attempt.to_string().into(),
             call: call.text.clone(),
-            left: program.left(cx.now),
+            left: program.time_left(cx.now),
         };
         self.append(key, Entry::Intent(entry), Waiter::Intent(key, id));
     }
 
     /// Sends a call to its target.
-    pub(super) fn dispatch(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    pub(super) fn dispatch(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         self.set_stage(cx, id, Stage::Running, None);
         let call = &self.calls[id];
         let program = &self.programs[call.program];
         let (Some(attempt), Some(target)) = (call.attempt, call.target) else { return };
 
         let payload = match &call.kind {
-            Kind::Turn { max_tokens } => AttemptPayload::Generate {
+            WorkKind::Turn { max_tokens } => AttemptPayload::Generate {
                 prompt: program.prompt(&call.text.input),
                 max_tokens: *max_tokens,
             },
-            Kind::Repeatable(operation) | Kind::Once(operation) => AttemptPayload::Operation {
-                operation: operation.clone(),
-                key: call.text.key.clone(),
-                input: Box::from(&*call.text.input),
-            },
+            WorkKind::Idempotent(operation) | WorkKind::NonIdempotent(operation) => {
+                AttemptPayload::Operation {
+                    operation: operation.clone(),
+                    key: call.text.key.clone(),
+                    input: Box::from(&*call.text.input),
+                }
+            }
         };
 
         cx.out.push(ProgramAction::Dispatch(Dispatch {
@@ -162,15 +171,20 @@
             number: call.number,
             payload,
             stream: call.callers.iter().find(|caller| caller.stream).map(|c| c.ticket),
-            timeout: program.left(cx.now),
+            timeout: program.time_left(cx.now),
         }));
         self.attempts.insert(attempt, id);
     }
 
-    /// Gives a call up that was not sent, and answers its callers.
+    /// Abandons a call that is not at a target, and refuses its callers.
     ///
-    /// After an attempt that may have run, "not run" is turned into "may have run".
-    pub(super) fn drop_call(&mut self, cx: &mut Cx<'_>, id: CallId, mut refusal: Refusal) {
+    /// If an earlier attempt may have run, the refusal says so instead of "not run".
+    pub(super) fn abandon_call(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        mut refusal: Refusal,
+    ) {
         let Some(call) = self.calls.get(id) else { return };
         let program = call.program;
 
@@ -179,27 +193,27 @@
         }
 
         match call.stage {
-            Stage::Placing => self.release(id),
-            Stage::Intending => {
-                self.release(id);
-                // The intent may still become durable, but is never sent.
+            Stage::AwaitingPlace => self.release_tokens(id),
+            Stage::JournalingIntent => {
+                self.release_tokens(id);
+                // The intent may still become durable, but the call is never sent.
                 self.programs[program].in_doubt = true;
             }
             _ => {}
         }
 
-        if matches!(self.calls[id].stage, Stage::Placing | Stage::Intending) {
-            self.vacate(cx, id, PlaceOutcome::NotSent, None);
+        if matches!(self.calls[id].stage, Stage::AwaitingPlace | Stage::JournalingIntent) {
+            self.release_place(cx, id, PlaceOutcome::NotSent, None);
         }
 
         self.answer_callers(cx, id, &refusal);
-        self.forget_call(id);
+        self.remove_call(id);
     }
 
-    /// Gives back a place, or withdraws the question for one.
-    pub(super) fn vacate(
+    /// Releases the place of a call, or withdraws its request for one.
+    pub(super) fn release_place(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut StepContext<'_>,
         id: CallId,
         outcome: PlaceOutcome,
         usage: Option<&Usage>,
@@ -219,8 +233,13 @@
         });
     }
 
-    /// Answers all who wait for a call with a refusal.
-    pub(super) fn answer_callers(&mut self, cx: &mut Cx<'_>, id: CallId, refusal: &Refusal) {
+    /// Refuses all callers of a call.
+    pub(super) fn answer_callers(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        id: CallId,
+        refusal: &Refusal,
+    ) {
         let callers = std::mem::take(&mut self.calls[id].callers);
 
         for caller in callers {
@@ -228,8 +247,8 @@
         }
     }
 
-    /// Forgets a call; its program takes the next.
-    pub(super) fn forget_call(&mut self, id: CallId) {
+    /// Removes a call, so that its program can accept the next one.
+    pub(super) fn remove_call(&mut self, id: CallId) {
         let Some(call) = self.calls.remove(id) else { return };
 
         if let Some(program) = self.programs.get_mut(call.program)
@@ -243,8 +262,8 @@
         }
     }
 
-    /// Gives back the tokens reserved for an attempt that was not sent.
-    pub(super) fn release(&mut self, id: CallId) {
+    /// Returns the tokens reserved for an attempt that was not sent.
+    pub(super) fn release_tokens(&mut self, id: CallId) {
         let call = &self.calls[id];
 
         if let Some(account) = self.accounts.get_mut(self.programs[call.program].account) {
@@ -252,15 +271,15 @@
         }
     }
 
-    /// Returns how far a call is.
+    /// Returns the stage of a call, or `None` if the call no longer exists.
     pub(super) fn stage(&self, id: CallId) -> Option<Stage> {
         self.calls.get(id).map(|call| call.stage)
     }
 
-    /// Moves a call on, with a bound on how long the stage may take.
+    /// Moves a call to a stage that may last for at most `limit`.
     pub(super) fn set_stage(
         &mut self,
-        cx: &Cx<'_>,
+        cx: &StepContext<'_>,
         id: CallId,
         stage: Stage,
         limit: Option<Duration>,
@@ -275,8 +294,8 @@
         }
     }
 
-    /// A call's stage took too long.
-    pub(super) fn stage_timed_out(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    /// Handles a call that has been in its stage for too long.
+    pub(super) fn stage_timed_out(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let Some(call) = self.calls.get(id) else { return };
 
         if call.stage_until.is_none_or(|until| until > cx.now) {
@@ -284,11 +303,11 @@
         }
 
         match call.stage {
-            Stage::Granting | Stage::Intending => {
-                let refusal = answers::platform_away(self.journal.retry_after());
-                self.drop_call(cx, id, refusal);
+            Stage::AwaitingGrant | Stage::JournalingIntent => {
+                let refusal = refusals::platform_unavailable(self.journal.retry_after());
+                self.abandon_call(cx, id, refusal);
             }
-            Stage::Recording => self.answer_recorded(cx, id),
+            Stage::JournalingOutcome => self.answer_recorded(cx, id),
             _ => {}
         }
     }
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -7,21 +7,22 @@
 use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{
-    BUDGET, Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, lost, open_child,
+    BUDGET, HomeHost, Mode, PARTITION, PROGRAM, Platform, call, call_request, connection_lost,
+    open_child,
 };
 
-/// Returns what a program may still spend.
-fn left(home: &mut Home, platform: &mut Platform, program: ProgramId) -> u64 {
-    let ticket = home.ask(platform, Request::View { program });
+/// Returns the tokens that a program may still spend.
+fn left(home: &mut HomeHost, platform: &mut Platform, program: ProgramId) -> u64 {
+    let ticket = home.send(platform, Request::View { program });
 
     match home.reply(ticket) {
         Reply::View(view) => view.budget_left_tokens.0,
-        reply => panic!("the view was answered {reply:?}"),
+        reply => panic!("expected a view, got {reply:?}"),
     }
 }
 
-/// Returns the end of a turn that took this many tokens.
-fn took(prompt: u64, output: u64) -> AttemptOutcome {
+/// Returns the end of a turn that used this many tokens.
+fn used(prompt: u64, output: u64) -> AttemptOutcome {
     let usage = Usage {
         prompt_tokens: Tokens(prompt),
         cached_tokens: Tokens(0),
@@ -32,43 +33,43 @@
 }
 
 #[test]
-fn a_turn_is_settled_with_what_it_took() {
+fn a_finished_turn_is_charged_its_actual_usage() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    home.ask(platform, call("model", "k1", 0));
+    home.send(platform, call("model", "k1", 0));
     let reserved = left(&mut home, platform, PROGRAM);
-    home.finish(platform, took(3, 20));
+    home.end_attempt(platform, used(3, 20));
 
     assert_eq!(reserved, BUDGET - 2 - 100);
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 23);
 }
 
-/// Makes turns that take all that was reserved for them until one is refused. Returns that
-/// refusal, how many ran and what they took.
-fn turns_until_refused(home: &mut Home, platform: &mut Platform) -> (Refusal, u32, u64) {
+/// Runs turns that use all their reserved tokens until one is refused. Returns the refusal, the
+/// number of turns that ran and the tokens they used.
+fn turns_until_refused(home: &mut HomeHost, platform: &mut Platform) -> (Refusal, u32, u64) {
     let (mut ran, mut spent) = (0, 0);
 
     loop {
-        let ticket = home.ask(platform, call("model", &format!("k{ran}"), ran));
+        let ticket = home.send(platform, call("model", &format!("k{ran}"), ran));
 
-        if home.sent.len() as u32 == ran {
+        if home.dispatches.len() as u32 == ran {
             return (home.refusal(ticket), ran, spent);
         }
 
-        let place = home.placed.last().expect("a place was asked for");
+        let place = home.placed.last().expect("the call must have requested a place");
         spent += place.prompt.0 + place.output.0;
-        home.finish(platform, took(place.prompt.0, place.output.0));
+        home.end_attempt(platform, used(place.prompt.0, place.output.0));
         ran += 1;
     }
 }
 
-/// The caller is refused before anything runs. Its turns took nearly all of the budget, and
-/// the next might take more than is left.
+/// A turn whose reservation exceeds the rest of the budget is refused before anything runs; its
+/// actual use could overspend the budget.
 #[test]
 fn a_turn_that_could_pass_the_budget_is_refused() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     let (refusal, _, spent) = turns_until_refused(&mut home, platform);
 
@@ -76,56 +77,57 @@
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - spent);
 }
 
-/// The caller sees the tokens of a lost turn as spent: the engine may have generated them.
+/// The tokens of a lost attempt count as spent, because the engine may have generated them.
 #[test]
 fn a_lost_attempt_counts_as_spent() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
+    home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 102);
 }
 
-/// A family cannot spend more than its parent's budget, however many sub-agents it opens.
+/// A whole family shares the root's budget, so opening sub-agents does not raise the limit.
 #[test]
 fn sub_agents_spend_their_parents_budget() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
     let child = ProgramId(8);
-    home.ask(platform, open_child(child, PROGRAM));
+    home.send(platform, open_child(child, PROGRAM));
 
     let turn = CallRequest { program: child, ..call_request("model", "k1", 0) };
-    home.ask(platform, Request::Call(turn));
-    home.finish(platform, took(3, 20));
+    home.send(platform, Request::Call(turn));
+    home.end_attempt(platform, used(3, 20));
 
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 23);
     assert_eq!(left(&mut home, platform, child), BUDGET - 23);
 }
 
-/// After a change of home the caller sees one chunk of the budget gone at most: what the
-/// journal let the former home spend, which may still be running there.
+/// The previous home host may still be running attempts within its durable grant. The next one
+/// must count the whole grant as spent, or the family could exceed its budget. This costs at
+/// most one chunk.
 #[test]
-fn the_next_home_takes_the_grant_for_spent() {
+fn the_next_home_counts_the_whole_grant_as_spent() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    old.ask(platform, call("model", "k1", 0));
-    old.finish(platform, took(3, 20));
-    old.ask(platform, call("model", "k2", 1));
+    let mut old = HomeHost::with_program(platform, 1);
+    old.send(platform, call("model", "k1", 0));
+    old.end_attempt(platform, used(3, 20));
+    old.send(platform, call("model", "k2", 1));
 
-    let mut new = Home::new(platform, 2);
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - 23 - BUDGET / 8);
 }
 
-/// The caller's turns go on while the platform is away, but not past what the journal lets
-/// the family spend: a next home would not know of the rest.
+/// While the platform is unavailable turns continue only within the durable grant. Anything
+/// spent beyond it would be unknown to the next home host.
 #[test]
-fn turns_stop_at_the_grant_while_the_platform_is_away() {
+fn turns_stop_at_the_grant_while_the_platform_is_unavailable() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    platform.mode = Mode::Away;
+    let mut home = HomeHost::with_program(platform, 1);
+    platform.mode = Mode::Unavailable;
 
     let (refusal, ran, spent) = turns_until_refused(&mut home, platform);
 
@@ -135,69 +137,69 @@
 }
 
 #[test]
-fn a_program_has_a_limit_of_calls() {
+fn the_number_of_calls_of_a_program_is_limited() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     for number in 0..40 {
-        home.run(platform, call("look", &format!("k{number}"), number), "\"seen\"");
+        home.run_call(platform, call("look", &format!("k{number}"), number), "\"seen\"");
     }
 
-    let refused = home.ask(platform, call("look", "k40", 40));
+    let refused = home.send(platform, call("look", "k40", 40));
     assert_eq!(home.refusal(refused).code, Code::BudgetExhausted);
 }
 
-/// A retry is reserved like a first try, so a turn that fails again and again is stopped by
-/// the budget at the latest.
+/// Every retry reserves tokens like a first attempt. Otherwise a turn that keeps failing could
+/// exceed the budget.
 #[test]
-fn each_retry_is_paid_for() {
+fn each_retry_reserves_tokens() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, lost(false));
+    home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, connection_lost(false));
 
-    assert_eq!(home.sent.len(), 2);
+    assert_eq!(home.dispatches.len(), 2);
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 2 * 102);
 }
 
-/// A planned restart costs the caller nothing: the home journals what it was granted and has
-/// not spent as free before it gives the partition back. A call that still comes is granted
-/// tokens again, and settled after.
+/// Before a planned change of home the unspent grant is journaled as free, so it is not lost.
+/// The partition stays busy until that entry is durable. A call that arrives meanwhile gets a
+/// new grant, whose unspent part is journaled as free afterwards.
 #[test]
 fn a_planned_change_of_home_costs_nothing() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    old.ask(platform, call("model", "k1", 0));
-    old.finish(platform, took(3, 20));
+    let mut old = HomeHost::with_program(platform, 1);
+    old.send(platform, call("model", "k1", 0));
+    old.end_attempt(platform, used(3, 20));
 
     platform.mode = Mode::Hang;
-    old.event(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
-    old.pass(platform, 100);
+    old.process(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
+    old.advance(platform, 100);
     let busy = old.programs.busy_partitions().len();
-    platform.mode = Mode::Up;
+    platform.mode = Mode::Normal;
     old.release(platform);
-    old.ask(platform, call("model", "k2", 1));
-    old.finish(platform, took(30, 20));
-    old.pass(platform, 100);
+    old.send(platform, call("model", "k2", 1));
+    old.end_attempt(platform, used(30, 20));
+    old.advance(platform, 100);
     let idle = old.programs.busy_partitions().len();
-    let mut new = Home::new(platform, 2);
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!((busy, idle), (1, 0));
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - 23 - 50);
 }
 
-/// The caller's running turn counts as spent on the next home, though the former one was
-/// about to give the partition back: the turn may go on there.
+/// A running turn may continue after the partition was released, so its grant must not be
+/// journaled as free; the next home host counts it as spent.
 #[test]
-fn a_running_turn_is_not_settled() {
+fn the_grant_of_a_running_turn_is_not_released() {
     let platform = &mut Platform::new();
-    let mut old = Home::with_program(platform, 1);
-    old.ask(platform, call("model", "k1", 0));
+    let mut old = HomeHost::with_program(platform, 1);
+    old.send(platform, call("model", "k1", 0));
 
-    old.event(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
-    old.pass(platform, 100);
-    let mut new = Home::new(platform, 2);
+    old.process(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
+    old.advance(platform, 100);
+    let mut new = HomeHost::new(platform, 2);
 
     assert_eq!(left(&mut new, platform, PROGRAM), BUDGET - BUDGET / 8);
 }
