--- a/crates/policy/src/configs.rs
+++ b/crates/policy/src/configs.rs
@@ -1,9 +1,9 @@
-//! The configuration in force and the keys that were withdrawn.
+//! Tracks the configuration in force and the API keys that were withdrawn.
 //!
-//! A configuration is an immutable object; one pointer row names the object in force and is
-//! moved by compare and set. A host adopts only a higher version than it has, so it never
-//! steps back, however late or often an older one reaches it. A withdrawal is a tombstone:
-//! it is never taken back, so any host may accept one, and no order between hosts matters.
+//! A configuration is an immutable object; one pointer row names the object in force and is updated
+//! by compare-and-set. A host adopts only a higher version than the one it has, so it never goes
+//! back to an older one, however late or often that arrives. A withdrawal is a tombstone that is
+//! never removed, so any host may accept one, and the order between hosts does not matter.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,52 +22,52 @@
 pub const CONFIG_TABLE: &str = "config";
 
 /// The key of the pointer row.
-pub const CURRENT: &str = "current";
+pub const POINTER_KEY: &str = "current";
 
 /// The table of withdrawn keys.
 pub const WITHDRAWN_TABLE: &str = "withdrawn";
 
-/// The most tombstones that are read at a time: far more than there are keys.
-const WITHDRAWN_LIMIT: u32 = 10_000;
+/// The maximum number of tombstones that are read in one scan; far more than there are keys.
+const MAX_TOMBSTONES: u32 = 10_000;
 
-/// The pointer row's content.
+/// The content of the pointer row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pointer {
     /// The version in force.
     pub version: ConfigVersion,
-    /// Its object.
+    /// The name of the object that holds this version.
     pub object: ObjectName,
 }
 
-/// A platform operation that the configuration waits for.
+/// Identifies a platform operation that was requested by [`Configs`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigOp(pub u64);
 
-/// An operator's question, by a number that the answer carries.
+/// Identifies an operator's request; the answer carries the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperatorId(pub u64);
 
-/// Something that happened, as far as the configuration minds.
+/// An input of [`Configs::step`].
 #[derive(Clone, Debug)]
 pub enum ConfigEvent {
-    /// The platform answered.
+    /// The platform answered an operation.
     Platform {
         /// The operation.
         op: ConfigOp,
         /// The answer.
         reply: PlatformReply,
     },
-    /// A peer has this version in force.
-    Heard(Pointer),
+    /// A peer announced the version that it has in force.
+    PeerVersion(Pointer),
     /// A peer sent a whole configuration.
-    Received(Box<[u8]>),
-    /// Peers know these keys as withdrawn.
-    Withdrawn(Vec<KeyId>),
+    PeerConfig(Box<[u8]>),
+    /// A peer announced keys that were withdrawn.
+    PeerWithdrawals(Vec<KeyId>),
     /// An operator publishes a configuration that was made from version `base`.
     Publish {
-        /// The question.
+        /// The request.
         ask: OperatorId,
-        /// The version that the operator read; 0 for the first.
+        /// The version that the operator started from; 0 if there was none.
         base: ConfigVersion,
         /// The new configuration.
         config: Box<Config>,
@@ -77,16 +77,16 @@
         /// The key.
         key: KeyId,
     },
-    /// Time has passed; see [`Configs::wake_at`].
+    /// The time returned by [`Configs::wake_at`] was reached.
     Wake,
 }
 
-/// What to do next for the configuration.
+/// An action that [`Configs::step`] asks its caller to perform.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ConfigNext {
+pub enum ConfigAction {
     /// Run an operation on the platform.
     Platform {
-        /// The number to answer with.
+        /// The number to return in [`ConfigEvent::Platform`].
         op: ConfigOp,
         /// The operation.
         request: PlatformOp,
@@ -97,7 +97,7 @@
     KeyWithdrawn(KeyId),
     /// The answer to an operator who publishes.
     Published {
-        /// The question.
+        /// The request.
         ask: OperatorId,
         /// The answer.
         answer: Published,
@@ -107,49 +107,50 @@
 /// The answer to an operator who publishes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Published {
-    /// It is in force, under this version.
+    /// The configuration is in force, with this version.
     Done(ConfigVersion),
-    /// Another change came first: this one is in force.
+    /// Another change was published first; this configuration is in force here.
     Conflict(Option<Arc<Config>>),
-    /// The platform is away; nothing was published.
+    /// The platform is unavailable; nothing was published.
     Unavailable,
-    /// The platform's answer was lost; `status` will show what came of it.
+    /// The platform's answer was lost, so the outcome is unknown; `status` shows the version in
+    /// force.
     Unknown,
 }
 
-/// Reads a configuration from an object and checks it.
+/// Parses and validates a configuration object.
 pub type ReadConfig = fn(&[u8]) -> Result<Config, Box<str>>;
 
-/// Writes a configuration as an object.
+/// Serializes a configuration as an object.
 pub type WriteConfig = fn(&Config) -> Box<[u8]>;
 
 /// Settings of [`Configs`].
 #[derive(Clone, Debug)]
 pub struct ConfigOptions {
-    /// Reads and checks an object.
+    /// Parses and validates an object.
     pub read: ReadConfig,
-    /// Writes an object.
+    /// Serializes a configuration.
     pub write: WriteConfig,
-    /// How often the pointer row and the tombstones are read.
-    pub poll: Duration,
+    /// The interval between reads of the pointer row and the tombstones.
+    pub poll_interval: Duration,
 }
 
-/// What an operation was started for.
+/// The purpose of a platform operation that is in progress.
 #[derive(Clone, Debug)]
 enum Pending {
     /// The pointer row is being read.
-    Pointer,
+    ReadPointer,
     /// The tombstones are being read.
-    Tombstones,
+    ReadTombstones,
     /// An object named by a pointer is being read.
-    Object(Pointer),
+    ReadObject(Pointer),
     /// A tombstone is being stored.
-    Store(KeyId),
-    /// A publication is at this step.
+    StoreTombstone(KeyId),
+    /// A publication has reached this step.
     Publish(Box<Publication>, PublishStep),
 }
 
-/// A publication under way.
+/// A publication in progress.
 #[derive(Clone, Debug)]
 struct Publication {
     ask: OperatorId,
@@ -168,67 +169,67 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PublishStep {
     /// The object is being stored.
-    Object,
+    StoreObject,
     /// The pointer row is being read.
-    Read,
-    /// The pointer row is being moved.
-    Move,
-    /// The pointer row is being read, because the answer to moving it was lost.
+    ReadPointer,
+    /// The pointer row is being updated.
+    UpdatePointer,
+    /// The pointer row is being read again, because the outcome of the update is unknown.
     ReadBack,
 }
 
-/// The configuration of one host.
+/// The state machine that tracks the configuration of one host.
 #[derive(Debug)]
 pub struct Configs {
     options: ConfigOptions,
     current: Option<Arc<Config>>,
     pointer: Option<Pointer>,
-    bytes: Box<[u8]>,
+    object_bytes: Box<[u8]>,
     withdrawn: Set<KeyId>,
-    /// Tombstones that the platform is not known to have.
-    unstored: Vec<KeyId>,
+    /// Tombstones that are not confirmed to be stored by the platform.
+    unstored_tombstones: Vec<KeyId>,
     pending: Vec<(ConfigOp, Pending)>,
     next_poll: Instant,
     next_op: u64,
 }
 
 impl Configs {
-    /// Makes a host that has heard of no configuration yet.
+    /// Creates the state of a host that has no configuration yet.
     pub fn new(options: ConfigOptions) -> Self {
         Self {
             options,
             current: None,
             pointer: None,
-            bytes: Box::default(),
+            object_bytes: Box::default(),
             withdrawn: Set::default(),
-            unstored: Vec::new(),
+            unstored_tombstones: Vec::new(),
             pending: Vec::new(),
             next_poll: Instant::default(),
             next_op: 0,
         }
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the configuration in force on this host.
     pub fn current(&self) -> Option<&Arc<Config>> {
         self.current.as_ref()
     }
 
-    /// Returns the version in force here and its object's name.
+    /// Returns the version in force on this host and the name of its object.
     pub fn pointer(&self) -> Option<&Pointer> {
         self.pointer.as_ref()
     }
 
-    /// Returns the object of the configuration in force here.
-    pub fn bytes(&self) -> &[u8] {
-        &self.bytes
+    /// Returns the serialized configuration in force on this host.
+    pub fn object_bytes(&self) -> &[u8] {
+        &self.object_bytes
     }
 
-    /// Returns whether a key is known here as withdrawn.
+    /// Returns whether this host knows that a key was withdrawn.
     pub fn is_withdrawn(&self, key: KeyId) -> bool {
         self.withdrawn.contains(&key)
     }
 
-    /// Returns all keys known here as withdrawn, in order.
+    /// Returns all keys that this host knows to be withdrawn, sorted.
     pub fn withdrawn(&self) -> Vec<KeyId> {
         let mut all: Vec<_> = self.withdrawn.iter().copied().collect();
         all.sort_unstable();
@@ -236,18 +237,18 @@
         all
     }
 
-    /// Returns how many withdrawals the platform is not known to have.
-    pub fn unstored(&self) -> usize {
-        self.unstored.len()
+    /// Returns the number of withdrawals that are not confirmed to be stored by the platform.
+    pub fn unstored_tombstones(&self) -> usize {
+        self.unstored_tombstones.len()
     }
 
-    /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, now: Instant, event: ConfigEvent, out: &mut Vec<ConfigNext>) {
+    /// Handles an event and appends the resulting actions to `out`.
+    pub fn step(&mut self, now: Instant, event: ConfigEvent, out: &mut Vec<ConfigAction>) {
         match event {
             ConfigEvent::Platform { op, reply } => self.on_platform(op, reply, out),
-            ConfigEvent::Heard(pointer) => self.on_pointer(pointer, out),
-            ConfigEvent::Received(bytes) => self.on_bytes(bytes, out),
-            ConfigEvent::Withdrawn(keys) => {
+            ConfigEvent::PeerVersion(pointer) => self.on_pointer(pointer, out),
+            ConfigEvent::PeerConfig(bytes) => self.on_bytes(bytes, out),
+            ConfigEvent::PeerWithdrawals(keys) => {
                 keys.into_iter().for_each(|key| self.add_withdrawn(key, false, out));
             }
             ConfigEvent::Withdraw { key } => self.add_withdrawn(key, true, out),
@@ -256,122 +257,127 @@
         }
 
         if now >= self.next_poll {
-            self.next_poll = now + self.options.poll;
+            self.next_poll = now + self.options.poll_interval;
             self.poll(out);
         }
     }
 
-    /// Returns when [`ConfigEvent::Wake`] is due.
+    /// Returns when the next [`ConfigEvent::Wake`] is due.
     pub fn wake_at(&self) -> Option<Instant> {
         Some(self.next_poll)
     }
 
-    fn start(&mut self, pending: Pending, request: PlatformOp, out: &mut Vec<ConfigNext>) {
+    fn start_op(&mut self, pending: Pending, request: PlatformOp, out: &mut Vec<ConfigAction>) {
         self.next_op += 1;
         let op = ConfigOp(self.next_op);
         self.pending.push((op, pending));
-        out.push(ConfigNext::Platform { op, request });
+        out.push(ConfigAction::Platform { op, request });
     }
 
-    fn poll(&mut self, out: &mut Vec<ConfigNext>) {
-        // A poll that is still under way when the next is due goes on alone.
-        if !self.pending.iter().any(|(_, p)| matches!(p, Pending::Pointer)) {
-            self.start(Pending::Pointer, read_pointer(), out);
+    fn poll(&mut self, out: &mut Vec<ConfigAction>) {
+        // An operation of an earlier poll that is still in progress is not started again.
+        if !self.pending.iter().any(|(_, p)| matches!(p, Pending::ReadPointer)) {
+            self.start_op(Pending::ReadPointer, read_pointer(), out);
         }
 
-        if !self.pending.iter().any(|(_, p)| matches!(p, Pending::Tombstones)) {
+        if !self.pending.iter().any(|(_, p)| matches!(p, Pending::ReadTombstones)) {
             let scan = PlatformOp::Scan {
                 table: WITHDRAWN_TABLE.into(),
                 prefix: "".into(),
                 after: "".into(),
-                limit: WITHDRAWN_LIMIT,
+                limit: MAX_TOMBSTONES,
             };
-            self.start(Pending::Tombstones, scan, out);
+            self.start_op(Pending::ReadTombstones, scan, out);
         }
 
-        for key in self.unstored.clone() {
-            let storing = |p: &Pending| matches!(p, Pending::Store(k) if *k == key);
-            if !self.pending.iter().any(|(_, p)| storing(p)) {
-                self.start(Pending::Store(key), store_tombstone(key), out);
+        for key in self.unstored_tombstones.clone() {
+            let is_storing = |p: &Pending| matches!(p, Pending::StoreTombstone(k) if *k == key);
+            if !self.pending.iter().any(|(_, p)| is_storing(p)) {
+                self.start_op(Pending::StoreTombstone(key), store_tombstone(key), out);
             }
         }
     }
 
-    fn on_platform(&mut self, op: ConfigOp, reply: PlatformReply, out: &mut Vec<ConfigNext>) {
-        let Some(index) = self.pending.iter().position(|(waiting, _)| *waiting == op) else {
+    fn on_platform(&mut self, op: ConfigOp, reply: PlatformReply, out: &mut Vec<ConfigAction>) {
+        let Some(index) = self.pending.iter().position(|(pending_op, _)| *pending_op == op) else {
             return;
         };
 
         match (self.pending.swap_remove(index).1, reply) {
-            (Pending::Pointer, PlatformReply::Rows(rows)) => {
+            (Pending::ReadPointer, PlatformReply::Rows(rows)) => {
                 if let Some(pointer) = parse_pointer(&rows) {
                     self.on_pointer(pointer, out);
                 }
             }
-            (Pending::Tombstones, PlatformReply::Rows(rows)) => self.on_tombstones(&rows, out),
-            (Pending::Object(_), PlatformReply::Object(Some(bytes))) => self.on_bytes(bytes, out),
-            (Pending::Store(key), PlatformReply::Committed(_) | PlatformReply::Conflict(_)) => {
-                self.unstored.retain(|k| *k != key);
+            (Pending::ReadTombstones, PlatformReply::Rows(rows)) => self.on_tombstones(&rows, out),
+            (Pending::ReadObject(_), PlatformReply::Object(Some(bytes))) => {
+                self.on_bytes(bytes, out)
+            }
+            (
+                Pending::StoreTombstone(key),
+                PlatformReply::Committed(_) | PlatformReply::Conflict(_),
+            ) => {
+                self.unstored_tombstones.retain(|k| *k != key);
             }
             (Pending::Publish(publication, step), reply) => {
                 self.on_publish(publication, step, reply, out);
             }
-            // The platform is away: the next poll tries again.
+            // The platform is unavailable: the next poll retries.
             _ => {}
         }
     }
 
-    fn on_pointer(&mut self, pointer: Pointer, out: &mut Vec<ConfigNext>) {
-        let newer = self.pointer.as_ref().is_none_or(|mine| pointer.version > mine.version);
-        let fetching = |p: &Pending| matches!(p, Pending::Object(of) if *of == pointer);
+    fn on_pointer(&mut self, pointer: Pointer, out: &mut Vec<ConfigAction>) {
+        let newer = self.pointer.as_ref().is_none_or(|own| pointer.version > own.version);
+        let is_fetching = |p: &Pending| matches!(p, Pending::ReadObject(of) if *of == pointer);
 
-        if newer && !self.pending.iter().any(|(_, p)| fetching(p)) {
+        if newer && !self.pending.iter().any(|(_, p)| is_fetching(p)) {
             let request = PlatformOp::GetObject(pointer.object.clone());
-            self.start(Pending::Object(pointer), request, out);
+            self.start_op(Pending::ReadObject(pointer), request, out);
         }
     }
 
-    /// Adopts a configuration if it is newer and sound.
-    fn on_bytes(&mut self, bytes: Box<[u8]>, out: &mut Vec<ConfigNext>) {
-        // One that this host cannot read is left alone: it goes on with what it has, and
-        // `status` shows that it is behind.
+    /// Adopts a configuration if it is valid and newer than the one in force.
+    fn on_bytes(&mut self, bytes: Box<[u8]>, out: &mut Vec<ConfigAction>) {
+        // A configuration that this host cannot parse is ignored: the host keeps the one it has,
+        // and `status` shows that it is behind.
         let Ok(config) = (self.options.read)(&bytes) else {
             return;
         };
         let pointer = Pointer { version: config.version, object: ObjectName::of(&bytes) };
 
-        // Only upward: an old object that arrives late must not bring back what a later
-        // version took away.
-        if self.pointer.as_ref().is_some_and(|mine| pointer.version <= mine.version) {
+        // Only a higher version is adopted: an old object that arrives late must not restore what a
+        // later version removed.
+        if self.pointer.as_ref().is_some_and(|own| pointer.version <= own.version) {
             return;
         }
 
         let config = Arc::new(config);
         self.pointer = Some(pointer);
-        self.bytes = bytes;
+        self.object_bytes = bytes;
         self.current = Some(config.clone());
-        out.push(ConfigNext::Adopted(config));
+        out.push(ConfigAction::Adopted(config));
     }
 
-    fn on_tombstones(&mut self, rows: &[Row], out: &mut Vec<ConfigNext>) {
+    fn on_tombstones(&mut self, rows: &[Row], out: &mut Vec<ConfigAction>) {
         let keys = rows.iter().filter_map(|row| u64::from_str_radix(&row.key.key, 16).ok());
 
         for key in keys.map(KeyId) {
             self.add_withdrawn(key, false, out);
-            self.unstored.retain(|k| *k != key);
+            self.unstored_tombstones.retain(|k| *k != key);
         }
     }
 
-    fn add_withdrawn(&mut self, key: KeyId, store: bool, out: &mut Vec<ConfigNext>) {
+    fn add_withdrawn(&mut self, key: KeyId, store: bool, out: &mut Vec<ConfigAction>) {
         if !self.withdrawn.insert(key) {
             return;
         }
 
         if store {
-            self.unstored.push(key);
-            self.start(Pending::Store(key), store_tombstone(key), out);
+            self.unstored_tombstones.push(key);
+            self.start_op(Pending::StoreTombstone(key), store_tombstone(key), out);
         }
-        out.push(ConfigNext::KeyWithdrawn(key));
+        out.push(ConfigAction::KeyWithdrawn(key));
     }
 
     fn publish(
@@ -379,14 +385,18 @@
         ask: OperatorId,
         base: ConfigVersion,
         mut config: Config,
-        out: &mut Vec<ConfigNext>,
+        out: &mut Vec<ConfigAction>,
     ) {
         config.version = ConfigVersion(base.0 + 1);
         let object = (self.options.write)(&config);
         let publication = Publication { ask, base, config: Arc::new(config), object };
         let request = PlatformOp::PutObject(publication.object.clone());
 
-        self.start(Pending::Publish(Box::new(publication), PublishStep::Object), request, out);
+        self.start_op(
+            Pending::Publish(Box::new(publication), PublishStep::StoreObject),
+            request,
+            out,
+        );
     }
 
     fn on_publish(
@@ -394,43 +404,43 @@
         publication: Box<Publication>,
         step: PublishStep,
         reply: PlatformReply,
-        out: &mut Vec<ConfigNext>,
+        out: &mut Vec<ConfigAction>,
     ) {
         let ask = publication.ask;
         let answer = match (step, reply) {
-            (PublishStep::Object, PlatformReply::Stored(_)) => {
-                let pending = Pending::Publish(publication, PublishStep::Read);
-                return self.start(pending, read_pointer(), out);
+            (PublishStep::StoreObject, PlatformReply::Stored(_)) => {
+                let pending = Pending::Publish(publication, PublishStep::ReadPointer);
+                return self.start_op(pending, read_pointer(), out);
             }
-            (PublishStep::Read, PlatformReply::Rows(rows)) => {
-                let stands = parse_pointer(&rows).map_or(ConfigVersion(0), |p| p.version);
-                if stands == publication.base {
+            (PublishStep::ReadPointer, PlatformReply::Rows(rows)) => {
+                let stored = parse_pointer(&rows).map_or(ConfigVersion(0), |p| p.version);
+                if stored == publication.base {
                     let version = rows.first().map_or(RowVersion::ABSENT, |row| row.version);
-                    let request = move_pointer(&publication.pointer(), version);
-                    let pending = Pending::Publish(publication, PublishStep::Move);
-                    return self.start(pending, request, out);
+                    let request = update_pointer(&publication.pointer(), version);
+                    let pending = Pending::Publish(publication, PublishStep::UpdatePointer);
+                    return self.start_op(pending, request, out);
                 }
                 Published::Conflict(self.current.clone())
             }
-            (PublishStep::Move, PlatformReply::Committed(_)) => {
+            (PublishStep::UpdatePointer, PlatformReply::Committed(_)) => {
                 self.on_bytes(publication.object, out);
                 Published::Done(publication.config.version)
             }
-            (PublishStep::Move, PlatformReply::Unknown | PlatformReply::Conflict(_)) => {
-                // Either another operator was first, or the answer to an earlier sending of
-                // this very transaction was lost. The row tells which.
+            (PublishStep::UpdatePointer, PlatformReply::Unknown | PlatformReply::Conflict(_)) => {
+                // Either another operator published first, or an earlier attempt of this same
+                // transaction took effect and its answer was lost. Reading the row tells which.
                 let pending = Pending::Publish(publication, PublishStep::ReadBack);
-                return self.start(pending, read_pointer(), out);
+                return self.start_op(pending, read_pointer(), out);
             }
             (PublishStep::ReadBack, PlatformReply::Rows(rows)) => {
-                let stands = parse_pointer(&rows);
-                if stands.as_ref() == Some(&publication.pointer()) {
+                let stored = parse_pointer(&rows);
+                if stored.as_ref() == Some(&publication.pointer()) {
                     self.on_bytes(publication.object, out);
                     Published::Done(publication.config.version)
-                } else if stands.map_or(ConfigVersion(0), |p| p.version) > publication.base {
+                } else if stored.map_or(ConfigVersion(0), |p| p.version) > publication.base {
                     Published::Conflict(self.current.clone())
                 } else {
-                    // Not there, but it may still take effect.
+                    // The update is not visible, but it may still take effect.
                     Published::Unknown
                 }
             }
@@ -438,20 +448,20 @@
             _ => Published::Unavailable,
         };
 
-        out.push(ConfigNext::Published { ask, answer });
+        out.push(ConfigAction::Published { ask, answer });
     }
 }
 
 fn read_pointer() -> PlatformOp {
-    PlatformOp::Read(vec![RowKey::new(CONFIG_TABLE, CURRENT)])
+    PlatformOp::Read(vec![RowKey::new(CONFIG_TABLE, POINTER_KEY)])
 }
 
 fn parse_pointer(rows: &[Row]) -> Option<Pointer> {
     serde_json::from_str(&rows.first()?.value).ok()
 }
 
-fn move_pointer(pointer: &Pointer, version: RowVersion) -> PlatformOp {
-    let key = RowKey::new(CONFIG_TABLE, CURRENT);
+fn update_pointer(pointer: &Pointer, version: RowVersion) -> PlatformOp {
+    let key = RowKey::new(CONFIG_TABLE, POINTER_KEY);
     let value = serde_json::to_string(pointer).expect("a pointer is plain data");
 
     PlatformOp::Commit(Transaction {
@@ -460,7 +470,8 @@
     })
 }
 
-/// Makes the write of a tombstone. It needs no check: writing it twice changes nothing.
+/// Builds the write of a tombstone. It needs no version check because writing it twice has the same
+/// result.
 fn store_tombstone(key: KeyId) -> PlatformOp {
     let key = RowKey::new(WITHDRAWN_TABLE, format!("{:016x}", key.0));
 
--- a/crates/policy/src/board.rs
+++ b/crates/policy/src/host_state.rs
@@ -1,4 +1,4 @@
-//! The blackboard: what the controllers of a host know together.
+//! State that the controllers of one host share.
 
 use std::sync::Arc;
 
@@ -11,59 +11,59 @@
 use crate::leases::Holder;
 use crate::leases::rows::SessionRow;
 
-/// What the controllers of one host know together.
+/// State that the controllers of one host share.
 #[derive(Debug)]
-pub struct Board {
-    /// This host.
-    pub me: HostId,
+pub struct HostState {
+    /// The id of this host.
+    pub this_host: HostId,
     /// This host's name.
     pub name: Box<str>,
     /// The availability zone of this host.
     pub zone: ZoneId,
-    /// Its name.
+    /// The name of that zone.
     pub zone_name: Box<str>,
-    /// The configuration in force here.
+    /// The configuration in force on this host.
     pub config: Option<Arc<Config>>,
-    /// The zone of each other host that counts as alive and is not leaving.
+    /// The zone of each other host that is live and not leaving.
     pub alive: Map<HostId, ZoneId>,
-    /// Who holds each partition, as far as this host knows.
-    pub routes: Map<PartitionId, Holder>,
-    /// The partitions that this host holds.
+    /// The last known holder of each partition.
+    pub holders: Map<PartitionId, Holder>,
+    /// The partitions whose lease this host holds, which makes it the home of their programs.
     pub homes: Set<PartitionId>,
-    /// The hosts with a session, as the platform showed them last.
+    /// The sessions of hosts, as of the last read from the platform.
     pub sessions: Vec<SessionRow>,
-    /// The configuration version that each host was last heard to have in force.
-    pub versions: Map<HostId, ConfigVersion>,
-    /// Until when this host's leases surely hold.
+    /// The configuration version that each host last reported to be in force.
+    pub config_versions: Map<HostId, ConfigVersion>,
+    /// The instant until which this host's leases are guaranteed to be valid.
     pub leases_until: Instant,
-    /// Keys that an earlier configuration had and the one in force has not.
+    /// Keys that were in an earlier configuration and are not in the one in force.
     pub removed_keys: Set<KeyId>,
     /// Whether this host is leaving.
     pub leaving: bool,
 }
 
-impl Board {
-    /// Makes the blackboard of a host that knows of nothing yet.
+impl HostState {
+    /// Creates the state of a host that has no configuration and knows no other hosts.
     pub fn new(name: &str, zone: &str) -> Self {
         Self {
-            me: HostId::from_name(name),
+            this_host: HostId::from_name(name),
             name: name.into(),
             zone: ZoneId::from_name(zone),
             zone_name: zone.into(),
             config: None,
             alive: Map::default(),
-            routes: Map::default(),
+            holders: Map::default(),
             homes: Set::default(),
             sessions: Vec::new(),
-            versions: Map::default(),
+            config_versions: Map::default(),
             leases_until: Instant::default(),
             removed_keys: Set::default(),
             leaving: false,
         }
     }
 
-    /// Takes over a configuration; returns the keys that it no longer has, in order.
-    pub fn adopt(&mut self, config: &Arc<Config>) -> Vec<KeyId> {
+    /// Adopts a configuration; returns the keys that it no longer contains, sorted.
+    pub fn adopt_config(&mut self, config: &Arc<Config>) -> Vec<KeyId> {
         let new = keys_of(config);
         let old = self.config.as_deref().map(keys_of).unwrap_or_default();
         let mut gone: Vec<_> = old.difference(&new).copied().collect();
@@ -81,24 +81,24 @@
         self.config.as_ref().map_or(1, |cfg| cfg.fleet.partitions)
     }
 
-    /// Takes over a holder, unless a later one is known.
-    pub fn learn_route(&mut self, partition: PartitionId, holder: Holder) {
-        let known = self.routes.entry(partition).or_insert(holder);
+    /// Records the holder of a partition, unless one with a higher epoch is known.
+    pub fn update_holder(&mut self, partition: PartitionId, holder: Holder) {
+        let known = self.holders.entry(partition).or_insert(holder);
         if holder.epoch >= known.epoch {
             *known = holder;
         }
     }
 
-    /// Returns the host of this zone that keeps the queue of a pool.
+    /// Returns the host of this zone that runs the queue of a pool.
     ///
-    /// Hosts with different views may name different ones for a while. Then a target's
-    /// window is granted twice: some more requests wait at the target, nothing is lost.
-    pub fn keeper(&self, pool: PoolId) -> HostId {
+    /// Hosts with different views of the fleet may temporarily return different hosts. A target's
+    /// window is then granted twice: some more requests wait at the target, but none is lost.
+    pub fn queue_host(&self, pool: PoolId) -> HostId {
         let zone = self.zone;
         let others = self.alive.iter().filter(|(_, z)| **z == zone).map(|(host, _)| host.0);
-        let all = others.chain((!self.leaving).then_some(self.me.0));
+        let all = others.chain((!self.leaving).then_some(self.this_host.0));
 
-        rendezvous(pool.0, all).map_or(self.me, HostId)
+        rendezvous(pool.0, all).map_or(self.this_host, HostId)
     }
 }
 
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -1,14 +1,15 @@
-//! Leases on partitions and on columns of slices, kept as rows in the platform.
+//! Leases on partitions of programs and on columns of rate-limit slices, stored as rows in the
+//! platform.
 //!
-//! A host keeps one row alive, its *session*, by renewing it. A lease row names the session
-//! that holds it and an epoch. A lease is free when the session it names is gone; a session
-//! that was not renewed for its lifetime is ended by whichever host notices first, by
-//! deleting its row. So one renewal covers all that a host holds, and renewals are counted
-//! per host, not per lease.
+//! A host has one *session* row, which it renews periodically. A lease row names the session that
+//! holds the lease, and an epoch. A lease is free when its session's row no longer exists. If a
+//! session is not renewed within its lifetime, the first host to notice deletes the row. One
+//! renewal therefore covers all leases of a host, and the number of renewals grows with the hosts
+//! rather than with the leases.
 //!
-//! Who should hold a lease is a rendezvous hash over the live sessions, which all hosts read
-//! from the same table; it only steers. What grants a lease is the transaction that writes
-//! its row.
+//! Rendezvous hashing over the live sessions, which all hosts read from the same table, decides
+//! which host should take a lease. This is only a preference: a lease is granted by the transaction
+//! that writes its row.
 
 mod observer;
 pub mod rows;
@@ -24,47 +25,50 @@
 
 use self::observer::{Candidate, Observer};
 use self::rows::{LeaseRow, SessionRow};
-use self::session::{Session, SessionStep};
+use self::session::{Session, SessionOutcome};
 use crate::slices::ColumnId;
 
-/// The most rows that one scan returns: above the sizes that the capacity page works with.
+/// The maximum number of rows that one scan returns; larger than any fleet size that the capacity
+/// documentation covers.
 const SCAN_LIMIT: u32 = 10_000;
 
-/// How long a leaving host waits for the platform to take in what it does not have yet.
-const UNSTORED_LIMIT: Duration = Duration::from_secs(60);
+/// The maximum time that a leaving host waits for the platform to store its remaining journal
+/// entries.
+const MAX_STORAGE_WAIT: Duration = Duration::from_secs(60);
 
-/// The time between settling a partition and giving it back.
-const SETTLE_TIME: Duration = Duration::from_millis(100);
+/// The delay between asking the programs of a partition to release unused budget grants and
+/// releasing the partition's lease.
+const GRANT_RELEASE_DELAY: Duration = Duration::from_millis(100);
 
-/// How much longer than its lifetime a session must stand unrenewed before it is ended, as
-/// a divisor of the lifetime: covers clocks that drift apart by up to an eighth.
+/// The margin that is added to a session's lifetime before the session is ended, as a divisor of
+/// the lifetime. It tolerates clocks whose speeds differ by up to one eighth.
 const MARGIN_DIVISOR: u32 = 8;
 
-/// What a lease is on.
+/// What a lease protects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseName {
-    /// A partition of the programs.
+    /// A partition of the programs: the holder is the home of its programs.
     Partition(PartitionId),
-    /// A column of slices.
+    /// A column of rate-limit slices.
     Column(ColumnId),
 }
 
 impl LeaseName {
-    /// Returns the key of its row.
+    /// Returns the key of the lease's row.
     ///
     /// ```
     /// use camphorwalk_core::ids::PartitionId;
     /// use camphorwalk_policy::leases::LeaseName;
-    /// assert_eq!(&*LeaseName::Partition(PartitionId(10)).row().key, "partition/000a");
+    /// assert_eq!(&*LeaseName::Partition(PartitionId(10)).row_key().key, "partition/000a");
     /// ```
-    pub fn row(self) -> RowKey {
+    pub fn row_key(self) -> RowKey {
         match self {
-            Self::Partition(p) => RowKey::new(rows::LEASES, format!("partition/{:04x}", p.0)),
-            Self::Column(c) => RowKey::new(rows::LEASES, format!("column/{:04x}", c.0)),
+            Self::Partition(p) => RowKey::new(rows::LEASE_TABLE, format!("partition/{:04x}", p.0)),
+            Self::Column(c) => RowKey::new(rows::LEASE_TABLE, format!("column/{:04x}", c.0)),
         }
     }
 
-    /// Returns the name whose row has this key.
+    /// Parses the key of a lease row; returns `None` if it is not the key of a lease.
     pub fn from_key(key: &str) -> Option<Self> {
         let (kind, number) = key.split_once('/')?;
         let number = u16::from_str_radix(number, 16).ok()?;
@@ -76,8 +80,8 @@
         }
     }
 
-    /// Returns the number that the rendezvous hash spreads it by.
-    fn item(self) -> u64 {
+    /// Returns the input of the rendezvous hash for this lease.
+    fn rendezvous_item(self) -> u64 {
         match self {
             Self::Partition(p) => stable_hash(&[b"partition", &p.0.to_be_bytes()]),
             Self::Column(c) => stable_hash(&[b"column", &c.0.to_be_bytes()]),
@@ -85,57 +89,57 @@
     }
 }
 
-/// A lease that this host should see to, and the zone whose hosts alone may hold it.
+/// A lease that some host has to hold, and the zone whose hosts are allowed to hold it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct RequiredLease {
     /// The lease.
     pub name: LeaseName,
-    /// The zone, or `None` if any host may hold it.
+    /// The zone, or `None` if a host of any zone may hold it.
     pub zone: Option<ZoneId>,
 }
 
-/// A platform operation that the leases wait for.
+/// Identifies a platform operation that was requested by [`Leases`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseOp(pub u64);
 
-/// Something that happened, as far as leases mind.
+/// An input of [`Leases::step`].
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
-    /// These leases exist; told again when the configuration changes.
-    Wanted(Vec<Wanted>),
-    /// The platform answered.
+    /// The complete set of leases that hosts have to hold; sent whenever the configuration changes.
+    Required(Vec<RequiredLease>),
+    /// The platform answered an operation.
     Platform {
         /// The operation.
         op: LeaseOp,
         /// The answer.
         reply: PlatformReply,
     },
-    /// What is under way at this host.
+    /// What is in progress at this host.
     Busy(Busy),
-    /// The host is leaving: what it holds is given back as soon as it is not busy.
+    /// The host is leaving: it releases its leases as soon as they are not in use.
     Leave,
-    /// A holder may be gone: look at the tables soon.
-    Suspect,
-    /// Time has passed; see [`Leases::wake_at`].
+    /// The holder of a lease may have failed: the tables are to be read without delay.
+    HolderSuspected,
+    /// The time returned by [`Leases::wake_at`] was reached.
     Wake,
 }
 
-/// What is under way at a host.
+/// What is in progress at a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Busy {
-    /// The partitions that have calls under way, or entries that the platform does not have;
-    /// they are not to be given back now.
+    /// The partitions with calls in progress or with journal entries that the platform has not
+    /// stored yet. Their leases must not be released now.
     pub partitions: Set<PartitionId>,
-    /// Whether any call is under way.
-    pub calls: bool,
+    /// Whether any call is in progress.
+    pub has_calls: bool,
 }
 
-/// What to do next for leases.
+/// An action that [`Leases::step`] asks its caller to perform.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LeaseNext {
+pub enum LeaseAction {
     /// Run an operation on the platform.
     Platform {
-        /// The number to answer with.
+        /// The number to return in [`LeaseEvent::Platform`].
         op: LeaseOp,
         /// The operation.
         request: PlatformOp,
@@ -146,7 +150,8 @@
         name: LeaseName,
         /// Its epoch.
         epoch: Epoch,
-        /// The version of its row, to be checked by all that it fences.
+        /// The version of the lease's row. Every write that the lease fences has to check this
+        /// version.
         version: RowVersion,
     },
     /// This host no longer holds a lease.
@@ -154,28 +159,30 @@
         /// The lease.
         name: LeaseName,
     },
-    /// What is held is held until this instant at least.
+    /// The session was renewed: all leases of this host are valid at least until this instant.
     Renewed {
-        /// The end of the lifetime, the margin for drifting clocks left out.
+        /// The end of the session's lifetime, minus the margin for clock drift.
         until: Instant,
     },
-    /// The tables were read: who holds what, and which hosts have a live session.
-    Seen {
-        /// The holders.
-        routes: Vec<(LeaseName, Holder)>,
-        /// The hosts.
+    /// The tables were read: they show the holders of leases and the hosts with a live session.
+    TablesRead {
+        /// The leases with their holders.
+        holders: Vec<(LeaseName, Holder)>,
+        /// The sessions of the hosts.
         hosts: Vec<SessionRow>,
     },
-    /// A partition is about to be given back: its programs settle what they can.
-    Settle {
+    /// A partition's lease is about to be released: its programs should release their unused budget
+    /// grants first.
+    ReleaseGrants {
         /// The partition.
         partition: PartitionId,
     },
-    /// All that was held is given back and the session is ended.
-    Left,
+    /// All leases are released and the session is ended, or the session expired; the process may
+    /// exit.
+    ShutdownReady,
 }
 
-/// Who holds a lease.
+/// The host that holds a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The host.
@@ -193,105 +200,107 @@
     pub zone: Box<str>,
     /// Where its peers reach it.
     pub peer_address: std::net::SocketAddr,
-    /// A random number of this run of the process.
+    /// A random number that identifies this run of the process.
     pub session: u64,
-    /// The lifetime of a session without a renewal.
+    /// The time after which a session expires if it is not renewed.
     pub lifetime: Duration,
-    /// How often the session is renewed.
-    pub renewal: Duration,
-    /// How often the tables are read.
-    pub poll: Duration,
+    /// The interval between renewals of the session.
+    pub renewal_interval: Duration,
+    /// The interval between reads of the tables.
+    pub poll_interval: Duration,
 }
 
 /// A lease that this host holds.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldLease {
     /// Its epoch.
     epoch: Epoch,
     /// The version of its row.
     version: RowVersion,
 }
 
-/// Where a round over the tables stands. One runs at a time, so that what a scan shows is
-/// never older than what this host wrote before it.
+/// The step of the current read of the tables and of the write that follows it. Only one runs at a
+/// time, so that a scan never returns data older than this host's last write.
 #[derive(Clone, Debug, PartialEq)]
-enum Round {
-    /// None runs.
+enum PollStep {
+    /// Nothing is in progress.
     Idle,
     /// The sessions are being read.
-    Sessions(LeaseOp),
+    ReadingSessions(LeaseOp),
     /// The leases are being read.
-    Leases(LeaseOp),
-    /// Leases are being taken.
+    ReadingLeases(LeaseOp),
+    /// A transaction that takes leases is in progress.
     Taking(LeaseOp),
-    /// Leases are being given back.
-    Returning(LeaseOp),
-    /// An overdue session is being ended.
-    Ending(LeaseOp),
+    /// A transaction that releases leases is in progress.
+    Releasing(LeaseOp),
+    /// A transaction that ends an expired session is in progress.
+    EndingSession(LeaseOp),
 }
 
-/// The leases of one host.
+/// The state machine that takes, renews and releases the leases of one host.
 #[derive(Debug)]
 pub struct Leases {
     options: LeaseOptions,
-    me: HostId,
+    this_host: HostId,
     session: Session,
     observer: Observer,
-    wanted: Vec<Wanted>,
-    held: Map<LeaseName, Held>,
+    required: Vec<RequiredLease>,
+    held: Map<LeaseName, HeldLease>,
     busy: Busy,
-    /// The partitions whose programs were told to settle before they are given back.
-    settling: Set<PartitionId>,
-    round: Round,
+    /// The partitions whose programs were asked to release unused grants before the lease is
+    /// released.
+    releasing_grants: Set<PartitionId>,
+    poll_step: PollStep,
     /// The rows of the last complete scan of the leases.
     rows: Vec<Row>,
-    /// The hosts that may hold leases, as of the last scan. Worked out once for all leases:
-    /// for each lease anew it took most of the control thread's time with many hosts.
+    /// The hosts that may hold leases, as of the last scan. Computed once per scan: computing it
+    /// for every lease took most of the control thread's time in large fleets.
     candidates: Vec<Candidate>,
     next_poll: Instant,
     next_op: u64,
-    /// Until when what is held is surely held.
-    until: Instant,
-    /// Until when this host has promised to end no session.
-    promised: Instant,
-    /// Whether the answer to the ending of a session may have been lost.
+    /// The instant until which the held leases are guaranteed to be valid.
+    valid_until: Instant,
+    /// The instant until which this host has promised not to end any session.
+    promised_until: Instant,
+    /// Whether the answer to a transaction that ends a session may have been lost, so that it may
+    /// still take effect.
     ending_in_doubt: bool,
-    /// Since when the host is leaving.
+    /// When the host began to leave.
     leaving_since: Option<Instant>,
     left: bool,
 }
 
 impl Leases {
-    /// Makes a host that holds nothing and has no session yet.
+    /// Creates the state of a host without leases and without a session.
     pub fn new(options: LeaseOptions) -> Self {
         Self {
             session: Session::new(&options),
-            me: HostId::from_name(&options.host),
+            this_host: HostId::from_name(&options.host),
             observer: Observer::default(),
             options,
-            wanted: Vec::new(),
+            required: Vec::new(),
             held: Map::default(),
             busy: Busy::default(),
-            settling: Set::default(),
-            round: Round::Idle,
+            releasing_grants: Set::default(),
+            poll_step: PollStep::Idle,
             rows: Vec::new(),
             candidates: Vec::new(),
             next_poll: Instant::default(),
             next_op: 0,
-            until: Instant::default(),
-            promised: Instant::default(),
+            valid_until: Instant::default(),
+            promised_until: Instant::default(),
             ending_in_doubt: false,
             leaving_since: None,
             left: false,
         }
     }
 
-    /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, now: Instant, event: LeaseEvent, out: &mut Vec<LeaseNext>) {
+    /// Handles an event and appends the resulting actions to `out`.
+    pub fn step(&mut self, now: Instant, event: LeaseEvent, out: &mut Vec<LeaseAction>) {
         match event {
-            LeaseEvent::Wanted(wanted) => self.wanted = wanted,
+            LeaseEvent::Required(required) => self.required = required,
             LeaseEvent::Busy(busy) => self.busy = busy,
-            LeaseEvent::Suspect => self.next_poll = now,
+            LeaseEvent::HolderSuspected => self.next_poll = now,
             LeaseEvent::Leave => {
                 self.leaving_since.get_or_insert(now);
                 self.next_poll = now;
@@ -303,37 +312,37 @@
         self.start_due(now, out);
     }
 
-    /// Returns when [`LeaseEvent::Wake`] is due.
+    /// Returns when the next [`LeaseEvent::Wake`] is due, or `None` after the host has left.
     pub fn wake_at(&self) -> Option<Instant> {
         if self.left {
             return None;
         }
 
-        let polls = self.round == Round::Idle && self.session.is_live();
+        let polls = self.poll_step == PollStep::Idle && self.session.is_live();
         let poll = polls.then_some(self.next_poll);
 
         [poll, self.session.wake_at()].into_iter().flatten().min()
     }
 
-    /// Promises to end no session until an instant, if this host cannot renew its own now.
-    /// Returns whether it does.
+    /// Promises not to end any session before `until`, provided that this host cannot renew its own
+    /// session. Returns whether the promise was made.
     ///
-    /// It does not while the ending of some session may still take effect.
-    pub fn promise(&mut self, until: Instant) -> bool {
-        if !self.session.is_failing() || self.ending_in_doubt {
+    /// No promise is made while an earlier transaction that ends a session may still take effect.
+    pub fn promise_to_keep_sessions(&mut self, until: Instant) -> bool {
+        if !self.session.is_renewal_failing() || self.ending_in_doubt {
             return false;
         }
 
-        self.promised = self.promised.max(until);
+        self.promised_until = self.promised_until.max(until);
         true
     }
 
-    /// Returns whether the platform did not answer the last renewal of this host's session.
-    pub fn is_failing(&self) -> bool {
-        self.session.is_failing()
+    /// Returns whether the platform failed to answer the last operation on this host's session.
+    pub fn is_renewal_failing(&self) -> bool {
+        self.session.is_renewal_failing()
     }
 
-    /// Returns the partitions that this host holds, in order.
+    /// Returns the partitions whose lease this host holds, sorted.
     pub fn partitions(&self) -> Vec<PartitionId> {
         let mut all: Vec<_> = self
             .held
@@ -348,12 +357,12 @@
         all
     }
 
-    /// Returns the epoch of a partition's lease that this host holds.
+    /// Returns the epoch of a partition's lease, if this host holds it.
     pub fn epoch(&self, partition: PartitionId) -> Option<Epoch> {
         self.held.get(&LeaseName::Partition(partition)).map(|held| held.epoch)
     }
 
-    /// Returns the columns that this host holds, in order.
+    /// Returns the columns whose lease this host holds, sorted.
     pub fn columns(&self) -> Vec<ColumnId> {
         let mut all: Vec<_> = self
             .held
@@ -368,69 +377,70 @@
         all
     }
 
-    /// Starts a renewal and a round over the tables, whichever is due.
-    fn start_due(&mut self, now: Instant, out: &mut Vec<LeaseNext>) {
+    /// Starts a renewal of the session and a read of the tables if they are due.
+    fn start_due(&mut self, now: Instant, out: &mut Vec<LeaseAction>) {
         if self.left {
             return;
         }
 
-        if self.may_just_end(now) {
+        if self.can_exit_without_release(now) {
             self.left = true;
-            out.push(LeaseNext::Left);
+            out.push(LeaseAction::ShutdownReady);
             return;
         }
 
-        // The renewal goes beside the round: a slow round must not cost the session.
-        if self.session.due(now) {
-            let op = self.number();
-            let request = self.session.start(now, op);
-            out.push(LeaseNext::Platform { op, request });
+        // The renewal does not wait for the read of the tables: a slow read must not let the
+        // session expire.
+        if self.session.is_due(now) {
+            let op = self.new_op();
+            let request = self.session.start_due(now, op);
+            out.push(LeaseAction::Platform { op, request });
         }
 
-        if self.round == Round::Idle && now >= self.next_poll && self.session.is_live() {
-            self.next_poll = now + self.options.poll;
-            let op = self.scan(rows::SESSIONS, out);
-            self.round = Round::Sessions(op);
+        if self.poll_step == PollStep::Idle && now >= self.next_poll && self.session.is_live() {
+            self.next_poll = now + self.options.poll_interval;
+            let op = self.scan(rows::SESSION_TABLE, out);
+            self.poll_step = PollStep::ReadingSessions(op);
         }
     }
 
-    /// Returns whether a leaving host may end without handing anything back.
+    /// Returns whether a leaving host may exit without releasing its leases.
     ///
-    /// With the platform away nothing can be handed back. Once no call runs here and the
-    /// session has run out by itself, others can take all of it over without being told;
-    /// waiting on would keep the process from ever ending. Entries that are not stored are
-    /// given some time more: callers hold those turns as sealed tails.
-    fn may_just_end(&self, now: Instant) -> bool {
+    /// While the platform is unavailable, leases cannot be released, and waiting for it could keep
+    /// the process from ever exiting. Once no call runs here and the session has expired, other
+    /// hosts can take the leases over anyway. Journal entries that are not stored get some extra
+    /// time; after that, their turns survive only in the sealed tails that the callers hold.
+    fn can_exit_without_release(&self, now: Instant) -> bool {
         let Some(since) = self.leaving_since else {
             return false;
         };
-        let stored = self.busy.partitions.is_empty() || now.since(since) > UNSTORED_LIMIT;
+        let stored = self.busy.partitions.is_empty() || now.since(since) > MAX_STORAGE_WAIT;
 
-        !self.busy.calls && stored && now > self.until
+        !self.busy.has_calls && stored && now > self.valid_until
     }
 
-    fn number(&mut self) -> LeaseOp {
+    fn new_op(&mut self) -> LeaseOp {
         self.next_op += 1;
 
         LeaseOp(self.next_op)
     }
 
-    fn scan(&mut self, table: &str, out: &mut Vec<LeaseNext>) -> LeaseOp {
-        let op = self.number();
+    fn scan(&mut self, table: &str, out: &mut Vec<LeaseAction>) -> LeaseOp {
+        let op = self.new_op();
         let request = PlatformOp::Scan {
             table: table.into(),
             prefix: "".into(),
             after: "".into(),
             limit: SCAN_LIMIT,
         };
-        out.push(LeaseNext::Platform { op, request });
+        out.push(LeaseAction::Platform { op, request });
 
         op
     }
 
-    fn commit(&mut self, transaction: Transaction, out: &mut Vec<LeaseNext>) -> LeaseOp {
-        let op = self.number();
-        out.push(LeaseNext::Platform { op, request: PlatformOp::Commit(transaction) });
+    fn commit(&mut self, transaction: Transaction, out: &mut Vec<LeaseAction>) -> LeaseOp {
+        let op = self.new_op();
+        out.push(LeaseAction::Platform { op, request: PlatformOp::Commit(transaction) });
 
         op
     }
@@ -440,100 +450,101 @@
         now: Instant,
         op: LeaseOp,
         reply: PlatformReply,
-        out: &mut Vec<LeaseNext>,
+        out: &mut Vec<LeaseAction>,
     ) {
-        if self.session.waits_for(op) {
+        if self.session.is_pending(op) {
             self.on_session(now, reply, out);
             return;
         }
 
-        match (self.round.clone(), reply) {
-            (Round::Sessions(waiting), PlatformReply::Rows(rows)) if waiting == op => {
-                let longest_gap = self.options.lifetime / 2 + self.options.poll;
-                self.observer.saw(now, &rows, longest_gap);
-                let op = self.scan(rows::LEASES, out);
-                self.round = Round::Leases(op);
+        match (self.poll_step.clone(), reply) {
+            (PollStep::ReadingSessions(waiting), PlatformReply::Rows(rows)) if waiting == op => {
+                let max_scan_gap = self.options.lifetime / 2 + self.options.poll_interval;
+                self.observer.record_scan(now, &rows, max_scan_gap);
+                let op = self.scan(rows::LEASE_TABLE, out);
+                self.poll_step = PollStep::ReadingLeases(op);
             }
-            (Round::Leases(waiting), PlatformReply::Rows(rows)) if waiting == op => {
+            (PollStep::ReadingLeases(waiting), PlatformReply::Rows(rows)) if waiting == op => {
                 self.rows = rows;
                 self.on_tables(now, out);
             }
-            (Round::Taking(waiting), PlatformReply::Committed(_)) if waiting == op => {
-                // The next scan shows the rows with their versions, under this session.
+            (PollStep::Taking(waiting), PlatformReply::Committed(_)) if waiting == op => {
+                // The next scan returns the taken rows with their versions and adds them to the
+                // held leases.
                 self.next_poll = now;
-                self.round = Round::Idle;
+                self.poll_step = PollStep::Idle;
             }
             (
-                Round::Ending(waiting),
+                PollStep::EndingSession(waiting),
                 PlatformReply::Committed(_)
                 | PlatformReply::Conflict(_)
                 | PlatformReply::Unavailable,
             ) if waiting == op => {
                 self.ending_in_doubt = false;
-                self.round = Round::Idle;
+                self.poll_step = PollStep::Idle;
             }
             (
-                Round::Sessions(waiting)
-                | Round::Leases(waiting)
-                | Round::Taking(waiting)
-                | Round::Returning(waiting)
-                | Round::Ending(waiting),
+                PollStep::ReadingSessions(waiting)
+                | PollStep::ReadingLeases(waiting)
+                | PollStep::Taking(waiting)
+                | PollStep::Releasing(waiting)
+                | PollStep::EndingSession(waiting),
                 _,
             ) if waiting == op => {
-                // Whatever else came back, the next round reads what really stands.
-                self.round = Round::Idle;
+                // For any other answer, the next scan shows the actual state.
+                self.poll_step = PollStep::Idle;
             }
-            // An answer to a round that a lost session cut short.
+            // The answer belongs to an operation that was abandoned when the session was lost.
             _ => {}
         }
     }
 
-    fn on_session(&mut self, now: Instant, reply: PlatformReply, out: &mut Vec<LeaseNext>) {
+    fn on_session(&mut self, now: Instant, reply: PlatformReply, out: &mut Vec<LeaseAction>) {
         match self.session.on_reply(now, reply) {
-            SessionStep::Nothing => {}
-            SessionStep::Renewed { until } => {
-                self.until = until;
-                out.push(LeaseNext::Renewed { until });
+            SessionOutcome::Unchanged => {}
+            SessionOutcome::Renewed { until } => {
+                self.valid_until = until;
+                out.push(LeaseAction::Renewed { until });
             }
-            SessionStep::Lost => {
-                // Another host ended the session: all that it held may be held by others.
+            SessionOutcome::Lost => {
+                // Another host ended the session, so other hosts may hold its leases by now.
                 let mut names: Vec<_> = self.held.drain().map(|(name, _)| name).collect();
                 names.sort_unstable();
-                self.settling.clear();
-                out.extend(names.into_iter().map(|name| LeaseNext::Lost { name }));
-                self.round = Round::Idle;
+                self.releasing_grants.clear();
+                out.extend(names.into_iter().map(|name| LeaseAction::Lost { name }));
+                self.poll_step = PollStep::Idle;
             }
-            SessionStep::Left => {
+            SessionOutcome::Ended => {
                 self.left = true;
-                out.push(LeaseNext::Left);
+                out.push(LeaseAction::ShutdownReady);
             }
         }
     }
 
-    fn forget(&mut self, name: LeaseName) {
+    fn remove_held(&mut self, name: LeaseName) {
         self.held.remove(&name);
         if let LeaseName::Partition(partition) = name {
-            self.settling.remove(&partition);
+            self.releasing_grants.remove(&partition);
         }
     }
 
-    /// Compares what the tables say with what is held and wanted, and starts the next step.
-    fn on_tables(&mut self, now: Instant, out: &mut Vec<LeaseNext>) {
+    /// Compares the tables with the held and required leases, and starts the next transaction.
+    fn on_tables(&mut self, now: Instant, out: &mut Vec<LeaseAction>) {
         let rows = self.parse_rows();
         self.candidates = self.observer.candidates();
-        self.adopt(&rows, out);
-        self.report(&rows, out);
-        self.round = Round::Idle;
+        self.sync_held(&rows, out);
+        self.report_tables(&rows, out);
+        self.poll_step = PollStep::Idle;
 
-        if let Some(end) = self.end_overdue(now) {
+        if let Some(end) = self.end_expired(now) {
             self.ending_in_doubt = true;
-            self.round = Round::Ending(self.commit(end, out));
-        } else if let Some(take) = self.take(&rows) {
-            self.round = Round::Taking(self.commit(take, out));
-        } else if let Some(give_back) = self.give_back(now, &rows, out) {
-            self.round = Round::Returning(self.commit(give_back, out));
+            self.poll_step = PollStep::EndingSession(self.commit(end, out));
+        } else if let Some(taking) = self.take_free(&rows) {
+            self.poll_step = PollStep::Taking(self.commit(taking, out));
+        } else if let Some(release) = self.release(now, &rows, out) {
+            self.poll_step = PollStep::Releasing(self.commit(release, out));
         } else if self.leaving_since.is_some() && self.held.is_empty() {
-            self.session.leave(now);
+            self.session.end_with_next_write(now);
         }
     }
 
@@ -547,34 +558,42 @@
         self.rows.iter().filter_map(parse).collect()
     }
 
-    /// Takes over into `held` what the rows say of this session, and nothing else.
-    fn adopt(&mut self, rows: &Map<LeaseName, (LeaseRow, RowVersion)>, out: &mut Vec<LeaseNext>) {
+    /// Updates the held leases to exactly those that the rows assign to this session.
+    fn sync_held(
+        &mut self,
+        rows: &Map<LeaseName, (LeaseRow, RowVersion)>,
+        out: &mut Vec<LeaseAction>,
+    ) {
         let mine = self.session.key();
         let is_mine = |name: &LeaseName| rows.get(name).is_some_and(|(row, _)| row.session == mine);
 
-        // Held according to memory, but not according to the table.
+        // HeldLease according to local state, but not according to the table.
         let mut lost: Vec<_> = self.held.keys().copied().filter(|name| !is_mine(name)).collect();
         lost.sort_unstable();
         for name in lost {
-            self.forget(name);
-            out.push(LeaseNext::Lost { name });
+            self.remove_held(name);
+            out.push(LeaseAction::Lost { name });
         }
 
-        // Held according to the table, but not according to memory: also after a taking
-        // whose answer was lost.
+        // HeldLease according to the table, but not according to local state. This also covers a
+        // transaction that took leases and whose answer was lost.
         let mut gained: Vec<_> = rows.keys().copied().filter(|name| is_mine(name)).collect();
         gained.retain(|name| !self.held.contains_key(name));
         gained.sort_unstable();
         for name in gained {
             let (row, version) = &rows[&name];
-            self.held.insert(name, Held { epoch: row.epoch, version: *version });
-            out.push(LeaseNext::Acquired { name, epoch: row.epoch, version: *version });
+            self.held.insert(name, HeldLease { epoch: row.epoch, version: *version });
+            out.push(LeaseAction::Acquired { name, epoch: row.epoch, version: *version });
         }
     }
 
-    fn report(&self, rows: &Map<LeaseName, (LeaseRow, RowVersion)>, out: &mut Vec<LeaseNext>) {
+    fn report_tables(
+        &self,
+        rows: &Map<LeaseName, (LeaseRow, RowVersion)>,
+        out: &mut Vec<LeaseAction>,
+    ) {
         let live = |row: &LeaseRow| self.observer.session(&row.session);
-        let mut routes: Vec<_> = rows
+        let mut holders: Vec<_> = rows
             .iter()
             .filter_map(|(name, (row, _))| {
                 let session = live(row)?;
@@ -582,13 +601,13 @@
                 Some((*name, Holder { host, epoch: row.epoch }))
             })
             .collect();
-        routes.sort_unstable_by_key(|(name, _)| *name);
+        holders.sort_unstable_by_key(|(name, _)| *name);
 
-        out.push(LeaseNext::Seen { routes, hosts: self.observer.sessions() });
+        out.push(LeaseAction::TablesRead { holders, hosts: self.observer.sessions() });
     }
 }
 
-/// Returns how long a session must stand unrenewed before it is ended.
-pub(crate) fn overdue_after(lifetime: Duration) -> Duration {
+/// Returns how long a session must remain without renewal before it is ended.
+pub(crate) fn session_expiry(lifetime: Duration) -> Duration {
     lifetime + lifetime / MARGIN_DIVISOR
 }
--- a/crates/policy/src/leases/observer.rs
+++ b/crates/policy/src/leases/observer.rs
@@ -1,4 +1,4 @@
-//! What a host sees of the sessions of all hosts, by its own clock.
+//! Tracks the sessions of all hosts, using only this host's clock.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use camphorwalk_core::platform::{Row, RowVersion};
 use camphorwalk_core::time::Instant;
 
-use super::overdue_after;
 use super::rows::SessionRow;
+use super::session_expiry;
 
-/// A session as this host saw it.
+/// A session as of this host's last scan.
 #[derive(Clone, Debug)]
-struct Sighting {
+struct ObservedSession {
     /// The version of its row.
     version: RowVersion,
-    /// When this host first saw that version.
-    since: Instant,
-    /// Its content.
+    /// When this host first saw that version of the row.
+    unchanged_since: Instant,
+    /// The content of the row.
     row: SessionRow,
 }
 
-/// A host that may hold leases.
+/// A host that may hold leases: it has a session and is not leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     /// The host.
@@ -30,57 +30,59 @@
     pub zone: ZoneId,
 }
 
-/// The sessions in the platform, each with the time for which it has stood unrenewed.
+/// The sessions stored in the platform, each with the instant since which it has not been renewed.
 ///
-/// Clocks of two hosts are never compared: a session is overdue when this host has looked
-/// at the same version of its row for longer than the lifetime. Its owner counts from
-/// before it sent that renewal, so it has given up by then.
+/// Clocks of different hosts are never compared. A session has expired when this host has seen the
+/// same version of its row for longer than the lifetime plus a margin. The session's owner counts
+/// the lifetime from before it sent the renewal, so it has stopped using its leases by then.
 #[derive(Debug, Default)]
 pub(super) struct Observer {
-    sightings: Map<Box<str>, Sighting>,
-    /// When the sessions were last read.
-    looked: Option<Instant>,
+    observed: Map<Box<str>, ObservedSession>,
+    /// When the sessions were last scanned.
+    last_scan: Option<Instant>,
 }
 
 impl Observer {
-    /// Takes in a whole scan of the sessions.
+    /// Records a complete scan of the sessions.
     ///
-    /// After more than `longest_gap` without a scan, all sessions count as seen first now.
-    pub fn saw(&mut self, now: Instant, rows: &[Row], longest_gap: Duration) {
+    /// If the previous scan is more than `max_scan_gap` ago, all sessions count as first seen now.
+    pub fn record_scan(&mut self, now: Instant, rows: &[Row], max_scan_gap: Duration) {
         let mut next = Map::default();
 
-        // Nobody can renew while the platform is away. When it is back, the hosts must have a
-        // whole lifetime to do so: with the time of the outage counted, the first host to come
-        // back would end the sessions of all others.
-        let was_away = self.looked.is_some_and(|at| now.since(at) > longest_gap);
-        self.looked = Some(now);
+        // No host can renew its session while the platform is unavailable. After the outage each
+        // host must have a whole lifetime to renew. If the outage counted, the first host to reach
+        // the platform would end the sessions of all others.
+        let was_unavailable = self.last_scan.is_some_and(|at| now.since(at) > max_scan_gap);
+        self.last_scan = Some(now);
 
         for row in rows {
             let Ok(content) = serde_json::from_str::<SessionRow>(&row.value) else {
                 continue;
             };
-            let before = self.sightings.get(&row.key.key);
-            let since = match before {
-                Some(seen) if seen.version == row.version && !was_away => seen.since,
+            let before = self.observed.get(&row.key.key);
+            let unchanged_since = match before {
+                Some(session) if session.version == row.version && !was_unavailable => {
+                    session.unchanged_since
+                }
                 _ => now,
             };
             next.insert(
                 row.key.key.clone(),
-                Sighting { version: row.version, since, row: content },
+                ObservedSession { version: row.version, unchanged_since, row: content },
             );
         }
 
-        self.sightings = next;
+        self.observed = next;
     }
 
-    /// Returns the session with this key, if it stands.
+    /// Returns the session with this key, if it existed at the last scan.
     pub fn session(&self, key: &str) -> Option<&SessionRow> {
-        self.sightings.get(key).map(|seen| &seen.row)
+        self.observed.get(key).map(|session| &session.row)
     }
 
-    /// Returns all sessions, in the order of their hosts' names.
+    /// Returns all sessions, sorted by the names of their hosts.
     pub fn sessions(&self) -> Vec<SessionRow> {
-        let mut all: Vec<_> = self.sightings.values().map(|seen| seen.row.clone()).collect();
+        let mut all: Vec<_> = self.observed.values().map(|session| session.row.clone()).collect();
         all.sort_unstable_by(|a, b| a.host.cmp(&b.host));
 
         all
@@ -88,22 +90,24 @@
 
     /// Returns the hosts that have a session and are not leaving.
     pub fn candidates(&self) -> Vec<Candidate> {
-        let stays = |seen: &&Sighting| !seen.row.leaving;
-        let candidate = |seen: &Sighting| Candidate {
-            host: HostId::from_name(&seen.row.host),
-            zone: ZoneId::from_name(&seen.row.zone),
+        let not_leaving = |session: &&ObservedSession| !session.row.leaving;
+        let candidate = |session: &ObservedSession| Candidate {
+            host: HostId::from_name(&session.row.host),
+            zone: ZoneId::from_name(&session.row.zone),
         };
 
-        self.sightings.values().filter(stays).map(candidate).collect()
+        self.observed.values().filter(not_leaving).map(candidate).collect()
     }
 
-    /// Returns a session, other than `mine`, that is overdue.
-    pub fn overdue(&self, now: Instant, mine: &str) -> Option<(Box<str>, RowVersion)> {
-        self.sightings
+    /// Returns the key and row version of an expired session other than `own_key`, if there is one.
+    pub fn expired(&self, now: Instant, own_key: &str) -> Option<(Box<str>, RowVersion)> {
+        self.observed
             .iter()
-            .filter(|(key, _)| &***key != mine)
-            .filter(|(_, seen)| now.since(seen.since) > overdue_after(seen.row.lifetime))
-            .map(|(key, seen)| (key.clone(), seen.version))
+            .filter(|(key, _)| &***key != own_key)
+            .filter(|(_, session)| {
+                now.since(session.unchanged_since) > session_expiry(session.row.lifetime)
+            })
+            .map(|(key, session)| (key.clone(), session.version))
             .min()
     }
 }
--- a/crates/policy/src/leases/rows.rs
+++ b/crates/policy/src/leases/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of leases and sessions.
+//! The content of lease and session rows in the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 /// The table of leases.
-pub const LEASES: &str = "lease";
+pub const LEASE_TABLE: &str = "lease";
 
 /// The table of sessions.
-pub const SESSIONS: &str = "session";
+pub const SESSION_TABLE: &str = "session";
 
-/// A row of the leases.
+/// The content of a lease row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Counts up whenever the lease is taken.
+    /// Incremented each time the lease is taken.
     pub epoch: Epoch,
-    /// The key of the session that holds it; empty once it was given back.
+    /// The key of the session that holds the lease; empty after the lease was released.
     pub session: Box<str>,
 }
 
 impl LeaseRow {
-    /// Returns the row's content.
+    /// Serializes the row's content.
     pub fn to_json(&self) -> Box<str> {
         serde_json::to_string(self).expect("a lease row is plain data").into()
     }
 }
 
-/// A row of the sessions: a host that is alive, as of its last renewal.
+/// The content of a session row: a live host, as of its last renewal.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRow {
@@ -39,9 +39,9 @@
     pub zone: Box<str>,
     /// Where its peers reach it.
     pub peer_address: SocketAddr,
-    /// Counts up with each renewal.
+    /// Incremented with each renewal.
     pub renewal: u64,
-    /// The lifetime without a renewal.
+    /// The time after which the session expires if it is not renewed.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "lifetime_ms")]
     pub lifetime: Duration,
@@ -50,7 +50,7 @@
 }
 
 impl SessionRow {
-    /// Returns the row's content.
+    /// Serializes the row's content.
     pub fn to_json(&self) -> Box<str> {
         serde_json::to_string(self).expect("a session row is plain data").into()
     }
--- a/crates/policy/src/leases/session.rs
+++ b/crates/policy/src/leases/session.rs
@@ -7,54 +7,55 @@
 };
 use camphorwalk_core::time::Instant;
 
-use super::rows::{SESSIONS, SessionRow};
+use super::rows::{SESSION_TABLE, SessionRow};
 use super::{LeaseOp, LeaseOptions, MARGIN_DIVISOR};
 
-/// What came of an answer to a renewal.
+/// The result of an answer from the platform to an operation on the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SessionStep {
-    /// Nothing for now; it is tried again.
-    Nothing,
-    /// The session stands until this instant at least.
+pub(super) enum SessionOutcome {
+    /// No change; the operation is retried if it failed.
+    Unchanged,
+    /// The session is valid at least until this instant.
     Renewed {
-        /// The end of its lifetime, by this host's clock.
+        /// The end of the session's lifetime minus the drift margin, by this host's clock.
         until: Instant,
     },
-    /// Another host ended the session.
+    /// Another host ended the session; a new one is started.
     Lost,
     /// This host ended its session.
-    Left,
+    Ended,
 }
 
-/// What the session waits for.
+/// The operation on the session's row that is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Waiting {
-    /// A renewal, or the first write, sent at this instant.
+enum PendingOp {
+    /// A renewal or the first write of the row, and when it was sent.
     Renewal { sent: Instant },
-    /// A reading of the row, after an answer that was lost.
+    /// A read of the row, because the outcome of the last write is unknown.
     ReadBack,
     /// The deletion of the row.
-    Leaving,
+    Deletion,
 }
 
 /// The session of this host.
 #[derive(Debug)]
 pub(super) struct Session {
     row: SessionRow,
-    /// The random number of this run of the process.
+    /// The random number that identifies this run of the process.
     run: u64,
-    /// Counts the sessions of this run: a lost one is followed by a new one.
+    /// The number of this session within the run: after a session is lost, a new one is started.
     number: u32,
     /// The version of the row; [`RowVersion::ABSENT`] before the first write.
     version: RowVersion,
-    waiting: Option<(LeaseOp, Waiting)>,
-    /// Whether the last write's answer was lost.
+    pending: Option<(LeaseOp, PendingOp)>,
+    /// Whether the outcome of the last write is unknown, so that the row has to be read first.
     in_doubt: bool,
-    /// Whether the platform did not answer the last operation.
-    failing: bool,
+    /// Whether the last operation failed because the platform was unavailable or its answer was
+    /// lost.
+    renewal_failing: bool,
     leaving: bool,
-    renewal: Duration,
-    next: Instant,
+    renewal_interval: Duration,
+    next_op_at: Instant,
 }
 
 impl Session {
@@ -71,12 +72,12 @@
             run: options.session,
             number: 0,
             version: RowVersion::ABSENT,
-            waiting: None,
+            pending: None,
             in_doubt: false,
-            failing: false,
+            renewal_failing: false,
             leaving: false,
-            renewal: options.renewal,
-            next: Instant::default(),
+            renewal_interval: options.renewal_interval,
+            next_op_at: Instant::default(),
         }
     }
 
@@ -85,51 +86,51 @@
         format!("{}/{:016x}-{}", self.row.host, self.run, self.number).into()
     }
 
-    /// Returns whether the row was written.
+    /// Returns whether the session's row exists, as far as this host knows.
     pub fn is_live(&self) -> bool {
         self.version != RowVersion::ABSENT
     }
 
-    /// Returns whether the platform did not answer the last renewal.
-    pub fn is_failing(&self) -> bool {
-        self.failing
+    /// Returns whether the platform failed to answer the last operation on the session.
+    pub fn is_renewal_failing(&self) -> bool {
+        self.renewal_failing
     }
 
-    pub fn due(&self, now: Instant) -> bool {
-        self.waiting.is_none() && now >= self.next
+    pub fn is_due(&self, now: Instant) -> bool {
+        self.pending.is_none() && now >= self.next_op_at
     }
 
     pub fn wake_at(&self) -> Option<Instant> {
-        self.waiting.is_none().then_some(self.next)
+        self.pending.is_none().then_some(self.next_op_at)
     }
 
-    pub fn waits_for(&self, op: LeaseOp) -> bool {
-        self.waiting.is_some_and(|(waiting, _)| waiting == op)
+    pub fn is_pending(&self, op: LeaseOp) -> bool {
+        self.pending.is_some_and(|(pending, _)| pending == op)
     }
 
-    /// Ends the session with its next write.
-    pub fn leave(&mut self, now: Instant) {
+    /// Ends the session: the next write deletes its row.
+    pub fn end_with_next_write(&mut self, now: Instant) {
         self.leaving = true;
-        self.next = now;
+        self.next_op_at = now;
     }
 
-    /// Starts the operation that is due.
-    pub fn start(&mut self, now: Instant, op: LeaseOp) -> PlatformOp {
-        self.next = now + self.renewal;
-        let key = RowKey::new(SESSIONS, self.key());
+    /// Returns the operation that is due and records it as in progress.
+    pub fn start_due(&mut self, now: Instant, op: LeaseOp) -> PlatformOp {
+        self.next_op_at = now + self.renewal_interval;
+        let key = RowKey::new(SESSION_TABLE, self.key());
 
-        // A lost answer is resolved by reading, before anything else is written.
+        // If the outcome of a write is unknown, the row is read before anything else is written.
         if self.in_doubt {
-            self.waiting = Some((op, Waiting::ReadBack));
+            self.pending = Some((op, PendingOp::ReadBack));
             return PlatformOp::Read(vec![key]);
         }
 
         let value = if self.leaving {
-            self.waiting = Some((op, Waiting::Leaving));
+            self.pending = Some((op, PendingOp::Deletion));
             None
         } else {
             self.row.renewal += 1;
-            self.waiting = Some((op, Waiting::Renewal { sent: now }));
+            self.pending = Some((op, PendingOp::Renewal { sent: now }));
             Some(self.row.to_json())
         };
 
@@ -139,61 +140,63 @@
         })
     }
 
-    /// Takes in the answer to the operation that was started last.
-    pub fn on_reply(&mut self, now: Instant, reply: PlatformReply) -> SessionStep {
-        let Some((_, waiting)) = self.waiting.take() else {
-            return SessionStep::Nothing;
+    /// Handles the answer to the operation that is in progress.
+    pub fn on_reply(&mut self, now: Instant, reply: PlatformReply) -> SessionOutcome {
+        let Some((_, pending)) = self.pending.take() else {
+            return SessionOutcome::Unchanged;
         };
-        self.failing = matches!(reply, PlatformReply::Unavailable | PlatformReply::Unknown);
+        self.renewal_failing = matches!(reply, PlatformReply::Unavailable | PlatformReply::Unknown);
 
-        match (waiting, reply) {
-            (Waiting::Renewal { sent }, PlatformReply::Committed(version)) => {
+        match (pending, reply) {
+            (PendingOp::Renewal { sent }, PlatformReply::Committed(version)) => {
                 self.version = version;
-                SessionStep::Renewed { until: self.until(sent) }
+                SessionOutcome::Renewed { until: self.valid_until(sent) }
             }
-            (Waiting::Leaving, PlatformReply::Committed(_) | PlatformReply::Conflict(_)) => {
-                SessionStep::Left
+            (PendingOp::Deletion, PlatformReply::Committed(_) | PlatformReply::Conflict(_)) => {
+                SessionOutcome::Ended
             }
-            (Waiting::Renewal { .. }, PlatformReply::Conflict(_)) => self.on_conflict(now),
-            (Waiting::ReadBack, PlatformReply::Rows(rows)) => {
+            (PendingOp::Renewal { .. }, PlatformReply::Conflict(_)) => self.on_conflict(now),
+            (PendingOp::ReadBack, PlatformReply::Rows(rows)) => {
                 self.in_doubt = false;
-                self.next = now;
+                self.next_op_at = now;
                 match rows.first() {
                     Some(row) => self.version = row.version,
-                    // Never written: the first write is tried again.
+                    // The row was never written: the first write is retried.
                     None if !self.is_live() => {}
-                    None if self.leaving => return SessionStep::Left,
-                    None => return self.restart(now),
+                    None if self.leaving => return SessionOutcome::Ended,
+                    None => return self.start_new(now),
                 }
-                SessionStep::Nothing
+                SessionOutcome::Unchanged
             }
-            (Waiting::Renewal { .. } | Waiting::Leaving, PlatformReply::Unknown) => {
+            (PendingOp::Renewal { .. } | PendingOp::Deletion, PlatformReply::Unknown) => {
                 self.in_doubt = true;
-                SessionStep::Nothing
+                SessionOutcome::Unchanged
             }
-            _ => SessionStep::Nothing,
+            _ => SessionOutcome::Unchanged,
         }
     }
 
-    /// A check failed: the row is gone, or a write whose answer was lost came after all.
-    fn on_conflict(&mut self, now: Instant) -> SessionStep {
+    /// The version check failed: either another host deleted the row, or an earlier write whose
+    /// answer was lost took effect after all. Reading the row tells which.
+    fn on_conflict(&mut self, now: Instant) -> SessionOutcome {
         self.in_doubt = true;
-        self.next = now;
+        self.next_op_at = now;
 
-        SessionStep::Nothing
+        SessionOutcome::Unchanged
     }
 
-    /// Begins a new session after another host ended this one.
-    fn restart(&mut self, now: Instant) -> SessionStep {
+    /// Starts a new session after another host ended this one.
+    fn start_new(&mut self, now: Instant) -> SessionOutcome {
         self.number += 1;
         self.version = RowVersion::ABSENT;
-        self.next = now;
+        self.next_op_at = now;
 
-        SessionStep::Lost
+        SessionOutcome::Lost
     }
 
-    /// Returns until when a renewal sent at `sent` surely holds, by this host's clock.
-    fn until(&self, sent: Instant) -> Instant {
+    /// Returns the instant until which a renewal sent at `sent` is guaranteed to be valid, by this
+    /// host's clock.
+    fn valid_until(&self, sent: Instant) -> Instant {
         sent + (self.row.lifetime - self.row.lifetime / MARGIN_DIVISOR)
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,15 +1,16 @@
-//! Every decision of camphorwalk, without I/O, clocks or randomness of its own.
+//! All scheduling decisions of camphorwalk, as state machines without I/O, clocks or randomness.
 //!
-//! Each controller is a plain struct with a `step(now, event, out)` function: time and seeds
-//! are passed in, and what to do next comes back as an enum. Any bench can drive it event by
-//! event. [`wire`] holds what the controllers say to each other.
+//! Each controller is a plain struct with a `step(now, event, out)` method: time and random seeds
+//! are passed in, and the actions to perform are returned as enum values. This allows tests and
+//! benchmarks to drive the controllers event by event in virtual time. [`wire`] holds the types
+//! that the controllers exchange.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
-pub mod board;
 pub mod configs;
 pub mod entry;
+pub mod host_state;
 pub mod leases;
 pub mod membership;
 pub mod programs;
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,7 +1,8 @@
-//! Which hosts there are and which are alive, by gossip.
+//! Tracks the hosts of the fleet and which of them are live, by gossip.
 //!
-//! Membership only steers: it says where to send things. Whatever grants something is an
-//! epoch in the platform or a lent slice, so a wrong view costs time, never a promise.
+//! Membership only decides where messages are sent. Whatever grants a right is protected by a lease
+//! epoch in the platform or by a lent slice, so a wrong view costs time but never breaks a
+//! guarantee.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,22 +13,23 @@
 use camphorwalk_core::messages::gossip::{HostBeat, HostNews};
 use camphorwalk_core::time::Instant;
 
-/// The fewest hosts that one message may tell of, the sender aside.
-const LEAST_NEWS: usize = 20;
+/// The maximum number of other hosts that one message covers in a small fleet; see
+/// [`HOSTS_PER_MESSAGE_DIVISOR`].
+const MIN_HOSTS_PER_MESSAGE: usize = 20;
 
-/// The part of all hosts that one message tells of, as a divisor. Each heartbeat has to reach
-/// each host within the time of suspicion; with a fixed number of hosts in a message, most of
-/// a large fleet counted as gone.
-const NEWS_DIVISOR: usize = 2;
+/// In a large fleet, one message covers this fraction of all hosts, as a divisor. Each heartbeat
+/// has to reach every host within the suspicion timeout. With a fixed number of hosts per message,
+/// most of a large fleet was considered silent.
+const HOSTS_PER_MESSAGE_DIVISOR: usize = 2;
 
-/// How often what is known of a host is passed on whole, before its heartbeat alone is: often
-/// enough to reach hundreds of hosts.
-const WHOLE_TELLS: u32 = 24;
+/// How many messages contain the full information about a host before they contain only its
+/// heartbeat; enough to reach hundreds of hosts.
+const FULL_SENDS: u32 = 24;
 
-/// How many of its own heartbeats a host remembers the sending of.
-const KEPT_BEATS: usize = 64;
+/// The number of its own heartbeats whose send times a host keeps.
+const KEPT_HEARTBEATS: usize = 64;
 
-/// A host that was silent this many suspicion times is forgotten.
+/// A silent host is removed after this many suspicion timeouts.
 const FORGET_FACTOR: u32 = 30;
 
 /// Settings of [`Membership`].
@@ -39,17 +41,17 @@
     pub zone: Box<str>,
     /// Where its peers reach it.
     pub peer_address: SocketAddr,
-    /// The number of this run of the process: a later run has a higher one.
+    /// The number of this run of the process; a later run has a higher number.
     pub session: u64,
-    /// How often this host gossips.
-    pub period: Duration,
-    /// How many peers it tells each time.
+    /// The interval between rounds of gossip.
+    pub gossip_interval: Duration,
+    /// The number of peers that it sends gossip to in each round.
     pub fanout: usize,
-    /// How long a host may be silent before it counts as gone.
+    /// The suspicion timeout: a host without a new heartbeat for longer is considered silent.
     pub suspect_after: Duration,
 }
 
-/// A host as this host knows it.
+/// What this host knows about another host.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// The host.
@@ -64,37 +66,37 @@
     pub peer_address: SocketAddr,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// The number of its process's run, 0 if nothing was heard of it yet.
+    /// The number of its process's run; 0 before its first heartbeat was received.
     session: u64,
-    /// Its highest heartbeat heard.
+    /// Its highest heartbeat received.
     heartbeat: u64,
-    /// When that was heard first; `None` if nothing was heard of it yet.
-    heard: Option<Instant>,
-    /// How often its latest heartbeat was passed on.
-    told: u32,
-    /// How often all that is known of it was passed on, since anything but its heartbeat was
-    /// new.
-    told_whole: u32,
-    /// Whether it counted as alive at the last look.
-    alive: bool,
+    /// When that heartbeat was first received; `None` before the first one.
+    heartbeat_at: Option<Instant>,
+    /// How many messages contained its latest heartbeat.
+    heartbeat_sends: u32,
+    /// How many messages contained the full information about it since anything but its heartbeat
+    /// changed.
+    full_sends: u32,
+    /// Whether it was live at the last liveness check.
+    live: bool,
 }
 
 impl Member {
-    /// Returns whether a heartbeat is newer than the latest one known. A new run of a process
-    /// counts its heartbeats from the start.
+    /// Returns whether a heartbeat is newer than the latest one received. Heartbeats restart from
+    /// the beginning with each run of a process, so the run is compared first.
     fn is_newer(&self, session: u64, heartbeat: u64) -> bool {
         (session, heartbeat) > (self.session, self.heartbeat)
     }
 
-    /// Takes in a newer heartbeat.
-    fn beat(&mut self, now: Instant, session: u64, heartbeat: u64) {
+    /// Records a newer heartbeat.
+    fn record_heartbeat(&mut self, now: Instant, session: u64, heartbeat: u64) {
         self.session = session;
         self.heartbeat = heartbeat;
-        self.heard = Some(now);
-        self.told = 0;
+        self.heartbeat_at = Some(now);
+        self.heartbeat_sends = 0;
     }
 
-    fn news(&self) -> HostNews {
+    fn info(&self) -> HostNews {
         HostNews {
             name: self.name.to_string(),
             zone: self.zone_name.to_string(),
@@ -106,89 +108,90 @@
     }
 }
 
-/// What to do next for membership.
+/// An action that [`Membership`] asks its caller to perform.
 #[derive(Clone, Debug, PartialEq)]
-pub enum MembershipNext {
-    /// Send this news to a host.
+pub enum MembershipAction {
+    /// Send updates to a host.
     Gossip {
-        /// The receiver.
+        /// The recipient.
         to: HostId,
-        /// The news.
-        news: News,
+        /// The updates.
+        updates: HostUpdates,
     },
-    /// Where a host is reached; told when it is new or changed.
-    Address {
+    /// The address of a host is new or has changed.
+    SetPeerAddress {
         /// The host.
         host: HostId,
         /// Where its peers reach it.
         address: SocketAddr,
     },
-    /// Which hosts count as alive has changed.
-    Changed,
-    /// A host that was alive has gone silent.
-    Gone(HostId),
+    /// The set of live hosts has changed, or one of them began to leave.
+    LiveHostsChanged,
+    /// A host that was live has become silent.
+    HostSilent(HostId),
 }
 
-/// What one message tells of hosts.
+/// The information about hosts in one message.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
-    /// All that is known of some hosts, the sender first.
-    pub whole: Vec<HostNews>,
-    /// The heartbeats of others.
-    pub beats: Vec<HostBeat>,
+pub struct HostUpdates {
+    /// Full information about some hosts, the sender first.
+    pub full: Vec<HostNews>,
+    /// Only the heartbeats of other hosts.
+    pub heartbeats: Vec<HostBeat>,
 }
 
-/// The hosts that this host knows.
+/// The state machine that tracks the other hosts of the fleet.
 #[derive(Debug)]
 pub struct Membership {
     options: MembershipOptions,
-    me: HostId,
+    this_host: HostId,
     members: Map<HostId, Member>,
     heartbeat: u64,
-    /// When the last heartbeats were sent, the latest last.
-    sent: VecDeque<Instant>,
+    /// When this host's last heartbeats were sent, in ascending order.
+    heartbeat_times: VecDeque<Instant>,
     leaving: bool,
-    next: Instant,
-    /// Until when nobody goes silent for too long or is forgotten, unless something is heard.
-    /// Every event of the host asks for it, so that most need not look at all members.
-    next_look: Instant,
-    /// Whether a host was found to be leaving since the last look.
+    next_gossip: Instant,
+    /// The earliest instant at which a host can become silent or be removed if no more gossip
+    /// arrives. [`Membership::wake`] runs on every event of the host, and this avoids a scan of all
+    /// members each time.
+    next_liveness_check: Instant,
+    /// Whether a host's `leaving` flag changed since the last liveness check.
     leaving_changed: bool,
 }
 
 impl Membership {
-    /// Makes a host that knows of no other.
+    /// Creates the state of a host that knows no other hosts.
     pub fn new(options: MembershipOptions) -> Self {
         Self {
-            me: HostId::from_name(&options.name),
+            this_host: HostId::from_name(&options.name),
             options,
             members: Map::default(),
             heartbeat: 0,
-            sent: VecDeque::new(),
+            heartbeat_times: VecDeque::new(),
             leaving: false,
-            next: Instant::default(),
-            next_look: Instant::default(),
+            next_gossip: Instant::default(),
+            next_liveness_check: Instant::default(),
             leaving_changed: false,
         }
     }
 
-    /// Says from now on that this host is leaving.
-    pub fn leave(&mut self) {
+    /// Announces in all following gossip that this host is leaving.
+    pub fn start_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// Takes in a host from the platform's list or from the table of sessions. It counts as
-    /// alive only once something was heard of it.
-    pub fn learn(
+    /// Adds a host from the platform's list or from the table of sessions. It becomes live only
+    /// once a heartbeat of it arrives.
+    pub fn add_listed(
         &mut self,
         name: &str,
         zone: &str,
         peer_address: SocketAddr,
         leaving: bool,
-        out: &mut Vec<MembershipNext>,
+        out: &mut Vec<MembershipAction>,
     ) {
         let host = HostId::from_name(name);
-        if host == self.me {
+        if host == self.this_host {
             return;
         }
 
@@ -202,43 +205,43 @@
             leaving,
             session: 0,
             heartbeat: 0,
-            heard: None,
-            told: 0,
-            told_whole: 0,
-            alive: false,
+            heartbeat_at: None,
+            heartbeat_sends: 0,
+            full_sends: 0,
+            live: false,
         });
 
-        // News from the host itself is fresher than a list that lags.
-        if member.heard.is_none() {
+        // Information from the host itself is more recent than a list that lags.
+        if member.heartbeat_at.is_none() {
             let moved = member.peer_address != peer_address;
             member.peer_address = peer_address;
             if is_new || moved {
-                out.push(MembershipNext::Address { host, address: peer_address });
+                out.push(MembershipAction::SetPeerAddress { host, address: peer_address });
             }
         }
         self.leaving_changed |= leaving && !member.leaving;
         member.leaving |= leaving;
     }
 
-    /// Takes in gossip.
-    pub fn heard(
+    /// Applies received gossip.
+    pub fn apply_gossip(
         &mut self,
         now: Instant,
-        whole: &[HostNews],
-        beats: &[HostBeat],
-        out: &mut Vec<MembershipNext>,
+        full: &[HostNews],
+        heartbeats: &[HostBeat],
+        out: &mut Vec<MembershipAction>,
     ) {
-        whole.iter().for_each(|item| self.hear_whole(now, item, out));
-        beats.iter().for_each(|beat| self.hear_beat(now, beat));
+        full.iter().for_each(|item| self.apply_full(now, item, out));
+        heartbeats.iter().for_each(|heartbeat| self.apply_heartbeat(now, heartbeat));
 
-        self.look(now, out);
+        self.update_liveness(now, out);
     }
 
-    fn hear_whole(&mut self, now: Instant, item: &HostNews, out: &mut Vec<MembershipNext>) {
+    fn apply_full(&mut self, now: Instant, item: &HostNews, out: &mut Vec<MembershipAction>) {
         let Ok(address) = item.peer_address.parse() else {
             return;
         };
-        self.learn(&item.name, &item.zone, address, item.leaving, out);
+        self.add_listed(&item.name, &item.zone, address, item.leaving, out);
         let Some(member) = self.members.get_mut(&HostId::from_name(&item.name)) else {
             return;
         };
@@ -247,7 +250,7 @@
         }
 
         if member.peer_address != address {
-            out.push(MembershipNext::Address { host: member.host, address });
+            out.push(MembershipAction::SetPeerAddress { host: member.host, address });
         }
         let same = member.session == item.session
             && member.peer_address == address
@@ -255,178 +258,187 @@
         self.leaving_changed |= member.leaving != item.leaving;
         member.peer_address = address;
         member.leaving = item.leaving;
-        member.beat(now, item.session, item.heartbeat);
+        member.record_heartbeat(now, item.session, item.heartbeat);
         if !same {
-            member.told_whole = 0;
+            member.full_sends = 0;
         }
     }
 
-    fn hear_beat(&mut self, now: Instant, beat: &HostBeat) {
-        // A host not known yet is learnt from whole news, or from the platform.
-        let Some(member) = self.members.get_mut(&HostId(beat.host)) else {
+    fn apply_heartbeat(&mut self, now: Instant, heartbeat: &HostBeat) {
+        // The heartbeat of an unknown host is dropped: the host is added by its full information or
+        // by the platform's list.
+        let Some(member) = self.members.get_mut(&HostId(heartbeat.host)) else {
             return;
         };
 
-        if member.is_newer(beat.session, beat.heartbeat) {
-            member.beat(now, beat.session, beat.heartbeat);
+        if member.is_newer(heartbeat.session, heartbeat.heartbeat) {
+            member.record_heartbeat(now, heartbeat.session, heartbeat.heartbeat);
         }
     }
 
-    /// Gossips, if it is time, and looks who has gone silent.
-    pub fn wake(&mut self, now: Instant, out: &mut Vec<MembershipNext>) {
-        if now > self.next_look || self.leaving_changed {
-            self.look(now, out);
+    /// Checks for hosts that have become silent, and sends gossip if it is due.
+    pub fn wake(&mut self, now: Instant, out: &mut Vec<MembershipAction>) {
+        if now > self.next_liveness_check || self.leaving_changed {
+            self.update_liveness(now, out);
         }
-        if now < self.next {
+        if now < self.next_gossip {
             return;
         }
 
-        self.next = now + self.options.period;
+        self.next_gossip = now + self.options.gossip_interval;
         self.heartbeat += 1;
-        self.sent.push_back(now);
-        if self.sent.len() > KEPT_BEATS {
-            self.sent.pop_front();
+        self.heartbeat_times.push_back(now);
+        if self.heartbeat_times.len() > KEPT_HEARTBEATS {
+            self.heartbeat_times.pop_front();
         }
-        for to in self.receivers() {
-            let news = self.news_for(to);
-            out.push(MembershipNext::Gossip { to, news });
+        for to in self.recipients() {
+            let updates = self.updates_for(to);
+            out.push(MembershipAction::Gossip { to, updates });
         }
     }
 
     /// Returns when [`Membership::wake`] is due.
     pub fn wake_at(&self) -> Instant {
-        self.next
+        self.next_gossip
     }
 
-    /// Returns the other hosts that count as alive, in order.
-    pub fn alive(&self) -> Vec<&Member> {
-        let mut all: Vec<_> = self.members.values().filter(|m| m.alive).collect();
+    /// Returns the other hosts that are live, sorted by id.
+    pub fn live_members(&self) -> Vec<&Member> {
+        let mut all: Vec<_> = self.members.values().filter(|m| m.live).collect();
         all.sort_unstable_by_key(|m| m.host);
 
         all
     }
 
-    /// Returns all other hosts, in order.
-    pub fn all(&self) -> Vec<&Member> {
+    /// Returns all other known hosts, sorted by id.
+    pub fn members(&self) -> Vec<&Member> {
         let mut all: Vec<_> = self.members.values().collect();
         all.sort_unstable_by_key(|m| m.host);
 
         all
     }
 
-    /// Returns the latest heartbeat known of a host, after the run that it is of.
-    pub fn heartbeat_of(&self, host: HostId) -> (u64, u64) {
+    /// Returns the run number and the latest heartbeat received of a host; zeros if there is none.
+    pub fn latest_heartbeat(&self, host: HostId) -> (u64, u64) {
         self.members.get(&host).map_or((0, 0), |m| (m.session, m.heartbeat))
     }
 
-    /// Returns when this host sent a heartbeat of its own, if that was not long ago.
-    pub fn sent_at(&self, session: u64, heartbeat: u64) -> Option<Instant> {
+    /// Returns when this host sent one of its own heartbeats, or `None` if its send time is no
+    /// longer kept or it belongs to another run.
+    pub fn heartbeat_sent_at(&self, session: u64, heartbeat: u64) -> Option<Instant> {
         let age = usize::try_from(self.heartbeat.checked_sub(heartbeat)?).ok()?;
-        let index = self.sent.len().checked_sub(1 + age)?;
+        let index = self.heartbeat_times.len().checked_sub(1 + age)?;
 
-        self.sent.get(index).copied().filter(|_| session == self.options.session)
+        self.heartbeat_times.get(index).copied().filter(|_| session == self.options.session)
     }
 
-    /// Returns whether another host counts as alive.
-    pub fn is_alive(&self, host: HostId) -> bool {
-        self.members.get(&host).is_some_and(|m| m.alive)
+    /// Returns whether another host is live.
+    pub fn is_live(&self, host: HostId) -> bool {
+        self.members.get(&host).is_some_and(|m| m.live)
     }
 
-    /// Finds out whose state changed since the last look.
-    fn look(&mut self, now: Instant, out: &mut Vec<MembershipNext>) {
+    /// Updates which hosts are live and removes those that have been silent for long.
+    fn update_liveness(&mut self, now: Instant, out: &mut Vec<MembershipAction>) {
         let suspect_after = self.options.suspect_after;
-        // A host that begins to leave stays alive, yet others must stop choosing it.
+        // A host that begins to leave stays live, but other hosts must stop choosing it.
         let mut changed = std::mem::take(&mut self.leaving_changed);
-        let mut gone = Vec::new();
+        let mut silent = Vec::new();
 
         for member in self.members.values_mut() {
-            let alive = member.heard.is_some_and(|at| now.since(at) <= suspect_after);
-            changed |= alive != member.alive;
-            if member.alive && !alive {
-                gone.push(member.host);
+            let live = member.heartbeat_at.is_some_and(|at| now.since(at) <= suspect_after);
+            changed |= live != member.live;
+            if member.live && !live {
+                silent.push(member.host);
             }
-            member.alive = alive;
+            member.live = live;
         }
 
         let forget_after = suspect_after * FORGET_FACTOR;
-        self.members.retain(|_, m| m.heard.is_none_or(|at| now.since(at) <= forget_after));
-        let lasts =
-            |m: &Member| Some(m.heard? + if m.alive { suspect_after } else { forget_after });
-        self.next_look = self.members.values().filter_map(lasts).min().unwrap_or(Instant(u64::MAX));
-        gone.sort_unstable();
-        // What a gone host left undone is asked of another at once, so the choice among those
-        // alive comes first: else the gone host would be asked again, and never answer.
+        self.members.retain(|_, m| m.heartbeat_at.is_none_or(|at| now.since(at) <= forget_after));
+        let next_change =
+            |m: &Member| Some(m.heartbeat_at? + if m.live { suspect_after } else { forget_after });
+        self.next_liveness_check =
+            self.members.values().filter_map(next_change).min().unwrap_or(Instant(u64::MAX));
+        silent.sort_unstable();
+        // The new set of live hosts is reported before the silent hosts: requests to a silent host
+        // are sent again to another one immediately, and with the old set the silent host could be
+        // chosen again.
         if changed {
-            out.push(MembershipNext::Changed);
+            out.push(MembershipAction::LiveHostsChanged);
         }
-        out.extend(gone.into_iter().map(MembershipNext::Gone));
+        out.extend(silent.into_iter().map(MembershipAction::HostSilent));
     }
 
-    /// Picks whom to tell: one host of this zone, so that a zone that is cut off still hears
-    /// itself, others that are alive, and one that is silent, since a cut heals without notice.
+    /// Picks the recipients of one round of gossip: one host of this zone, so that a partitioned
+    /// zone still exchanges heartbeats; other live hosts; and one silent host, because the end of a
+    /// network partition is not announced.
     ///
-    /// All differ, and at most one is silent: in a small fleet with some hosts dead, two that
-    /// are alive could else tell each other nothing for longer than a host may be silent.
-    fn receivers(&self) -> Vec<HostId> {
+    /// All recipients differ, and at most one is silent if enough live hosts exist. Otherwise, in a
+    /// small fleet with some failed hosts, two live hosts could go without gossip to each other for
+    /// longer than the suspicion timeout.
+    fn recipients(&self) -> Vec<HostId> {
         let zone = ZoneId::from_name(&self.options.zone);
         let ids = |wanted: &dyn Fn(&Member) -> bool| -> Vec<HostId> {
             self.members.values().filter(|m| wanted(m)).map(|m| m.host).collect()
         };
-        let near = ids(&|m| m.alive && m.zone == zone);
-        let alive = ids(&|m| m.alive);
-        let silent = ids(&|m| !m.alive);
+        let same_zone = ids(&|m| m.live && m.zone == zone);
+        let live = ids(&|m| m.live);
+        let silent = ids(&|m| !m.live);
 
         let last = self.options.fanout.saturating_sub(1);
         let mut picked = Vec::new();
         for i in 0..self.options.fanout {
             let order = match i {
-                0 => [&near, &alive, &silent],
-                i if i == last => [&silent, &alive, &near],
-                _ => [&alive, &silent, &near],
+                0 => [&same_zone, &live, &silent],
+                i if i == last => [&silent, &live, &same_zone],
+                _ => [&live, &silent, &same_zone],
             };
-            picked.extend(order.iter().find_map(|hosts| self.pick(hosts, i, &picked)));
+            picked.extend(order.iter().find_map(|hosts| self.pick_recipient(hosts, i, &picked)));
         }
         picked.sort_unstable();
 
         picked
     }
 
-    /// Picks one host: the one that stands so many places after this one in the order of ids,
-    /// or the next that is not picked yet.
+    /// Picks the host at a pseudo-random distance after this one in the order of ids, or the next
+    /// one that is not picked yet.
     ///
-    /// The number of places changes with each round and is the same at all hosts, so that in
-    /// one round hardly two tell the same host. When all hosts walked the list from its start,
-    /// they told the same three hosts at a time, and the others heard nothing for seconds.
-    fn pick(&self, hosts: &[HostId], i: usize, picked: &[HostId]) -> Option<HostId> {
+    /// The distance changes with each round and is the same on all hosts, so that hardly any two
+    /// hosts pick the same recipient in one round. When all hosts walked the list from its start,
+    /// they sent gossip to the same three hosts at a time, and the others received nothing for
+    /// seconds.
+    fn pick_recipient(&self, hosts: &[HostId], i: usize, picked: &[HostId]) -> Option<HostId> {
         let round = self.heartbeat * self.options.fanout as u64 + i as u64;
-        let places = stable_hash(&[b"gossip", &round.to_be_bytes()]) as usize % hosts.len().max(1);
-        let mut ring: Vec<_> = hosts.iter().copied().filter(|h| *h > self.me).collect();
+        let distance =
+            stable_hash(&[b"gossip", &round.to_be_bytes()]) as usize % hosts.len().max(1);
+        let mut ring: Vec<_> = hosts.iter().copied().filter(|h| *h > self.this_host).collect();
         ring.sort_unstable();
-        let mut before: Vec<_> = hosts.iter().copied().filter(|h| *h < self.me).collect();
-        before.sort_unstable();
-        ring.extend(before);
+        let mut lower: Vec<_> = hosts.iter().copied().filter(|h| *h < self.this_host).collect();
+        lower.sort_unstable();
+        ring.extend(lower);
 
-        ring.iter().cycle().skip(places).take(ring.len()).find(|h| !picked.contains(h)).copied()
+        ring.iter().cycle().skip(distance).take(ring.len()).find(|h| !picked.contains(h)).copied()
     }
 
-    /// Picks the news for one host: this host's own, then what was passed on least often.
-    fn news_for(&mut self, to: HostId) -> News {
-        let most = LEAST_NEWS.max(self.members.len() / NEWS_DIVISOR);
-        let mut news = News { whole: vec![self.own_news()], beats: Vec::new() };
+    /// Selects the updates for one recipient: this host's own information, then that of the other
+    /// hosts whose latest heartbeat was sent least often.
+    fn updates_for(&mut self, to: HostId) -> HostUpdates {
+        let max_hosts = MIN_HOSTS_PER_MESSAGE.max(self.members.len() / HOSTS_PER_MESSAGE_DIVISOR);
+        let mut updates = HostUpdates { full: vec![self.own_info()], heartbeats: Vec::new() };
         let mut others: Vec<_> = self
             .members
             .values_mut()
-            .filter(|m| m.host != to && m.heard.is_some() && m.alive)
+            .filter(|m| m.host != to && m.heartbeat_at.is_some() && m.live)
             .collect();
-        others.sort_unstable_by_key(|m| (m.told, m.host));
+        others.sort_unstable_by_key(|m| (m.heartbeat_sends, m.host));
 
-        for member in others.into_iter().take(most) {
-            member.told += 1;
-            if member.told_whole < WHOLE_TELLS {
-                member.told_whole += 1;
-                news.whole.push(member.news());
+        for member in others.into_iter().take(max_hosts) {
+            member.heartbeat_sends += 1;
+            if member.full_sends < FULL_SENDS {
+                member.full_sends += 1;
+                updates.full.push(member.info());
             } else {
-                news.beats.push(HostBeat {
+                updates.heartbeats.push(HostBeat {
                     host: member.host.0,
                     session: member.session,
                     heartbeat: member.heartbeat,
@@ -434,10 +446,10 @@
             }
         }
 
-        news
+        updates
     }
 
-    fn own_news(&self) -> HostNews {
+    fn own_info(&self) -> HostNews {
         HostNews {
             name: self.options.name.to_string(),
             zone: self.options.zone.to_string(),
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,18 +1,18 @@
-//! One host's whole control state, driven event by event.
+//! The complete control state of one host, driven event by event.
 //!
-//! [`Scheduler`] composes the controllers: it hands each event to the one it is for, and
-//! turns what a controller wants next into an event for another or an [`Action`] for the
-//! runtime. It does no I/O and reads no clock, so a bench can run many of them against each
-//! other in virtual time.
+//! [`Scheduler`] combines the controllers: it routes each event to the right controller and turns
+//! each resulting action into an event for another controller or into an [`Action`] for the
+//! runtime. It does no I/O and reads no clock, so many schedulers can run against each other in
+//! virtual time.
 
-mod asks;
-mod entry;
+mod controllers;
 mod extension;
 mod gossip;
-mod late;
 mod operators;
+mod place_requests;
+mod requests;
 mod sweep;
-mod work;
+mod unsent_answers;
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -29,8 +29,8 @@
 use camphorwalk_core::platform::{HostListing, PlatformOp, PlatformReply};
 use camphorwalk_core::time::Instant;
 
-use crate::board::Board;
 use crate::configs::{ConfigOp, ConfigOptions, Configs, OperatorId, ReadConfig, WriteConfig};
+use crate::host_state::HostState;
 use crate::leases::{LeaseOp, LeaseOptions, Leases};
 use crate::membership::{Membership, MembershipOptions};
 use crate::programs::{ProgramOp, ProgramOptions, Programs};
@@ -38,39 +38,39 @@
 use crate::slices::{SliceOptions, Slices, TakeId};
 use crate::wire::{AttemptEnd, CallId, Dispatch};
 
-use self::asks::Asks;
-use self::late::LateAnswer;
+use self::controllers::ControllerEvent;
 pub use self::operators::{HostStatus, OperatorReply, OperatorRequest, Status};
-use self::work::Work;
+use self::place_requests::PlaceRequests;
+use self::unsent_answers::UnsentAnswer;
 
-/// A platform operation that some controller waits for.
+/// A platform operation, and the controller that requested it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OpId {
-    /// The leases wait for it.
+    /// Requested by the leases.
     Lease(LeaseOp),
-    /// The configuration waits for it.
+    /// Requested by the configuration.
     Config(ConfigOp),
-    /// The programs wait for it.
+    /// Requested by the programs.
     Program(ProgramOp),
 }
 
-/// Something that happened to this host.
+/// An input of [`Scheduler::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller of this host asks something, with a key that was found good.
+    /// A caller sent a request to this host, with a key that was found valid.
     ///
-    /// An opening that is not repeatable gets its program id here.
+    /// A request to open a program that is not repeatable gets its program id here.
     Request {
-        /// The request, by a number never used before on this host.
+        /// The request's id, never used before on this host.
         request: RequestId,
         /// The tenant of the key.
         tenant: TenantId,
         /// The key.
         key: KeyId,
-        /// What is asked.
+        /// The content of the request.
         body: Request,
     },
-    /// The caller of a request is gone.
+    /// The caller of a request has disconnected.
     CallerGone(RequestId),
     /// A message from another host.
     Peer {
@@ -79,29 +79,29 @@
         /// The message.
         message: PeerMessage,
     },
-    /// A message could not even be queued for sending.
+    /// A message could not be queued for sending and was not sent.
     Unsent {
-        /// The receiver.
+        /// The recipient.
         to: HostId,
         /// The message.
         message: PeerMessage,
     },
-    /// The connection to a host broke: what was sent last may be lost.
+    /// The connection to a host broke; the last messages may be lost.
     PeerDown(HostId),
-    /// The platform answered.
+    /// The platform answered an operation.
     Platform {
         /// The operation.
         op: OpId,
         /// The answer.
         reply: PlatformReply,
     },
-    /// The platform's lagging list of hosts.
+    /// The platform's list of hosts, which lags behind the actual state.
     Hosts(Vec<HostListing>),
     /// An attempt ended at its target.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
     /// A target reported its load.
@@ -111,34 +111,34 @@
         /// The report.
         report: LoadReport,
     },
-    /// A target reported that it dropped a program's prefix.
+    /// A target reported that it evicted a program's prefix from its cache.
     Evicted {
         /// The target.
         target: TargetId,
         /// The program.
         program: ProgramId,
     },
-    /// A target said which programs it holds something for.
+    /// A target listed the programs for which it holds cached data.
     Held {
         /// The target.
         target: TargetId,
         /// The programs.
         programs: Vec<ProgramId>,
     },
-    /// An operator asks something.
+    /// An operator sent a request.
     Operator {
-        /// The question.
+        /// The operator's request.
         ask: OperatorId,
-        /// What is asked.
+        /// The content of the request.
         request: OperatorRequest,
     },
-    /// This host is to leave: it hands back what it holds as soon as that is idle.
+    /// This host has to leave: it hands over what it holds as soon as that is not in use.
     Drain,
-    /// Time has passed; see [`Scheduler::wake_at`].
+    /// The time returned by [`Scheduler::wake_at`] was reached.
     Wake,
 }
 
-/// What the runtime is to do.
+/// An action that [`Scheduler::step`] asks the runtime to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Answer a caller of this host.
@@ -150,39 +150,39 @@
     },
     /// Send a message to another host.
     Send {
-        /// The receiver.
+        /// The recipient.
         to: HostId,
         /// The message.
         message: PeerMessage,
     },
-    /// Another host is reached here from now on.
+    /// The address of another host is new or has changed.
     Address {
         /// The host.
         host: HostId,
-        /// Where it listens for peers.
+        /// The address where it listens for peers.
         address: SocketAddr,
     },
     /// Run an operation on the platform.
     Platform {
-        /// The number to answer with.
+        /// The operation's id, to be returned in [`Event::Platform`].
         op: OpId,
         /// The operation.
         request: PlatformOp,
     },
     /// Send an attempt to a target.
     Dispatch(Box<Dispatch>),
-    /// Cancel an attempt; its end is still to be told.
+    /// Cancel an attempt; the runtime still reports how it ended.
     Cancel(AttemptId),
-    /// Have engines free what they hold for a program that is over.
+    /// Have the engines that served an ended program free what they hold for it.
     Free(ProgramId),
-    /// Have one engine free what it holds for a program that is over.
+    /// Have one engine free what it holds for an ended program.
     FreeAt {
         /// The engine.
         target: TargetId,
         /// The program.
         program: ProgramId,
     },
-    /// Watch the load and the cache of these engines, and of no others.
+    /// Watch the load and the cache of exactly these engines.
     Watch(Vec<TargetId>),
     /// This configuration is in force from now on.
     Adopted(Arc<Config>),
@@ -190,12 +190,12 @@
     KeyWithdrawn(KeyId),
     /// Answer an operator.
     OperatorAnswer {
-        /// The question.
+        /// The operator's request.
         ask: OperatorId,
         /// The answer.
         reply: Box<OperatorReply>,
     },
-    /// All is handed back; the process may exit.
+    /// Everything is handed over; the process may exit.
     Left,
 }
 
@@ -208,41 +208,41 @@
     pub zone: Box<str>,
     /// Where its peers reach it.
     pub peer_address: SocketAddr,
-    /// The number of this run of the process: seconds since 1970 in the upper half, so that
-    /// a later run has a higher one, random bits in the lower.
+    /// The number of this run of the process: seconds since 1970 in the upper half, so that a later
+    /// run has a higher number, and random bits in the lower half.
     pub session: u64,
-    /// The fleet's secret that seals turns which are not stored yet.
+    /// The fleet's secret for sealing turns that are handed to callers before they are stored.
     pub seal_key: [u8; 32],
-    /// The times it works with.
+    /// The intervals and timeouts of the host.
     pub times: Times,
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     pub read_config: ReadConfig,
-    /// Writes a configuration.
+    /// Serializes a configuration.
     pub write_config: WriteConfig,
 }
 
-/// The times that a host works with.
+/// The intervals and timeouts of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// The lifetime of a session that is not renewed.
+    /// The time after which a session expires if it is not renewed.
     pub session_lifetime: Duration,
-    /// How often a session is renewed.
+    /// The interval between renewals of the session.
     pub session_renewal: Duration,
-    /// How often the tables of leases are read.
+    /// The interval between reads of the lease and session tables.
     pub lease_poll: Duration,
-    /// How often the configuration's pointer row is read.
+    /// The interval between reads of the configuration's pointer row.
     pub config_poll: Duration,
-    /// How often a host gossips.
+    /// The interval between rounds of gossip.
     pub gossip_period: Duration,
-    /// How long a host may be silent before it counts as gone.
+    /// The suspicion timeout: a host without a new heartbeat for longer is considered silent.
     pub suspect_after: Duration,
-    /// The time from one write of the journal to the next, in which entries gather. It bounds
-    /// this host's writes a second; an entry after an idle time is written at once.
+    /// The interval between writes of the journal, during which entries are batched. It bounds this
+    /// host's writes per second; an entry after an idle time is written at once.
     pub commit_interval: Duration,
 }
 
 impl Default for Times {
-    /// Returns times that suit a dozen hosts.
+    /// Returns values that suit a fleet of about a dozen hosts.
     fn default() -> Self {
         Self {
             session_lifetime: Duration::from_secs(6),
@@ -256,10 +256,10 @@
     }
 }
 
-/// The number of peers that a host gossips with in each period.
+/// The number of peers that a host sends gossip to in each round.
 const GOSSIP_FANOUT: usize = 3;
 
-/// The whole control state of one host.
+/// The control state of one host.
 ///
 /// ```
 /// use std::time::Duration;
@@ -277,7 +277,7 @@
 ///     write_config: |_| Box::default(),
 /// });
 ///
-/// // A host that starts first asks the platform who else is there and what is in force.
+/// // A new host first asks the platform for the other hosts and the configuration in force.
 /// let mut actions = Vec::new();
 /// scheduler.step(Instant::from_millis(0), Event::Wake, &mut actions);
 /// assert!(actions.iter().any(|action| matches!(action, Action::Platform { .. })));
@@ -285,87 +285,88 @@
 /// ```
 #[derive(Debug)]
 pub struct Scheduler {
-    board: Board,
+    state: HostState,
     leases: Leases,
     configs: Configs,
     membership: Membership,
     programs: Programs,
     queues: Queues,
     slices: Slices,
-    /// Requests of this host's callers that are not answered yet, and who answers them.
-    waiting: Map<RequestId, Waiting>,
-    /// Answers that could not be sent yet.
-    late: Vec<LateAnswer>,
-    /// Questions to the hosts that keep queues.
-    asks: Asks,
-    /// Questions for a token, by the call that asks.
+    /// Unanswered requests of this host's callers, and the host that is to answer each.
+    waiting_requests: Map<RequestId, WaitingRequest>,
+    /// Answers that could not be sent and will be sent again.
+    unsent_answers: Vec<UnsentAnswer>,
+    /// Requests for places, sent to the hosts that run the queues.
+    place_requests: PlaceRequests,
+    /// Requests for a token of a tenant's rate, with the call that needs it.
     takes: Map<TakeId, CallId>,
     next_take: u64,
-    /// Digests of requests that bring targets down.
+    /// Digests of requests that crash targets.
     quarantined: Set<Digest>,
-    /// The engines that this host watches.
+    /// The engines whose load and cache this host watches.
     watched: Vec<TargetId>,
-    /// How far the last look at each engine's list of programs came.
-    held_turns: Map<TargetId, usize>,
-    /// Counts the programs that were opened here, for their ids.
-    opened: u64,
+    /// For each engine, the position in its list of programs where the next check continues.
+    sweep_positions: Map<TargetId, usize>,
+    /// The number of programs opened here, used to generate ids.
+    opened_programs: u64,
     session: u64,
-    work: VecDeque<Work>,
-    /// Since when each host's promise to end no session counts, by this host's clock.
+    events: VecDeque<ControllerEvent>,
+    /// For each host that promised not to end any session, the instant from which the promise
+    /// counts, by this host's clock.
     promises: Map<HostId, Instant>,
-    /// When columns are to be extended next.
+    /// When the ownership of columns is next extended.
     next_extension: Instant,
-    /// Counts the messages of gossip.
-    gossiped: usize,
+    /// The number of gossip messages sent.
+    gossip_count: usize,
     /// When each peer was last sent the whole configuration.
-    sent_config: Map<HostId, Instant>,
+    config_sent_at: Map<HostId, Instant>,
     /// When the configuration in force was adopted.
     adopted_at: Instant,
 }
 
-/// A caller's request that is not answered yet.
+/// An unanswered request of a caller.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
-    /// The host that it was passed on to.
+struct WaitingRequest {
+    /// The host that it was forwarded to, or this host.
     home: HostId,
-    /// Whether it may have run if that host's answer is lost.
+    /// Whether it may have taken effect if that host's answer is lost.
     may_run: bool,
-    /// Whether it is a call, so that an earlier submission of its key may have run.
+    /// Whether it is a call: an earlier submission with the same idempotency key may have run.
     is_call: bool,
 }
 
-/// The longest time between two wakes, so that silence of others is noticed.
-const LONGEST_SLEEP: Duration = Duration::from_millis(250);
+/// The maximum time between two wake-ups, so that silent hosts are noticed.
+const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 impl Scheduler {
-    /// Makes a host that knows of nothing yet.
+    /// Creates the state of a host that has no configuration and knows no other hosts.
     pub fn new(options: SchedulerOptions) -> Self {
         let times = options.times;
         let me = HostId::from_name(&options.host);
         let zone = ZoneId::from_name(&options.zone);
 
         Self {
-            board: Board::new(&options.host, &options.zone),
+            state: HostState::new(&options.host, &options.zone),
             leases: Leases::new(LeaseOptions {
                 host: options.host.clone(),
                 zone: options.zone.clone(),
                 peer_address: options.peer_address,
                 session: options.session,
                 lifetime: times.session_lifetime,
-                renewal: times.session_renewal,
-                poll: times.lease_poll,
+                renewal_interval: times.session_renewal,
+                poll_interval: times.lease_poll,
             }),
             configs: Configs::new(ConfigOptions {
                 read: options.read_config,
                 write: options.write_config,
-                poll: times.config_poll,
+                poll_interval: times.config_poll,
             }),
             membership: Membership::new(MembershipOptions {
                 name: options.host,
                 zone: options.zone,
                 peer_address: options.peer_address,
                 session: options.session,
-                period: times.gossip_period,
+                gossip_interval: times.gossip_period,
                 fanout: GOSSIP_FANOUT,
                 suspect_after: times.suspect_after,
             }),
@@ -382,33 +383,33 @@
                 session: options.session,
                 times: Default::default(),
             }),
-            waiting: Map::default(),
-            late: Vec::new(),
-            asks: Asks::default(),
+            waiting_requests: Map::default(),
+            unsent_answers: Vec::new(),
+            place_requests: PlaceRequests::default(),
             takes: Map::default(),
             next_take: 0,
             quarantined: Set::default(),
             watched: Vec::new(),
-            held_turns: Map::default(),
-            opened: 0,
+            sweep_positions: Map::default(),
+            opened_programs: 0,
             session: options.session,
-            work: VecDeque::new(),
+            events: VecDeque::new(),
             promises: Map::default(),
             next_extension: Instant::default(),
-            gossiped: 0,
-            sent_config: Map::default(),
+            gossip_count: 0,
+            config_sent_at: Map::default(),
             adopted_at: Instant::default(),
         }
     }
 
-    /// Takes in an event and appends what is to be done to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
-        self.take_in(now, event, out);
+        self.route_event(now, event, out);
         self.wake_controllers(now, out);
-        self.finish_work(now, out);
+        self.run_controllers(now, out);
     }
 
-    /// Returns when [`Event::Wake`] is due, should nothing else happen before.
+    /// Returns when the next [`Event::Wake`] is due if no other event arrives earlier.
     pub fn wake_at(&self) -> Instant {
         let wakes = [
             self.leases.wake_at(),
@@ -417,25 +418,25 @@
             self.programs.wake_at(),
             self.queues.wake_at(),
             self.slices.wake_at(),
-            self.asks.wake_at(),
-            self.late_at(),
+            self.place_requests.wake_at(),
+            self.next_resend(),
         ];
 
         wakes.into_iter().flatten().min().expect("membership always has a next time")
     }
 
-    /// Returns the longest time that a runtime should sleep.
+    /// Returns the maximum time that a runtime should sleep.
     pub const fn longest_sleep() -> Duration {
-        LONGEST_SLEEP
+        MAX_SLEEP
     }
 
-    /// Returns whether this host has a configuration and so can serve.
+    /// Returns whether this host can serve: it has a configuration and is not leaving.
     pub fn is_ready(&self) -> bool {
-        self.board.config.is_some() && !self.board.leaving
+        self.state.config.is_some() && !self.state.leaving
     }
 
-    /// Returns what the controllers know together.
-    pub fn board(&self) -> &Board {
-        &self.board
+    /// Returns the state that the controllers share.
+    pub fn board(&self) -> &HostState {
+        &self.state
     }
 }
--- a/crates/policy/src/scheduler/extension.rs
+++ b/crates/policy/src/scheduler/extension.rs
@@ -1,14 +1,14 @@
-//! Goes on with columns of slices past the lease, while the platform is away.
+//! Extends the ownership of columns past the end of their leases while the platform is unavailable.
 //!
-//! Without this every tenant is refused as over its rate a few seconds into an outage, since
-//! no host may use slices that another could have taken by now. A column can be taken only by
-//! a host of its zone, and only after that host has ended this one's session. So this host
-//! goes on when every other host of its zone says that it cannot reach the platform either,
-//! and promises to end no session for a while. The promise is counted from the sending of the
-//! heartbeat that it echoes, which was before the promise was made, so a late message, or a
-//! pause of this host, makes it shorter and never longer.
+//! Without this, every tenant would be refused as over its rate a few seconds into an outage,
+//! because no host may use slices that another host could have taken by now. A column can only be
+//! taken by a host of the same zone, and only after that host has ended the session of the owner.
+//! So a host keeps its columns as long as every other host of its zone reports that it cannot reach
+//! the platform either, and promises not to end any session for a while. The promise counts from
+//! the time when this host sent the heartbeat that the promise echoes. That was before the promise
+//! was made, so a delayed message or a pause of this host can only shorten it, never lengthen it.
 //!
-//! A host of the zone that is silent blocks this: it may well reach the platform.
+//! A silent host of the zone prevents the extension, because it may be able to reach the platform.
 
 use std::time::Duration;
 
@@ -18,22 +18,22 @@
 use camphorwalk_core::time::Instant;
 
 use super::Scheduler;
-use super::work::Work;
+use super::controllers::ControllerEvent;
 use crate::slices::SliceEvent;
 
-/// How long a host that cannot reach the platform promises to end no session.
+/// How long a host that cannot reach the platform promises not to end any session.
 pub(super) const PROMISE: Duration = Duration::from_secs(10);
 
-/// How long a promise is relied on: less by a margin for clocks that drift.
-const RELIED_ON: Duration = Duration::from_secs(8);
+/// How long a promise is relied on: shorter than the promise by a margin for clock drift.
+const PROMISE_VALID_FOR: Duration = Duration::from_secs(8);
 
-/// How often columns are extended.
-const PERIOD: Duration = Duration::from_millis(250);
+/// The interval between extensions.
+const EXTENSION_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Scheduler {
-    /// Takes in what a host says of the platform.
-    pub(super) fn on_promise(&mut self, from: HostId, gossip: &Gossip) {
-        let sent = self.membership.sent_at(gossip.echo_session, gossip.echo);
+    /// Records or clears the promise in a host's gossip.
+    pub(super) fn record_promise(&mut self, from: HostId, gossip: &Gossip) {
+        let sent = self.membership.heartbeat_sent_at(gossip.echo_session, gossip.echo);
 
         match sent.filter(|_| gossip.without_platform) {
             Some(sent) => {
@@ -45,48 +45,50 @@
         }
     }
 
-    /// Goes on with this host's columns, if nobody can have taken them.
+    /// Extends the ownership of this host's columns if no other host can have taken them.
     pub(super) fn extend_columns(&mut self, now: Instant) {
-        if !self.leases.is_failing() || now < self.next_extension {
+        if !self.leases.is_renewal_failing() || now < self.next_extension {
             return;
         }
-        self.next_extension = now + PERIOD;
+        self.next_extension = now + EXTENSION_INTERVAL;
 
         let Some(until) = self.extended_until(now) else {
             return;
         };
-        if until <= self.board.leases_until || until <= now {
+        if until <= self.state.leases_until || until <= now {
             return;
         }
         for column in self.leases.columns() {
             let event = SliceEvent::Owned { column, until, fresh: false };
-            self.work.push_back(Work::Slice(event));
+            self.events.push_back(ControllerEvent::Slice(event));
         }
     }
 
-    /// Returns until when no host of the zone will have ended this host's session.
+    /// Returns the instant until which no host of the zone will end this host's session, or `None`
+    /// if some host has made no promise.
     fn extended_until(&self, now: Instant) -> Option<Instant> {
-        let mut until = now + RELIED_ON;
+        let mut until = now + PROMISE_VALID_FOR;
 
-        for host in self.zone_mates() {
-            until = until.min(*self.promises.get(&host)? + RELIED_ON);
+        for host in self.other_hosts_of_zone() {
+            until = until.min(*self.promises.get(&host)? + PROMISE_VALID_FOR);
         }
 
         Some(until)
     }
 
-    /// Returns the other hosts of this zone, as the platform showed them last and as gossip
-    /// shows them.
-    fn zone_mates(&self) -> Set<HostId> {
-        let zone = self.board.zone;
+    /// Returns the other hosts of this zone, both those with a session at the last read from the
+    /// platform and those that are live by gossip.
+    fn other_hosts_of_zone(&self) -> Set<HostId> {
+        let zone = self.state.zone;
         let listed = self
-            .board
+            .state
             .sessions
             .iter()
             .filter(|s| ZoneId::from_name(&s.zone) == zone)
             .map(|s| HostId::from_name(&s.host));
-        let heard = self.membership.alive().into_iter().filter(|m| m.zone == zone).map(|m| m.host);
+        let live =
+            self.membership.live_members().into_iter().filter(|m| m.zone == zone).map(|m| m.host);
 
-        listed.chain(heard).filter(|host| *host != self.board.me).collect()
+        listed.chain(live).filter(|host| *host != self.state.this_host).collect()
     }
 }
--- a/crates/policy/src/scheduler/operators.rs
+++ b/crates/policy/src/scheduler/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a host.
+//! Handles the requests of operators.
 
 use std::sync::Arc;
 
@@ -10,30 +10,30 @@
 use camphorwalk_core::units::ConfigVersion;
 use serde::{Deserialize, Serialize};
 
-use super::work::Work;
+use super::controllers::ControllerEvent;
 use super::{Action, Scheduler};
 use crate::configs::{ConfigEvent, OperatorId, Published};
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorRequest {
-    /// How the fleet looks from this host.
+    /// Get the state of the fleet as this host sees it.
     Status,
-    /// The configuration in force here.
+    /// Get the configuration in force on this host.
     Config,
     /// Publish a configuration made from version `base`.
     Publish {
-        /// The version that the operator read; 0 for the first.
+        /// The version that the operator started from; 0 if there was none.
         base: ConfigVersion,
         /// The new configuration.
         config: Box<Config>,
     },
     /// Withdraw a key.
     Withdraw {
-        /// The key's public name.
+        /// The public id of the key.
         key: Box<str>,
     },
-    /// Have a host leave.
+    /// Make a host leave the fleet.
     Drain {
         /// The host's name.
         host: Box<str>,
@@ -43,54 +43,54 @@
 /// The answer to an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorReply {
-    /// How the fleet looks from this host.
+    /// The state of the fleet as this host sees it.
     Status(Status),
-    /// The configuration in force here.
+    /// The configuration in force on this host.
     Config(Option<Arc<Config>>),
-    /// What came of a publication.
+    /// The result of a publication.
     Published(Published),
-    /// The request is accepted.
+    /// The request was accepted.
     Accepted,
-    /// There is no such key or host.
+    /// The key or host does not exist.
     Unknown,
 }
 
-/// How the fleet looks from one host.
+/// The state of the fleet as one host sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The host that says so.
+    /// The host that reports this status.
     pub host: Box<str>,
-    /// The configuration version in force there.
+    /// The configuration version in force on that host.
     pub version: ConfigVersion,
-    /// How many withdrawals the platform is not known to have.
+    /// The number of withdrawals that are not confirmed to be stored by the platform.
     pub unstored_withdrawals: usize,
-    /// How many milliseconds its leases surely hold for.
+    /// The number of milliseconds for which its leases are still guaranteed to be valid.
     pub leases_hold_ms: u64,
-    /// All hosts that it knows.
+    /// All hosts that it knows, including itself.
     pub hosts: Vec<HostStatus>,
-    /// Digests of requests that bring targets down, in hexadecimal.
+    /// Digests of requests that crash targets, in hexadecimal.
     pub quarantined: Vec<Box<str>>,
 }
 
-/// A host as another one sees it.
+/// A host of the fleet as another one sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostStatus {
     /// Its name.
     pub name: Box<str>,
     /// Its availability zone's name.
     pub zone: Box<str>,
-    /// Whether it was heard of lately.
+    /// Whether it is live: a heartbeat of it arrived recently.
     pub reachable: bool,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// The configuration version it was last heard to have in force.
+    /// The configuration version that it last reported to be in force.
     pub version: ConfigVersion,
     /// The partitions it holds, with their epochs.
     pub partitions: Vec<(u16, u64)>,
 }
 
 impl Scheduler {
-    pub(super) fn on_operator(
+    pub(super) fn on_operator_request(
         &mut self,
         now: Instant,
         ask: OperatorId,
@@ -99,10 +99,10 @@
     ) {
         let reply = match request {
             OperatorRequest::Status => OperatorReply::Status(self.status(now)),
-            OperatorRequest::Config => OperatorReply::Config(self.board.config.clone()),
+            OperatorRequest::Config => OperatorReply::Config(self.state.config.clone()),
             OperatorRequest::Publish { base, config } => {
                 let event = ConfigEvent::Publish { ask, base, config };
-                return self.work.push_back(Work::Config(event));
+                return self.events.push_back(ControllerEvent::Config(event));
             }
             OperatorRequest::Withdraw { key } => self.withdraw(&key),
             OperatorRequest::Drain { host } => self.drain_host(&host, out),
@@ -125,23 +125,23 @@
         let named = |cfg: &Arc<Config>| {
             cfg.tenants.iter().flat_map(|t| &t.keys).any(|key| &*key.id == name)
         };
-        if !self.board.config.as_ref().is_some_and(named) {
+        if !self.state.config.as_ref().is_some_and(named) {
             return OperatorReply::Unknown;
         }
 
         let key = KeyId::from_name(name);
-        self.work.push_back(Work::Config(ConfigEvent::Withdraw { key }));
+        self.events.push_back(ControllerEvent::Config(ConfigEvent::Withdraw { key }));
 
         OperatorReply::Accepted
     }
 
     fn drain_host(&mut self, name: &str, out: &mut Vec<Action>) -> OperatorReply {
         let host = HostId::from_name(name);
-        if host == self.board.me {
+        if host == self.state.this_host {
             self.drain();
             return OperatorReply::Accepted;
         }
-        if !self.membership.is_alive(host) {
+        if !self.membership.is_live(host) {
             return OperatorReply::Unknown;
         }
 
@@ -153,21 +153,21 @@
     fn status(&self, now: Instant) -> Status {
         let version = self.configs.pointer().map_or(ConfigVersion(0), |p| p.version);
         let mut hosts = vec![HostStatus {
-            name: self.board.name.clone(),
-            zone: self.board.zone_name.clone(),
+            name: self.state.name.clone(),
+            zone: self.state.zone_name.clone(),
             reachable: true,
-            leaving: self.board.leaving,
+            leaving: self.state.leaving,
             version,
-            partitions: self.partitions_of(self.board.me),
+            partitions: self.partitions_of(self.state.this_host),
         }];
 
-        for member in self.membership.all() {
+        for member in self.membership.members() {
             hosts.push(HostStatus {
                 name: member.name.clone(),
                 zone: member.zone_name.clone(),
-                reachable: self.membership.is_alive(member.host),
+                reachable: self.membership.is_live(member.host),
                 leaving: member.leaving,
-                version: self.board.versions.get(&member.host).copied().unwrap_or_default(),
+                version: self.state.config_versions.get(&member.host).copied().unwrap_or_default(),
                 partitions: self.partitions_of(member.host),
             });
         }
@@ -178,17 +178,17 @@
         quarantined.sort_unstable();
 
         Status {
-            host: self.board.name.clone(),
+            host: self.state.name.clone(),
             version,
-            unstored_withdrawals: self.configs.unstored(),
-            leases_hold_ms: self.board.leases_until.since(now).as_millis() as u64,
+            unstored_withdrawals: self.configs.unstored_tombstones(),
+            leases_hold_ms: self.state.leases_until.since(now).as_millis() as u64,
             hosts,
             quarantined,
         }
     }
 
     fn partitions_of(&self, host: HostId) -> Vec<(u16, u64)> {
-        let held = self.board.routes.iter().filter(|(_, holder)| holder.host == host);
+        let held = self.state.holders.iter().filter(|(_, holder)| holder.host == host);
         let mut all: Vec<_> = held.map(|(p, holder)| (p.0, holder.epoch.0)).collect();
         all.sort_unstable();
 
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -1,10 +1,10 @@
-//! Frees what engines hold for programs that are over.
+//! Frees what engines hold for programs that have ended.
 //!
-//! The home orders it when a program ends, but that order can be lost, and the home itself can
-//! die. So the host that keeps an engine's queue also compares, at a steady pace, what the
-//! engine says it holds with what the homes say is open. An order to free is repeated for as
-//! long as the engine's own list shows the program; no event is relied on, since events come
-//! late and with gaps.
+//! A program's home orders this when the program ends, but the order can be lost and the home can
+//! fail. So the host that runs an engine's queue also compares, periodically, the programs that the
+//! engine lists with the programs that their homes know to be open. The order to free a program is
+//! repeated for as long as the engine lists it. Cache events are not relied on, because they can be
+//! late or missing.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 
 use super::{Action, Scheduler};
 
-/// The most programs of one engine that are asked about each time its list is read: bounds
-/// the bytes. An engine that holds more is worked through in turns.
-const MOST_ASKED: usize = 64;
+/// The maximum number of an engine's programs that are checked each time its list is read, to bound
+/// the size of messages. A longer list is checked in several passes.
+const MAX_PROGRAMS_PER_QUERY: usize = 64;
 
 impl Scheduler {
-    /// Tells the runtime which engines this host watches, if that has changed.
+    /// Updates the set of engines that the runtime watches, if it has changed.
     pub(super) fn update_watched(&mut self, out: &mut Vec<Action>) {
-        let watched = self.engines_kept_here();
+        let watched = self.engines_queued_here();
 
         if watched != self.watched {
             self.watched.clone_from(&watched);
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Returns the engines of this zone whose pool's queue this host keeps.
-    fn engines_kept_here(&self) -> Vec<TargetId> {
-        let Some(config) = &self.board.config else {
+    /// Returns the engines of this zone that belong to a pool whose queue this host runs.
+    fn engines_queued_here(&self) -> Vec<TargetId> {
+        let Some(config) = &self.state.config else {
             return Vec::new();
         };
 
@@ -40,37 +40,39 @@
             .targets
             .iter()
             .filter(|t| t.kind == TargetKind::Engine)
-            .filter(|t| ZoneId::from_name(&t.zone) == self.board.zone)
-            .filter(|t| self.board.keeper(PoolId::from_name(&t.pool)) == self.board.me)
+            .filter(|t| ZoneId::from_name(&t.zone) == self.state.zone)
+            .filter(|t| self.state.queue_host(PoolId::from_name(&t.pool)) == self.state.this_host)
             .map(|t| TargetId::from_name(&t.name))
             .collect()
     }
 
-    /// An engine says which programs it holds something for.
-    pub(super) fn on_held(
+    /// Handles an engine's list of the programs that it holds data for.
+    pub(super) fn on_held_programs(
         &mut self,
         target: TargetId,
         mut programs: Vec<ProgramId>,
         out: &mut Vec<Action>,
     ) {
         programs.sort_unstable();
-        let turn = self.held_turns.entry(target).or_insert(0);
-        let start = if *turn < programs.len() { *turn } else { 0 };
-        let asked: Vec<_> = programs.into_iter().skip(start).take(MOST_ASKED).collect();
-        *turn = start + asked.len();
-
-        // One message for each home; a home that is not known now is asked next time.
+        let position = self.sweep_positions.entry(target).or_insert(0);
+        let start = if *position < programs.len() { *position } else { 0 };
+        let checked: Vec<_> =
+            programs.into_iter().skip(start).take(MAX_PROGRAMS_PER_QUERY).collect();
+        *position = start + checked.len();
+
+        // Each home gets one message. Programs whose home is not known now are checked in a later
+        // pass.
         let mut by_home = BTreeMap::<HostId, Vec<ProgramId>>::new();
-        for program in asked {
-            let partition = program.partition(self.board.partitions());
+        for program in checked {
+            let partition = program.partition(self.state.partitions());
             if let Some(home) = self.home_of(partition) {
                 by_home.entry(home).or_default().push(program);
             }
         }
         for (home, programs) in by_home {
-            if home == self.board.me {
-                let over = self.over_of(programs);
-                self.on_over(target, over, out);
+            if home == self.state.this_host {
+                let ended = self.ended_programs(programs);
+                self.free_ended(target, ended, out);
             } else {
                 let ask = AskLive { target: target.0, programs: to_bytes(&programs) };
                 out.push(Action::Send { to: home, message: Body::AskLive(ask).into() });
@@ -78,20 +80,20 @@
         }
     }
 
-    /// Another host asks which programs are over.
-    pub(super) fn on_ask_live(&mut self, from: HostId, ask: &AskLive, out: &mut Vec<Action>) {
-        let over = self.over_of(from_bytes(&ask.programs));
-        if over.is_empty() {
+    /// Answers another host's query about which programs have ended.
+    pub(super) fn on_ended_query(&mut self, from: HostId, ask: &AskLive, out: &mut Vec<Action>) {
+        let ended = self.ended_programs(from_bytes(&ask.programs));
+        if ended.is_empty() {
             return;
         }
 
-        let over = Over { target: ask.target, programs: to_bytes(&over) };
-        let message: PeerMessage = Body::Over(over).into();
+        let ended = Over { target: ask.target, programs: to_bytes(&ended) };
+        let message: PeerMessage = Body::Over(ended).into();
         out.push(Action::Send { to: from, message });
     }
 
-    /// These programs are over, and an engine still holds something for them.
-    pub(super) fn on_over(
+    /// Orders an engine to free programs that have ended.
+    pub(super) fn free_ended(
         &mut self,
         target: TargetId,
         programs: Vec<ProgramId>,
@@ -100,11 +102,11 @@
         out.extend(programs.into_iter().map(|program| Action::FreeAt { target, program }));
     }
 
-    /// Returns those of the programs that this host, as their home, knows to be over.
+    /// Returns those of the programs that this host, as their home, knows to have ended.
     ///
-    /// About a partition whose journal is not read to its end it says nothing: a program that
-    /// is not found there yet may well be open.
-    fn over_of(&self, mut programs: Vec<ProgramId>) -> Vec<ProgramId> {
+    /// Programs of a partition whose journal has not been read completely are left out: such a
+    /// program may be open although it has not been found yet.
+    fn ended_programs(&self, mut programs: Vec<ProgramId>) -> Vec<ProgramId> {
         programs.retain(|program| self.programs.is_open(*program) == Some(false));
 
         programs
@@ -115,7 +117,7 @@
     programs.iter().map(|program| program.0.to_be_bytes().to_vec()).collect()
 }
 
-/// Reads program ids; what is not one is left out.
+/// Decodes program ids; malformed ones are skipped.
 pub(super) fn from_bytes(programs: &[Vec<u8>]) -> Vec<ProgramId> {
     let read = |bytes: &Vec<u8>| <[u8; 16]>::try_from(bytes.as_slice()).ok();
 
--- a/crates/policy/src/wire.rs
+++ b/crates/policy/src/wire.rs
@@ -1,4 +1,4 @@
-//! What the controllers of one host say to each other.
+//! Types that the controllers of one host exchange with each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use camphorwalk_core::units::Tokens;
 
 slotmap::new_key_type! {
-    /// A call that is under way at its program's home.
+    /// Identifies a call that is in progress at its program's home.
     pub struct CallId;
 }
 
-/// The answer to "may this tenant make one more call now".
+/// The result of checking whether a tenant may make one more call now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may; the token is taken.
+    /// The call is allowed; one token of the tenant's rate was taken.
     Admitted,
-    /// It is over its rate and burst.
+    /// The tenant exceeds its rate and burst.
     Refused {
-        /// When a token will be there, if the tenant sends nothing else.
+        /// The time until a token becomes available, if the tenant makes no other calls.
         retry_after: Duration,
     },
 }
 
-/// A question for a place at a target, from whichever host is home of the program.
+/// Identifies a request for a place at a target. The home of any program on any host may send one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Asker {
-    /// The asking host.
+    /// The requesting host.
     pub host: HostId,
-    /// Its number for the question.
+    /// The number that this host gave to the request.
     pub number: u64,
 }
 
-/// What a call asks of a pool's queue.
+/// A call's request to a pool's queue for a place at one of its targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlaceRequest {
     /// The pool.
@@ -46,48 +46,48 @@
     pub class: ClassId,
     /// The program.
     pub program: ProgramId,
-    /// Tokens that the program has been served so far, prompts and outputs; zero marks the
-    /// first call of a new program. A sub-agent's count begins above zero.
+    /// Tokens that were processed for the program so far, prompts and outputs; zero marks the first
+    /// call of a new program. The count of a sub-agent starts above zero.
     pub attained: Tokens,
-    /// Tokens of the prompt.
+    /// The length of the prompt.
     pub prompt: Tokens,
-    /// The most tokens to be generated.
+    /// The maximum number of tokens to generate.
     pub output: Tokens,
-    /// Time left until the program's deadline.
+    /// The time left until the program's deadline.
     pub deadline_left: Duration,
-    /// A target not to be chosen, because this call just failed there.
+    /// A target that must not be chosen, because this call just failed there.
     pub avoid: Option<TargetId>,
-    /// Whether the call was in flight when a target crashed: it must run alone there.
+    /// Whether the call was in flight when a target crashed: it must run alone on its next target.
     pub suspect: bool,
 }
 
-/// How a place at a target was used.
+/// The report that releases a place at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlaceEnd {
     /// How the attempt ended.
     pub how: PlaceEndKind,
-    /// Tokens of the prompt that were not in the engine's cache.
+    /// Prompt tokens that were not in the engine's cache and had to be computed.
     pub computed: Tokens,
-    /// Tokens generated.
+    /// The number of generated tokens.
     pub output: Tokens,
-    /// Whether the program is over, so that its prefix is of no more use.
+    /// Whether the program ended, so that its cached prefix is no longer needed.
     pub program_over: bool,
 }
 
-/// How an attempt ended, as far as the queue minds.
+/// How an attempt ended, in the detail that queues need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlaceEndKind {
-    /// Nothing was sent; also for a question that is withdrawn before its grant.
+    /// Nothing was sent; also used when a request is withdrawn before it is granted.
     NotSent,
     /// The target answered.
     Finished,
-    /// The target answered with a failure, or was cancelled.
+    /// The target answered with a failure, or the attempt was cancelled.
     Failed,
-    /// The target went away under it.
+    /// The target crashed during the attempt.
     Crashed,
 }
 
-/// An attempt of a call, to be sent to a target.
+/// An attempt of a call that is to be sent to a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
     /// The attempt.
@@ -98,35 +98,35 @@
     pub target: TargetId,
     /// The tenant.
     pub tenant: TenantId,
-    /// The key that came with the call, checked once more just before sending.
+    /// The API key of the call, checked once more just before the attempt is sent.
     pub key: KeyId,
     /// The program.
     pub program: ProgramId,
     /// The call's number in the program.
     pub number: u32,
-    /// What to send.
+    /// The content to send.
     pub work: Work,
-    /// Where to stream to, if the caller asked for it.
+    /// The caller's request to stream the output to, if the caller asked for streaming.
     pub stream: Option<camphorwalk_core::ids::Ticket>,
-    /// The time allowed for it.
+    /// The time limit of the attempt.
     pub timeout: Duration,
 }
 
-/// What an attempt sends.
+/// The content that an attempt sends to its target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
     /// A model turn.
     Generate {
-        /// The program's history and the new input, one part for each input and output.
+        /// The program's history and the new input, with one element for each input and output.
         prompt: Vec<Arc<str>>,
-        /// The most tokens to generate.
+        /// The maximum number of tokens to generate.
         max_tokens: u32,
     },
     /// An operation of a plain service.
     Operation {
         /// The operation.
         operation: Box<str>,
-        /// The caller's idempotency key, for services that look at it.
+        /// The caller's idempotency key, for services that use it.
         key: Box<str>,
         /// The input, as JSON text.
         input: Box<str>,
@@ -136,33 +136,33 @@
 /// How an attempt ended at its target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Done {
         /// The output, as JSON text.
         output: Box<str>,
-        /// The tokens it took.
+        /// The tokens that were used.
         usage: Usage,
     },
-    /// The target could not be connected to: not one byte of the request was sent, and none
-    /// will be.
+    /// No connection to the target could be made: no byte of the request was or will be sent.
     NotSent,
-    /// The target answered that it did not run it (a full queue, a refusal).
+    /// The target answered that it did not run the request, for example because its queue was full.
     Refused {
         /// The target's reason.
         message: Box<str>,
     },
-    /// The target ran it and answered with a failure.
+    /// The target ran the request and answered with a failure.
     Failed {
         /// The target's reason.
         message: Box<str>,
     },
-    /// The connection broke, or time ran out, after bytes were sent: it may have run.
+    /// The connection broke or the time limit was reached after bytes were sent: the request may
+    /// have run.
     Lost {
-        /// Whether a part of the answer already reached the caller.
+        /// Whether part of the answer was already streamed to the caller.
         streamed: bool,
-        /// Whether the target went away (connection reset), rather than being slow.
+        /// Whether the target crashed (connection reset), rather than being slow.
         crashed: bool,
     },
-    /// It was cancelled at the wish of the home.
+    /// The program's home cancelled the attempt.
     Cancelled,
 }
--- a/crates/policy/tests/leases_give_back.rs
+++ b/crates/policy/tests/leases_give_back.rs
@@ -1,11 +1,13 @@
-//! Giving leases back.
+//! Release of leases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, Row, RowKey, RowVersion};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::leases::{LeaseEvent, LeaseName, LeaseNext, LeaseOptions, Leases, Wanted};
+use camphorwalk_policy::leases::{
+    LeaseAction, LeaseEvent, LeaseName, LeaseOptions, Leases, RequiredLease,
+};
 use camphorwalk_policy::slices::ColumnId;
 
 const COLUMN: LeaseName = LeaseName::Column(ColumnId(0));
@@ -13,7 +15,7 @@
 /// A row's table and key.
 type Place = (Box<str>, Box<str>);
 
-/// The platform's tables, without checks: one host alone writes.
+/// The platform's tables, without version checks because only one host writes.
 #[derive(Default)]
 struct Tables {
     rows: BTreeMap<Place, (RowVersion, Box<str>)>,
@@ -50,9 +52,9 @@
     }
 }
 
-/// Runs a host and its platform for a second from an event on; returns all that it did, in
-/// order.
-fn run(leases: &mut Leases, tables: &mut Tables, from: u64, event: LeaseEvent) -> Vec<LeaseNext> {
+/// Runs a host and its platform for one second, starting with an event; returns all actions of the
+/// host in order.
+fn run(leases: &mut Leases, tables: &mut Tables, from: u64, event: LeaseEvent) -> Vec<LeaseAction> {
     let mut all = Vec::new();
     let mut event = Some(event);
 
@@ -64,7 +66,7 @@
         while !out.is_empty() {
             let next = out.remove(0);
             all.push(next.clone());
-            if let LeaseNext::Platform { op, request } = next {
+            if let LeaseAction::Platform { op, request } = next {
                 let reply = tables.run(request);
                 leases.step(now, LeaseEvent::Platform { op, reply }, &mut out);
             }
@@ -74,34 +76,34 @@
     all
 }
 
-/// Callers of a tenant could get more than its rate: a leaving host gives its column back,
-/// another takes it at once, and the first goes on lending its slices until it next looks at
-/// the tables. So the column is lost before the platform hears that it is free.
+/// A tenant must not exceed its rate when a leaving host releases a column. If the host used the
+/// column until its next read of the tables, another host could already have taken it, and both
+/// would lend its slices. So the column has to be lost before the release is sent to the platform.
 #[test]
-fn a_column_is_lost_before_it_is_given_back() {
+fn a_column_is_lost_before_it_is_released() {
     let mut leases = Leases::new(LeaseOptions {
         host: "a1".into(),
         zone: "a".into(),
         peer_address: "127.0.0.1:1".parse().expect("an address"),
         session: 7,
         lifetime: Duration::from_secs(4),
-        renewal: Duration::from_secs(1),
-        poll: Duration::from_millis(100),
+        renewal_interval: Duration::from_secs(1),
+        poll_interval: Duration::from_millis(100),
     });
     let mut tables = Tables::default();
-    let wanted = vec![Wanted { name: COLUMN, zone: None }];
-    let before = run(&mut leases, &mut tables, 10, LeaseEvent::Wanted(wanted));
+    let required = vec![RequiredLease { name: COLUMN, zone: None }];
+    let before = run(&mut leases, &mut tables, 10, LeaseEvent::Required(required));
 
     let after = run(&mut leases, &mut tables, 1_010, LeaseEvent::Leave);
 
-    let is_taken = |next: &LeaseNext| matches!(next, LeaseNext::Acquired { name: COLUMN, .. });
-    let frees = |next: &LeaseNext| match next {
-        LeaseNext::Platform { request: PlatformOp::Commit(transaction), .. } => {
-            transaction.writes.iter().any(|write| write.key == COLUMN.row())
+    let is_taken = |next: &LeaseAction| matches!(next, LeaseAction::Acquired { name: COLUMN, .. });
+    let frees = |next: &LeaseAction| match next {
+        LeaseAction::Platform { request: PlatformOp::Commit(transaction), .. } => {
+            transaction.writes.iter().any(|write| write.key == COLUMN.row_key())
         }
         _ => false,
     };
-    let lost = after.iter().position(|next| *next == LeaseNext::Lost { name: COLUMN });
+    let lost = after.iter().position(|next| *next == LeaseAction::Lost { name: COLUMN });
     let freed = after.iter().position(frees);
     assert!(before.iter().any(is_taken) && freed.is_some());
     assert!(lost.is_some() && lost < freed, "lost {lost:?}, freed {freed:?}");
--- a/crates/policy/tests/leases_outage.rs
+++ b/crates/policy/tests/leases_outage.rs
@@ -1,11 +1,11 @@
-//! Sessions after an outage of the platform.
+//! Expiry of sessions, with and without an outage of the platform.
 
 use std::time::Duration;
 
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, Row, RowKey, RowVersion};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::leases::rows::{SESSIONS, SessionRow};
-use camphorwalk_policy::leases::{LeaseEvent, LeaseNext, LeaseOptions, Leases};
+use camphorwalk_policy::leases::rows::{SESSION_TABLE, SessionRow};
+use camphorwalk_policy::leases::{LeaseAction, LeaseEvent, LeaseOptions, Leases};
 
 const LIFETIME: Duration = Duration::from_secs(6);
 
@@ -16,12 +16,12 @@
         peer_address: "127.0.0.1:1".parse().expect("an address"),
         session: 7,
         lifetime: LIFETIME,
-        renewal: Duration::from_secs(2),
-        poll: Duration::from_secs(1),
+        renewal_interval: Duration::from_secs(2),
+        poll_interval: Duration::from_secs(1),
     })
 }
 
-/// The session of another host, which is never renewed in these tests.
+/// The session row of another host, which is never renewed in these tests.
 fn other_session() -> Row {
     let session = SessionRow {
         host: "a2".into(),
@@ -32,13 +32,17 @@
         leaving: false,
     };
 
-    Row { key: RowKey::new(SESSIONS, "a2/other"), version: RowVersion(5), value: session.to_json() }
+    Row {
+        key: RowKey::new(SESSION_TABLE, "a2/other"),
+        version: RowVersion(5),
+        value: session.to_json(),
+    }
 }
 
-/// Answers as a platform that holds the other session and nothing else.
+/// Answers an operation as a platform that stores only the other host's session.
 fn reply(op: &PlatformOp) -> PlatformReply {
     match op {
-        PlatformOp::Scan { table, .. } if &**table == SESSIONS => {
+        PlatformOp::Scan { table, .. } if &**table == SESSION_TABLE => {
             PlatformReply::Rows(vec![other_session()])
         }
         PlatformOp::Commit(_) => PlatformReply::Committed(RowVersion(9)),
@@ -46,21 +50,22 @@
     }
 }
 
-/// Runs the host between two times; returns when it ended the other session, if it did.
-fn run(leases: &mut Leases, from_ms: u64, to_ms: u64, away: bool) -> Option<u64> {
+/// Runs the host from one time to another; returns when it ended the other host's session, if it
+/// did.
+fn run(leases: &mut Leases, from_ms: u64, to_ms: u64, unavailable: bool) -> Option<u64> {
     for at in (from_ms..to_ms).step_by(50) {
         let now = Instant::from_millis(at);
         let mut out = Vec::new();
         leases.step(now, LeaseEvent::Wake, &mut out);
 
         while !out.is_empty() {
-            let LeaseNext::Platform { op, request } = out.remove(0) else {
+            let LeaseAction::Platform { op, request } = out.remove(0) else {
                 continue;
             };
             if ends_other(&request) {
                 return Some(at);
             }
-            let reply = if away { PlatformReply::Unavailable } else { reply(&request) };
+            let reply = if unavailable { PlatformReply::Unavailable } else { reply(&request) };
             leases.step(now, LeaseEvent::Platform { op, reply }, &mut out);
         }
     }
@@ -76,7 +81,7 @@
     transaction.writes.iter().any(|w| w.key == other_session().key && w.value.is_none())
 }
 
-/// A host dies; its session is ended once its lifetime and the margin have passed.
+/// The session of a failed host is ended once its lifetime and the drift margin have passed.
 #[test]
 fn a_session_that_is_not_renewed_is_ended() {
     let mut leases = leases();
@@ -87,9 +92,9 @@
     assert!((6_750..9_000).contains(&ended), "after {ended} ms");
 }
 
-/// The platform is away for a minute, so nobody could renew. The first host to come back must
-/// not end the sessions of all others for that: each has a whole lifetime to renew. With the
-/// outage counted, every program of the fleet changed its home after each outage.
+/// No host can renew its session during an outage of the platform. The first host that reaches the
+/// platform afterwards must not end the sessions of the others: each has a whole lifetime to renew.
+/// If the outage counted, every program of the fleet would change its home after each outage.
 #[test]
 fn an_outage_does_not_count_as_silence() {
     let mut leases = leases();
--- a/crates/policy/tests/scheduler_keys.rs
+++ b/crates/policy/tests/scheduler_keys.rs
@@ -1,4 +1,4 @@
-//! Keys that are taken out of the declarations.
+//! Requests under API keys that are removed from the configuration.
 
 mod scheduler_support;
 
@@ -13,7 +13,7 @@
 use scheduler_support::scheduler;
 use serde_json::json;
 
-/// Returns a version whose tenant has these keys, as a peer sends it.
+/// A configuration version whose tenant has these keys, as sent by a peer.
 fn config(version: u64, keys: &[&str]) -> Event {
     let keys: Vec<_> = keys.iter().map(|id| json!({ "id": id, "sha256": "00" })).collect();
     let config: Config = serde_json::from_value(json!({
@@ -33,7 +33,7 @@
     Event::Peer { from: HostId::from_name("b1"), message }
 }
 
-/// A request that another host passes on, under a key that it found good.
+/// A request that another host forwards, with a key that it found valid.
 fn forward(request: u64, key: &str) -> Event {
     let body = serde_json::to_vec(&Request::View { program: ProgramId(1) }).expect("plain data");
     let forward = Forward {
@@ -46,7 +46,7 @@
     peer(Body::Forward(forward).into())
 }
 
-/// Returns the code of the refusal that a step answers with.
+/// Handles an event and returns the code of the refusal in its answer, if any.
 fn code(scheduler: &mut Scheduler, at_ms: u64, event: Event) -> Option<Code> {
     let mut out = Vec::new();
     scheduler.step(Instant::from_millis(at_ms), event, &mut out);
@@ -63,23 +63,24 @@
     }
 }
 
-/// An operator takes a key out of the declarations. An entry host that has not heard of it yet
-/// passes a request on; the home has the new version and refuses it, while another key of the
-/// tenant goes on. A version that has the key again lets it work again.
+/// A removed key must not be usable through an entry host that has not received the new
+/// configuration yet and forwards a request with it. The home has the new version and refuses the
+/// request, while another key of the tenant keeps working. A later version that contains the key
+/// again makes it valid again.
 #[test]
-fn a_key_taken_out_is_refused_at_the_home() {
+fn a_removed_key_is_refused_at_the_home() {
     let mut scheduler = scheduler();
     code(&mut scheduler, 1, config(1, &["k1", "k2"]));
 
     let before = code(&mut scheduler, 2, forward(1, "k1"));
     code(&mut scheduler, 3, config(2, &["k2"]));
-    let taken_out = code(&mut scheduler, 4, forward(2, "k1"));
+    let removed = code(&mut scheduler, 4, forward(2, "k1"));
     let other = code(&mut scheduler, 5, forward(3, "k2"));
     code(&mut scheduler, 6, config(3, &["k1", "k2"]));
-    let back = code(&mut scheduler, 7, forward(4, "k1"));
+    let added_again = code(&mut scheduler, 7, forward(4, "k1"));
 
     assert_ne!(before, Some(Code::Unauthorized));
-    assert_eq!(taken_out, Some(Code::Unauthorized));
+    assert_eq!(removed, Some(Code::Unauthorized));
     assert_ne!(other, Some(Code::Unauthorized));
-    assert_ne!(back, Some(Code::Unauthorized));
+    assert_ne!(added_again, Some(Code::Unauthorized));
 }
--- a/crates/policy/tests/scheduler_late_answers.rs
+++ b/crates/policy/tests/scheduler_late_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that a home cannot send at once.
+//! Answers that a home cannot send at the first attempt.
 
 mod scheduler_support;
 
@@ -13,7 +13,7 @@
     Body::Answer(Answer { request, chunks: 2, body: "{}".into() }).into()
 }
 
-/// Counts how often an answer is sent to a host in one step.
+/// Handles an event and returns how many times it sends the answer to a request.
 fn sent(scheduler: &mut Scheduler, at_ms: u64, event: Event, request: u64) -> usize {
     let mut out = Vec::new();
     scheduler.step(Instant::from_millis(at_ms), event, &mut out);
@@ -22,9 +22,9 @@
     out.iter().filter(is_it).count()
 }
 
-/// The caller waits at an entry host that the home cannot reach for a moment, although that
-/// host reaches the home. The answer is sent again, unchanged, until the way is open; dropped,
-/// it would have left the caller waiting until its deadline.
+/// A home cannot connect to the entry host for a moment, although the entry host can reach the
+/// home. If the answer were dropped, the caller would wait until its deadline. The answer has to be
+/// sent again, unchanged, until it succeeds or the retries end.
 #[test]
 fn an_answer_that_was_not_sent_is_sent_again() {
     let mut scheduler = scheduler();
--- a/crates/policy/tests/scheduler_support/mod.rs
+++ b/crates/policy/tests/scheduler_support/mod.rs
@@ -1,8 +1,8 @@
-//! A scheduler of its own for tests of single events.
+//! A single scheduler for tests of individual events.
 
 use camphorwalk_policy::scheduler::{Scheduler, SchedulerOptions, Times};
 
-/// Makes the host `a1`, which reads configurations without checking them.
+/// Creates the scheduler of host `a1`, which parses configurations without validating them.
 pub fn scheduler() -> Scheduler {
     Scheduler::new(SchedulerOptions {
         host: "a1".into(),
