--- a/crates/policy/src/host_state.rs
+++ b/crates/policy/src/host_state.rs
@@ -66,14 +66,14 @@
     pub fn adopt_config(&mut self, config: &Arc<Config>) -> Vec<KeyId> {
         let new = keys_of(config);
         let old = self.config.as_deref().map(keys_of).unwrap_or_default();
-        let mut gone: Vec<_> = old.difference(&new).copied().collect();
-        gone.sort_unstable();
+        let mut removed: Vec<_> = old.difference(&new).copied().collect();
+        removed.sort_unstable();
 
-        self.removed_keys.extend(&gone);
+        self.removed_keys.extend(&removed);
         self.removed_keys.retain(|key| !new.contains(key));
         self.config = Some(config.clone());
 
-        gone
+        removed
     }
 
     /// Returns the number of partitions, or 1 before a configuration is known.
--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -73,12 +73,12 @@
         let mut homes: Vec<_> = self.state.homes.iter().copied().collect();
         homes.sort_unstable();
 
-        let news = |partition: PartitionId| {
+        let to_item = |partition: PartitionId| {
             let epoch = self.leases.epoch(partition)?;
             let holder = self.state.this_host.0;
             Some(PartitionNews { partition: u32::from(partition.0), epoch: epoch.0, holder })
         };
-        homes.into_iter().filter_map(news).collect()
+        homes.into_iter().filter_map(to_item).collect()
     }
 
     /// Applies received gossip.
@@ -96,9 +96,9 @@
         self.membership.apply_gossip(now, &gossip.hosts, &gossip.beats, &mut actions);
         self.on_membership(now, actions, out);
 
-        for news in &gossip.partitions {
-            let partition = PartitionId(news.partition as u16);
-            let holder = Holder { host: HostId(news.holder), epoch: Epoch(news.epoch) };
+        for item in &gossip.partitions {
+            let partition = PartitionId(item.partition as u16);
+            let holder = Holder { host: HostId(item.holder), epoch: Epoch(item.epoch) };
             self.state.update_holder(partition, holder);
         }
         for bytes in &gossip.quarantined {
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -90,7 +90,7 @@
 #[test]
 fn all_hosts_notice_a_silent_host() {
     let mut fleet = fleet(12);
-    let gone = HostId::from_name(&name(5));
+    let silent_host = HostId::from_name(&name(5));
 
     for i in 1..=CONVERGED {
         round(&mut fleet, Instant::from_millis(i * PERIOD_MS), None);
@@ -100,7 +100,7 @@
     }
 
     for (host, membership) in fleet.iter().enumerate().filter(|(host, _)| *host != 5) {
-        assert!(!membership.is_live(gone), "host {host} still considers it live");
+        assert!(!membership.is_live(silent_host), "host {host} still considers it live");
         assert_eq!(membership.live_members().len(), 10, "host {host}");
     }
 }
