--- a/crates/policy/src/configs.rs
+++ b/crates/policy/src/configs.rs
@@ -65,7 +65,7 @@
     PeerWithdrawals(Vec<KeyId>),
     /// An operator publishes a configuration that was made from version `base`.
     Publish {
-        /// The request.
+        /// The id of the request.
         ask: OperatorId,
         /// The version that the operator started from; 0 if there was none.
         base: ConfigVersion,
@@ -97,7 +97,7 @@
     KeyWithdrawn(KeyId),
     /// The answer to an operator who publishes.
     Published {
-        /// The request.
+        /// The id of the request.
         ask: OperatorId,
         /// The answer.
         answer: Published,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -127,7 +127,7 @@
     },
     /// An operator sent a request.
     Operator {
-        /// The operator's request.
+        /// The id of the operator's request.
         ask: OperatorId,
         /// The content of the request.
         request: OperatorRequest,
@@ -190,7 +190,7 @@
     KeyWithdrawn(KeyId),
     /// Answer an operator.
     OperatorAnswer {
-        /// The operator's request.
+        /// The id of the operator's request.
         ask: OperatorId,
         /// The answer.
         reply: Box<OperatorReply>,
