--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -316,7 +316,13 @@
         silence_limit: SILENT,
         connect_timeout: Duration::from_millis(500),
         max_backoff: Duration::from_millis(400),
-        ..PeerOptions::new(settings.peers, &settings.name, &settings.zone, shared.run.0, secret)
+        ..PeerOptions::new(
+            settings.peers_address,
+            &settings.name,
+            &settings.zone,
+            shared.run.0,
+            secret,
+        )
     };
     let peers = match Peers::start(options, tx).await {
         Ok(peers) => peers,
@@ -418,10 +424,10 @@
             }
         };
         let is_due = is_period_over && !fleet.is_heard(host);
-        let presence = fleet.rows.borrow_mut().read(host, row.version, is_due);
+        let presence = fleet.rows.borrow_mut().record_read(host, row.version, is_due);
 
         match presence {
-            Presence::Wrote => {
+            Presence::Updated => {
                 if known.get(&host).is_none_or(|known| known.address != content.peers) {
                     info!(host = %row.key.key, address = %content.peers, "fleet: host known");
                 }
@@ -438,7 +444,7 @@
         }
     }
 
-    shared.rates.borrow_mut().set_others(known.keys().copied().collect());
+    shared.rates.borrow_mut().set_peers(known.keys().copied().collect());
 }
 
 /// What a silent host had in flight no longer counts.
@@ -451,7 +457,7 @@
 
     for host in silent {
         info!(host = host.0, "fleet: host silent");
-        shared.targets.borrow_mut().hear(host, Map::default(), Map::default());
+        shared.targets.borrow_mut().set_remote_load(host, Map::default(), Map::default());
     }
 }
 
@@ -461,12 +467,12 @@
         let Inbound::Message { from, message } = inbound else { continue };
 
         match message.body {
-            Some(Body::EntryNews(news)) => news::take_in(&shared, from, news),
+            Some(Body::EntryStatus(news)) => news::take_in(&shared, from, news),
             Some(Body::Manifest(manifest)) => watch::adopt(&shared, &manifest.text, "peer"),
-            Some(Body::Ask(ask)) => {
+            Some(Body::PeerQuery(ask)) => {
                 tokio::task::spawn_local(asks::serve(Rc::clone(&shared), from, ask));
             }
-            Some(Body::Reply(reply)) => asks::take_in(&shared, &reply),
+            Some(Body::PeerQueryReply(reply)) => asks::take_in(&shared, &reply),
             _ => {}
         }
     }
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -55,7 +55,7 @@
     // Budgets are needed for as long as a program may return, which is as long as its turns
     // are kept.
     let asked = clock::now();
-    let old = shared.budgets.borrow_mut().forget(asked, retention + SWEEP_MARGIN);
+    let old = shared.budgets.borrow_mut().take_idle(asked, retention + SWEEP_MARGIN);
     for (program, version) in old {
         budget::delete(shared, program, version, asked).await;
     }
@@ -109,5 +109,5 @@
     let table = shared.routes.borrow();
     let routes = table.as_ref()?.routing().routes.iter();
 
-    routes.filter_map(|route| route.keeps).map(|keeps| keeps.retention).max()
+    routes.filter_map(|route| route.turn_retention).map(|keeps| keeps.retention).max()
 }
--- a/crates/policy/src/host_state.rs
+++ b/crates/policy/src/host_state.rs
@@ -25,17 +25,17 @@
     /// The configuration in force on this host.
     pub config: Option<Arc<Config>>,
     /// The zone of each other host that is live and not leaving.
-    pub alive: Map<HostId, ZoneId>,
+    pub live_hosts: Map<HostId, ZoneId>,
     /// The last known holder of each partition.
     pub holders: Map<PartitionId, Holder>,
     /// The partitions whose lease this host holds, which makes it the home of their programs.
-    pub homes: Set<PartitionId>,
+    pub held_partitions: Set<PartitionId>,
     /// The sessions of hosts, as of the last read from the platform.
     pub sessions: Vec<SessionRow>,
     /// The configuration version that each host last reported to be in force.
     pub config_versions: Map<HostId, ConfigVersion>,
     /// The instant until which this host's leases are guaranteed to be valid.
-    pub leases_until: Instant,
+    pub leases_valid_until: Instant,
     /// Keys that were in an earlier configuration and are not in the one in force.
     pub removed_keys: Set<KeyId>,
     /// Whether this host is leaving.
@@ -51,12 +51,12 @@
             zone: ZoneId::from_name(zone),
             zone_name: zone.into(),
             config: None,
-            alive: Map::default(),
+            live_hosts: Map::default(),
             holders: Map::default(),
-            homes: Set::default(),
+            held_partitions: Set::default(),
             sessions: Vec::new(),
             config_versions: Map::default(),
-            leases_until: Instant::default(),
+            leases_valid_until: Instant::default(),
             removed_keys: Set::default(),
             leaving: false,
         }
@@ -95,7 +95,7 @@
     /// window is then granted twice: some more requests wait at the target, but none is lost.
     pub fn queue_host(&self, pool: PoolId) -> HostId {
         let zone = self.zone;
-        let others = self.alive.iter().filter(|(_, z)| **z == zone).map(|(host, _)| host.0);
+        let others = self.live_hosts.iter().filter(|(_, z)| **z == zone).map(|(host, _)| host.0);
         let all = others.chain((!self.leaving).then_some(self.this_host.0));
 
         rendezvous(pool.0, all).map_or(self.this_host, HostId)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each controller is a plain struct with a `step(now, event, out)` method: time and random seeds
 //! are passed in, and the actions to perform are returned as enum values. This allows tests and
-//! benchmarks to drive the controllers event by event in virtual time. [`wire`] holds the types
+//! benchmarks to drive the controllers event by event in virtual time. [`shared_types`] holds the types
 //! that the controllers exchange.
 
 #![warn(rust_2018_idioms)]
@@ -16,5 +16,5 @@
 pub mod programs;
 pub mod queue;
 pub mod scheduler;
+pub mod shared_types;
 pub mod slices;
-pub mod wire;
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -10,7 +10,7 @@
 
 use camphorwalk_core::hash::{Map, stable_hash};
 use camphorwalk_core::ids::{HostId, ZoneId};
-use camphorwalk_core::messages::gossip::{HostBeat, HostNews};
+use camphorwalk_core::messages::gossip::{HostHeartbeat, HostInfo};
 use camphorwalk_core::time::Instant;
 
 /// The maximum number of other hosts that one message covers in a small fleet; see
@@ -96,8 +96,8 @@
         self.heartbeat_sends = 0;
     }
 
-    fn info(&self) -> HostNews {
-        HostNews {
+    fn info(&self) -> HostInfo {
+        HostInfo {
             name: self.name.to_string(),
             zone: self.zone_name.to_string(),
             peer_address: self.peer_address.to_string(),
@@ -135,9 +135,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostUpdates {
     /// Full information about some hosts, the sender first.
-    pub full: Vec<HostNews>,
+    pub full: Vec<HostInfo>,
     /// Only the heartbeats of other hosts.
-    pub heartbeats: Vec<HostBeat>,
+    pub heartbeats: Vec<HostHeartbeat>,
 }
 
 /// The state machine that tracks the other hosts of the fleet.
@@ -227,8 +227,8 @@
     pub fn apply_gossip(
         &mut self,
         now: Instant,
-        full: &[HostNews],
-        heartbeats: &[HostBeat],
+        full: &[HostInfo],
+        heartbeats: &[HostHeartbeat],
         out: &mut Vec<MembershipAction>,
     ) {
         full.iter().for_each(|item| self.apply_full(now, item, out));
@@ -237,7 +237,7 @@
         self.update_liveness(now, out);
     }
 
-    fn apply_full(&mut self, now: Instant, item: &HostNews, out: &mut Vec<MembershipAction>) {
+    fn apply_full(&mut self, now: Instant, item: &HostInfo, out: &mut Vec<MembershipAction>) {
         let Ok(address) = item.peer_address.parse() else {
             return;
         };
@@ -264,7 +264,7 @@
         }
     }
 
-    fn apply_heartbeat(&mut self, now: Instant, heartbeat: &HostBeat) {
+    fn apply_heartbeat(&mut self, now: Instant, heartbeat: &HostHeartbeat) {
         // The heartbeat of an unknown host is dropped: the host is added by its full information or
         // by the platform's list.
         let Some(member) = self.members.get_mut(&HostId(heartbeat.host)) else {
@@ -438,7 +438,7 @@
                 member.full_sends += 1;
                 updates.full.push(member.info());
             } else {
-                updates.heartbeats.push(HostBeat {
+                updates.heartbeats.push(HostHeartbeat {
                     host: member.host.0,
                     session: member.session,
                     heartbeat: member.heartbeat,
@@ -449,8 +449,8 @@
         updates
     }
 
-    fn own_info(&self) -> HostNews {
-        HostNews {
+    fn own_info(&self) -> HostInfo {
+        HostInfo {
             name: self.options.name.to_string(),
             zone: self.options.zone.to_string(),
             peer_address: self.options.peer_address.to_string(),
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -29,14 +29,16 @@
 use camphorwalk_core::platform::{HostListing, PlatformOp, PlatformReply};
 use camphorwalk_core::time::Instant;
 
-use crate::configs::{ConfigOp, ConfigOptions, Configs, OperatorId, ReadConfig, WriteConfig};
+use crate::configs::{
+    ConfigOp, ConfigOptions, Configs, OperatorRequestId, ReadConfig, WriteConfig,
+};
 use crate::host_state::HostState;
 use crate::leases::{LeaseOp, LeaseOptions, Leases};
 use crate::membership::{Membership, MembershipOptions};
 use crate::programs::{ProgramOp, ProgramOptions, Programs};
 use crate::queue::{LoadReport, QueueOptions, Queues};
+use crate::shared_types::{AttemptOutcome, CallId, Dispatch};
 use crate::slices::{SliceOptions, Slices, TakeId};
-use crate::wire::{AttemptEnd, CallId, Dispatch};
 
 use self::controllers::ControllerEvent;
 pub use self::operators::{HostStatus, OperatorReply, OperatorRequest, Status};
@@ -80,7 +82,7 @@
         message: PeerMessage,
     },
     /// A message could not be queued for sending and was not sent.
-    Unsent {
+    SendFailed {
         /// The recipient.
         to: HostId,
         /// The message.
@@ -96,13 +98,13 @@
         reply: PlatformReply,
     },
     /// The platform's list of hosts, which lags behind the actual state.
-    Hosts(Vec<HostListing>),
+    HostList(Vec<HostListing>),
     /// An attempt ended at its target.
-    Ended {
+    AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
-        end: AttemptEnd,
+        outcome: AttemptOutcome,
     },
     /// A target reported its load.
     Load {
@@ -119,7 +121,7 @@
         program: ProgramId,
     },
     /// A target listed the programs for which it holds cached data.
-    Held {
+    HeldPrograms {
         /// The target.
         target: TargetId,
         /// The programs.
@@ -128,7 +130,7 @@
     /// An operator sent a request.
     Operator {
         /// The id of the operator's request.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// The content of the request.
         request: OperatorRequest,
     },
@@ -156,7 +158,7 @@
         message: PeerMessage,
     },
     /// The address of another host is new or has changed.
-    Address {
+    SetPeerAddress {
         /// The host.
         host: HostId,
         /// The address where it listens for peers.
@@ -174,16 +176,16 @@
     /// Cancel an attempt; the runtime still reports how it ended.
     Cancel(AttemptId),
     /// Have the engines that served an ended program free what they hold for it.
-    Free(ProgramId),
+    FreeProgram(ProgramId),
     /// Have one engine free what it holds for an ended program.
-    FreeAt {
+    FreeProgramAt {
         /// The engine.
         target: TargetId,
         /// The program.
         program: ProgramId,
     },
     /// Watch the load and the cache of exactly these engines.
-    Watch(Vec<TargetId>),
+    WatchEngines(Vec<TargetId>),
     /// This configuration is in force from now on.
     Adopted(Arc<Config>),
     /// This key is withdrawn from now on.
@@ -191,12 +193,12 @@
     /// Answer an operator.
     OperatorAnswer {
         /// The id of the operator's request.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// The answer.
         reply: Box<OperatorReply>,
     },
     /// Everything is handed over; the process may exit.
-    Left,
+    ShutdownReady,
 }
 
 /// Settings of a [`Scheduler`].
@@ -214,7 +216,7 @@
     /// The fleet's secret for sealing turns that are handed to callers before they are stored.
     pub seal_key: [u8; 32],
     /// The intervals and timeouts of the host.
-    pub times: Times,
+    pub times: SchedulerTimes,
     /// Parses and validates a configuration.
     pub read_config: ReadConfig,
     /// Serializes a configuration.
@@ -223,7 +225,7 @@
 
 /// The intervals and timeouts of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct SchedulerTimes {
     /// The time after which a session expires if it is not renewed.
     pub session_lifetime: Duration,
     /// The interval between renewals of the session.
@@ -241,7 +243,7 @@
     pub commit_interval: Duration,
 }
 
-impl Default for Times {
+impl Default for SchedulerTimes {
     /// Returns values that suit a fleet of about a dozen hosts.
     fn default() -> Self {
         Self {
@@ -264,7 +266,7 @@
 /// ```
 /// use std::time::Duration;
 /// use camphorwalk_core::time::Instant;
-/// use camphorwalk_policy::scheduler::{Action, Event, Scheduler, SchedulerOptions, Times};
+/// use camphorwalk_policy::scheduler::{Action, Event, Scheduler, SchedulerOptions, SchedulerTimes};
 ///
 /// let mut scheduler = Scheduler::new(SchedulerOptions {
 ///     host: "a1".into(),
@@ -272,7 +274,7 @@
 ///     peer_address: "127.0.0.1:7000".parse().unwrap(),
 ///     session: 1,
 ///     seal_key: [0; 32],
-///     times: Times::default(),
+///     times: SchedulerTimes::default(),
 ///     read_config: |_| Err("no configuration in this example".into()),
 ///     write_config: |_| Box::default(),
 /// });
@@ -426,7 +428,7 @@
     }
 
     /// Returns the maximum time that a runtime should sleep.
-    pub const fn longest_sleep() -> Duration {
+    pub const fn max_sleep() -> Duration {
         MAX_SLEEP
     }
 
@@ -436,7 +438,7 @@
     }
 
     /// Returns the state that the controllers share.
-    pub fn board(&self) -> &HostState {
+    pub fn state(&self) -> &HostState {
         &self.state
     }
 }
--- a/crates/policy/src/scheduler/controllers.rs
+++ b/crates/policy/src/scheduler/controllers.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
 use camphorwalk_core::config::Config;
-use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, Ticket};
+use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, RequestOrigin};
 use camphorwalk_core::messages::forward::Answer;
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
@@ -15,9 +15,9 @@
 use crate::leases::rows::SessionRow;
 use crate::leases::{Busy, Holder, LeaseAction, LeaseEvent, LeaseName, RequiredLease};
 use crate::membership::{Member, MembershipAction};
-use crate::programs::{ProgramEvent, ProgramNext};
-use crate::queue::{QueueEvent, QueueNext};
-use crate::slices::{self, SliceEvent, SliceHost, SliceNext, TakeId};
+use crate::programs::{ProgramAction, ProgramEvent};
+use crate::queue::{QueueAction, QueueEvent};
+use crate::slices::{self, SliceAction, SliceEvent, SliceHost, TakeId};
 
 /// An event for one controller.
 #[derive(Clone, Debug)]
@@ -38,14 +38,14 @@
             }
             Event::CallerGone(request) => self.on_caller_gone(request, out),
             Event::Peer { from, message } => self.on_peer(now, from, message, out),
-            Event::Unsent { to, message } => self.on_unsent(now, to, message, out),
+            Event::SendFailed { to, message } => self.on_unsent(now, to, message, out),
             Event::PeerDown(host) => self.on_peer_down(host, out),
             Event::Platform { op, reply } => self.events.push_back(match op {
                 OpId::Lease(op) => ControllerEvent::Lease(LeaseEvent::Platform { op, reply }),
                 OpId::Config(op) => ControllerEvent::Config(ConfigEvent::Platform { op, reply }),
                 OpId::Program(op) => ControllerEvent::Program(ProgramEvent::Platform { op, reply }),
             }),
-            Event::Hosts(hosts) => {
+            Event::HostList(hosts) => {
                 let mut actions = Vec::new();
                 for host in hosts {
                     let (name, zone) = (&host.name, &host.zone);
@@ -59,9 +59,9 @@
                 }
                 self.on_membership(now, actions, out);
             }
-            Event::Ended { attempt, end } => {
+            Event::AttemptEnded { attempt, outcome } => {
                 self.events
-                    .push_back(ControllerEvent::Program(ProgramEvent::Ended { attempt, end }));
+                    .push_back(ControllerEvent::Program(ProgramEvent::Ended { attempt, outcome }));
             }
             Event::Load { target, report } => {
                 self.events.push_back(ControllerEvent::Queue(QueueEvent::Load { target, report }));
@@ -70,8 +70,12 @@
                 self.events
                     .push_back(ControllerEvent::Queue(QueueEvent::Evicted { target, program }));
             }
-            Event::Held { target, programs } => self.on_held_programs(target, programs, out),
-            Event::Operator { ask, request } => self.on_operator_request(now, ask, request, out),
+            Event::HeldPrograms { target, programs } => {
+                self.on_held_programs(target, programs, out)
+            }
+            Event::Operator { request_id, request } => {
+                self.on_operator_request(now, request_id, request, out)
+            }
             Event::Drain => self.drain(),
             Event::Wake => {}
         }
@@ -157,29 +161,29 @@
                 out.push(Action::Platform { op: OpId::Lease(op), request });
             }
             LeaseAction::Acquired { name: LeaseName::Partition(partition), epoch, version } => {
-                self.state.homes.insert(partition);
+                self.state.held_partitions.insert(partition);
                 let event = ProgramEvent::Acquired { partition, epoch, lease: version };
                 self.events.push_back(ControllerEvent::Program(event));
                 self.broadcast_partitions(out);
             }
             LeaseAction::Acquired { name: LeaseName::Column(column), epoch, .. } => {
-                let until = self.state.leases_until;
+                let until = self.state.leases_valid_until;
                 let event = if epoch == Epoch::FIRST {
-                    SliceEvent::First { column, until }
+                    SliceEvent::FirstOwned { column, until }
                 } else {
                     SliceEvent::Owned { column, until, fresh: true }
                 };
                 self.events.push_back(ControllerEvent::Slice(event));
             }
             LeaseAction::Lost { name: LeaseName::Partition(partition) } => {
-                self.state.homes.remove(&partition);
+                self.state.held_partitions.remove(&partition);
                 self.events.push_back(ControllerEvent::Program(ProgramEvent::Lost { partition }));
             }
             LeaseAction::Lost { name: LeaseName::Column(column) } => {
                 self.events.push_back(ControllerEvent::Slice(SliceEvent::Lost { column }));
             }
             LeaseAction::Renewed { until } => {
-                self.state.leases_until = until;
+                self.state.leases_valid_until = until;
                 for column in self.leases.columns() {
                     let event = SliceEvent::Owned { column, until, fresh: false };
                     self.events.push_back(ControllerEvent::Slice(event));
@@ -189,9 +193,10 @@
                 self.on_tables_read(now, holders, hosts, out)
             }
             LeaseAction::ReleaseGrants { partition } => {
-                self.events.push_back(ControllerEvent::Program(ProgramEvent::Settle { partition }));
+                self.events
+                    .push_back(ControllerEvent::Program(ProgramEvent::ReleaseGrants { partition }));
             }
-            LeaseAction::ShutdownReady => out.push(Action::Left),
+            LeaseAction::ShutdownReady => out.push(Action::ShutdownReady),
         }
     }
 
@@ -244,45 +249,49 @@
                 self.events.push_back(ControllerEvent::Program(ProgramEvent::KeyWithdrawn(key)));
                 out.push(Action::KeyWithdrawn(key));
             }
-            ConfigAction::Published { ask, answer } => self.on_published(ask, answer, out),
+            ConfigAction::Published { request_id, answer } => {
+                self.on_published(request_id, answer, out)
+            }
         }
     }
 
-    fn on_program(&mut self, now: Instant, action: ProgramNext, out: &mut Vec<Action>) {
+    fn on_program(&mut self, now: Instant, action: ProgramAction, out: &mut Vec<Action>) {
         match action {
-            ProgramNext::Answer { ticket, reply } => self.answer(ticket, reply, out),
-            ProgramNext::Admit { call, tenant } => {
+            ProgramAction::Answer { ticket, reply } => self.answer(ticket, reply, out),
+            ProgramAction::Admit { call, tenant } => {
                 self.next_take += 1;
                 let take = TakeId(self.next_take);
                 self.takes.insert(take, call);
                 self.events.push_back(ControllerEvent::Slice(SliceEvent::Take { take, tenant }));
             }
-            ProgramNext::Place { call, request } => self.request_place(now, call, request, out),
-            ProgramNext::Vacate { call, end } => self.release_place(call, end, out),
-            ProgramNext::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
-            ProgramNext::Cancel { attempt } => out.push(Action::Cancel(attempt)),
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Place { call, request } => self.request_place(now, call, request, out),
+            ProgramAction::ReleasePlace { call, end } => self.release_place(call, end, out),
+            ProgramAction::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
+            ProgramAction::Cancel { attempt } => out.push(Action::Cancel(attempt)),
+            ProgramAction::Platform { op, request } => {
                 out.push(Action::Platform { op: OpId::Program(op), request });
             }
-            ProgramNext::Over { program } => out.push(Action::Free(program)),
-            ProgramNext::Quarantine { digest } => self.quarantine(digest),
+            ProgramAction::ProgramEnded { program } => out.push(Action::FreeProgram(program)),
+            ProgramAction::Quarantine { digest } => self.quarantine(digest),
             // Reading the tables shows who holds the partition now.
-            ProgramNext::Fenced { .. } => {
+            ProgramAction::Fenced { .. } => {
                 self.events.push_back(ControllerEvent::Lease(LeaseEvent::HolderSuspected))
             }
         }
     }
 
-    fn on_queue(&mut self, action: QueueNext, out: &mut Vec<Action>) {
+    fn on_queue(&mut self, action: QueueAction, out: &mut Vec<Action>) {
         match action {
-            QueueNext::Grant { asker, target } => self.send_grant(asker, target, out),
-            QueueNext::Refuse { asker, retry_after } => self.send_refusal(asker, retry_after, out),
+            QueueAction::Grant { request_id, target } => self.send_grant(request_id, target, out),
+            QueueAction::Refuse { request_id, retry_after } => {
+                self.send_refusal(request_id, retry_after, out)
+            }
         }
     }
 
-    fn on_slice(&mut self, action: SliceNext, out: &mut Vec<Action>) {
+    fn on_slice(&mut self, action: SliceAction, out: &mut Vec<Action>) {
         match action {
-            SliceNext::Verdict { take, verdict } => {
+            SliceAction::Verdict { take, verdict } => {
                 if let Some(call) = self.takes.remove(&take) {
                     self.events.push_back(ControllerEvent::Program(ProgramEvent::Verdict {
                         call,
@@ -290,7 +299,7 @@
                     }));
                 }
             }
-            SliceNext::Send { to, message } => {
+            SliceAction::Send { to, message } => {
                 out.push(Action::Send { to, message: Body::Slices(message).into() });
             }
         }
@@ -305,7 +314,7 @@
         for action in actions {
             match action {
                 MembershipAction::SetPeerAddress { host, address } => {
-                    out.push(Action::Address { host, address });
+                    out.push(Action::SetPeerAddress { host, address });
                 }
                 MembershipAction::Gossip { to, updates } => self.send_gossip(now, to, updates, out),
                 MembershipAction::LiveHostsChanged => self.on_live_hosts_changed(out),
@@ -317,12 +326,12 @@
     fn on_live_hosts_changed(&mut self, out: &mut Vec<Action>) {
         let not_leaving = |m: &&&Member| !m.leaving;
         let live = self.membership.live_members();
-        self.state.alive = live.iter().filter(not_leaving).map(|m| (m.host, m.zone)).collect();
+        self.state.live_hosts = live.iter().filter(not_leaving).map(|m| (m.host, m.zone)).collect();
 
         let me = SliceHost { host: self.state.this_host, zone: self.state.zone };
         // A leaving host does not pool slices of any tenant: its slices are recalled, including
         // their levels, while it is still there to return them.
-        let others = self.state.alive.iter();
+        let others = self.state.live_hosts.iter();
         let mut hosts: Vec<_> =
             others.map(|(host, zone)| SliceHost { host: *host, zone: *zone }).collect();
         hosts.extend((!self.state.leaving).then_some(me));
@@ -332,7 +341,7 @@
     }
 
     /// Answers a request, either directly or through its entry host.
-    pub(super) fn answer(&mut self, ticket: Ticket, reply: Reply, out: &mut Vec<Action>) {
+    pub(super) fn answer(&mut self, ticket: RequestOrigin, reply: Reply, out: &mut Vec<Action>) {
         if ticket.entry == self.state.this_host {
             self.answer_caller(ticket.request, reply, out);
             return;
@@ -366,7 +375,7 @@
 fn required_leases(config: &Config) -> Vec<RequiredLease> {
     let partitions = (0..config.fleet.partitions)
         .map(|p| RequiredLease { name: LeaseName::Partition(PartitionId(p)), zone: None });
-    let columns = slices::columns(config)
+    let columns = slices::column_zones(config)
         .into_iter()
         .map(|(column, zone)| RequiredLease { name: LeaseName::Column(column), zone: Some(zone) });
 
--- a/crates/policy/src/scheduler/extension.rs
+++ b/crates/policy/src/scheduler/extension.rs
@@ -55,7 +55,7 @@
         let Some(until) = self.extended_until(now) else {
             return;
         };
-        if until <= self.state.leases_until || until <= now {
+        if until <= self.state.leases_valid_until || until <= now {
             return;
         }
         for column in self.leases.columns() {
--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -4,7 +4,7 @@
 
 use camphorwalk_core::hash::Digest;
 use camphorwalk_core::ids::{Epoch, HostId, KeyId, PartitionId};
-use camphorwalk_core::messages::gossip::{Gossip, PartitionNews};
+use camphorwalk_core::messages::gossip::{Gossip, PartitionHolder};
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::platform::ObjectName;
 use camphorwalk_core::time::Instant;
@@ -69,14 +69,14 @@
         }
     }
 
-    fn own_partitions(&self) -> Vec<PartitionNews> {
-        let mut homes: Vec<_> = self.state.homes.iter().copied().collect();
+    fn own_partitions(&self) -> Vec<PartitionHolder> {
+        let mut homes: Vec<_> = self.state.held_partitions.iter().copied().collect();
         homes.sort_unstable();
 
         let to_item = |partition: PartitionId| {
             let epoch = self.leases.epoch(partition)?;
             let holder = self.state.this_host.0;
-            Some(PartitionNews { partition: u32::from(partition.0), epoch: epoch.0, holder })
+            Some(PartitionHolder { partition: u32::from(partition.0), epoch: epoch.0, holder })
         };
         homes.into_iter().filter_map(to_item).collect()
     }
--- a/crates/policy/src/scheduler/operators.rs
+++ b/crates/policy/src/scheduler/operators.rs
@@ -12,7 +12,7 @@
 
 use super::controllers::ControllerEvent;
 use super::{Action, Scheduler};
-use crate::configs::{ConfigEvent, OperatorId, Published};
+use crate::configs::{ConfigEvent, OperatorRequestId, Published};
 
 /// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
@@ -93,7 +93,7 @@
     pub(super) fn on_operator_request(
         &mut self,
         now: Instant,
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         request: OperatorRequest,
         out: &mut Vec<Action>,
     ) {
@@ -101,24 +101,24 @@
             OperatorRequest::Status => OperatorReply::Status(self.status(now)),
             OperatorRequest::Config => OperatorReply::Config(self.state.config.clone()),
             OperatorRequest::Publish { base, config } => {
-                let event = ConfigEvent::Publish { ask, base, config };
+                let event = ConfigEvent::Publish { request_id, base, config };
                 return self.events.push_back(ControllerEvent::Config(event));
             }
             OperatorRequest::Withdraw { key } => self.withdraw(&key),
             OperatorRequest::Drain { host } => self.drain_host(&host, out),
         };
 
-        out.push(Action::OperatorAnswer { ask, reply: Box::new(reply) });
+        out.push(Action::OperatorAnswer { request_id, reply: Box::new(reply) });
     }
 
     pub(super) fn on_published(
         &mut self,
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         answer: Published,
         out: &mut Vec<Action>,
     ) {
         let reply = Box::new(OperatorReply::Published(answer));
-        out.push(Action::OperatorAnswer { ask, reply });
+        out.push(Action::OperatorAnswer { request_id, reply });
     }
 
     fn withdraw(&mut self, name: &str) -> OperatorReply {
@@ -181,7 +181,7 @@
             host: self.state.name.clone(),
             version,
             unstored_withdrawals: self.configs.unstored_tombstones(),
-            leases_hold_ms: self.state.leases_until.since(now).as_millis() as u64,
+            leases_hold_ms: self.state.leases_valid_until.since(now).as_millis() as u64,
             hosts,
             quarantined,
         }
--- a/crates/policy/src/scheduler/place_requests.rs
+++ b/crates/policy/src/scheduler/place_requests.rs
@@ -4,7 +4,9 @@
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
-use camphorwalk_core::messages::queue::{Ask, Done, Grant, QueueBody, QueueMessage, Refuse};
+use camphorwalk_core::messages::queue::{
+    Grant, QueueBody, QueueMessage, RefusePlace, ReleasePlace, RequestPlace,
+};
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
@@ -13,7 +15,7 @@
 use super::{Action, Scheduler};
 use crate::programs::ProgramEvent;
 use crate::queue::QueueEvent;
-use crate::wire::{Asker, CallId, PlaceEnd, PlaceEndKind, PlaceRequest};
+use crate::shared_types::{CallId, PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// The time after which an unanswered request is first sent again. Messages may be lost, and the
 /// queue recognises a repeated request by its number.
@@ -87,16 +89,17 @@
     fn send_place_request(&mut self, number: u64, out: &mut Vec<Action>) {
         let PendingPlace { queue_host, request, .. } = self.place_requests.pending[&number];
         if queue_host == self.state.this_host {
-            let asker = Asker { host: self.state.this_host, number };
-            self.events.push_back(ControllerEvent::Queue(QueueEvent::Ask { asker, request }));
+            let request_id = PlaceRequestId { host: self.state.this_host, number };
+            self.events
+                .push_back(ControllerEvent::Queue(QueueEvent::Request { request_id, request }));
             return;
         }
 
-        out.push(send(queue_host, QueueBody::Ask(ask_message(number, &request))));
+        out.push(send(queue_host, QueueBody::RequestPlace(request_message(number, &request))));
     }
 
     /// Releases the place of a call, or withdraws its request for one.
-    pub(super) fn release_place(&mut self, call: CallId, end: PlaceEnd, out: &mut Vec<Action>) {
+    pub(super) fn release_place(&mut self, call: CallId, end: PlaceRelease, out: &mut Vec<Action>) {
         let Some(number) = self.place_requests.numbers.remove(&call) else {
             return;
         };
@@ -105,11 +108,11 @@
         };
 
         if pending.queue_host == self.state.this_host {
-            let asker = Asker { host: self.state.this_host, number };
-            self.events.push_back(ControllerEvent::Queue(QueueEvent::Vacate { asker, end }));
+            let request_id = PlaceRequestId { host: self.state.this_host, number };
+            self.events.push_back(ControllerEvent::Queue(QueueEvent::Release { request_id, end }));
             return;
         }
-        out.push(send(pending.queue_host, QueueBody::Done(done_message(number, &end))));
+        out.push(send(pending.queue_host, QueueBody::ReleasePlace(release_message(number, &end))));
     }
 
     /// Sends overdue requests again, to another host if the one that ran the queue is no longer
@@ -169,31 +172,36 @@
     }
 
     /// Notifies the requesting host of a granted place.
-    pub(super) fn send_grant(&mut self, asker: Asker, target: TargetId, out: &mut Vec<Action>) {
-        if asker.host == self.state.this_host {
-            self.on_grant(self.state.this_host, asker.number, target, out);
+    pub(super) fn send_grant(
+        &mut self,
+        request_id: PlaceRequestId,
+        target: TargetId,
+        out: &mut Vec<Action>,
+    ) {
+        if request_id.host == self.state.this_host {
+            self.on_grant(self.state.this_host, request_id.number, target, out);
             return;
         }
 
-        let grant = Grant { number: asker.number, target: target.0 };
-        out.push(send(asker.host, QueueBody::Grant(grant)));
+        let grant = Grant { number: request_id.number, target: target.0 };
+        out.push(send(request_id.host, QueueBody::Grant(grant)));
     }
 
     /// Notifies the requesting host that its call cannot be served in time.
     pub(super) fn send_refusal(
         &mut self,
-        asker: Asker,
+        request_id: PlaceRequestId,
         retry_after: Duration,
         out: &mut Vec<Action>,
     ) {
-        if asker.host == self.state.this_host {
-            self.on_refused(asker.number, retry_after);
+        if request_id.host == self.state.this_host {
+            self.on_refused(request_id.number, retry_after);
             return;
         }
 
         let retry_after_ms = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
-        let refuse = Refuse { number: asker.number, retry_after_ms };
-        out.push(send(asker.host, QueueBody::Refuse(refuse)));
+        let refuse = RefusePlace { number: request_id.number, retry_after_ms };
+        out.push(send(request_id.host, QueueBody::RefusePlace(refuse)));
     }
 
     pub(super) fn on_queue_message(
@@ -203,20 +211,22 @@
         out: &mut Vec<Action>,
     ) {
         match message.body {
-            Some(QueueBody::Ask(ask)) => {
-                let asker = Asker { host: from, number: ask.number };
-                let request = place_request(&ask);
-                self.events.push_back(ControllerEvent::Queue(QueueEvent::Ask { asker, request }));
+            Some(QueueBody::RequestPlace(message)) => {
+                let request_id = PlaceRequestId { host: from, number: message.number };
+                let request = place_request(&message);
+                self.events
+                    .push_back(ControllerEvent::Queue(QueueEvent::Request { request_id, request }));
             }
-            Some(QueueBody::Done(done)) => {
-                let asker = Asker { host: from, number: done.number };
-                let end = place_end(&done);
-                self.events.push_back(ControllerEvent::Queue(QueueEvent::Vacate { asker, end }));
+            Some(QueueBody::ReleasePlace(done)) => {
+                let request_id = PlaceRequestId { host: from, number: done.number };
+                let end = place_release(&done);
+                self.events
+                    .push_back(ControllerEvent::Queue(QueueEvent::Release { request_id, end }));
             }
             Some(QueueBody::Grant(grant)) => {
                 self.on_grant(from, grant.number, TargetId(grant.target), out);
             }
-            Some(QueueBody::Refuse(refuse)) => {
+            Some(QueueBody::RefusePlace(refuse)) => {
                 self.on_refused(refuse.number, Duration::from_millis(refuse.retry_after_ms));
             }
             None => {}
@@ -227,7 +237,7 @@
         let Some(pending) = self.place_requests.pending.get_mut(&number) else {
             // The request was withdrawn or moved to another host: the place is released at once.
             if from != self.state.this_host {
-                out.push(send(from, QueueBody::Done(done_message(number, &not_sent()))));
+                out.push(send(from, QueueBody::ReleasePlace(release_message(number, &not_sent()))));
             }
             return;
         };
@@ -256,42 +266,42 @@
     Action::Send { to, message }
 }
 
-fn not_sent() -> PlaceEnd {
-    PlaceEnd {
-        how: PlaceEndKind::NotSent,
-        computed: Tokens(0),
+fn not_sent() -> PlaceRelease {
+    PlaceRelease {
+        outcome: PlaceOutcome::NotSent,
+        computed_prompt: Tokens(0),
         output: Tokens(0),
-        program_over: false,
+        program_ended: false,
     }
 }
 
-/// The encoding of [`PlaceEndKind`] in messages: its index in this list.
-const OUTCOMES: [PlaceEndKind; 4] =
-    [PlaceEndKind::NotSent, PlaceEndKind::Finished, PlaceEndKind::Failed, PlaceEndKind::Crashed];
+/// The encoding of [`PlaceOutcome`] in messages: its index in this list.
+const OUTCOMES: [PlaceOutcome; 4] =
+    [PlaceOutcome::NotSent, PlaceOutcome::Finished, PlaceOutcome::Failed, PlaceOutcome::Crashed];
 
-fn done_message(number: u64, end: &PlaceEnd) -> Done {
-    let position = OUTCOMES.iter().position(|how| *how == end.how).unwrap_or(0);
+fn release_message(number: u64, end: &PlaceRelease) -> ReleasePlace {
+    let position = OUTCOMES.iter().position(|outcome| *outcome == end.outcome).unwrap_or(0);
 
-    Done {
+    ReleasePlace {
         number,
         end: position as u32,
-        computed_tokens: end.computed.0,
+        computed_tokens: end.computed_prompt.0,
         output_tokens: end.output.0,
-        program_over: end.program_over,
+        program_over: end.program_ended,
     }
 }
 
-fn place_end(done: &Done) -> PlaceEnd {
-    PlaceEnd {
-        how: OUTCOMES.get(done.end as usize).copied().unwrap_or(PlaceEndKind::Failed),
-        computed: Tokens(done.computed_tokens),
+fn place_release(done: &ReleasePlace) -> PlaceRelease {
+    PlaceRelease {
+        outcome: OUTCOMES.get(done.end as usize).copied().unwrap_or(PlaceOutcome::Failed),
+        computed_prompt: Tokens(done.computed_tokens),
         output: Tokens(done.output_tokens),
-        program_over: done.program_over,
+        program_ended: done.program_over,
     }
 }
 
-fn ask_message(number: u64, request: &PlaceRequest) -> Ask {
-    Ask {
+fn request_message(number: u64, request: &PlaceRequest) -> RequestPlace {
+    RequestPlace {
         number,
         pool: request.pool.0,
         tenant: request.tenant.0,
@@ -307,17 +317,19 @@
     }
 }
 
-fn place_request(ask: &Ask) -> PlaceRequest {
+fn place_request(message: &RequestPlace) -> PlaceRequest {
     PlaceRequest {
-        pool: PoolId(ask.pool),
-        tenant: TenantId(ask.tenant),
-        class: ClassId(ask.class),
-        program: ProgramId((u128::from(ask.program_high) << 64) | u128::from(ask.program_low)),
-        attained: Tokens(ask.attained_tokens),
-        prompt: Tokens(ask.prompt_tokens),
-        output: Tokens(u64::from(ask.output_tokens)),
-        deadline_left: Duration::from_millis(ask.deadline_left_ms),
-        avoid: (ask.avoid != 0).then_some(TargetId(ask.avoid)),
-        suspect: ask.suspect,
+        pool: PoolId(message.pool),
+        tenant: TenantId(message.tenant),
+        class: ClassId(message.class),
+        program: ProgramId(
+            (u128::from(message.program_high) << 64) | u128::from(message.program_low),
+        ),
+        attained: Tokens(message.attained_tokens),
+        prompt: Tokens(message.prompt_tokens),
+        output: Tokens(u64::from(message.output_tokens)),
+        deadline_left: Duration::from_millis(message.deadline_left_ms),
+        avoid: (message.avoid != 0).then_some(TargetId(message.avoid)),
+        suspect: message.suspect,
     }
 }
--- a/crates/policy/src/scheduler/requests.rs
+++ b/crates/policy/src/scheduler/requests.rs
@@ -7,7 +7,7 @@
 use camphorwalk_core::config::Tenant;
 use camphorwalk_core::hash::stable_hash;
 use camphorwalk_core::ids::{
-    HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, TenantId, Ticket,
+    HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::messages::forward::{CallerGone, Forward};
 use camphorwalk_core::messages::{Body, PeerMessage};
@@ -59,7 +59,7 @@
         let partition = body.program().partition(self.state.partitions());
         match self.home_of(partition) {
             Some(home) if home == self.state.this_host => {
-                let ticket = Ticket { entry: self.state.this_host, request };
+                let ticket = RequestOrigin { entry: self.state.this_host, request };
                 let event = ProgramEvent::Request { ticket, tenant, key, request: body };
                 self.events.push_back(ControllerEvent::Program(event));
             }
@@ -92,14 +92,14 @@
     }
 
     fn is_zone_isolated(&self, now: Instant) -> bool {
-        let lapsed = self.leases.is_renewal_failing() && now > self.state.leases_until;
+        let lapsed = self.leases.is_renewal_failing() && now > self.state.leases_valid_until;
 
-        lapsed && self.state.alive.values().all(|zone| *zone == self.state.zone)
+        lapsed && self.state.live_hosts.values().all(|zone| *zone == self.state.zone)
     }
 
     /// Returns the home of a partition, if it is known and live.
     pub(super) fn home_of(&self, partition: PartitionId) -> Option<HostId> {
-        if self.state.homes.contains(&partition) {
+        if self.state.held_partitions.contains(&partition) {
             return Some(self.state.this_host);
         }
 
@@ -131,7 +131,7 @@
         let half = |salt: &[u8]| u128::from(stable_hash(&[salt, &parts[0], &parts[1]]));
         let program = ProgramId((half(b"high") << 64) | half(b"low"));
 
-        let mut homes: Vec<_> = self.state.homes.iter().copied().collect();
+        let mut homes: Vec<_> = self.state.held_partitions.iter().copied().collect();
         homes.sort_unstable();
         match homes.len() {
             0 => program,
@@ -146,7 +146,7 @@
         };
 
         if waiting.home == self.state.this_host {
-            let ticket = Ticket { entry: self.state.this_host, request };
+            let ticket = RequestOrigin { entry: self.state.this_host, request };
             self.events.push_back(ControllerEvent::Program(ProgramEvent::CallerGone { ticket }));
         } else {
             let gone = CallerGone { request: request.0 };
@@ -173,7 +173,7 @@
                 }
             }
             Some(Body::CallerGone(gone)) => {
-                let ticket = Ticket { entry: from, request: RequestId(gone.request) };
+                let ticket = RequestOrigin { entry: from, request: RequestId(gone.request) };
                 self.events
                     .push_back(ControllerEvent::Program(ProgramEvent::CallerGone { ticket }));
             }
@@ -184,26 +184,26 @@
             }
             Some(Body::Queue(message)) => self.on_queue_message(from, message, out),
             Some(Body::Drain(_)) => self.drain(),
-            Some(Body::AskLive(ask)) => self.on_ended_query(from, &ask, out),
-            Some(Body::Over(over)) => {
-                let programs = super::sweep::from_bytes(&over.programs);
-                self.free_ended(TargetId(over.target), programs, out);
+            Some(Body::EndedQuery(query)) => self.on_ended_query(from, &query, out),
+            Some(Body::EndedPrograms(ended)) => {
+                let programs = super::sweep::from_bytes(&ended.programs);
+                self.free_ended(TargetId(ended.target), programs, out);
             }
             // Chunks go from the connection directly to the caller's stream. The other messages are
             // for hosts that forward calls and have no programs of their own.
             Some(
                 Body::Chunk(_)
-                | Body::EntryNews(_)
+                | Body::EntryStatus(_)
                 | Body::Manifest(_)
-                | Body::Ask(_)
-                | Body::Reply(_),
+                | Body::PeerQuery(_)
+                | Body::PeerQueryReply(_),
             )
             | None => {}
         }
     }
 
     fn on_forward(&mut self, from: HostId, forward: &Forward, out: &mut Vec<Action>) {
-        let ticket = Ticket { entry: from, request: RequestId(forward.request) };
+        let ticket = RequestOrigin { entry: from, request: RequestId(forward.request) };
         let key = KeyId(forward.key);
         let Ok(request) = serde_json::from_slice::<Request>(&forward.body) else {
             let refusal = Refusal::not_run(Code::BadRequest, "the request cannot be read here");
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -10,7 +10,7 @@
 
 use camphorwalk_core::config::TargetKind;
 use camphorwalk_core::ids::{HostId, PoolId, ProgramId, TargetId, ZoneId};
-use camphorwalk_core::messages::live::{AskLive, Over};
+use camphorwalk_core::messages::live::{EndedPrograms, EndedQuery};
 use camphorwalk_core::messages::{Body, PeerMessage};
 
 use super::{Action, Scheduler};
@@ -26,7 +26,7 @@
 
         if watched != self.watched {
             self.watched.clone_from(&watched);
-            out.push(Action::Watch(watched));
+            out.push(Action::WatchEngines(watched));
         }
     }
 
@@ -74,21 +74,26 @@
                 let ended = self.ended_programs(programs);
                 self.free_ended(target, ended, out);
             } else {
-                let ask = AskLive { target: target.0, programs: to_bytes(&programs) };
-                out.push(Action::Send { to: home, message: Body::AskLive(ask).into() });
+                let query = EndedQuery { target: target.0, programs: to_bytes(&programs) };
+                out.push(Action::Send { to: home, message: Body::EndedQuery(query).into() });
             }
         }
     }
 
     /// Answers another host's query about which programs have ended.
-    pub(super) fn on_ended_query(&mut self, from: HostId, ask: &AskLive, out: &mut Vec<Action>) {
-        let ended = self.ended_programs(from_bytes(&ask.programs));
+    pub(super) fn on_ended_query(
+        &mut self,
+        from: HostId,
+        query: &EndedQuery,
+        out: &mut Vec<Action>,
+    ) {
+        let ended = self.ended_programs(from_bytes(&query.programs));
         if ended.is_empty() {
             return;
         }
 
-        let ended = Over { target: ask.target, programs: to_bytes(&ended) };
-        let message: PeerMessage = Body::Over(ended).into();
+        let ended = EndedPrograms { target: query.target, programs: to_bytes(&ended) };
+        let message: PeerMessage = Body::EndedPrograms(ended).into();
         out.push(Action::Send { to: from, message });
     }
 
@@ -99,7 +104,7 @@
         programs: Vec<ProgramId>,
         out: &mut Vec<Action>,
     ) {
-        out.extend(programs.into_iter().map(|program| Action::FreeAt { target, program }));
+        out.extend(programs.into_iter().map(|program| Action::FreeProgramAt { target, program }));
     }
 
     /// Returns those of the programs that this host, as their home, knows to have ended.
--- a/crates/policy/src/wire.rs
+++ b/crates/policy/src/shared_types.rs
@@ -28,7 +28,7 @@
 
 /// Identifies a request for a place at a target. The home of any program on any host may send one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Asker {
+pub struct PlaceRequestId {
     /// The requesting host.
     pub host: HostId,
     /// The number that this host gave to the request.
@@ -63,20 +63,20 @@
 
 /// The report that releases a place at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PlaceEnd {
+pub struct PlaceRelease {
     /// How the attempt ended.
-    pub how: PlaceEndKind,
+    pub outcome: PlaceOutcome,
     /// Prompt tokens that were not in the engine's cache and had to be computed.
-    pub computed: Tokens,
+    pub computed_prompt: Tokens,
     /// The number of generated tokens.
     pub output: Tokens,
     /// Whether the program ended, so that its cached prefix is no longer needed.
-    pub program_over: bool,
+    pub program_ended: bool,
 }
 
 /// How an attempt ended, in the detail that queues need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum PlaceEndKind {
+pub enum PlaceOutcome {
     /// Nothing was sent; also used when a request is withdrawn before it is granted.
     NotSent,
     /// The target answered.
@@ -105,16 +105,16 @@
     /// The call's number in the program.
     pub number: u32,
     /// The content to send.
-    pub work: Work,
+    pub payload: AttemptPayload,
     /// The caller's request to stream the output to, if the caller asked for streaming.
-    pub stream: Option<camphorwalk_core::ids::Ticket>,
+    pub stream: Option<camphorwalk_core::ids::RequestOrigin>,
     /// The time limit of the attempt.
     pub timeout: Duration,
 }
 
 /// The content that an attempt sends to its target.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Work {
+pub enum AttemptPayload {
     /// A model turn.
     Generate {
         /// The program's history and the new input, with one element for each input and output.
@@ -135,7 +135,7 @@
 
 /// How an attempt ended at its target.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The complete answer arrived.
     Done {
         /// The output, as JSON text.
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -6,12 +6,12 @@
 use camphorwalk_core::calls::{CallRequest, HistoryCall, OpenRequest, Reply, Request};
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId,
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion, Transaction};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::programs::{ProgramEvent, ProgramNext, ProgramOptions, Programs};
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, Verdict, Work};
+use camphorwalk_policy::programs::{ProgramAction, ProgramEvent, ProgramOptions, Programs};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, CallId, Dispatch, Verdict};
 
 use crate::fixture::{Mode, Platform, config, tenant};
 use crate::oracle::{self, Sent};
@@ -173,7 +173,7 @@
     /// The holder of a partition is about to give it back.
     pub fn settle_grants(&mut self, partition: u16) {
         let (host, ..) = self.holders[usize::from(partition)];
-        let event = ProgramEvent::Settle { partition: PartitionId(partition) };
+        let event = ProgramEvent::ReleaseGrants { partition: PartitionId(partition) };
         self.hosts[host].mailbox.push_back(event);
     }
 
@@ -197,7 +197,7 @@
             Request::Call(call) => Some(call.key.clone()),
             _ => None,
         };
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let event = ProgramEvent::Request {
             ticket,
             tenant: tenant("inzira"),
@@ -253,7 +253,7 @@
         }
 
         let number = *open[index % open.len()].0;
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let Some(sent) = self.sent.get_mut(&number) else { return };
         sent.gone = true;
         let host = &mut self.hosts[sent.host];
@@ -307,10 +307,10 @@
         }
     }
 
-    fn next(&mut self, host: usize, next: ProgramNext) {
+    fn next(&mut self, host: usize, next: ProgramAction) {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answered(ticket.request.0, reply),
-            ProgramNext::Admit { call, .. } => {
+            ProgramAction::Answer { ticket, reply } => self.answered(ticket.request.0, reply),
+            ProgramAction::Admit { call, .. } => {
                 let retry_after = Duration::from_secs(1);
                 let verdict = match std::mem::take(&mut self.deny) {
                     true => Verdict::Refused { retry_after },
@@ -318,22 +318,22 @@
                 };
                 self.hosts[host].mailbox.push_back(ProgramEvent::Verdict { call, verdict });
             }
-            ProgramNext::Place { call, .. } => self.place(host, call),
-            ProgramNext::Vacate { call, .. } => {
+            ProgramAction::Place { call, .. } => self.place(host, call),
+            ProgramAction::ReleasePlace { call, .. } => {
                 assert!(self.hosts[host].places.remove(&call), "a place was vacated twice");
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 let reply = self.platform_reply(&request);
                 self.hosts[host].mailbox.push_back(ProgramEvent::Platform { op, reply });
             }
-            ProgramNext::Dispatch(dispatch) => {
+            ProgramAction::Dispatch(dispatch) => {
                 let session = self.hosts[host].session;
                 self.air.push((host, session, dispatch));
             }
-            ProgramNext::Cancel { .. }
-            | ProgramNext::Over { .. }
-            | ProgramNext::Quarantine { .. }
-            | ProgramNext::Fenced { .. } => {}
+            ProgramAction::Cancel { .. }
+            | ProgramAction::ProgramEnded { .. }
+            | ProgramAction::Quarantine { .. }
+            | ProgramAction::Fenced { .. } => {}
         }
     }
 
@@ -399,15 +399,17 @@
         }
 
         let (host, session, dispatch) = self.air.remove(index % self.air.len());
-        let end = match fate {
-            Fate::NotSent => AttemptEnd::NotSent,
-            Fate::Refused => AttemptEnd::Refused { message: "full".into() },
-            Fate::Failed => self.work(&dispatch, || AttemptEnd::Failed { message: "no".into() }),
+        let outcome = match fate {
+            Fate::NotSent => AttemptOutcome::NotSent,
+            Fate::Refused => AttemptOutcome::Refused { message: "full".into() },
+            Fate::Failed => {
+                self.work(&dispatch, || AttemptOutcome::Failed { message: "no".into() })
+            }
             Fate::Lost => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: false })
+                self.work(&dispatch, || AttemptOutcome::Lost { streamed: false, crashed: false })
             }
             Fate::Crashed => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: true })
+                self.work(&dispatch, || AttemptOutcome::Lost { streamed: false, crashed: true })
             }
             Fate::Done => {
                 let prompt = prompt_tokens(&dispatch);
@@ -416,18 +418,22 @@
         };
 
         if self.hosts[host].session == session {
-            let event = ProgramEvent::Ended { attempt: dispatch.attempt, end };
+            let event = ProgramEvent::Ended { attempt: dispatch.attempt, outcome };
             self.hosts[host].mailbox.push_back(event);
         }
     }
 
     /// The target runs an attempt.
-    fn work(&mut self, dispatch: &Dispatch, end: impl FnOnce() -> AttemptEnd) -> AttemptEnd {
+    fn work(
+        &mut self,
+        dispatch: &Dispatch,
+        end: impl FnOnce() -> AttemptOutcome,
+    ) -> AttemptOutcome {
         let program = dispatch.program;
 
-        match &dispatch.work {
-            Work::Operation { key, .. } => self.ledger.push((program, key.clone())),
-            Work::Generate { prompt, max_tokens } => {
+        match &dispatch.payload {
+            AttemptPayload::Operation { key, .. } => self.ledger.push((program, key.clone())),
+            AttemptPayload::Generate { prompt, max_tokens } => {
                 let own = program.to_string();
                 assert!(prompt.iter().all(|part| part.contains(&own)), "a prompt was mixed");
                 let tokens = prompt_tokens(dispatch) + u64::from(*max_tokens);
