--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -70,15 +70,15 @@
     }
 
     fn own_partitions(&self) -> Vec<PartitionHolder> {
-        let mut homes: Vec<_> = self.state.held_partitions.iter().copied().collect();
-        homes.sort_unstable();
+        let mut partitions: Vec<_> = self.state.held_partitions.iter().copied().collect();
+        partitions.sort_unstable();
 
         let to_item = |partition: PartitionId| {
             let epoch = self.leases.epoch(partition)?;
             let holder = self.state.this_host.0;
             Some(PartitionHolder { partition: u32::from(partition.0), epoch: epoch.0, holder })
         };
-        homes.into_iter().filter_map(to_item).collect()
+        partitions.into_iter().filter_map(to_item).collect()
     }
 
     /// Applies received gossip.
--- a/crates/policy/src/scheduler/place_requests.rs
+++ b/crates/policy/src/scheduler/place_requests.rs
@@ -217,9 +217,9 @@
                 self.events
                     .push_back(ControllerEvent::Queue(QueueEvent::Request { request_id, request }));
             }
-            Some(QueueBody::ReleasePlace(done)) => {
-                let request_id = PlaceRequestId { host: from, number: done.number };
-                let end = place_release(&done);
+            Some(QueueBody::ReleasePlace(release)) => {
+                let request_id = PlaceRequestId { host: from, number: release.number };
+                let end = place_release(&release);
                 self.events
                     .push_back(ControllerEvent::Queue(QueueEvent::Release { request_id, end }));
             }
@@ -291,12 +291,12 @@
     }
 }
 
-fn place_release(done: &ReleasePlace) -> PlaceRelease {
+fn place_release(release: &ReleasePlace) -> PlaceRelease {
     PlaceRelease {
-        outcome: OUTCOMES.get(done.end as usize).copied().unwrap_or(PlaceOutcome::Failed),
-        computed_prompt: Tokens(done.computed_tokens),
-        output: Tokens(done.output_tokens),
-        program_ended: done.program_over,
+        outcome: OUTCOMES.get(release.end as usize).copied().unwrap_or(PlaceOutcome::Failed),
+        computed_prompt: Tokens(release.computed_tokens),
+        output: Tokens(release.output_tokens),
+        program_ended: release.program_over,
     }
 }
 
--- a/crates/policy/src/scheduler/requests.rs
+++ b/crates/policy/src/scheduler/requests.rs
@@ -131,11 +131,11 @@
         let half = |salt: &[u8]| u128::from(stable_hash(&[salt, &parts[0], &parts[1]]));
         let program = ProgramId((half(b"high") << 64) | half(b"low"));
 
-        let mut homes: Vec<_> = self.state.held_partitions.iter().copied().collect();
-        homes.sort_unstable();
-        match homes.len() {
+        let mut partitions: Vec<_> = self.state.held_partitions.iter().copied().collect();
+        partitions.sort_unstable();
+        match partitions.len() {
             0 => program,
-            count => program.in_partition(homes[self.opened_programs as usize % count]),
+            count => program.in_partition(partitions[self.opened_programs as usize % count]),
         }
     }
 
--- a/crates/policy/src/shared_types.rs
+++ b/crates/policy/src/shared_types.rs
@@ -31,7 +31,7 @@
 pub struct PlaceRequestId {
     /// The requesting host.
     pub host: HostId,
-    /// The number that this host gave to the request.
+    /// The number that the requesting host gave to the request.
     pub number: u64,
 }
 
