--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Each controller is a plain struct with a `step(now, event, out)` method: time and random seeds
 //! are passed in, and the actions to perform are returned as enum values. This allows tests and
-//! benchmarks to drive the controllers event by event in virtual time. [`shared_types`] holds the types
-//! that the controllers exchange.
+//! benchmarks to drive the controllers event by event in virtual time. [`shared_types`] holds the
+//! types that the controllers exchange.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
