--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -1,52 +1,53 @@
-//! How programs end, by their caller's wish, by their deadline, or because their partition
-//! went to another host.
+//! How programs end: by request, at their deadline, or because their partition moved to another
+//! host.
 
 use std::time::Duration;
 
 use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
-use camphorwalk_core::ids::{PartitionId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{PartitionId, ProgramId, RequestOrigin, TenantId};
 
 use super::entries::Entry;
 use super::journal::Waiter;
-use super::state::{Kind, ProgramKey, ProgramState, Stage};
+use super::state::{ProgramKey, ProgramState, Stage, WorkKind};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
-use crate::wire::CallId;
+use super::{ProgramAction, Programs, StepContext, refusals};
+use crate::shared_types::CallId;
 
-/// How long an ended program is remembered, for repeats. After that it looks like none.
-pub(super) const REMEMBERED: Duration = Duration::from_secs(60);
+/// How long an ended program stays in memory, to answer repeats. After that it appears not to
+/// exist.
+pub(super) const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
 impl Programs {
-    /// Ends a program at its caller's wish.
+    /// Ends a program at its caller's request.
     pub(super) fn end(
         &mut self,
-        cx: &mut Cx<'_>,
-        ticket: Ticket,
+        cx: &mut StepContext<'_>,
+        ticket: RequestOrigin,
         tenant: TenantId,
         program: ProgramId,
     ) {
-        let Some(key) = self.visible(tenant, program) else {
-            return self.refuse(cx, ticket, answers::not_found());
+        let Some(key) = self.tenant_program(tenant, program) else {
+            return self.refuse(cx, ticket, refusals::not_found());
         };
 
         match self.programs[key].state {
-            ProgramState::Opening => self.refuse(cx, ticket, answers::leaving()),
+            ProgramState::Opening => self.refuse(cx, ticket, refusals::home_moving()),
             ProgramState::Ended if self.programs[key].end_stored => {
                 self.answer(cx, ticket, Reply::Ended);
             }
             ProgramState::Open | ProgramState::Ended => {
-                self.programs[key].ending.push(ticket);
-                self.end_family(cx, key, &answers::not_found());
+                self.programs[key].ending_tickets.push(ticket);
+                self.end_family(cx, key, &refusals::not_found());
 
-                if self.journal.is_away(cx.now) {
+                if self.journal.is_unavailable(cx.now) {
                     self.end_not_stored(cx, key);
                 }
             }
         }
     }
 
-    /// Ends a program and all below it.
-    fn end_family(&mut self, cx: &mut Cx<'_>, key: ProgramKey, reason: &Refusal) {
+    /// Ends a program and all its descendants.
+    fn end_family(&mut self, cx: &mut StepContext<'_>, key: ProgramKey, reason: &Refusal) {
         if self.programs[key].state != ProgramState::Open {
             return;
         }
@@ -59,7 +60,7 @@
             }
         }
 
-        let forget_at = cx.now + REMEMBERED;
+        let forget_at = cx.now + ENDED_RETENTION;
         let program = &mut self.programs[key];
         program.state = ProgramState::Ended;
         program.forget_at = Some(forget_at);
@@ -70,45 +71,45 @@
             self.stop_call(cx, call, reason);
         }
 
-        cx.out.push(ProgramNext::Over { program: id });
+        cx.out.push(ProgramAction::ProgramEnded { program: id });
         self.append(key, Entry::Ended { program: id }, Waiter::End(key));
     }
 
-    /// Ends the call of a program that is over.
-    fn stop_call(&mut self, cx: &mut Cx<'_>, id: CallId, reason: &Refusal) {
+    /// Stops the call of a program that ended.
+    fn stop_call(&mut self, cx: &mut StepContext<'_>, id: CallId, reason: &Refusal) {
         if self.calls[id].stage != Stage::Running {
-            return self.drop_call(cx, id, reason.clone());
+            return self.abandon_call(cx, id, reason.clone());
         }
 
-        // It was sent. What must not be repeated runs on and is recorded.
+        // The call was sent. If it must not be repeated, it runs to its end and is recorded.
         let reason = reason.clone().ran(Ran::Maybe);
         self.answer_callers(cx, id, &reason);
         self.cancel_unwanted(cx, id);
     }
 
-    /// Cancels a call that nobody waits for, if it may be cancelled.
-    pub(super) fn cancel_unwanted(&mut self, cx: &mut Cx<'_>, id: CallId) {
+    /// Cancels a call that has no callers left, if its kind allows that.
+    pub(super) fn cancel_unwanted(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let call = &self.calls[id];
 
-        if let (Kind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
-            cx.out.push(ProgramNext::Cancel { attempt });
+        if let (WorkKind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
+            cx.out.push(ProgramAction::Cancel { attempt });
         }
     }
 
-    /// An end is durable.
-    pub(super) fn end_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    /// Handles the end of a program that became durable.
+    pub(super) fn end_durable(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
         program.end_stored = true;
 
-        for ticket in std::mem::take(&mut program.ending) {
+        for ticket in std::mem::take(&mut program.ending_tickets) {
             self.answer(cx, ticket, Reply::Ended);
         }
     }
 
-    /// The platform did not take an end yet; it is written later.
-    pub(super) fn end_not_stored(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    /// Refuses the callers that wait for an end that is not durable; it is written later.
+    pub(super) fn end_not_stored(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.ending);
+        let tickets = std::mem::take(&mut program.ending_tickets);
         let after = self.journal.retry_after();
 
         for ticket in tickets {
@@ -120,12 +121,12 @@
         }
     }
 
-    /// A program's deadline passed, or its memory is to be freed.
-    pub(super) fn program_due(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    /// Ends a program at its deadline, or removes an ended one after its retention.
+    pub(super) fn program_due(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get(key) else { return };
 
         if program.state == ProgramState::Open && cx.now >= program.deadline {
-            return self.end_family(cx, key, &answers::deadline(Ran::No));
+            return self.end_family(cx, key, &refusals::deadline_passed(Ran::No));
         }
 
         let Some(forget_at) = program.forget_at.filter(|_| program.state == ProgramState::Ended)
@@ -137,15 +138,15 @@
             return;
         }
 
-        // A call that must not be repeated still runs: its record is wanted.
+        // A call that must not be repeated is still running and must be recorded.
         if program.running.is_some() {
-            return self.timers.set(cx.now + REMEMBERED, Timer::Program(key));
+            return self.timers.set(cx.now + ENDED_RETENTION, Timer::Program(key));
         }
 
         self.remove_program(key);
     }
 
-    /// Forgets a program.
+    /// Removes a program from memory.
     pub(super) fn remove_program(&mut self, key: ProgramKey) {
         let Some(program) = self.programs.remove(key) else { return };
 
@@ -158,7 +159,7 @@
         } else if let Some(parent) = program.parent.and_then(|id| self.index.get(&id)) {
             let parent = &mut self.programs[*parent];
 
-            // The parent's openings stay counted, but for one that never was.
+            // The parent's count of openings stays, unless the opening never became durable.
             if program.state == ProgramState::Opening {
                 parent.openings -= 1;
             }
@@ -167,32 +168,32 @@
         }
     }
 
-    /// Forgets a program whose partition is gone, once its last call is answered.
+    /// Removes an orphan after its last call was answered.
     pub(super) fn remove_orphan(&mut self, key: ProgramKey) {
         if self.programs.get(key).is_some_and(|program| program.orphan) {
             self.remove_program(key);
         }
     }
 
-    /// This host is no longer home of a partition.
-    pub(super) fn lost(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    /// Drops a partition whose lease this host lost.
+    pub(super) fn partition_lost(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         if let Some(recovering) = self.recovering.remove(&partition) {
-            self.scans.retain(|_, (of, _)| *of != partition);
+            self.reads.retain(|_, (of, _)| *of != partition);
 
             for parked in recovering.parked {
-                self.refuse(cx, parked.ticket, answers::not_served(&parked.request));
+                self.refuse(cx, parked.ticket, refusals::not_served(&parked.request));
             }
         }
 
-        self.tenures.remove(&partition);
+        self.terms.remove(&partition);
         self.compactions.remove(&partition);
-        self.settling.remove(&partition);
+        self.releasing_grants.remove(&partition);
         self.journal.drop_partition(partition);
         self.drop_programs(cx, partition);
     }
 
-    /// Forgets the programs of a partition and answers who waits for them.
-    fn drop_programs(&mut self, cx: &mut Cx<'_>, partition: PartitionId) {
+    /// Removes the programs of a partition and answers the callers that wait for them.
+    fn drop_programs(&mut self, cx: &mut StepContext<'_>, partition: PartitionId) {
         let keys: Vec<_> = self
             .index
             .values()
@@ -202,12 +203,12 @@
         let recording: Vec<_> = self
             .calls
             .iter()
-            .filter(|(_, call)| call.stage == Stage::Recording)
+            .filter(|(_, call)| call.stage == Stage::JournalingOutcome)
             .filter(|(_, call)| self.programs[call.program].partition == partition)
             .map(|(id, _)| id)
             .collect();
 
-        // Done, but not known to be stored: the answer is whole all the same.
+        // These calls finished but may not be durable. Their answers are complete all the same.
         for call in recording {
             self.answer_recorded(cx, call);
         }
@@ -217,25 +218,26 @@
         }
     }
 
-    /// Forgets a program whose partition is gone. A call that was sent still gets its
-    /// answer: the target may run it.
-    fn drop_program(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    /// Removes a program whose partition was lost. A call that was sent is kept until it is
+    /// answered, because the target may run it.
+    fn drop_program(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let program = &mut self.programs[key];
         let id = program.id;
-        let waiting: Vec<_> = program.opening.drain(..).chain(program.ending.drain(..)).collect();
+        let waiting: Vec<_> =
+            program.opening_tickets.drain(..).chain(program.ending_tickets.drain(..)).collect();
         let running = program.running;
         program.orphan = true;
         self.index.remove(&id);
 
-        // The entry may have become durable.
+        // The opening or end may have become durable.
         for ticket in waiting {
-            self.refuse(cx, ticket, answers::leaving().ran(Ran::Maybe));
+            self.refuse(cx, ticket, refusals::home_moving().ran(Ran::Maybe));
         }
 
         match running {
             Some(call) if self.calls[call].stage == Stage::Running => {}
             Some(call) => {
-                self.drop_call(cx, call, answers::leaving());
+                self.abandon_call(cx, call, refusals::home_moving());
                 self.remove_program(key);
             }
             None => self.remove_program(key),
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -1,13 +1,13 @@
-//! Opening a program.
+//! Opening of programs.
 //!
-//! A sub-agent lives in its parent's partition: the entry host chooses its id there. Then
-//! one home and one journal hold the whole family, and its budget is one account. A child
-//! elsewhere is refused. (Each child having a reservation of its own was weighed: it needs
-//! a size that nobody knows beforehand, and an idle child would hold tokens back.)
+//! A sub-agent is always in its parent's partition: the entry host chooses its id accordingly,
+//! and a child elsewhere is refused. So a whole family has one home host, one journal and one
+//! budget account. A separate reservation for each child was rejected: its size is not known in
+//! advance, and an idle child would hold back tokens that others need.
 
 use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
-use camphorwalk_core::ids::{ClassId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{ClassId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
@@ -16,26 +16,26 @@
 use super::journal::Waiter;
 use super::state::{Program, ProgramKey, ProgramState};
 use super::timers::Timer;
-use super::{Cx, Programs, answers};
+use super::{Programs, StepContext, refusals};
 
-/// What a program's parent hands down.
+/// What a new program inherits from its parent.
 struct Lineage {
-    /// The family's topmost program.
+    /// The root of the family.
     root: ProgramId,
-    /// How many programs are above.
+    /// The number of ancestors.
     depth: u8,
-    /// The family's account.
+    /// The family's budget account; `None` for a root.
     account: Option<AccountKey>,
-    /// The latest deadline.
+    /// The parent's deadline, which the child must not exceed.
     deadline: Option<Instant>,
 }
 
 impl Programs {
-    /// Opens a program. Its opening is durable before it is answered.
+    /// Opens a program. The opening is durable before it is answered.
     pub(super) fn open(
         &mut self,
-        cx: &mut Cx<'_>,
-        ticket: Ticket,
+        cx: &mut StepContext<'_>,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: OpenRequest,
     ) {
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Answers the opening of a program that is there already.
+    /// Answers the opening of a program that already exists.
     fn reopen(
         &mut self,
-        cx: &mut Cx<'_>,
-        ticket: Ticket,
+        cx: &mut StepContext<'_>,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: &OpenRequest,
         known: ProgramKey,
@@ -62,44 +62,44 @@
         let repeat = program.repeatable && open.repeatable && program.body == body_digest(open);
 
         if program.tenant != tenant || !repeat {
-            return self.refuse(cx, ticket, answers::key_reused());
+            return self.refuse(cx, ticket, refusals::key_reused());
         }
 
         if program.state != ProgramState::Opening {
-            let reply = self.opened(cx, known);
+            let reply = self.opened_reply(cx, known);
             return self.answer(cx, ticket, reply);
         }
 
-        program.opening.push(ticket);
+        program.opening_tickets.push(ticket);
 
         if self.journal.in_doubt() {
             self.opening_in_doubt(cx, known);
         }
     }
 
-    /// Checks an opening against the configuration.
+    /// Validates an opening against the configuration and the parent.
     fn prepare(
         &self,
-        cx: &Cx<'_>,
+        cx: &StepContext<'_>,
         tenant: TenantId,
         open: &OpenRequest,
     ) -> Result<OpenedEntry, Refusal> {
-        let cfg = self.cfg.as_ref().ok_or_else(answers::leaving)?;
+        let cfg = self.cfg.as_ref().ok_or_else(refusals::home_moving)?;
         let template = cfg.template(&open.template).filter(|template| !template.withdrawn);
         let assistant = cfg.assistant(tenant, &open.template);
 
         let (Some(template), Some(assistant)) = (template, assistant) else {
-            return Err(answers::bad_request("no such template for this tenant"));
+            return Err(refusals::bad_request("no such template for this tenant"));
         };
 
         if open.deadline.is_zero() || open.deadline > template.max_deadline {
-            return Err(answers::bad_request("the deadline is not within the template's limit"));
+            return Err(refusals::bad_request("the deadline is not within the template's limit"));
         }
 
         let lineage = self.lineage(tenant, open)?;
 
-        if self.journal.is_away(cx.now) {
-            return Err(answers::platform_away(self.journal.retry_after()));
+        if self.journal.is_unavailable(cx.now) {
+            return Err(refusals::platform_unavailable(self.journal.retry_after()));
         }
 
         let left = match lineage.deadline {
@@ -129,39 +129,40 @@
         })
     }
 
-    /// Returns what the parent, if there is one, hands down.
+    /// Returns what the program inherits from its parent, if it has one.
     fn lineage(&self, tenant: TenantId, open: &OpenRequest) -> Result<Lineage, Refusal> {
         let Some(id) = open.parent else {
             return Ok(Lineage { root: open.program, depth: 0, account: None, deadline: None });
         };
-        let cfg = self.cfg.as_ref().ok_or_else(answers::leaving)?;
+        let cfg = self.cfg.as_ref().ok_or_else(refusals::home_moving)?;
 
         if cfg.partition(id) != cfg.partition(open.program) {
-            return Err(answers::bad_request("a sub-agent must be in its parent's partition"));
+            return Err(refusals::bad_request("a sub-agent must be in its parent's partition"));
         }
 
-        let key = self.visible(tenant, id).ok_or_else(answers::not_found)?;
+        let key = self.tenant_program(tenant, id).ok_or_else(refusals::not_found)?;
         let parent = &self.programs[key];
 
         if parent.state != ProgramState::Open {
-            return Err(answers::not_found());
+            return Err(refusals::not_found());
         }
 
-        // The family's topmost template bounds its depth, so that no mix of templates goes
-        // deeper than the operator allowed.
+        // The root's template limits the depth of the family, so that no combination of
+        // templates goes deeper than the operator allowed.
         let depth = parent.depth.saturating_add(1);
         let root = self.index.get(&parent.root).map_or(parent, |key| &self.programs[*key]);
         let max_depth = cfg.template(&root.template).map_or(0, |t| t.max_depth);
 
         if depth > max_depth {
-            return Err(answers::bad_request("the template allows no deeper sub-agent"));
+            return Err(refusals::bad_request("the template allows no deeper sub-agent"));
         }
 
-        // Openings count as calls of the parent: a loop of openings ends, too.
+        // Openings count as calls of the parent, so an endless loop of openings reaches the
+        // call limit.
         let max_calls = cfg.template(&parent.template).map_or(0, |t| t.max_calls);
 
         if parent.head() + parent.openings >= max_calls {
-            return Err(answers::exhausted());
+            return Err(refusals::budget_exhausted());
         }
 
         Ok(Lineage {
@@ -172,19 +173,29 @@
         })
     }
 
-    /// Journals an opening.
-    fn start_opening(&mut self, cx: &mut Cx<'_>, ticket: Ticket, entry: OpenedEntry) {
+    /// Adds the program in state `Opening` and journals the opening.
+    fn start_opening(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        ticket: RequestOrigin,
+        entry: OpenedEntry,
+    ) {
         let key = self.insert_program(cx, &entry);
         let program = &mut self.programs[key];
         program.state = ProgramState::Opening;
-        program.opening.push(ticket);
+        program.opening_tickets.push(ticket);
 
         self.append(key, Entry::Opened(entry), Waiter::Open(key));
     }
 
-    /// Adds a program, as opened or as read from the journal.
-    pub(super) fn insert_program(&mut self, cx: &mut Cx<'_>, entry: &OpenedEntry) -> ProgramKey {
-        // A journal may hold a former program with the same id, ended and forgotten since.
+    /// Adds a program that is being opened or was read from the journal.
+    pub(super) fn insert_program(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        entry: &OpenedEntry,
+    ) -> ProgramKey {
+        // The journal may hold an earlier program with the same id that has ended and was
+        // removed.
         if let Some(former) = self.index.get(&entry.program) {
             self.remove_program(*former);
         }
@@ -213,18 +224,18 @@
             calls: Vec::new(),
             stored: 0,
             history: Tokens::default(),
-            // A sub-agent goes on with work that is under way: counted from zero, the queue
-            // would hold it back as a new program.
+            // A sub-agent continues work that is in progress. With no attained service the
+            // queue would hold it back like a new program, so it starts with one token.
             attained: Tokens(u64::from(entry.parent.is_some())),
             running: None,
             children: Vec::new(),
             openings: 0,
-            upto: 0,
+            image_row: 0,
             in_doubt: false,
             open_intent: None,
             orphan: false,
-            opening: Vec::new(),
-            ending: Vec::new(),
+            opening_tickets: Vec::new(),
+            ending_tickets: Vec::new(),
             end_stored: false,
             forget_at: None,
         });
@@ -242,18 +253,23 @@
     }
 
     /// Returns the answer to an opening.
-    pub(super) fn opened(&self, cx: &Cx<'_>, key: ProgramKey) -> Reply {
+    pub(super) fn opened_reply(&self, cx: &StepContext<'_>, key: ProgramKey) -> Reply {
         let program = &self.programs[key];
 
         Reply::Opened(Opened {
             program: program.id,
-            budget_tokens: self.accounts[program.account].left(),
-            deadline: program.left(cx.now),
+            budget_tokens: self.accounts[program.account].available(),
+            deadline: program.time_left(cx.now),
         })
     }
 
-    /// An opening is durable.
-    pub(super) fn opening_durable(&mut self, cx: &mut Cx<'_>, key: ProgramKey, granted: Tokens) {
+    /// Handles an opening that became durable.
+    pub(super) fn opening_durable(
+        &mut self,
+        cx: &mut StepContext<'_>,
+        key: ProgramKey,
+        granted: Tokens,
+    ) {
         let Some(program) = self.programs.get_mut(key) else { return };
 
         if program.state == ProgramState::Opening {
@@ -261,26 +277,26 @@
         }
 
         let (account, deadline) = (program.account, program.deadline);
-        let tickets = std::mem::take(&mut program.opening);
+        let tickets = std::mem::take(&mut program.opening_tickets);
 
-        // The deadline may have passed while the opening was in doubt.
+        // The timer may have fired while the opening was in doubt, so it is set again.
         self.timers.set(deadline, Timer::Program(key));
 
         if let Some(account) = self.accounts.get_mut(account) {
-            account.granted(granted);
+            account.raise_grant(granted);
         }
 
         for ticket in tickets {
-            let reply = self.opened(cx, key);
+            let reply = self.opened_reply(cx, key);
             self.answer(cx, ticket, reply);
         }
     }
 
-    /// The platform certainly did not take an opening.
-    pub(super) fn opening_refused(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    /// Handles an opening that the platform rejected and certainly did not store.
+    pub(super) fn opening_rejected(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.opening);
-        let refusal = answers::platform_away(self.journal.retry_after());
+        let tickets = std::mem::take(&mut program.opening_tickets);
+        let refusal = refusals::platform_unavailable(self.journal.retry_after());
 
         for ticket in tickets {
             self.refuse(cx, ticket, refusal.clone());
@@ -289,14 +305,14 @@
         self.remove_program(key);
     }
 
-    /// Nobody knows whether the platform took an opening; those who wait are told so.
-    pub(super) fn opening_in_doubt(&mut self, cx: &mut Cx<'_>, key: ProgramKey) {
+    /// Handles an opening whose outcome is unknown; the waiting callers are refused.
+    pub(super) fn opening_in_doubt(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.opening);
+        let tickets = std::mem::take(&mut program.opening_tickets);
         let after = self.journal.retry_after();
 
-        // Not "not run": the program may be there, and a repeat finds it.
-        let mut refusal = answers::platform_away(after).ran(Ran::Maybe);
+        // The refusal must not say "not run": the program may exist, and a repeat finds it.
+        let mut refusal = refusals::platform_unavailable(after).ran(Ran::Maybe);
         refusal.code = Code::OutcomeUnknown;
 
         for ticket in tickets {
@@ -305,7 +321,7 @@
     }
 }
 
-/// Returns the digest of what an opening asks.
+/// Returns the digest of an opening's parameters, to recognize a repeat.
 fn body_digest(open: &OpenRequest) -> Digest {
     let parent = open.parent.map_or(0, |id| id.0);
     let deadline = open.deadline.as_millis();
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -1,4 +1,4 @@
-//! The places that are granted and not yet given back.
+//! The places that are granted and not yet released.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,87 +8,87 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
-use crate::wire::{Asker, PlaceRequest};
+use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
-/// How long after its call's deadline a place is taken back.
+/// How long after its call's deadline a place is released automatically.
 ///
-/// The message that gives a place back can be lost with its connection, and a question can
-/// arrive after its own withdrawal on another connection. Either would keep a place for ever
-/// and shrink the window for good. No attempt runs past its deadline, so a place this much
-/// older is certainly free.
-const GRACE: Duration = Duration::from_secs(5);
+/// A release message can be lost with its connection, and a request can arrive after its own
+/// withdrawal on another connection. Either would occupy a place forever and reduce the target's
+/// window permanently. No attempt runs past its deadline, so a place that is this much older is
+/// certainly unused.
+const RELEASE_GRACE: Duration = Duration::from_secs(5);
 
 /// A place that a call holds at a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
-    /// What was asked.
+    /// The request that was granted.
     pub request: PlaceRequest,
     /// The target.
     pub target: TargetId,
-    /// When it was granted.
-    pub granted: Instant,
-    /// The prompt tokens that were expected to be computed.
-    pub computed: Tokens,
-    /// What its tenant was charged.
+    /// When the place was granted.
+    pub granted_at: Instant,
+    /// The number of prompt tokens that the target was expected to compute.
+    pub computed_prompt: Tokens,
+    /// The service that the tenant was charged.
     pub charged: Tokens,
-    /// Its call's deadline.
+    /// The deadline of the call's program.
     pub deadline: Instant,
 }
 
 impl Place {
-    /// Returns when it is taken back, if nobody gives it back before.
+    /// Returns when the place is released automatically.
     fn expiry(&self) -> Instant {
-        self.deadline + GRACE
+        self.deadline + RELEASE_GRACE
     }
 }
 
-/// All places.
+/// All granted places, by request.
 #[derive(Debug, Default)]
 pub struct Places {
-    places: Map<Asker, Place>,
-    expiries: BTreeSet<(Instant, Asker)>,
+    places: Map<PlaceRequestId, Place>,
+    expiries: BTreeSet<(Instant, PlaceRequestId)>,
 }
 
 impl Places {
-    /// Returns how many places are held.
+    /// Returns the number of granted places.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Returns the place of an asker.
-    pub fn get(&self, asker: Asker) -> Option<&Place> {
-        self.places.get(&asker)
+    /// Returns the place granted to a request.
+    pub fn get(&self, request_id: PlaceRequestId) -> Option<&Place> {
+        self.places.get(&request_id)
     }
 
-    /// Adds a place.
-    pub fn insert(&mut self, asker: Asker, place: Place) {
-        self.places.insert(asker, place);
-        self.expiries.insert((place.expiry(), asker));
+    /// Adds a granted place.
+    pub fn insert(&mut self, request_id: PlaceRequestId, place: Place) {
+        self.places.insert(request_id, place);
+        self.expiries.insert((place.expiry(), request_id));
     }
 
     /// Removes a place.
-    pub fn remove(&mut self, asker: Asker) -> Option<Place> {
-        let place = self.places.remove(&asker)?;
-        self.expiries.remove(&(place.expiry(), asker));
+    pub fn remove(&mut self, request_id: PlaceRequestId) -> Option<Place> {
+        let place = self.places.remove(&request_id)?;
+        self.expiries.remove(&(place.expiry(), request_id));
 
         Some(place)
     }
 
-    /// Returns the askers of a host, in order.
-    pub fn of_host(&self, host: HostId) -> Vec<Asker> {
-        let mut askers: Vec<Asker> =
-            self.places.keys().copied().filter(|asker| asker.host == host).collect();
-        askers.sort_unstable();
+    /// Returns the granted requests of a host, sorted.
+    pub fn requests_of_host(&self, host: HostId) -> Vec<PlaceRequestId> {
+        let mut request_ids: Vec<PlaceRequestId> =
+            self.places.keys().copied().filter(|request_id| request_id.host == host).collect();
+        request_ids.sort_unstable();
 
-        askers
+        request_ids
     }
 
-    /// Returns a place that is to be taken back by now.
-    pub fn expired(&self, now: Instant) -> Option<Asker> {
-        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, asker)| *asker)
+    /// Returns a request whose place has expired.
+    pub fn expired(&self, now: Instant) -> Option<PlaceRequestId> {
+        self.expiries.first().filter(|(at, _)| *at <= now).map(|(_, request_id)| *request_id)
     }
 
-    /// Returns when the next place is to be taken back.
+    /// Returns when the next place expires.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.expiries.first().map(|(at, _)| *at)
     }
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -1,4 +1,4 @@
-//! A platform, homes and requests for the stories.
+//! A simulated platform, home hosts and requests for the scenario tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, TenantId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::{
     ObjectName, PlatformOp, PlatformReply, Row, RowKey, RowVersion, Transaction,
@@ -18,23 +18,23 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::{
-    ProgramEvent, ProgramNext, ProgramOp, ProgramOptions, Programs,
+    ProgramAction, ProgramEvent, ProgramOp, ProgramOptions, Programs,
 };
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
+use camphorwalk_policy::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRequest, Verdict};
 
-/// The partition that all programs of the stories are in.
+/// The partition of all programs in these tests.
 pub const PARTITION: PartitionId = PartitionId(0);
 
-/// The program of most stories.
+/// The program that most tests use.
 pub const PROGRAM: ProgramId = ProgramId(7);
 
-/// The budget of the usual tenant.
+/// The token budget of tenant `inkwick`.
 pub const BUDGET: u64 = 4_000;
 
-/// The budget of the other tenant.
+/// The token budget of tenant `inzira`.
 pub const SMALL_BUDGET: u64 = 400;
 
-/// Returns the configuration of the stories.
+/// Returns the configuration that all tests use.
 pub fn config() -> Arc<Config> {
     let tenant = |name: &str, budget: u64| {
         serde_json::json!({
@@ -57,37 +57,37 @@
         "tenants": [tenant("inkwick", BUDGET), tenant("inzira", SMALL_BUDGET)],
     });
 
-    Arc::new(serde_json::from_value(cfg).expect("the configuration is well formed"))
+    Arc::new(serde_json::from_value(cfg).expect("the test configuration must be valid"))
 }
 
-/// Returns a tenant of the configuration.
+/// Returns the id of a tenant.
 pub fn tenant(name: &str) -> TenantId {
     TenantId::from_name(name)
 }
 
-/// What the platform does with a transaction.
+/// How the simulated platform treats operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Answers.
-    Up,
-    /// Refuses; nothing is done.
-    Away,
-    /// Takes effect, and the answer is lost.
-    AnswersLost,
-    /// Does nothing, and the caller cannot know.
-    RequestsLost,
-    /// Neither acts nor answers until it is released.
+    /// Operations succeed.
+    Normal,
+    /// Operations are rejected without effect.
+    Unavailable,
+    /// Transactions take effect, but their answers are lost.
+    DropAnswers,
+    /// Transactions are lost, and the caller cannot tell.
+    DropRequests,
+    /// Operations neither take effect nor return until [`HomeHost::release`].
     Hang,
 }
 
-/// Tables with versions.
+/// An in-memory platform with versioned rows.
 #[derive(Debug)]
 pub struct Platform {
     pub rows: BTreeMap<RowKey, (u64, Box<str>)>,
     pub objects: BTreeMap<ObjectName, Box<[u8]>>,
     pub version: u64,
     pub mode: Mode,
-    /// Objects are not stored before they are released.
+    /// Whether writes of objects hang until [`HomeHost::release`].
     pub hold_objects: bool,
 }
 
@@ -97,12 +97,12 @@
             rows: BTreeMap::new(),
             objects: BTreeMap::new(),
             version: 0,
-            mode: Mode::Up,
+            mode: Mode::Normal,
             hold_objects: false,
         }
     }
 
-    /// Gives the lease of a partition to the next holder.
+    /// Moves a partition's lease to the next holder.
     pub fn take_lease(&mut self, partition: PartitionId) -> (Epoch, RowVersion) {
         self.version += 1;
         let key = RowKey::new("lease", format!("partition/{:04x}", partition.0));
@@ -111,20 +111,20 @@
         (Epoch(self.version), RowVersion(self.version))
     }
 
-    /// Runs an operation as the mode says; `None` if it hangs.
+    /// Runs an operation according to the mode; returns `None` if it hangs.
     pub fn run(&mut self, op: &PlatformOp) -> Option<PlatformReply> {
         match (self.mode, op) {
             (Mode::Hang, _) => None,
             (_, PlatformOp::PutObject(_)) if self.hold_objects => None,
-            (Mode::Away, _) => Some(PlatformReply::Unavailable),
-            (Mode::AnswersLost, PlatformOp::Commit(tx)) => {
+            (Mode::Unavailable, _) => Some(PlatformReply::Unavailable),
+            (Mode::DropAnswers, PlatformOp::Commit(tx)) => {
                 self.commit(tx);
                 Some(PlatformReply::Unknown)
             }
-            (Mode::RequestsLost, PlatformOp::Commit(_)) => Some(PlatformReply::Unknown),
+            (Mode::DropRequests, PlatformOp::Commit(_)) => Some(PlatformReply::Unknown),
             (_, PlatformOp::Commit(tx)) => Some(self.commit(tx)),
             (_, PlatformOp::Snapshot { .. } | PlatformOp::Changes { .. }) => {
-                unreachable!("a home never asks for changes")
+                unreachable!("programs never issue these operations")
             }
             (_, PlatformOp::Scan { table, prefix, after, limit }) => {
                 Some(self.scan(table, prefix, after, *limit))
@@ -182,32 +182,33 @@
     }
 }
 
-/// A host, with a tenant's rate and places for all unless told otherwise.
+/// A host under test. Rate checks and requests for places succeed unless a test holds them
+/// back.
 #[derive(Debug)]
-pub struct Home {
+pub struct HomeHost {
     pub programs: Programs,
     pub now: Instant,
-    pub answers: Vec<(Ticket, Reply)>,
-    pub sent: Vec<Dispatch>,
+    pub answers: Vec<(RequestOrigin, Reply)>,
+    pub dispatches: Vec<Dispatch>,
     pub cancelled: usize,
-    pub over: Vec<ProgramId>,
+    pub ended: Vec<ProgramId>,
     pub quarantined: Vec<[u8; 32]>,
     pub fenced: usize,
     pub placed: Vec<PlaceRequest>,
-    pub vacated: Vec<CallId>,
+    pub released: Vec<CallId>,
     pub hanging: Vec<(ProgramOp, PlatformOp)>,
-    /// What the platform was asked.
+    /// All operations sent to the platform.
     pub requests: Vec<PlatformOp>,
-    /// Questions for a rate or a place stay unanswered while this is set.
+    /// While set, rate checks and requests for places are not answered.
     pub hold_places: bool,
-    /// The lease of the partition.
+    /// The epoch and row version of the partition's lease.
     pub lease: (Epoch, RowVersion),
     host: HostId,
     tickets: u64,
 }
 
-impl Home {
-    /// Makes a host of the partition, with its journal read.
+impl HomeHost {
+    /// Creates a host that holds the partition and has read its journal.
     pub fn new(platform: &mut Platform, session: u64) -> Self {
         let host = HostId(session);
         let options = ProgramOptions {
@@ -220,13 +221,13 @@
             programs: Programs::new(options),
             now: Instant::from_millis(1_000),
             answers: Vec::new(),
-            sent: Vec::new(),
+            dispatches: Vec::new(),
             cancelled: 0,
-            over: Vec::new(),
+            ended: Vec::new(),
             quarantined: Vec::new(),
             fenced: 0,
             placed: Vec::new(),
-            vacated: Vec::new(),
+            released: Vec::new(),
             hanging: Vec::new(),
             requests: Vec::new(),
             hold_places: false,
@@ -235,56 +236,56 @@
             tickets: 0,
         };
 
-        home.event(platform, ProgramEvent::Config(config()));
+        home.process(platform, ProgramEvent::Config(config()));
         home.acquire(platform);
         home
     }
 
-    /// Makes a host of the partition on which the program is open.
+    /// Creates a host that holds the partition, with `PROGRAM` open.
     pub fn with_program(platform: &mut Platform, session: u64) -> Self {
         let mut home = Self::new(platform, session);
-        home.ask(platform, open(PROGRAM));
+        home.send(platform, open(PROGRAM));
 
         home
     }
 
-    /// Takes the partition over.
+    /// Takes over the partition's lease.
     pub fn acquire(&mut self, platform: &mut Platform) {
         self.lease = platform.take_lease(PARTITION);
-        self.regain(platform);
+        self.reacquire(platform);
     }
 
-    /// Is told that it holds the partition.
-    pub fn regain(&mut self, platform: &mut Platform) {
+    /// Reports the lease as acquired again, with the same epoch and version.
+    pub fn reacquire(&mut self, platform: &mut Platform) {
         let (epoch, lease) = self.lease;
-        self.event(platform, ProgramEvent::Acquired { partition: PARTITION, epoch, lease });
+        self.process(platform, ProgramEvent::Acquired { partition: PARTITION, epoch, lease });
     }
 
-    /// Takes in an event and all that follows at once.
-    pub fn event(&mut self, platform: &mut Platform, event: ProgramEvent) {
+    /// Processes an event and all events that follow from it immediately.
+    pub fn process(&mut self, platform: &mut Platform, event: ProgramEvent) {
         let mut events = vec![event];
 
         while let Some(event) = events.pop() {
             let mut out = Vec::new();
             self.programs.step(self.now, event, &mut out);
             let new: Vec<_> =
-                out.into_iter().filter_map(|next| self.next(platform, next)).collect();
+                out.into_iter().filter_map(|action| self.execute(platform, action)).collect();
             events.extend(new.into_iter().rev());
         }
     }
 
-    fn next(&mut self, platform: &mut Platform, next: ProgramNext) -> Option<ProgramEvent> {
-        match next {
-            ProgramNext::Answer { ticket, reply } => self.answers.push((ticket, reply)),
-            ProgramNext::Admit { call, .. } if !self.hold_places => {
+    fn execute(&mut self, platform: &mut Platform, action: ProgramAction) -> Option<ProgramEvent> {
+        match action {
+            ProgramAction::Answer { ticket, reply } => self.answers.push((ticket, reply)),
+            ProgramAction::Admit { call, .. } if !self.hold_places => {
                 return Some(ProgramEvent::Verdict { call, verdict: Verdict::Admitted });
             }
-            ProgramNext::Place { call, request } => {
+            ProgramAction::Place { call, request } => {
                 self.placed.push(request);
                 let target = TargetId(self.placed.len() as u64);
                 return (!self.hold_places).then_some(ProgramEvent::Placed { call, target });
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 self.requests.push(request.clone());
 
                 match platform.run(&request) {
@@ -292,76 +293,78 @@
                     None => self.hanging.push((op, request)),
                 }
             }
-            ProgramNext::Dispatch(dispatch) => self.sent.push(dispatch),
-            ProgramNext::Cancel { .. } => self.cancelled += 1,
-            ProgramNext::Over { program } => self.over.push(program),
-            ProgramNext::Quarantine { digest } => self.quarantined.push(digest),
-            ProgramNext::Fenced { .. } => self.fenced += 1,
-            ProgramNext::Vacate { call, .. } => self.vacated.push(call),
-            ProgramNext::Admit { .. } => {}
+            ProgramAction::Dispatch(dispatch) => self.dispatches.push(dispatch),
+            ProgramAction::Cancel { .. } => self.cancelled += 1,
+            ProgramAction::ProgramEnded { program } => self.ended.push(program),
+            ProgramAction::Quarantine { digest } => self.quarantined.push(digest),
+            ProgramAction::Fenced { .. } => self.fenced += 1,
+            ProgramAction::ReleasePlace { call, .. } => self.released.push(call),
+            ProgramAction::Admit { .. } => {}
         }
 
         None
     }
 
-    /// Lets the platform answer what hangs there.
+    /// Runs the platform operations that hang and delivers their replies.
     pub fn release(&mut self, platform: &mut Platform) {
         for (op, request) in std::mem::take(&mut self.hanging) {
-            let reply = platform.run(&request).expect("the platform answers");
-            self.event(platform, ProgramEvent::Platform { op, reply });
+            let reply = platform
+                .run(&request)
+                .expect("the platform must not hang when its operations are released");
+            self.process(platform, ProgramEvent::Platform { op, reply });
         }
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, platform: &mut Platform, millis: u64) {
+    /// Advances the time and fires all timers that become due.
+    pub fn advance(&mut self, platform: &mut Platform, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
 
         while let Some(at) = self.programs.wake_at().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.event(platform, ProgramEvent::Wake);
+            self.process(platform, ProgramEvent::Wake);
         }
 
         self.now = until;
     }
 
-    /// Sends a request of a tenant with a key and returns its ticket.
-    pub fn ask_as(
+    /// Sends a request with a tenant and API key, and returns its ticket.
+    pub fn send_as(
         &mut self,
         platform: &mut Platform,
         who: (&str, u64),
         request: Request,
-    ) -> Ticket {
+    ) -> RequestOrigin {
         self.tickets += 1;
-        let ticket = Ticket { entry: self.host, request: RequestId(self.tickets) };
+        let ticket = RequestOrigin { entry: self.host, request: RequestId(self.tickets) };
         let (tenant, key) = (tenant(who.0), KeyId(who.1));
-        self.event(platform, ProgramEvent::Request { ticket, tenant, key, request });
-        self.pass(platform, 10);
+        self.process(platform, ProgramEvent::Request { ticket, tenant, key, request });
+        self.advance(platform, 10);
 
         ticket
     }
 
-    /// Sends a request of the usual tenant and returns its ticket.
-    pub fn ask(&mut self, platform: &mut Platform, request: Request) -> Ticket {
-        self.ask_as(platform, ("inkwick", 1), request)
+    /// Sends a request of tenant `inkwick` and returns its ticket.
+    pub fn send(&mut self, platform: &mut Platform, request: Request) -> RequestOrigin {
+        self.send_as(platform, ("inkwick", 1), request)
     }
 
-    /// Ends the attempt that was sent last.
-    pub fn finish(&mut self, platform: &mut Platform, end: AttemptEnd) {
-        let attempt = self.sent.last().expect("an attempt was sent").attempt;
-        self.event(platform, ProgramEvent::Ended { attempt, end });
-        self.pass(platform, 10);
+    /// Ends the most recent attempt.
+    pub fn end_attempt(&mut self, platform: &mut Platform, outcome: AttemptOutcome) {
+        let attempt = self.dispatches.last().expect("an attempt was sent").attempt;
+        self.process(platform, ProgramEvent::Ended { attempt, outcome });
+        self.advance(platform, 10);
     }
 
-    /// Makes a call that the target answers with `output`.
-    pub fn run(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
-        let ticket = self.ask(platform, request);
-        self.finish(platform, done(output));
+    /// Runs a call to its outcome; the target answers with `output`.
+    pub fn run_call(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
+        let ticket = self.send(platform, request);
+        self.end_attempt(platform, done(output));
 
         self.called(ticket)
     }
 
-    /// Returns the answer to a request.
-    pub fn reply(&self, ticket: Ticket) -> &Reply {
+    /// Returns the reply to a request, and checks that there is exactly one.
+    pub fn reply(&self, ticket: RequestOrigin) -> &Reply {
         let mut replies = self.answers.iter().filter(|(to, _)| *to == ticket);
         let (_, reply) = replies.next().expect("the request was answered");
         assert!(replies.next().is_none(), "the request was answered twice");
@@ -369,34 +372,34 @@
         reply
     }
 
-    /// Returns the refusal of a request.
-    pub fn refusal(&self, ticket: Ticket) -> Refusal {
+    /// Returns the refusal of a request; panics on any other reply.
+    pub fn refusal(&self, ticket: RequestOrigin) -> Refusal {
         match self.reply(ticket) {
             Reply::Refused(refusal) => refusal.clone(),
-            reply => panic!("the request was answered {reply:?}"),
+            reply => panic!("expected a refusal, got {reply:?}"),
         }
     }
 
-    /// Returns the answer to a call that ran.
-    pub fn called(&self, ticket: Ticket) -> Called {
+    /// Returns the result of a call; panics on any other reply.
+    pub fn called(&self, ticket: RequestOrigin) -> Called {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
-            reply => panic!("the call was answered {reply:?}"),
+            reply => panic!("expected the result of a call, got {reply:?}"),
         }
     }
 
-    /// Returns the history of the program.
+    /// Returns the finished calls of `PROGRAM`.
     pub fn history(&mut self, platform: &mut Platform) -> Vec<HistoryCall> {
-        let ticket = self.ask(platform, Request::History { program: PROGRAM, from: 1 });
+        let ticket = self.send(platform, Request::History { program: PROGRAM, from: 1 });
 
         match self.reply(ticket) {
             Reply::History { calls } => calls.clone(),
-            reply => panic!("the history was answered {reply:?}"),
+            reply => panic!("expected a history, got {reply:?}"),
         }
     }
 }
 
-/// Returns the opening of a program.
+/// Returns a request that opens a program.
 pub fn open(program: ProgramId) -> Request {
     Request::Open(OpenRequest {
         program,
@@ -407,17 +410,17 @@
     })
 }
 
-/// Returns a call of the program.
+/// Returns a request for a call of `PROGRAM`.
 pub fn call(target: &str, key: &str, after: u32) -> Request {
     Request::Call(call_request(target, key, after))
 }
 
-/// Returns a call of the program with a tail.
+/// Like [`call`], with a tail.
 pub fn call_with_tail(target: &str, key: &str, after: u32, tail: Option<Box<str>>) -> Request {
     Request::Call(CallRequest { tail, ..call_request(target, key, after) })
 }
 
-/// Returns a call of the program.
+/// Returns the body of [`call`].
 pub fn call_request(target: &str, key: &str, after: u32) -> CallRequest {
     CallRequest {
         program: PROGRAM,
@@ -432,21 +435,21 @@
     }
 }
 
-/// Returns the end of an attempt that was answered in full.
-pub fn done(output: &str) -> AttemptEnd {
+/// Returns the end of an attempt that was answered completely.
+pub fn done(output: &str) -> AttemptOutcome {
     let usage = Usage { prompt_tokens: Tokens(10), output_tokens: Tokens(20), ..Usage::default() };
 
-    AttemptEnd::Done { output: output.into(), usage }
+    AttemptOutcome::Done { output: output.into(), usage }
 }
 
-/// Returns the opening of a sub-agent.
+/// Returns a request that opens a sub-agent.
 pub fn open_child(child: ProgramId, parent: ProgramId) -> Request {
-    let Request::Open(request) = open(child) else { unreachable!("it is an opening") };
+    let Request::Open(request) = open(child) else { unreachable!("open() returns an opening") };
 
     Request::Open(OpenRequest { parent: Some(parent), ..request })
 }
 
-/// Returns the end of an attempt whose connection broke.
-pub fn lost(crashed: bool) -> AttemptEnd {
-    AttemptEnd::Lost { streamed: false, crashed }
+/// Returns the end of an attempt whose connection broke, with or without a crash of its target.
+pub fn connection_lost(crashed: bool) -> AttemptOutcome {
+    AttemptOutcome::Lost { streamed: false, crashed }
 }
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -3,138 +3,140 @@
 use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
-use crate::fixture::{Home, PROGRAM, Platform, call, call_request, done, lost, open};
+use crate::fixture::{
+    HomeHost, PROGRAM, Platform, call, call_request, connection_lost, done, open,
+};
 
-/// The caller gets its answer from another target; the failed one is avoided.
+/// A lost turn is retried on another target, and the target that failed is avoided.
 #[test]
 fn a_turn_is_retried_elsewhere() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, lost(false));
-    home.finish(platform, done("\"text\""));
+    let ticket = home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, connection_lost(false));
+    home.end_attempt(platform, done("\"text\""));
 
     assert_eq!(home.called(ticket).call, 1);
-    assert_eq!(home.placed[1].avoid, Some(home.sent[0].target));
-    assert_eq!((home.placed.len(), home.vacated.len()), (2, 2));
+    assert_eq!(home.placed[1].avoid, Some(home.dispatches[0].target));
+    assert_eq!((home.placed.len(), home.released.len()), (2, 2));
 }
 
-/// The caller is told that its stream broke. A second attempt's text would be spliced onto
-/// the part that it has already.
+/// After a part of the answer was streamed there is no retry: the caller would get the text of
+/// a second attempt appended to that part.
 #[test]
 fn a_turn_is_not_retried_once_a_part_was_streamed() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
-    let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    let ticket = home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     let refusal = home.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
-    assert_eq!(home.sent.len(), 1);
+    assert_eq!(home.dispatches.len(), 1);
 }
 
-/// Callers are told of failures at once when all targets fail: retries are a tenth of first
-/// tries, after a burst of ten, so that they do not multiply the load.
+/// When all targets fail, retries are limited to one per ten first attempts, after a burst of
+/// ten. Otherwise they would multiply the load on failing targets.
 #[test]
 fn retries_have_a_budget() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     for number in 0..30 {
-        home.ask(platform, call("look", &format!("k{number}"), 0));
-        let mut tries = home.sent.len();
+        home.send(platform, call("look", &format!("k{number}"), 0));
+        let mut tries = home.dispatches.len();
 
         loop {
-            home.finish(platform, AttemptEnd::Failed { message: "no".into() });
+            home.end_attempt(platform, AttemptOutcome::Failed { message: "no".into() });
 
-            if home.sent.len() == tries {
+            if home.dispatches.len() == tries {
                 break;
             }
 
-            tries = home.sent.len();
+            tries = home.dispatches.len();
         }
     }
 
-    assert_eq!(home.sent.len(), 30 + 12);
+    assert_eq!(home.dispatches.len(), 30 + 12);
 }
 
-/// The caller is never told "not run" after an attempt that may have run. The second try
-/// finds no place.
+/// An attempt is lost and its retry finds no target. The call may have run, so "not run" must
+/// not be reported.
 #[test]
-fn not_run_is_not_said_after_a_lost_attempt() {
+fn not_run_is_not_reported_after_a_lost_attempt() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, lost(false));
+    let mut home = HomeHost::with_program(platform, 1);
+    let ticket = home.send(platform, call("model", "k1", 0));
+    home.end_attempt(platform, connection_lost(false));
 
-    home.finish(platform, AttemptEnd::Refused { message: "full".into() });
-    while home.sent.len() > home.vacated.len() {
-        home.finish(platform, AttemptEnd::NotSent);
+    home.end_attempt(platform, AttemptOutcome::Refused { message: "full".into() });
+    while home.dispatches.len() > home.released.len() {
+        home.end_attempt(platform, AttemptOutcome::NotSent);
     }
 
     let refusal = home.refusal(ticket);
     assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Ran::Maybe));
 }
 
-/// The caller of a request that crashes targets gets a final answer after the second crash,
-/// and at once when it sends it again, with another key and from another program.
+/// After its second crash a request is quarantined and refused. It is recognized at once when
+/// it is sent again, also with another key and from another program.
 #[test]
 fn a_request_that_crashes_two_targets_is_quarantined() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
-    home.ask(platform, open(ProgramId(8)));
+    let mut home = HomeHost::with_program(platform, 1);
+    home.send(platform, open(ProgramId(8)));
     let again = |program, key: &str| {
         let first = call_request("model", "k1", 0);
         Request::Call(CallRequest { program, key: key.into(), ..first })
     };
 
-    let first = home.ask(platform, again(PROGRAM, "k1"));
-    home.finish(platform, lost(true));
-    home.finish(platform, lost(true));
-    let second = home.ask(platform, again(ProgramId(8), "k2"));
+    let first = home.send(platform, again(PROGRAM, "k1"));
+    home.end_attempt(platform, connection_lost(true));
+    home.end_attempt(platform, connection_lost(true));
+    let second = home.send(platform, again(ProgramId(8), "k2"));
 
     assert!(!home.placed[0].suspect && home.placed[1].suspect);
     let refusals = [home.refusal(first), home.refusal(second)];
     assert_eq!(refusals.clone().map(|r| r.code), [Code::Quarantined, Code::Quarantined]);
     assert_eq!(refusals.map(|r| r.ran), [Ran::Maybe, Ran::No]);
-    assert_eq!((home.sent.len(), home.quarantined.len()), (2, 1));
+    assert_eq!((home.dispatches.len(), home.quarantined.len()), (2, 1));
 }
 
-/// The caller of an innocent request that was in flight beside the crashing one gets its
-/// answer: its second try, made alone, clears it.
+/// A request that was running when another one crashed a target must not be quarantined. Its
+/// second attempt, made alone, clears it.
 #[test]
 fn an_innocent_suspect_is_cleared() {
     let platform = &mut Platform::new();
-    let mut home = Home::with_program(platform, 1);
+    let mut home = HomeHost::with_program(platform, 1);
 
     for number in 0..3 {
-        let ticket = home.ask(platform, call("look", &format!("k{number}"), number));
-        home.finish(platform, lost(true));
-        home.finish(platform, done("\"seen\""));
+        let ticket = home.send(platform, call("look", &format!("k{number}"), number));
+        home.end_attempt(platform, connection_lost(true));
+        home.end_attempt(platform, done("\"seen\""));
         assert_eq!(home.called(ticket).call, number + 1);
     }
 
     assert!(home.quarantined.is_empty());
 }
 
-/// Another host saw the crashes; its finding holds here, too.
+/// A quarantine announced by another host applies on this host too.
 #[test]
-fn a_quarantine_found_elsewhere_holds_here() {
+fn a_quarantine_of_another_host_applies_here() {
     let platform = &mut Platform::new();
-    let mut other = Home::with_program(platform, 1);
-    other.ask(platform, call("model", "k1", 0));
-    other.finish(platform, lost(true));
-    other.finish(platform, lost(true));
+    let mut other = HomeHost::with_program(platform, 1);
+    other.send(platform, call("model", "k1", 0));
+    other.end_attempt(platform, connection_lost(true));
+    other.end_attempt(platform, connection_lost(true));
     let digest = other.quarantined[0];
-    let mut home = Home::new(platform, 2);
+    let mut home = HomeHost::new(platform, 2);
 
-    home.event(platform, ProgramEvent::Quarantined(digest));
-    let ticket = home.ask(platform, call("model", "k1", 0));
+    home.process(platform, ProgramEvent::Quarantined(digest));
+    let ticket = home.send(platform, call("model", "k1", 0));
 
     assert_eq!(home.refusal(ticket).code, Code::Quarantined);
-    assert!(home.sent.is_empty());
+    assert!(home.dispatches.is_empty());
 }
