--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -279,7 +279,7 @@
             outcome,
             computed_prompt,
             output: Tokens(50),
-            program_ended: program_ended,
+            program_ended,
         };
 
         self.requests.get_mut(&request_id).unwrap().answer = Answer::Ended;
