--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -275,12 +275,7 @@
 
     fn release(&mut self, request_id: PlaceRequestId, outcome: PlaceOutcome, program_ended: bool) {
         let computed_prompt = self.requests[&request_id].request.prompt;
-        let end = PlaceRelease {
-            outcome,
-            computed_prompt,
-            output: Tokens(50),
-            program_ended,
-        };
+        let end = PlaceRelease { outcome, computed_prompt, output: Tokens(50), program_ended };
 
         self.requests.get_mut(&request_id).unwrap().answer = Answer::Ended;
         self.step(QueueEvent::Release { request_id, end });
