--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -1,4 +1,5 @@
-//! Hosts, platform and targets as the fuzz runs them, with what the oracle needs to know.
+//! The simulated hosts, platform and targets of the randomized test, and the records that the
+//! oracle checks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -6,75 +7,75 @@
 use camphorwalk_core::calls::{CallRequest, HistoryCall, OpenRequest, Reply, Request};
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId,
 };
 use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowVersion, Transaction};
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::programs::{ProgramEvent, ProgramNext, ProgramOptions, Programs};
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, Verdict, Work};
+use camphorwalk_policy::programs::{ProgramAction, ProgramEvent, ProgramOptions, Programs};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, CallId, Dispatch, Verdict};
 
 use crate::fixture::{Mode, Platform, config, tenant};
-use crate::oracle::{self, Sent};
-use crate::targets::{Fate, done, key_of, prompt_tokens, tag};
+use crate::oracle::{self, SentRequest};
+use crate::targets::{SimulatedOutcome, done, key_of, prompt_tokens, tag};
 
-/// The hosts.
+/// The number of hosts.
 pub const HOSTS: usize = 3;
 
-/// The programs: two families in two partitions, the first with a sub-agent.
+/// Two families in two partitions; the first one has a sub-agent.
 pub const PROGRAMS: [ProgramId; 3] = [ProgramId(7), ProgramId(8), ProgramId((1 << 112) | 9)];
 
-/// The targets in turn; a key always goes to the same one.
+/// Targets by key number; a key always uses the same target.
 const TARGETS: [&str; 3] = ["deposit", "model", "deposit"];
 
 /// The deadline of each program.
 const DEADLINE: Duration = Duration::from_secs(600);
 
-/// Journal bytes after which a checkpoint is made: few, so that many are.
+/// Journal bytes after which a checkpoint is made: low, so that every case makes many.
 const CHECKPOINT_BYTES: usize = 250;
 
-/// How the platform treats transactions besides its modes.
+/// How the platform treats transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weather {
+pub enum PlatformMode {
     Mode(Mode),
-    /// The answer is lost and the transaction lands later.
+    /// The answer is lost, and the transaction takes effect later.
     Late,
 }
 
-/// A host; it handles its mailbox when it is run.
+/// A host, which processes the events in its mailbox when it is scheduled.
 #[derive(Debug)]
 struct Host {
     programs: Programs,
     session: u64,
     mailbox: VecDeque<ProgramEvent>,
     paused: bool,
-    /// Questions for places that are not vacated.
+    /// Places, and requests for places, that have not been released.
     places: BTreeSet<CallId>,
 }
 
-/// All of it.
+/// The complete state of a test case.
 #[derive(Debug)]
 pub struct World {
     hosts: Vec<Host>,
     pub platform: Platform,
-    weather: Weather,
-    late: Vec<Transaction>,
+    platform_mode: PlatformMode,
+    late_commits: Vec<Transaction>,
     now: Instant,
     sessions: u64,
-    /// Attempts whose bytes are on their way, with the host and session that sent them.
-    air: Vec<(usize, u64, Dispatch)>,
-    /// Whether the next question for a rate or place is refused.
-    deny: bool,
-    pub sent: BTreeMap<u64, Sent>,
-    /// Calls that ran at the plain service, and at the engine.
+    /// Attempts on their way to a target, with the host and session that sent them.
+    in_transit: Vec<(usize, u64, Dispatch)>,
+    /// Whether the next rate check or request for a place is refused.
+    deny_next: bool,
+    pub requests: BTreeMap<u64, SentRequest>,
+    /// Calls that ran at the service (`ledger`) and at the engine (`turns`).
     pub ledger: Vec<(ProgramId, Box<str>)>,
     pub turns: Vec<(ProgramId, Box<str>)>,
-    /// Tokens that the engine took and gave, for each family.
+    /// Tokens that the engine processed and generated, for each family.
     pub tokens: BTreeMap<PartitionId, u64>,
-    /// The host that took each partition last, its session and the lease.
+    /// The most recent lease holder of each partition, with its session and lease.
     holders: [(usize, u64, Epoch, RowVersion); 2],
-    /// Whether the holder of each partition has been told so.
-    told: [bool; 2],
-    /// The last call and tail that a program's caller has seen.
+    /// Whether each partition's holder has processed its acquisition.
+    notified: [bool; 2],
+    /// The last call number and tail that the caller of each program has seen.
     seen: BTreeMap<ProgramId, (u32, Option<Box<str>>)>,
 }
 
@@ -83,18 +84,18 @@
         let mut world = Self {
             hosts: Vec::new(),
             platform: Platform::new(),
-            weather: Weather::Mode(Mode::Up),
-            late: Vec::new(),
+            platform_mode: PlatformMode::Mode(Mode::Normal),
+            late_commits: Vec::new(),
             now: Instant::from_millis(1_000),
             sessions: 0,
-            air: Vec::new(),
-            deny: false,
-            sent: BTreeMap::new(),
+            in_transit: Vec::new(),
+            deny_next: false,
+            requests: BTreeMap::new(),
             ledger: Vec::new(),
             turns: Vec::new(),
             tokens: BTreeMap::new(),
             holders: [(0, 0, Epoch(0), RowVersion(0)); 2],
-            told: [false; 2],
+            notified: [false; 2],
             seen: BTreeMap::new(),
         };
 
@@ -121,8 +122,8 @@
         Host { programs, session: self.sessions, mailbox, paused: false, places: BTreeSet::new() }
     }
 
-    /// A process dies and another takes its place. What it sent is on its way still.
-    pub fn die(&mut self, host: usize) {
+    /// Replaces a crashed process by a new one. Attempts that it sent remain on their way.
+    pub fn crash(&mut self, host: usize) {
         self.hosts[host] = self.start_host();
     }
 
@@ -130,38 +131,39 @@
         self.hosts[host].paused = paused;
     }
 
-    /// Returns the host that took a program's partition last.
+    /// Returns the most recent lease holder of a program's partition.
     pub fn holder(&self, program: usize) -> usize {
         self.holders[usize::from(PROGRAMS[program].partition(2).0)].0
     }
 
-    pub fn set_weather(&mut self, weather: Weather) {
-        self.weather = weather;
+    pub fn set_platform_mode(&mut self, platform_mode: PlatformMode) {
+        self.platform_mode = platform_mode;
     }
 
-    pub fn deny(&mut self) {
-        self.deny = true;
+    pub fn deny_next(&mut self) {
+        self.deny_next = true;
     }
 
-    /// A transaction whose answer was lost takes effect now, if it still can.
-    pub fn land(&mut self) {
-        if !self.late.is_empty() {
-            let transaction = self.late.remove(0);
+    /// Applies the oldest transaction whose answer was lost, if it does not conflict by now.
+    pub fn apply_late_commit(&mut self) {
+        if !self.late_commits.is_empty() {
+            let transaction = self.late_commits.remove(0);
             self.platform.commit(&transaction);
         }
     }
 
-    /// A host takes a partition's lease; its former holder is told nothing.
+    /// Moves a partition's lease to a host, without notice to the previous holder.
     pub fn take_over(&mut self, host: usize, partition: u16) {
         let (epoch, lease) = self.platform.take_lease(PartitionId(partition));
         let session = self.hosts[host].session;
         self.holders[usize::from(partition)] = (host, session, epoch, lease);
-        self.told[usize::from(partition)] = false;
+        self.notified[usize::from(partition)] = false;
         self.acquired(partition);
     }
 
-    /// The holder of a lease finds that it holds it still, after its clock said otherwise.
-    pub fn regain(&mut self, partition: u16) {
+    /// Lets a lease expire by its holder's clock, after which the holder finds that it still
+    /// has it.
+    pub fn reacquire(&mut self, partition: u16) {
         let (host, session, ..) = self.holders[usize::from(partition)];
 
         if self.hosts[host].session == session {
@@ -170,10 +172,10 @@
         }
     }
 
-    /// The holder of a partition is about to give it back.
-    pub fn settle_grants(&mut self, partition: u16) {
+    /// Announces to the holder of a partition that it is about to release it.
+    pub fn release_grants(&mut self, partition: u16) {
         let (host, ..) = self.holders[usize::from(partition)];
-        let event = ProgramEvent::Settle { partition: PartitionId(partition) };
+        let event = ProgramEvent::ReleaseGrants { partition: PartitionId(partition) };
         self.hosts[host].mailbox.push_back(event);
     }
 
@@ -184,20 +186,20 @@
         self.hosts[host].mailbox.push_back(event);
     }
 
-    /// A host's own clock tells it that a lease is over.
+    /// Lets a lease expire by a host's own clock.
     pub fn expire(&mut self, host: usize, partition: u16) {
         let event = ProgramEvent::Lost { partition: PartitionId(partition) };
         self.hosts[host].mailbox.push_back(event);
     }
 
-    /// Sends a request to a host.
-    pub fn ask(&mut self, host: usize, program: ProgramId, request: Request) -> u64 {
-        let number = self.sent.len() as u64 + 1;
+    /// Sends a request to a host and returns its number.
+    pub fn send(&mut self, host: usize, program: ProgramId, request: Request) -> u64 {
+        let number = self.requests.len() as u64 + 1;
         let key = match &request {
             Request::Call(call) => Some(call.key.clone()),
             _ => None,
         };
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let event = ProgramEvent::Request {
             ticket,
             tenant: tenant("inzira"),
@@ -205,14 +207,14 @@
             request,
         };
         let session = self.hosts[host].session;
-        let sent = Sent { program, key, host, session, reply: None, gone: false };
-        self.sent.insert(number, sent);
+        let sent = SentRequest { program, key, host, session, reply: None, disconnected: false };
+        self.requests.insert(number, sent);
         self.hosts[host].mailbox.push_back(event);
 
         number
     }
 
-    /// Opens a program.
+    /// Sends a request that opens a program.
     pub fn open(&mut self, host: usize, program: usize) {
         let request = Request::Open(OpenRequest {
             program: PROGRAMS[program],
@@ -221,10 +223,11 @@
             parent: (program == 1).then_some(PROGRAMS[0]),
             repeatable: true,
         });
-        self.ask(host, PROGRAMS[program], request);
+        self.send(host, PROGRAMS[program], request);
     }
 
-    /// Makes a call after what the program's caller has seen, or after something older.
+    /// Sends a call that follows the last one its caller has seen, or an older one if `lag` is
+    /// not zero.
     pub fn call(&mut self, host: usize, program: usize, key: usize, lag: u32, with_tail: bool) {
         let program = PROGRAMS[program];
         let (after, tail) = self.seen.get(&program).cloned().unwrap_or_default();
@@ -241,21 +244,21 @@
             tail: tail.filter(|_| with_tail),
             body: digest(&[key.as_bytes()]),
         });
-        self.ask(host, program, request);
+        self.send(host, program, request);
     }
 
-    /// A caller hangs up.
-    pub fn hang_up(&mut self, index: usize) {
-        let open: Vec<_> = self.sent.iter().filter(|(_, sent)| sent.reply.is_none()).collect();
+    /// Disconnects the caller of a request that was not answered.
+    pub fn disconnect_caller(&mut self, index: usize) {
+        let open: Vec<_> = self.requests.iter().filter(|(_, sent)| sent.reply.is_none()).collect();
 
         if open.is_empty() {
             return;
         }
 
         let number = *open[index % open.len()].0;
-        let ticket = Ticket { entry: HostId(0), request: RequestId(number) };
-        let Some(sent) = self.sent.get_mut(&number) else { return };
-        sent.gone = true;
+        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
+        let Some(sent) = self.requests.get_mut(&number) else { return };
+        sent.disconnected = true;
         let host = &mut self.hosts[sent.host];
 
         if host.session == sent.session {
@@ -263,13 +266,13 @@
         }
     }
 
-    /// A key is withdrawn at a host.
-    pub fn withdraw(&mut self, host: usize, key: u64) {
+    /// Withdraws an API key at a host.
+    pub fn withdraw_key(&mut self, host: usize, key: u64) {
         self.hosts[host].mailbox.push_back(ProgramEvent::KeyWithdrawn(KeyId(key)));
     }
 
-    /// Time passes for all.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances the time of all hosts.
+    pub fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
 
         for host in 0..HOSTS {
@@ -279,7 +282,7 @@
         }
     }
 
-    /// A host handles up to `count` events.
+    /// Lets a host process up to `count` events.
     pub fn run(&mut self, host: usize, count: usize) {
         for _ in 0..count {
             if self.hosts[host].paused {
@@ -291,57 +294,61 @@
 
             if let ProgramEvent::Acquired { partition, epoch, .. } = &event {
                 let at = usize::from(partition.0);
-                self.told[at] |= self.holders[at].2 == *epoch;
+                self.notified[at] |= self.holders[at].2 == *epoch;
             }
 
-            // A question may be withdrawn while its refusal is on the way.
+            // The call may be abandoned while this refusal is on its way, so its place is
+            // removed here.
             if let ProgramEvent::Unplaced { call, .. } = &event {
                 self.hosts[host].places.remove(call);
             }
 
             self.hosts[host].programs.step(self.now, event, &mut out);
 
-            for next in out {
-                self.next(host, next);
+            for action in out {
+                self.execute(host, action);
             }
         }
     }
 
-    fn next(&mut self, host: usize, next: ProgramNext) {
-        match next {
-            ProgramNext::Answer { ticket, reply } => self.answered(ticket.request.0, reply),
-            ProgramNext::Admit { call, .. } => {
+    fn execute(&mut self, host: usize, action: ProgramAction) {
+        match action {
+            ProgramAction::Answer { ticket, reply } => self.record_answer(ticket.request.0, reply),
+            ProgramAction::Admit { call, .. } => {
                 let retry_after = Duration::from_secs(1);
-                let verdict = match std::mem::take(&mut self.deny) {
+                let verdict = match std::mem::take(&mut self.deny_next) {
                     true => Verdict::Refused { retry_after },
                     false => Verdict::Admitted,
                 };
                 self.hosts[host].mailbox.push_back(ProgramEvent::Verdict { call, verdict });
             }
-            ProgramNext::Place { call, .. } => self.place(host, call),
-            ProgramNext::Vacate { call, .. } => {
-                assert!(self.hosts[host].places.remove(&call), "a place was vacated twice");
+            ProgramAction::Place { call, .. } => self.place(host, call),
+            ProgramAction::ReleasePlace { call, .. } => {
+                assert!(
+                    self.hosts[host].places.remove(&call),
+                    "the place of a call was released twice"
+                );
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 let reply = self.platform_reply(&request);
                 self.hosts[host].mailbox.push_back(ProgramEvent::Platform { op, reply });
             }
-            ProgramNext::Dispatch(dispatch) => {
+            ProgramAction::Dispatch(dispatch) => {
                 let session = self.hosts[host].session;
-                self.air.push((host, session, dispatch));
+                self.in_transit.push((host, session, dispatch));
             }
-            ProgramNext::Cancel { .. }
-            | ProgramNext::Over { .. }
-            | ProgramNext::Quarantine { .. }
-            | ProgramNext::Fenced { .. } => {}
+            ProgramAction::Cancel { .. }
+            | ProgramAction::ProgramEnded { .. }
+            | ProgramAction::Quarantine { .. }
+            | ProgramAction::Fenced { .. } => {}
         }
     }
 
     fn place(&mut self, host: usize, call: CallId) {
-        let denied = std::mem::take(&mut self.deny);
+        let denied = std::mem::take(&mut self.deny_next);
         let host = &mut self.hosts[host];
 
-        assert!(host.places.insert(call), "a place was asked for twice");
+        assert!(host.places.insert(call), "a call requested a place twice");
 
         if denied {
             let retry_after = Duration::from_secs(1);
@@ -352,24 +359,24 @@
     }
 
     fn platform_reply(&mut self, request: &PlatformOp) -> PlatformReply {
-        match (self.weather, request) {
-            (Weather::Late, PlatformOp::Commit(transaction)) => {
-                self.late.push(transaction.clone());
+        match (self.platform_mode, request) {
+            (PlatformMode::Late, PlatformOp::Commit(transaction)) => {
+                self.late_commits.push(transaction.clone());
                 return PlatformReply::Unknown;
             }
-            (Weather::Late, _) => self.platform.mode = Mode::Up,
-            (Weather::Mode(mode), _) => self.platform.mode = mode,
+            (PlatformMode::Late, _) => self.platform.mode = Mode::Normal,
+            (PlatformMode::Mode(mode), _) => self.platform.mode = mode,
         }
 
         self.platform.run(request).unwrap_or(PlatformReply::Unknown)
     }
 
-    fn answered(&mut self, number: u64, reply: Reply) {
-        let sent = self.sent.get_mut(&number).expect("an answer belongs to a request");
+    fn record_answer(&mut self, number: u64, reply: Reply) {
+        let sent = self.requests.get_mut(&number).expect("every answer must belong to a request");
         assert!(sent.reply.is_none(), "a request was answered twice");
         let partition = usize::from(sent.program.partition(2).0);
         let (host, session, ..) = self.holders[partition];
-        let holder = self.told[partition] && (host, session) == (sent.host, sent.session);
+        let holder = self.notified[partition] && (host, session) == (sent.host, sent.session);
 
         if holder {
             oracle::check_answer(&self.ledger, sent, &reply);
@@ -392,107 +399,121 @@
         sent.reply = Some(reply);
     }
 
-    /// An attempt reaches its target, or does not, and its end is told to who sent it.
-    pub fn reach(&mut self, index: usize, fate: Fate) {
-        if self.air.is_empty() {
+    /// Lets an attempt end in the given way and reports the end to the host that sent it.
+    pub fn end_attempt(&mut self, index: usize, simulated: SimulatedOutcome) {
+        if self.in_transit.is_empty() {
             return;
         }
 
-        let (host, session, dispatch) = self.air.remove(index % self.air.len());
-        let end = match fate {
-            Fate::NotSent => AttemptEnd::NotSent,
-            Fate::Refused => AttemptEnd::Refused { message: "full".into() },
-            Fate::Failed => self.work(&dispatch, || AttemptEnd::Failed { message: "no".into() }),
-            Fate::Lost => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: false })
-            }
-            Fate::Crashed => {
-                self.work(&dispatch, || AttemptEnd::Lost { streamed: false, crashed: true })
-            }
-            Fate::Done => {
-                let prompt = prompt_tokens(&dispatch);
-                self.work(&dispatch, || done(&dispatch, prompt))
-            }
-        };
+        let (host, session, dispatch) = self.in_transit.remove(index % self.in_transit.len());
+        let outcome =
+            match simulated {
+                SimulatedOutcome::NotSent => AttemptOutcome::NotSent,
+                SimulatedOutcome::Refused => AttemptOutcome::Refused { message: "full".into() },
+                SimulatedOutcome::Failed => self
+                    .run_at_target(&dispatch, || AttemptOutcome::Failed { message: "no".into() }),
+                SimulatedOutcome::Lost => self.run_at_target(&dispatch, || AttemptOutcome::Lost {
+                    streamed: false,
+                    crashed: false,
+                }),
+                SimulatedOutcome::Crashed => self.run_at_target(&dispatch, || {
+                    AttemptOutcome::Lost { streamed: false, crashed: true }
+                }),
+                SimulatedOutcome::Done => {
+                    let prompt = prompt_tokens(&dispatch);
+                    self.run_at_target(&dispatch, || done(&dispatch, prompt))
+                }
+            };
 
         if self.hosts[host].session == session {
-            let event = ProgramEvent::Ended { attempt: dispatch.attempt, end };
+            let event = ProgramEvent::Ended { attempt: dispatch.attempt, outcome };
             self.hosts[host].mailbox.push_back(event);
         }
     }
 
-    /// The target runs an attempt.
-    fn work(&mut self, dispatch: &Dispatch, end: impl FnOnce() -> AttemptEnd) -> AttemptEnd {
+    /// Runs an attempt at its target.
+    fn run_at_target(
+        &mut self,
+        dispatch: &Dispatch,
+        outcome: impl FnOnce() -> AttemptOutcome,
+    ) -> AttemptOutcome {
         let program = dispatch.program;
 
-        match &dispatch.work {
-            Work::Operation { key, .. } => self.ledger.push((program, key.clone())),
-            Work::Generate { prompt, max_tokens } => {
+        match &dispatch.payload {
+            AttemptPayload::Operation { key, .. } => self.ledger.push((program, key.clone())),
+            AttemptPayload::Generate { prompt, max_tokens } => {
                 let own = program.to_string();
-                assert!(prompt.iter().all(|part| part.contains(&own)), "a prompt was mixed");
+                assert!(
+                    prompt.iter().all(|part| part.contains(&own)),
+                    "a prompt contains text of another program"
+                );
                 let tokens = prompt_tokens(dispatch) + u64::from(*max_tokens);
                 *self.tokens.entry(program.partition(2)).or_default() += tokens;
-                let input = prompt.last().expect("a prompt has an input");
+                let input = prompt.last().expect("every prompt ends with an input");
                 self.turns.push((program, key_of(input)));
             }
         }
 
-        end()
+        outcome()
     }
 
-    /// Lets everything settle on one fresh host and returns the histories there.
-    pub fn settle(&mut self) -> BTreeMap<ProgramId, Vec<HistoryCall>> {
-        self.weather = Weather::Mode(Mode::Up);
-        self.deny = false;
+    /// Lets all pending work finish, moves both partitions to a new host and returns the
+    /// histories there.
+    pub fn finish(&mut self) -> BTreeMap<ProgramId, Vec<HistoryCall>> {
+        self.platform_mode = PlatformMode::Mode(Mode::Normal);
+        self.deny_next = false;
 
         for host in 0..HOSTS {
             self.pause(host, false);
         }
 
         self.quiesce();
-        self.die(0);
+        self.crash(0);
         self.take_over(0, 0);
         self.take_over(0, 1);
         self.quiesce();
         let asked = PROGRAMS
-            .map(|program| (program, self.ask(0, program, Request::History { program, from: 1 })));
+            .map(|program| (program, self.send(0, program, Request::History { program, from: 1 })));
         self.quiesce();
 
         asked
             .into_iter()
-            .filter_map(|(program, number)| match self.sent[&number].reply.clone() {
+            .filter_map(|(program, number)| match self.requests[&number].reply.clone() {
                 Some(Reply::History { calls }) => Some((program, calls)),
                 _ => None,
             })
             .collect()
     }
 
-    /// Runs all until nothing is left to do.
+    /// Runs all hosts until no work is left.
     fn quiesce(&mut self) {
         for _ in 0..60 {
             for host in 0..HOSTS {
                 self.run(host, usize::MAX);
             }
 
-            while !self.air.is_empty() {
-                self.reach(0, Fate::Done);
+            while !self.in_transit.is_empty() {
+                self.end_attempt(0, SimulatedOutcome::Done);
             }
 
-            self.land();
-            self.pass(100);
+            self.apply_late_commit();
+            self.advance(100);
         }
     }
 
-    /// Checks that every request to a host that lived on was answered, and that every place
-    /// was given back.
+    /// Checks that every request was answered, unless its host crashed or its caller
+    /// disconnected, and that every place was released.
     pub fn check_answers(&self) {
-        for (number, sent) in &self.sent {
+        for (number, sent) in &self.requests {
             let alive = self.hosts[sent.host].session == sent.session;
-            assert!(sent.reply.is_some() || sent.gone || !alive, "{number}: {sent:?}");
+            assert!(
+                sent.reply.is_some() || sent.disconnected || !alive,
+                "request {number} was not answered: {sent:?}"
+            );
         }
 
         for host in &self.hosts {
-            assert!(host.places.is_empty(), "a place is still held");
+            assert!(host.places.is_empty(), "a place was not released");
         }
     }
 }
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the queues' tests.
+//! Shared fixtures of the queue tests.
 
 #![allow(dead_code, reason = "each test file uses a part of the fixtures")]
 
@@ -9,14 +9,14 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId, ZoneId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::{ConfigVersion, Tokens};
-use camphorwalk_policy::queue::{LoadReport, QueueEvent, QueueNext, QueueOptions, Queues};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent, QueueOptions, Queues};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// The zone of the queues under test.
-pub const NEAR: &str = "a";
+pub const LOCAL_ZONE: &str = "a";
 
-/// Another zone.
-pub const FAR: &str = "b";
+/// A zone other than that of the queues under test.
+pub const REMOTE_ZONE: &str = "b";
 
 pub fn target(name: &str, zone: &str, window: u32) -> Target {
     Target {
@@ -36,12 +36,13 @@
     Target { leaving: true, ..target(name, zone, window) }
 }
 
-/// Two zones, two classes (`arrival` before `chat`), tenants `x`, `y` and `z` of weight 1.
+/// A configuration with two zones, two classes (`arrival` goes before `chat`), and the tenants
+/// `x`, `y` and `z` of weight 1.
 pub fn config(targets: Vec<Target>) -> Config {
     let zone = |name: &str| Zone { name: name.into(), region: "r".into() };
     let class = |name: &str, rank| Class { name: name.into(), rank };
     let classes = vec![class("arrival", 0), class("chat", 1)];
-    let zones = vec![zone(NEAR), zone(FAR)];
+    let zones = vec![zone(LOCAL_ZONE), zone(REMOTE_ZONE)];
     let fleet = Fleet { name: "f".into(), zones, classes, partitions: 64, slices: 16 };
     let tenants = ["x", "y", "z"].map(tenant).into();
 
@@ -61,7 +62,7 @@
     }
 }
 
-/// A call of 100 prompt tokens of a program that goes on, due in 100 s.
+/// A call with 100 prompt tokens whose program has already started, with a deadline in 100 s.
 pub fn request(tenant: &str, class: &str, program: u128) -> PlaceRequest {
     PlaceRequest {
         pool: PoolId::from_name("m"),
@@ -77,69 +78,74 @@
     }
 }
 
-/// The asker with this number; each hundred is another host.
-pub fn asker(number: u64) -> Asker {
-    Asker { host: HostId(number / 100), number }
+/// The identifier of a place request; each hundred numbers belong to another host.
+pub fn request_id(number: u64) -> PlaceRequestId {
+    PlaceRequestId { host: HostId(number / 100), number }
 }
 
-pub fn end(how: PlaceEndKind) -> PlaceEnd {
-    PlaceEnd { how, computed: Tokens(100), output: Tokens(100), program_over: false }
+pub fn end(outcome: PlaceOutcome) -> PlaceRelease {
+    PlaceRelease {
+        outcome,
+        computed_prompt: Tokens(100),
+        output: Tokens(100),
+        program_ended: false,
+    }
 }
 
 pub fn id(target: &str) -> TargetId {
     TargetId::from_name(target)
 }
 
-pub fn grant(number: u64, target: &str) -> Vec<QueueNext> {
-    vec![QueueNext::Grant { asker: asker(number), target: id(target) }]
+pub fn grant(number: u64, target: &str) -> Vec<QueueAction> {
+    vec![QueueAction::Grant { request_id: request_id(number), target: id(target) }]
 }
 
 /// Queues with a clock that the test moves.
-pub struct Bench {
+pub struct Fixture {
     pub queues: Queues,
     pub now: Instant,
 }
 
-impl Bench {
+impl Fixture {
     pub fn new(targets: Vec<Target>) -> Self {
-        let options = QueueOptions { zone: ZoneId::from_name(NEAR) };
-        let mut bench = Self { queues: Queues::new(options), now: Instant(0) };
-        bench.configure(targets);
+        let options = QueueOptions { zone: ZoneId::from_name(LOCAL_ZONE) };
+        let mut fixture = Self { queues: Queues::new(options), now: Instant(0) };
+        fixture.configure(targets);
 
-        bench
+        fixture
     }
 
-    pub fn step(&mut self, event: QueueEvent) -> Vec<QueueNext> {
+    pub fn step(&mut self, event: QueueEvent) -> Vec<QueueAction> {
         let mut out = Vec::new();
         self.queues.step(self.now, event, &mut out);
 
         out
     }
 
-    pub fn configure(&mut self, targets: Vec<Target>) -> Vec<QueueNext> {
+    pub fn configure(&mut self, targets: Vec<Target>) -> Vec<QueueAction> {
         self.step(QueueEvent::Config(Arc::new(config(targets))))
     }
 
-    pub fn ask(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueNext> {
-        self.step(QueueEvent::Ask { asker: asker(number), request })
+    pub fn request_place(&mut self, number: u64, request: PlaceRequest) -> Vec<QueueAction> {
+        self.step(QueueEvent::Request { request_id: request_id(number), request })
     }
 
-    pub fn vacate(&mut self, number: u64) -> Vec<QueueNext> {
-        self.vacate_with(number, end(PlaceEndKind::Finished))
+    pub fn release(&mut self, number: u64) -> Vec<QueueAction> {
+        self.release_with(number, end(PlaceOutcome::Finished))
     }
 
-    pub fn vacate_with(&mut self, number: u64, end: PlaceEnd) -> Vec<QueueNext> {
-        self.step(QueueEvent::Vacate { asker: asker(number), end })
+    pub fn release_with(&mut self, number: u64, end: PlaceRelease) -> Vec<QueueAction> {
+        self.step(QueueEvent::Release { request_id: request_id(number), end })
     }
 
-    pub fn load(&mut self, target: &str, waiting: u32) -> Vec<QueueNext> {
+    pub fn report_load(&mut self, target: &str, waiting: u32) -> Vec<QueueAction> {
         let report = LoadReport { running: 1, waiting, held: Tokens(0) };
 
         self.step(QueueEvent::Load { target: id(target), report })
     }
 
-    /// Moves the clock, waking the queues whenever they ask for it.
-    pub fn pass(&mut self, time: Duration) -> Vec<QueueNext> {
+    /// Advances the clock, and wakes the queues whenever that is due.
+    pub fn advance(&mut self, time: Duration) -> Vec<QueueAction> {
         let until = self.now + time;
         let mut out = Vec::new();
 
