--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -19,7 +19,7 @@
 use camphorwalk_policy::entry::shares::{self, GrantHistory, HISTORY_COMPLETE_AFTER};
 use camphorwalk_policy::entry::target_table::TargetTable;
 use camphorwalk_policy::entry::turns::TurnCache;
-use camphorwalk_store::{Client, ClientOptions, RetryOptions, ShareOptions};
+use camphorwalk_store::{Client, ClientOptions, QuotaOptions, RetryOptions};
 use rand::RngCore as _;
 use tokio::sync::Mutex;
 use tokio::time::{Instant as TokioInstant, sleep, timeout_at};
@@ -426,21 +426,21 @@
     let limits = settings.store_limits;
     let store = Client::new(ClientOptions {
         deadline: STORE_MAX_TIMEOUT,
-        least_deadline: STORE_MIN_TIMEOUT,
+        min_deadline: STORE_MIN_TIMEOUT,
         retry: RetryOptions {
-            most_tries: 4,
-            saved: 50.0,
+            max_attempts: 4,
+            max_saved: 50.0,
             ratio: 0.5,
-            window: STORE_RETRY_WINDOW,
+            retry_window: STORE_RETRY_WINDOW,
             ..RetryOptions::default()
         },
-        share: ShareOptions {
+        quota: QuotaOptions {
             reads_per_second: limits.reads_per_second * STORE_SHARE,
             writes_per_second: limits.writes_per_second * STORE_SHARE,
-            saved_seconds: 1.0,
+            burst_seconds: 1.0,
         },
         seed: run.0,
-        dialect: camphorwalk_adapter::store::dialect(),
+        protocol: camphorwalk_adapter::store::protocol(),
         ..ClientOptions::new(settings.store_address, &settings.zone)
     })?;
     store.register(metrics.registry())?;
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -180,7 +180,7 @@
 ) -> PlatformReply {
     let began = clock::now();
     let part: Box<str> = part(&op).into();
-    let reply = shared.store.client.run_watched(op, on_piece).await;
+    let reply = shared.store.client.run_with_progress(op, on_piece).await;
     let now = clock::now();
     let change = {
         let mut health = shared.store.health.borrow_mut();
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -405,8 +405,8 @@
 fn platform_client(settings: &Settings, seed: u64, metrics: &Metrics) -> Result<Client> {
     let mut options = ClientOptions::new(settings.platform.address, &settings.zone);
     options.deadline = settings.platform.deadline;
-    options.share.reads_per_second = settings.platform.reads_per_second;
-    options.share.writes_per_second = settings.platform.writes_per_second;
+    options.quota.reads_per_second = settings.platform.reads_per_second;
+    options.quota.writes_per_second = settings.platform.writes_per_second;
     options.seed = seed;
 
     let client = Client::new(options)?;
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -9,12 +9,12 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use crate::dialect::{Call, Dialect};
 use crate::errors::{Error, Result};
 use crate::limits::{Access, Patience, RetryBudget, Share};
 use crate::metrics::Metrics;
 use crate::operations::{self, Earlier, OnLoss};
 use crate::options::{ClientOptions, RetryOptions};
+use crate::protocol::{StoreProtocol, StoreRequest};
 use crate::transport::{Attempt, Transport};
 
 /// The name of listing the hosts in metrics.
@@ -34,7 +34,7 @@
     /// The connections.
     transport: Transport,
     /// How operations are put to the platform.
-    dialect: Dialect,
+    protocol: StoreProtocol,
     /// When an operation is tried again.
     retry: RetryOptions,
     /// What is left to be asked.
@@ -80,14 +80,14 @@
     /// Makes a client; it connects when it is used.
     pub fn new(options: ClientOptions) -> Result<Self> {
         let limits = Limits {
-            share: Share::new(options.share, Instant::now()),
+            share: Share::new(options.quota, Instant::now()),
             budget: RetryBudget::new(options.retry),
-            patience: Patience::new(options.least_deadline, options.deadline),
+            patience: Patience::new(options.min_deadline, options.deadline),
             rng: SmallRng::seed_from_u64(options.seed),
         };
         let inner = Inner {
             transport: Transport::new(&options)?,
-            dialect: options.dialect,
+            protocol: options.protocol,
             retry: options.retry,
             limits: Mutex::new(limits),
             metrics: Metrics::new()?,
@@ -108,7 +108,7 @@
     /// Over the host's share the reply is `Unavailable` at once. Dropping the future of a
     /// write leaves it as unknown as a lost answer does.
     pub async fn run(&self, op: PlatformOp) -> PlatformReply {
-        self.run_watched(op, &|_| ()).await
+        self.run_with_progress(op, &|_| ()).await
     }
 
     /// Runs an operation as [`run`](Self::run) does, and calls `on_piece` with each piece of an
@@ -122,14 +122,18 @@
     /// let client = Client::new(ClientOptions::new(nobody, "a")).unwrap();
     /// let bytes = std::sync::atomic::AtomicUsize::new(0);
     /// let watch = |so_far| bytes.store(so_far, std::sync::atomic::Ordering::Relaxed);
-    /// let reply = client.run_watched(PlatformOp::Read(vec![]), &watch).await;
+    /// let reply = client.run_with_progress(PlatformOp::Read(vec![]), &watch).await;
     /// assert_eq!((reply, bytes.into_inner()), (PlatformReply::Unavailable, 0));
     /// # });
     /// ```
-    pub async fn run_watched(&self, op: PlatformOp, on_piece: &impl Fn(usize)) -> PlatformReply {
+    pub async fn run_with_progress(
+        &self,
+        op: PlatformOp,
+        on_piece: &impl Fn(usize),
+    ) -> PlatformReply {
         let name = operations::name(&op);
         let started = Instant::now();
-        let Some(call) = (self.inner.dialect.call)(&op) else {
+        let Some(call) = (self.inner.protocol.encode_request)(&op) else {
             tracing::error!(operation = name, "platform: the dialect has no such operation");
             return PlatformReply::Unavailable;
         };
@@ -142,7 +146,7 @@
             }
             Outcome::Unanswered { lost } => operations::unanswered(&op, lost),
             Outcome::Answered { status, body, earlier } => {
-                match (self.inner.dialect.answer)(&op, status, &body) {
+                match (self.inner.protocol.decode_response)(&op, status, &body) {
                     Some(answer) => operations::reply(&op, earlier, answer),
                     None => senseless(&op, earlier, status),
                 }
@@ -162,7 +166,7 @@
         let hosts = match outcome.await {
             Outcome::OverShare => {
                 self.inner.metrics.over_share(HOSTS);
-                return Err(Error::OverShare);
+                return Err(Error::OverQuota);
             }
             Outcome::Unanswered { .. } => None,
             Outcome::Answered { status, body, .. } => operations::read_hosts(status, &body),
@@ -179,7 +183,7 @@
         name: &str,
         access: Access,
         on_loss: OnLoss,
-        call: &Call,
+        call: &StoreRequest,
         on_piece: &impl Fn(usize),
     ) -> Outcome {
         if !self.limits().share.take(access, Instant::now()) {
@@ -225,7 +229,7 @@
 
     /// Takes in how long the head of an answer took, or its loss. Questions that wait for changes
     /// say nothing.
-    fn learn_patience(&self, attempt: &Attempt, call: &Call) {
+    fn learn_patience(&self, attempt: &Attempt, call: &StoreRequest) {
         if !call.wait.is_zero() {
             return;
         }
@@ -244,7 +248,7 @@
     fn earlier(&self, lost: bool, started: Instant) -> Earlier {
         match lost {
             false => Earlier::NotDone,
-            true if started.elapsed() > self.inner.retry.window => Earlier::LongLost,
+            true if started.elapsed() > self.inner.retry.retry_window => Earlier::LongLost,
             true => Earlier::Lost,
         }
     }
@@ -254,8 +258,8 @@
         let retry = self.inner.retry;
         let mut limits = self.limits();
 
-        if tries >= retry.most_tries
-            || started.elapsed() > retry.window
+        if tries >= retry.max_attempts
+            || started.elapsed() > retry.retry_window
             || !limits.budget.take()
             || !limits.share.take(access, Instant::now())
         {
@@ -265,7 +269,7 @@
         // Jitter keeps the hosts that failed together from coming back together.
         let jitter = limits.rng.random_range(0.5..1.5);
 
-        Some(retry.pause.mul_f64(f64::from(1 << (tries - 1).min(10)) * jitter))
+        Some(retry.base_backoff.mul_f64(f64::from(1 << (tries - 1).min(10)) * jitter))
     }
 
     /// Locks the limits; they are plain numbers, which a panic leaves usable.
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -11,7 +11,7 @@
     Unavailable,
     /// The host has used up its share of the platform's reads.
     #[error("over the host's share of the platform")]
-    OverShare,
+    OverQuota,
     /// The availability zone's name cannot stand in an HTTP header.
     #[error("the availability zone's name has control characters: {zone:?}")]
     BadZone {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -8,16 +8,16 @@
 #![forbid(unsafe_code)]
 
 mod client;
-pub mod dialect;
 pub mod errors;
 mod limits;
 mod metrics;
 mod operations;
 mod options;
+pub mod protocol;
 mod transport;
 mod witness;
 
 pub use client::Client;
-pub use dialect::Dialect;
 pub use errors::{Error, Result};
-pub use options::{ClientOptions, RetryOptions, ShareOptions};
+pub use options::{ClientOptions, QuotaOptions, RetryOptions};
+pub use protocol::StoreProtocol;
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::options::{RetryOptions, ShareOptions};
+use crate::options::{QuotaOptions, RetryOptions};
 
 /// A token bucket.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(crate) struct Share {
     /// What is declared.
-    options: ShareOptions,
+    options: QuotaOptions,
     /// The reads left.
     reads: Bucket,
     /// The writes left.
@@ -63,11 +63,11 @@
 
 impl Share {
     /// Makes a share that is unused at `now`.
-    pub(crate) fn new(options: ShareOptions, now: Instant) -> Self {
+    pub(crate) fn new(options: QuotaOptions, now: Instant) -> Self {
         Self {
             options,
-            reads: Bucket::full(options.reads_per_second * options.saved_seconds),
-            writes: Bucket::full(options.writes_per_second * options.saved_seconds),
+            reads: Bucket::full(options.reads_per_second * options.burst_seconds),
+            writes: Bucket::full(options.writes_per_second * options.burst_seconds),
             filled: now,
         }
     }
@@ -100,7 +100,7 @@
 impl RetryBudget {
     /// Makes a budget with all that can be saved up.
     pub(crate) fn new(options: RetryOptions) -> Self {
-        Self { ratio: options.ratio, retries: Bucket::full(options.saved) }
+        Self { ratio: options.ratio, retries: Bucket::full(options.max_saved) }
     }
 
     /// Notes a first try.
--- a/crates/store/src/operations.rs
+++ b/crates/store/src/operations.rs
@@ -9,8 +9,8 @@
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::dialect::{Answer, Call};
 use crate::limits::Access;
+use crate::protocol::{StoreRequest, StoreResponse};
 use crate::witness::{self, Explanation};
 
 /// What may be done when the answer to a try was lost.
@@ -107,14 +107,14 @@
 }
 
 /// Returns the request of an operation in the product's own dialect, if it has one.
-pub(crate) fn call(op: &PlatformOp) -> Option<Call> {
+pub(crate) fn call(op: &PlatformOp) -> Option<StoreRequest> {
     let call = match op {
         PlatformOp::Commit(tx) => post("/v1/tx", tx),
         PlatformOp::Read(keys) => post("/v1/read", &ReadRequest { keys }),
         PlatformOp::Scan { table, prefix, after, limit } => {
             post("/v1/scan", &ScanRequest { table, prefix, after, limit: *limit })
         }
-        PlatformOp::PutObject(content) => Call {
+        PlatformOp::PutObject(content) => StoreRequest {
             method: Method::PUT,
             path: object_path(&ObjectName::of(content)),
             body: Bytes::copy_from_slice(content),
@@ -128,7 +128,7 @@
 }
 
 /// Returns the request for the list of hosts.
-pub(crate) fn hosts_call() -> Call {
+pub(crate) fn hosts_call() -> StoreRequest {
     get("/v1/hosts".into())
 }
 
@@ -138,15 +138,15 @@
 }
 
 /// Makes a request that asks for something.
-fn get(path: Box<str>) -> Call {
-    Call { method: Method::GET, path, body: Bytes::new(), wait: Duration::ZERO }
+fn get(path: Box<str>) -> StoreRequest {
+    StoreRequest { method: Method::GET, path, body: Bytes::new(), wait: Duration::ZERO }
 }
 
 /// Makes a request with a JSON body; the types of this module cannot fail to be written.
-fn post<T: Serialize>(path: &str, body: &T) -> Call {
+fn post<T: Serialize>(path: &str, body: &T) -> StoreRequest {
     let body = serde_json::to_vec(body).unwrap_or_default().into();
 
-    Call { method: Method::POST, path: path.into(), body, wait: Duration::ZERO }
+    StoreRequest { method: Method::POST, path: path.into(), body, wait: Duration::ZERO }
 }
 
 /// The answer to a transaction.
@@ -181,38 +181,40 @@
 }
 
 /// Returns what an answer in the product's own dialect says, or none if it makes no sense.
-pub(crate) fn answer(op: &PlatformOp, status: StatusCode, body: &Bytes) -> Option<Answer> {
+pub(crate) fn answer(op: &PlatformOp, status: StatusCode, body: &Bytes) -> Option<StoreResponse> {
     match op {
         PlatformOp::Commit(_) => commit_answer(status, body),
         PlatformOp::Read(_) | PlatformOp::Scan { .. } => parse(status, body)
-            .map(|answer: RowsAnswer| Answer::Reply(PlatformReply::Rows(answer.rows))),
+            .map(|answer: RowsAnswer| StoreResponse::Reply(PlatformReply::Rows(answer.rows))),
         PlatformOp::PutObject(content) => status
             .is_success()
-            .then(|| Answer::Reply(PlatformReply::Stored(ObjectName::of(content)))),
-        PlatformOp::GetObject(name) => object_reply(name, status, body).map(Answer::Reply),
+            .then(|| StoreResponse::Reply(PlatformReply::Stored(ObjectName::of(content)))),
+        PlatformOp::GetObject(name) => object_reply(name, status, body).map(StoreResponse::Reply),
         PlatformOp::Snapshot { .. } | PlatformOp::Changes { .. } => None,
     }
 }
 
 /// Returns what an answer to a transaction says.
-fn commit_answer(status: StatusCode, body: &Bytes) -> Option<Answer> {
+fn commit_answer(status: StatusCode, body: &Bytes) -> Option<StoreResponse> {
     if status != StatusCode::OK && status != StatusCode::CONFLICT {
         return None;
     }
 
     match serde_json::from_slice(body).ok()? {
-        CommitAnswer::Committed(version) => Some(Answer::Committed(version)),
-        CommitAnswer::Conflict(rows) => Some(Answer::Conflict(rows)),
+        CommitAnswer::Committed(version) => Some(StoreResponse::Committed(version)),
+        CommitAnswer::Conflict(rows) => Some(StoreResponse::Conflict(rows)),
     }
 }
 
 /// Returns the reply that an answer comes to, given what became of the tries before it.
-pub(crate) fn reply(op: &PlatformOp, earlier: Earlier, answer: Answer) -> PlatformReply {
+pub(crate) fn reply(op: &PlatformOp, earlier: Earlier, answer: StoreResponse) -> PlatformReply {
     match (op, answer) {
-        (PlatformOp::Commit(tx), Answer::Conflict(rows)) => conflict_reply(tx, earlier, rows),
-        (_, Answer::Conflict(rows)) => PlatformReply::Conflict(rows),
-        (_, Answer::Committed(version)) => PlatformReply::Committed(version),
-        (_, Answer::Reply(reply)) => reply,
+        (PlatformOp::Commit(tx), StoreResponse::Conflict(rows)) => {
+            conflict_reply(tx, earlier, rows)
+        }
+        (_, StoreResponse::Conflict(rows)) => PlatformReply::Conflict(rows),
+        (_, StoreResponse::Committed(version)) => PlatformReply::Committed(version),
+        (_, StoreResponse::Reply(reply)) => reply,
     }
 }
 
--- a/crates/store/src/dialect.rs
+++ b/crates/store/src/protocol.rs
@@ -10,7 +10,7 @@
 
 /// A request to the platform, as it is sent at each try.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct StoreRequest {
     /// The method.
     pub method: Method,
     /// The path, with its query.
@@ -24,7 +24,7 @@
 
 /// What one answer says, whatever became of earlier tries.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum StoreResponse {
     /// The transaction took effect with this version.
     Committed(RowVersion),
     /// These checked rows stand differently.
@@ -35,16 +35,16 @@
 
 /// A platform's way of speaking.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct StoreProtocol {
     /// Makes the request of an operation; `None` if the platform has no such operation.
-    pub call: fn(&PlatformOp) -> Option<Call>,
+    pub encode_request: fn(&PlatformOp) -> Option<StoreRequest>,
     /// Reads an answer; `None` if it makes no sense.
-    pub answer: fn(&PlatformOp, StatusCode, &Bytes) -> Option<Answer>,
+    pub decode_response: fn(&PlatformOp, StatusCode, &Bytes) -> Option<StoreResponse>,
 }
 
-impl Default for Dialect {
+impl Default for StoreProtocol {
     /// Returns the product's own dialect, which its stand-in speaks.
     fn default() -> Self {
-        Self { call: operations::call, answer: operations::answer }
+        Self { encode_request: operations::call, decode_response: operations::answer }
     }
 }
--- a/crates/store/src/transport.rs
+++ b/crates/store/src/transport.rs
@@ -13,9 +13,9 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::timeout;
 
-use crate::dialect::Call;
 use crate::errors::{Error, Result};
 use crate::options::ClientOptions;
+use crate::protocol::StoreRequest;
 
 /// The header that tells the platform the host's availability zone.
 const ZONE_HEADER: HeaderName = HeaderName::from_static("x-zone");
@@ -94,7 +94,7 @@
     /// which then come again from their start.
     pub(crate) async fn send(
         &self,
-        call: &Call,
+        call: &StoreRequest,
         patience: Duration,
         on_piece: &impl Fn(usize),
     ) -> Attempt {
@@ -125,7 +125,7 @@
     }
 
     /// Makes the HTTP request of a call.
-    fn request(&self, call: &Call) -> Option<Request<Full<Bytes>>> {
+    fn request(&self, call: &StoreRequest) -> Option<Request<Full<Bytes>>> {
         let uri = Uri::builder()
             .scheme("http")
             .authority(self.address.to_string())
--- a/crates/store/src/witness.rs
+++ b/crates/store/src/witness.rs
@@ -12,7 +12,7 @@
 //!
 //! Both this and the explanation need that a witness stays as it is for as long as a
 //! sending may be under way and the client may still ask. The client asks for no longer
-//! than [`RetryOptions::window`](crate::RetryOptions); a host that was paused for longer
+//! than [`RetryOptions::retry_window`](crate::RetryOptions); a host that was paused for longer
 //! gets no explanation. Whoever deletes or changes witnesses has to wait longer than that.
 
 use camphorwalk_core::platform::{Check, Row, RowVersion, Transaction, Write};
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -6,7 +6,7 @@
 
 use camphorwalk_core::platform::{HostListing, ObjectName, PlatformOp, PlatformReply, RowVersion};
 use camphorwalk_standin::platform::{Mode, ModeSetting};
-use camphorwalk_store::{Client, ClientOptions, Error, RetryOptions, ShareOptions};
+use camphorwalk_store::{Client, ClientOptions, Error, QuotaOptions, RetryOptions};
 use prometheus::{Registry, TextEncoder};
 
 use support::{any_port, client, commit, key, options, plain, platform, row, witnessed};
@@ -123,7 +123,7 @@
 #[tokio::test]
 async fn retries_stop_when_their_budget_is_used_up() {
     let platform = platform().await;
-    let retry = RetryOptions { ratio: 0.0, saved: 1.0, ..options(any_port()).retry };
+    let retry = RetryOptions { ratio: 0.0, max_saved: 1.0, ..options(any_port()).retry };
     let client = Client::new(ClientOptions { retry, ..options(platform.address()) }).unwrap();
     platform.set_mode(ModeSetting::all(Mode::Refuse));
 
@@ -140,8 +140,8 @@
 #[tokio::test]
 async fn over_its_share_a_write_is_not_sent() {
     let platform = platform().await;
-    let share = ShareOptions { writes_per_second: 0.0, ..options(any_port()).share };
-    let client = Client::new(ClientOptions { share, ..options(platform.address()) }).unwrap();
+    let quota = QuotaOptions { writes_per_second: 0.0, ..options(any_port()).quota };
+    let client = Client::new(ClientOptions { quota, ..options(platform.address()) }).unwrap();
     let registry = Registry::new();
     client.register(&registry).unwrap();
 
--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -130,7 +130,7 @@
         runtime.block_on(async {
             let platform = platform().await;
             let retry = RetryOptions {
-                pause: Duration::from_millis(1),
+                base_backoff: Duration::from_millis(1),
                 ..options(platform.address()).retry
             };
             let hasty = ClientOptions { deadline: DEADLINE, retry, ..options(platform.address()) };
--- a/crates/store/tests/long_answers.rs
+++ b/crates/store/tests/long_answers.rs
@@ -83,9 +83,9 @@
     /// Makes a client that tries once and gives up on a silence of [`PATIENCE`].
     fn client(&self) -> Client {
         let usual = options(self.address);
-        let retry = RetryOptions { most_tries: 1, ..usual.retry };
+        let retry = RetryOptions { max_attempts: 1, ..usual.retry };
 
-        Client::new(ClientOptions { deadline: PATIENCE, least_deadline: PATIENCE, retry, ..usual })
+        Client::new(ClientOptions { deadline: PATIENCE, min_deadline: PATIENCE, retry, ..usual })
             .unwrap()
     }
 }
@@ -228,7 +228,7 @@
 
     let watch = |bytes| told.lock().unwrap().push(bytes);
     let name = ObjectName::of(&object());
-    store.client().run_watched(PlatformOp::GetObject(name), &watch).await;
+    store.client().run_with_progress(PlatformOp::GetObject(name), &watch).await;
 
     let told = told.into_inner().unwrap();
     assert!(told.len() > 3 && told.is_sorted(), "{told:?}");
--- a/crates/store/tests/lost_answers.rs
+++ b/crates/store/tests/lost_answers.rs
@@ -133,8 +133,8 @@
 async fn after_the_window_a_conflict_tells_nothing() {
     let platform = platform().await;
     let usual = options(platform.address());
-    let pause = Duration::from_millis(400);
-    let retry = RetryOptions { window: pause / 4, pause, ..usual.retry };
+    let base_backoff = Duration::from_millis(400);
+    let retry = RetryOptions { retry_window: base_backoff / 4, base_backoff, ..usual.retry };
     let client = Client::new(ClientOptions { retry, ..usual }).unwrap();
     next(&platform, Mode::DropAnswers, 1);
 
@@ -147,7 +147,7 @@
 async fn after_the_window_nothing_is_sent_again() {
     let platform = platform().await;
     let usual = options(platform.address());
-    let retry = RetryOptions { window: Duration::ZERO, ..usual.retry };
+    let retry = RetryOptions { retry_window: Duration::ZERO, ..usual.retry };
     let client = Client::new(ClientOptions { retry, ..usual }).unwrap();
     next(&platform, Mode::DropAnswers, 1);
 
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -10,7 +10,7 @@
 };
 use camphorwalk_standin::platform::{Mode, ModeSetting};
 use camphorwalk_standin::{Platform, PlatformOptions};
-use camphorwalk_store::{Client, ClientOptions, RetryOptions, ShareOptions};
+use camphorwalk_store::{Client, ClientOptions, QuotaOptions, RetryOptions};
 
 /// Long enough for any answer that comes at all.
 pub const PATIENT: Duration = Duration::from_secs(30);
@@ -35,15 +35,15 @@
 pub fn options(address: SocketAddr) -> ClientOptions {
     ClientOptions {
         deadline: PATIENT,
-        least_deadline: PATIENT,
+        min_deadline: PATIENT,
         retry: RetryOptions {
-            most_tries: 3,
+            max_attempts: 3,
             ratio: 1.0,
-            saved: 100.0,
-            pause: Duration::from_millis(1),
-            window: PATIENT,
+            max_saved: 100.0,
+            base_backoff: Duration::from_millis(1),
+            retry_window: PATIENT,
         },
-        share: ShareOptions { reads_per_second: 1e6, writes_per_second: 1e6, saved_seconds: 1.0 },
+        quota: QuotaOptions { reads_per_second: 1e6, writes_per_second: 1e6, burst_seconds: 1.0 },
         ..ClientOptions::new(address, "a")
     }
 }
