--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -445,7 +445,7 @@
             Presence::Gone => {
                 if let Some(known) = known.remove(&host) {
                     info!(host = %row.key.key, address = %known.address, "fleet: host gone");
-                    peers.forget(host);
+                    peers.remove(host);
                 }
             }
         }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -325,10 +325,10 @@
             Inbound::Up { name, zone, .. } => {
                 tracing::info!("peer: {name} of zone {zone} is connected");
             }
-            Inbound::Down { host } | Inbound::Broken { host } => {
+            Inbound::Down { host } | Inbound::ConnectionLost { host } => {
                 shared.control.send(Event::PeerDown(host));
             }
-            Inbound::Unsent { to, message } => {
+            Inbound::SendFailed { to, message } => {
                 shared.control.send(Event::SendFailed { to, message });
             }
         }
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -118,7 +118,7 @@
         let ended = sending.run(&mut self.queue).await;
 
         if !sending.is_settled() {
-            let broken = Inbound::Broken { host: self.host };
+            let broken = Inbound::ConnectionLost { host: self.host };
             let _ = self.shared.inbound.send(broken).await;
         }
         ended
@@ -183,7 +183,7 @@
         for item in batch.drain(..) {
             if let Item::Message(message) = item {
                 self.shared.metrics.drop_messages("unsent", 1);
-                let unsent = Inbound::Unsent { to: self.host, message };
+                let unsent = Inbound::SendFailed { to: self.host, message };
                 let _ = self.shared.inbound.send(unsent).await;
             }
         }
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -53,7 +53,7 @@
         host: HostId,
     },
     /// A message that was queued was not sent, and never will be.
-    Unsent {
+    SendFailed {
         /// The host that it was for.
         to: HostId,
         /// The message.
@@ -61,7 +61,7 @@
     },
     /// The connection to a host broke. The messages that it did not confirm, the latest ones,
     /// may or may not have arrived.
-    Broken {
+    ConnectionLost {
         /// The host.
         host: HostId,
     },
@@ -174,7 +174,7 @@
     }
 
     /// Forgets a peer: its connection is closed and what waits for it is dropped.
-    pub fn forget(&self, host: HostId) {
+    pub fn remove(&self, host: HostId) {
         if let Some(link) = self.shared.lock_links().remove(&host) {
             link.stop.cancel();
         }
@@ -184,7 +184,7 @@
     ///
     /// Returns false if the message will not be sent: the peer is not known, its queue is
     /// full, or the message is over the limit. A message that was queued may still be lost:
-    /// [`Inbound::Unsent`] or [`Inbound::Broken`] tells.
+    /// [`Inbound::SendFailed`] or [`Inbound::ConnectionLost`] tells.
     pub fn send(&self, host: HostId, message: PeerMessage) -> bool {
         let refused = match self.try_send(host, message) {
             Ok(()) => return true,
--- a/crates/peer/tests/delivery.rs
+++ b/crates/peer/tests/delivery.rs
@@ -52,7 +52,7 @@
     one.peers.send(id("host-2"), message(1));
     two.next_message().await;
 
-    one.peers.forget(id("host-2"));
+    one.peers.remove(id("host-2"));
 
     assert!(!one.peers.send(id("host-2"), message(2)));
     assert_eq!(two.next().await, Inbound::Down { host: id("host-1") });
--- a/crates/peer/tests/silence.rs
+++ b/crates/peer/tests/silence.rs
@@ -108,7 +108,7 @@
     one.peers.send(id("host-2"), message(2));
 
     for number in 1..=2 {
-        let expected = Inbound::Unsent { to: id("host-2"), message: message(number) };
+        let expected = Inbound::SendFailed { to: id("host-2"), message: message(number) };
         assert_eq!(one.next().await, expected);
     }
 }
@@ -127,7 +127,7 @@
 
     drop(connection);
 
-    assert_eq!(one.next().await, Inbound::Broken { host: id("host-2") });
+    assert_eq!(one.next().await, Inbound::ConnectionLost { host: id("host-2") });
     assert_eq!(one.count("dropped_total", "unsent"), 0);
 }
 
@@ -146,7 +146,7 @@
     one.peers.set_address(id("host-2"), fixtures::closed_address().await);
     one.peers.send(id("host-2"), message(2));
 
-    let expected = Inbound::Unsent { to: id("host-2"), message: message(2) };
+    let expected = Inbound::SendFailed { to: id("host-2"), message: message(2) };
     assert_eq!(one.next().await, expected);
 }
 
