--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -125,7 +125,7 @@
     /// The program is open.
     Opened(Opened),
     /// The call ran; a repeat gets the same.
-    Called(Called),
+    Called(CompletedCall),
     /// A program's state.
     View(ProgramView),
     /// A call's recorded outcome.
@@ -157,7 +157,7 @@
 
 /// A call that ran to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Called {
+pub struct CompletedCall {
     /// Its number in the program; the first is 1.
     pub call: u32,
     /// The output, as JSON text.
@@ -198,7 +198,7 @@
     /// It runs, or waits to.
     Running,
     /// It ran.
-    Done(Called),
+    Done(CompletedCall),
     /// It failed for good.
     Failed(Refusal),
 }
@@ -225,7 +225,7 @@
 /// Whether the call behind a refusal ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum Executed {
     /// It did not and will not: a promise. Said only by whoever can prove it.
     No,
     /// It may have run; it is not repeated.
@@ -301,7 +301,7 @@
     /// The reason for a human reader.
     pub message: Box<str>,
     /// Whether the call ran.
-    pub ran: Ran,
+    pub ran: Executed,
     /// When a later try can help.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "retry_after_ms", default, skip_serializing_if = "Option::is_none")]
@@ -314,7 +314,7 @@
 impl Refusal {
     /// Makes a refusal of a request that did not run.
     pub fn not_run(code: Code, message: impl Into<Box<str>>) -> Self {
-        Self { code, message: message.into(), ran: Ran::No, retry_after: None, head: None }
+        Self { code, message: message.into(), ran: Executed::No, retry_after: None, head: None }
     }
 
     /// Returns this refusal with the time after which a later try can help.
@@ -324,7 +324,7 @@
     }
 
     /// Returns this refusal saying this of whether the call ran.
-    pub fn ran(mut self, ran: Ran) -> Self {
+    pub fn ran(mut self, ran: Executed) -> Self {
         self.ran = ran;
         self
     }
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -4,10 +4,10 @@
 //! roll-out, hosts of two versions talk to each other. The messages of each part stand in
 //! a module of their own.
 
+pub mod ended_programs;
 pub mod entry;
 pub mod forward;
 pub mod gossip;
-pub mod live;
 pub mod queue;
 pub mod slices;
 
@@ -48,10 +48,10 @@
     Drain(forward::Drain),
     /// Asking whether programs are still open.
     #[prost(message, tag = "9")]
-    EndedQuery(live::EndedQuery),
+    EndedQuery(ended_programs::EndedQuery),
     /// Programs that are over.
     #[prost(message, tag = "10")]
-    EndedPrograms(live::EndedPrograms),
+    EndedPrograms(ended_programs::EndedPrograms),
     /// What an entry host has under way.
     #[prost(message, tag = "11")]
     EntryStatus(entry::EntryStatus),
--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -47,7 +47,7 @@
     /// The prompts that the sender sent to targets since its last update. They show which prompt
     /// parts each target has cached.
     #[prost(message, repeated, tag = "11")]
-    pub prompts: Vec<Prompts>,
+    pub prompts: Vec<SentPrompts>,
 }
 
 /// The number of calls queued at one host for a service.
@@ -101,7 +101,7 @@
 
 /// The prompts that a host sent to a target since its last status update.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Prompts {
+pub struct SentPrompts {
     /// Id of the target.
     #[prost(string, tag = "1")]
     pub target: String,
--- a/crates/entry/src/status_updates.rs
+++ b/crates/entry/src/status_updates.rs
@@ -12,7 +12,7 @@
 use camphorwalk_core::hash::{Map, Set};
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::messages::entry::{
-    CrashReport, Demand, EntryStatus, InFlight, Prompts, WaitingCalls,
+    CrashReport, Demand, EntryStatus, InFlight, SentPrompts, WaitingCalls,
 };
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
@@ -189,10 +189,10 @@
     }
 }
 
-fn prompts((target, parts): (Box<str>, Vec<Part>)) -> Prompts {
+fn prompts((target, parts): (Box<str>, Vec<Part>)) -> SentPrompts {
     let (parts, tokens) = parts.into_iter().unzip();
 
-    Prompts { target: target.into(), parts, tokens }
+    SentPrompts { target: target.into(), parts, tokens }
 }
 
 /// Applies a status update of another host.
@@ -245,11 +245,11 @@
     places::assign_all_places(shared);
 }
 
-fn apply_prompts(shared: &Shared, from: HostId, prompts: Vec<Prompts>) {
+fn apply_prompts(shared: &Shared, from: HostId, prompts: Vec<SentPrompts>) {
     let mut targets = shared.targets.borrow_mut();
     let mut conversation_hosts = shared.conversation_hosts.borrow_mut();
 
-    for Prompts { target, parts, tokens } in prompts {
+    for SentPrompts { target, parts, tokens } in prompts {
         parts.iter().for_each(|part| conversation_hosts.put(*part, from));
         let parts: Vec<Part> = parts.into_iter().zip(tokens).collect();
         targets.record_remote_prompts(&target, &parts);
--- a/crates/node/src/callers/answers.rs
+++ b/crates/node/src/callers/answers.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use camphorwalk_core::calls::{CallOutcome, Called, Code, Refusal, Reply, Usage};
+use camphorwalk_core::calls::{CallOutcome, Code, CompletedCall, Refusal, Reply, Usage};
 use dropshot::{Body, ErrorStatusCode, HttpError, HttpResponseError};
 use http::{Response, StatusCode, header};
 use schemars::JsonSchema;
@@ -129,11 +129,11 @@
 }
 
 /// Returns the JSON of an answer to a call.
-pub fn called_json(called: &Called) -> String {
+pub fn called_json(called: &CompletedCall) -> String {
     serde_json::to_string(&called_body(called)).expect("an answer is plain data")
 }
 
-fn called_body(called: &Called) -> CalledBody<'_> {
+fn called_body(called: &CompletedCall) -> CalledBody<'_> {
     CalledBody {
         call: called.call,
         output: raw(&called.output),
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply};
 use dropshot::Body;
 use http::{Response, StatusCode, header};
 use http_body_util::StreamBody;
@@ -148,7 +148,7 @@
             Code::OutcomeUnknown,
             "a part of the stream was lost; ask for the outcome",
         )
-        .ran(Ran::Yes),
+        .ran(Executed::Yes),
         Some(Final { reply: Reply::Refused(refusal), .. }) => refusal,
         Some(_) | None => lost(),
     };
@@ -160,5 +160,5 @@
 /// Returns the refusal for an answer that will not come.
 pub fn lost() -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, "the answer is lost; ask for the outcome")
-        .ran(Ran::Maybe)
+        .ran(Executed::Maybe)
 }
--- a/crates/policy/src/programs/answers.rs
+++ b/crates/policy/src/programs/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Request};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Request};
 
 /// When to come back while a program's home moves.
 const MOVING_RETRY: Duration = Duration::from_millis(500);
@@ -23,10 +23,10 @@
 /// An earlier submission of a call's idempotency key may have run. This one did not, but a
 /// caller that repeats a deposit asks about the deposit: told "not run", it would pay by
 /// other means.
-pub(super) fn ran_unseen(request: &Request) -> Ran {
+pub(super) fn ran_unseen(request: &Request) -> Executed {
     match request {
-        Request::Call(_) => Ran::Maybe,
-        _ => Ran::No,
+        Request::Call(_) => Executed::Maybe,
+        _ => Executed::No,
     }
 }
 
@@ -62,21 +62,22 @@
 /// The call may have run.
 pub(super) fn unknown() -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, "the call may have run; it is not repeated")
-        .ran(Ran::Maybe)
+        .ran(Executed::Maybe)
 }
 
 /// The target ran the call and failed.
 pub(super) fn failed(message: &str) -> Refusal {
-    Refusal::not_run(Code::OutcomeUnknown, format!("the target failed: {message}")).ran(Ran::Yes)
+    Refusal::not_run(Code::OutcomeUnknown, format!("the target failed: {message}"))
+        .ran(Executed::Yes)
 }
 
 /// The program's time is up.
-pub(super) fn deadline(ran: Ran) -> Refusal {
+pub(super) fn deadline(ran: Executed) -> Refusal {
     Refusal::not_run(Code::Deadline, "the program's deadline has passed").ran(ran)
 }
 
 /// The key was withdrawn.
-pub(super) fn unauthorized(ran: Ran) -> Refusal {
+pub(super) fn unauthorized(ran: Executed) -> Refusal {
     Refusal::not_run(Code::Unauthorized, "the key is not valid").ran(ran)
 }
 
@@ -86,6 +87,6 @@
 }
 
 /// The request crashes targets.
-pub(super) fn quarantined(ran: Ran) -> Refusal {
+pub(super) fn quarantined(ran: Executed) -> Refusal {
     Refusal::not_run(Code::Quarantined, "the request brought targets down before").ran(ran)
 }
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Usage};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Usage};
 use camphorwalk_core::ids::AttemptId;
 use camphorwalk_core::units::Tokens;
 
@@ -106,7 +106,7 @@
         }
 
         if quarantined {
-            return self.give_up(cx, id, answers::quarantined(Ran::Maybe));
+            return self.give_up(cx, id, answers::quarantined(Executed::Maybe));
         }
 
         // A part of the answer has reached the caller: another attempt's text would be
@@ -173,8 +173,8 @@
     fn give_up(&mut self, cx: &mut Cx<'_>, id: CallId, mut refusal: Refusal) {
         let program = self.calls[id].program;
 
-        if self.calls[id].may_have_run && refusal.ran == Ran::No {
-            refusal.ran = Ran::Maybe;
+        if self.calls[id].may_have_run && refusal.ran == Executed::No {
+            refusal.ran = Executed::Maybe;
         }
 
         self.answer_callers(cx, id, &refusal);
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use camphorwalk_core::calls::{CallRequest, Ran, Refusal};
+use camphorwalk_core::calls::{CallRequest, Executed, Refusal};
 use camphorwalk_core::config::{Template, TemplateTarget};
 use camphorwalk_core::ids::{KeyId, PoolId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
@@ -167,7 +167,7 @@
         }
 
         if self.suspects.is_quarantined(&call.digest) {
-            return Err(answers::quarantined(Ran::No));
+            return Err(answers::quarantined(Executed::No));
         }
 
         if call.reserved > self.accounts[program.account].left() {
@@ -246,9 +246,9 @@
 fn check_state(cx: &Cx<'_>, program: &Program) -> Result<(), Refusal> {
     match program.state {
         ProgramState::Opening => Err(answers::leaving()),
-        ProgramState::Ended if cx.now >= program.deadline => Err(answers::deadline(Ran::No)),
+        ProgramState::Ended if cx.now >= program.deadline => Err(answers::deadline(Executed::No)),
         ProgramState::Ended => Err(answers::not_found()),
-        ProgramState::Open if cx.now >= program.deadline => Err(answers::deadline(Ran::No)),
+        ProgramState::Open if cx.now >= program.deadline => Err(answers::deadline(Executed::No)),
         ProgramState::Open => Ok(()),
     }
 }
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -1,6 +1,6 @@
 //! Callers that are gone, and keys that are withdrawn.
 
-use camphorwalk_core::calls::Ran;
+use camphorwalk_core::calls::Executed;
 use camphorwalk_core::ids::{KeyId, RequestOrigin};
 
 use super::state::{Kind, Stage};
@@ -58,7 +58,7 @@
         let unsent = call.callers.is_empty()
             && !call.may_have_run
             && !matches!(call.stage, Stage::Running | Stage::Recording);
-        let ran = if unsent { Ran::No } else { Ran::Maybe };
+        let ran = if unsent { Executed::No } else { Executed::Maybe };
 
         for caller in gone {
             self.refuse(cx, caller.ticket, answers::unauthorized(ran));
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply};
 use camphorwalk_core::ids::{PartitionId, ProgramId, RequestOrigin, TenantId};
 
 use super::entries::Entry;
@@ -81,7 +81,7 @@
         }
 
         // It was sent. What must not be repeated runs on and is recorded.
-        let reason = reason.clone().ran(Ran::Maybe);
+        let reason = reason.clone().ran(Executed::Maybe);
         self.answer_callers(cx, id, &reason);
         self.cancel_unwanted(cx, id);
     }
@@ -116,7 +116,7 @@
                 Code::PlatformUnavailable,
                 "the program is over here, but the platform has no record of it yet",
             );
-            self.refuse(cx, ticket, refusal.ran(Ran::Maybe).retry_after(after));
+            self.refuse(cx, ticket, refusal.ran(Executed::Maybe).retry_after(after));
         }
     }
 
@@ -125,7 +125,7 @@
         let Some(program) = self.programs.get(key) else { return };
 
         if program.state == ProgramState::Open && cx.now >= program.deadline {
-            return self.end_family(cx, key, &answers::deadline(Ran::No));
+            return self.end_family(cx, key, &answers::deadline(Executed::No));
         }
 
         let Some(forget_at) = program.forget_at.filter(|_| program.state == ProgramState::Ended)
@@ -229,7 +229,7 @@
 
         // The entry may have become durable.
         for ticket in waiting {
-            self.refuse(cx, ticket, answers::leaving().ran(Ran::Maybe));
+            self.refuse(cx, ticket, answers::leaving().ran(Executed::Maybe));
         }
 
         match running {
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -5,7 +5,7 @@
 //! elsewhere is refused. (Each child having a reservation of its own was weighed: it needs
 //! a size that nobody knows beforehand, and an idle child would hold tokens back.)
 
-use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, OpenRequest, Opened, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
 use camphorwalk_core::ids::{ClassId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::time::Instant;
@@ -296,7 +296,7 @@
         let after = self.journal.retry_after();
 
         // Not "not run": the program may be there, and a repeat finds it.
-        let mut refusal = answers::platform_away(after).ran(Ran::Maybe);
+        let mut refusal = answers::platform_away(after).ran(Executed::Maybe);
         refusal.code = Code::OutcomeUnknown;
 
         for ticket in tickets {
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use camphorwalk_core::calls::{
-    CallOutcome, Called, HistoryCall, ProgramView, Refusal, Reply, Request, Usage,
+    CallOutcome, CompletedCall, HistoryCall, ProgramView, Refusal, Reply, Request, Usage,
 };
 use camphorwalk_core::ids::{KeyId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
@@ -139,12 +139,16 @@
     }
 
     /// Returns the answer to a finished call, as first given or to a repeat.
-    pub(super) fn recorded(&self, program: &Program, number: u32) -> Result<Called, Refusal> {
+    pub(super) fn recorded(
+        &self,
+        program: &Program,
+        number: u32,
+    ) -> Result<CompletedCall, Refusal> {
         let record = &program.calls[number as usize - 1];
         let stored = number <= program.stored;
 
         match &record.outcome {
-            Recorded::Done { output, usage } => Ok(Called {
+            Recorded::Done { output, usage } => Ok(CompletedCall {
                 call: number,
                 output: text(output),
                 usage: *usage,
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Usage};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Usage};
 use camphorwalk_core::ids::{AttemptId, TargetId};
 
 use super::budget::Reserve;
@@ -174,8 +174,8 @@
         let Some(call) = self.calls.get(id) else { return };
         let program = call.program;
 
-        if call.may_have_run && refusal.ran == Ran::No {
-            refusal.ran = Ran::Maybe;
+        if call.may_have_run && refusal.ran == Executed::No {
+            refusal.ran = Executed::Maybe;
         }
 
         match call.stage {
--- a/crates/policy/src/scheduler/entry.rs
+++ b/crates/policy/src/scheduler/entry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply, Request};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply, Request};
 use camphorwalk_core::config::Tenant;
 use camphorwalk_core::hash::stable_hash;
 use camphorwalk_core::ids::{
@@ -248,7 +248,7 @@
             let reply = if waiting.may_run {
                 let message = "the program's home went away; repeat with the same key";
                 let refusal = Refusal::not_run(Code::OutcomeUnknown, message);
-                Reply::Refused(refusal.ran(Ran::Maybe).retry_after(ANSWER_LOST))
+                Reply::Refused(refusal.ran(Executed::Maybe).retry_after(ANSWER_LOST))
             } else {
                 no_home(false, "the program's home went away", ANSWER_LOST)
             };
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -10,7 +10,7 @@
 
 use camphorwalk_core::config::TargetKind;
 use camphorwalk_core::ids::{HostId, PoolId, ProgramId, TargetId, ZoneId};
-use camphorwalk_core::messages::live::{EndedPrograms, EndedQuery};
+use camphorwalk_core::messages::ended_programs::{EndedPrograms, EndedQuery};
 use camphorwalk_core::messages::{Body, PeerMessage};
 
 use super::{Action, Scheduler};
--- a/crates/policy/src/scheduler/work.rs
+++ b/crates/policy/src/scheduler/work.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply};
 use camphorwalk_core::config::Config;
 use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, RequestOrigin};
 use camphorwalk_core::messages::forward::Answer;
@@ -360,7 +360,7 @@
 /// call "not run" cannot be said here: a caller whose deposit was taken by a home that just
 /// died would take it for a promise.
 pub(super) fn no_home(is_call: bool, message: &'static str, retry_after: Duration) -> Reply {
-    let ran = if is_call { Ran::Maybe } else { Ran::No };
+    let ran = if is_call { Executed::Maybe } else { Executed::No };
 
     Reply::Refused(Refusal::not_run(Code::Leaving, message).ran(ran).retry_after(retry_after))
 }
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -1,6 +1,6 @@
 //! The budget of a family of programs.
 
-use camphorwalk_core::calls::{CallRequest, Code, Ran, Refusal, Reply, Request, Usage};
+use camphorwalk_core::calls::{CallRequest, Code, Executed, Refusal, Reply, Request, Usage};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::ProgramEvent;
@@ -72,7 +72,7 @@
 
     let (refusal, _, spent) = turns_until_refused(&mut home, platform);
 
-    assert_eq!((refusal.code, refusal.ran), (Code::BudgetExhausted, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::BudgetExhausted, Executed::No));
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - spent);
 }
 
@@ -129,7 +129,7 @@
 
     let (refusal, ran, spent) = turns_until_refused(&mut home, platform);
 
-    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Executed::No));
     assert_eq!(ran, 2);
     assert!(spent <= BUDGET / 8);
 }
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -1,6 +1,6 @@
 //! Callers that are gone, and keys that are withdrawn.
 
-use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
+use camphorwalk_core::calls::{CallOutcome, Code, Executed, Reply, Request};
 use camphorwalk_core::ids::KeyId;
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::shared_types::AttemptOutcome;
@@ -55,8 +55,8 @@
 
     assert_eq!(home.cancelled, 1);
     let (running, waiting) = (home.refusal(running), home.refusal(waiting));
-    assert_eq!((running.code, running.ran), (Code::Unauthorized, Ran::Maybe));
-    assert_eq!((waiting.code, waiting.ran), (Code::Unauthorized, Ran::No));
+    assert_eq!((running.code, running.ran), (Code::Unauthorized, Executed::Maybe));
+    assert_eq!((waiting.code, waiting.ran), (Code::Unauthorized, Executed::No));
 }
 
 /// The caller of a withdrawn key is told at once; its deposit runs on and is recorded. One
@@ -72,6 +72,6 @@
     let refusal = home.refusal(first);
     home.finish(platform, done("\"paid\""));
 
-    assert_eq!((refusal.code, refusal.ran), (Code::Unauthorized, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::Unauthorized, Executed::Maybe));
     assert_eq!(home.called(joined).call, 1);
 }
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::calls::{
-    CallRequest, Called, HistoryCall, OpenRequest, Refusal, Reply, Request, Usage,
+    CallRequest, CompletedCall, HistoryCall, OpenRequest, Refusal, Reply, Request, Usage,
 };
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
@@ -353,7 +353,12 @@
     }
 
     /// Makes a call that the target answers with `output`.
-    pub fn run(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
+    pub fn run(
+        &mut self,
+        platform: &mut Platform,
+        request: Request,
+        output: &str,
+    ) -> CompletedCall {
         let ticket = self.ask(platform, request);
         self.finish(platform, done(output));
 
@@ -378,7 +383,7 @@
     }
 
     /// Returns the answer to a call that ran.
-    pub fn called(&self, ticket: RequestOrigin) -> Called {
+    pub fn called(&self, ticket: RequestOrigin) -> CompletedCall {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
             reply => panic!("the call was answered {reply:?}"),
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -1,6 +1,6 @@
 //! Calls that must not be repeated: at most one run, and "not run" only where it is proved.
 
-use camphorwalk_core::calls::{Code, Ran};
+use camphorwalk_core::calls::{Code, Executed};
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::shared_types::AttemptOutcome;
 
@@ -40,7 +40,7 @@
 
     for ticket in [first, second] {
         let refusal = home.refusal(ticket);
-        assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
+        assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Executed::No));
         assert!(refusal.retry_after.is_some());
     }
     assert_eq!((third.call, home.sent.len()), (1, 1));
@@ -66,7 +66,7 @@
     let mut new = Home::new(platform, 2);
     let again = new.run(platform, call("deposit", "k1", 1), "\"paid\"");
 
-    assert_eq!(home.refusal(ticket).ran, Ran::No);
+    assert_eq!(home.refusal(ticket).ran, Executed::No);
     assert_eq!(home.refusal(blocked).code, Code::PlatformUnavailable);
     assert_eq!((settled.stored, home.fenced), (true, 0));
     assert_eq!((home.sent.len(), new.sent.len()), (1, 1));
@@ -87,7 +87,7 @@
     let next = new.run(platform, call("model", "k2", 1), "\"text\"");
 
     let refusal = new.refusal(repeat);
-    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     assert_eq!(next.call, 2);
     assert_eq!((old.sent.len(), new.sent.len()), (1, 1));
 }
@@ -127,7 +127,7 @@
     let second = home.run(platform, call("deposit", "k1", 0), "\"paid\"");
     let mut new = Home::new(platform, 2);
 
-    assert_eq!(home.refusal(first).ran, Ran::No);
+    assert_eq!(home.refusal(first).ran, Executed::No);
     assert_eq!(second.call, 1);
     assert_eq!(new.history(platform).len(), 1);
 }
@@ -146,7 +146,7 @@
     let moved = new.ask(platform, call("deposit", "k1", 0));
 
     for refusal in [home.refusal(first), home.refusal(repeat), new.refusal(moved)] {
-        assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+        assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     }
     assert_eq!((home.sent.len(), new.sent.len()), (1, 0));
 }
@@ -184,7 +184,7 @@
     home.release(platform);
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Executed::No));
     assert!(home.sent.is_empty());
     assert_eq!(home.vacated.len(), 1);
 }
--- a/crates/policy/tests/programs_home/opening.rs
+++ b/crates/policy/tests/programs_home/opening.rs
@@ -1,6 +1,6 @@
 //! Opening and ending programs, and the family of sub-agents.
 
-use camphorwalk_core::calls::{Code, Ran, Reply, Request};
+use camphorwalk_core::calls::{Code, Executed, Reply, Request};
 use camphorwalk_core::ids::ProgramId;
 
 use crate::fixture::{Home, Mode, PROGRAM, Platform, call, done, open, open_child};
@@ -19,7 +19,7 @@
     let repeat = home.ask(platform, open(PROGRAM));
 
     let refusal = home.refusal(first);
-    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     assert!(matches!(home.reply(repeat), Reply::Opened(_)));
     assert_eq!(home.programs.open_programs().count(), 1);
 }
@@ -33,7 +33,7 @@
     let ticket = home.ask(platform, open(PROGRAM));
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Executed::No));
     assert_eq!(home.programs.open_programs().count(), 0);
 }
 
@@ -68,7 +68,7 @@
     let moved = new.ask(platform, call("deposit", "k1", 0));
     let other = new.ask(platform, call("model", "k2", 1));
 
-    assert_eq!(home.refusal(deposit).ran, Ran::Maybe);
+    assert_eq!(home.refusal(deposit).ran, Executed::Maybe);
     assert_eq!(home.called(repeat).call, 1);
     assert_eq!(&*new.called(moved).output, "\"paid\"");
     assert_eq!(new.refusal(other).code, Code::NotFound);
@@ -91,10 +91,10 @@
 
     assert_eq!(
         (home.refusal(deposit).code, home.refusal(deposit).ran),
-        (Code::Deadline, Ran::Maybe)
+        (Code::Deadline, Executed::Maybe)
     );
     assert_eq!(home.called(repeat).call, 1);
-    assert_eq!((home.refusal(late).code, home.refusal(late).ran), (Code::Deadline, Ran::No));
+    assert_eq!((home.refusal(late).code, home.refusal(late).ran), (Code::Deadline, Executed::No));
     assert_eq!(home.refusal(forgotten).code, Code::NotFound);
 }
 
@@ -113,7 +113,7 @@
     let third = home.ask(platform, Request::End { program: PROGRAM });
 
     for refusal in [home.refusal(first), home.refusal(second)] {
-        assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::Maybe));
+        assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Executed::Maybe));
     }
     assert_eq!(home.reply(third), &Reply::Ended);
     assert_eq!(home.over, [PROGRAM]);
--- a/crates/policy/tests/programs_home/oracle.rs
+++ b/crates/policy/tests/programs_home/oracle.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use camphorwalk_core::calls::{HistoryCall, Ran, Reply};
+use camphorwalk_core::calls::{Executed, HistoryCall, Reply};
 use camphorwalk_core::ids::ProgramId;
 
 use crate::fixture::SMALL_BUDGET;
@@ -25,7 +25,7 @@
 pub fn check_answer(ledger: &[(ProgramId, Box<str>)], sent: &Sent, reply: &Reply) {
     if let (Some(key), Reply::Refused(refusal)) = (&sent.key, reply) {
         let ran = ledger.contains(&(sent.program, key.clone()));
-        assert!(!ran || refusal.ran != Ran::No, "{key} ran, and {refusal:?}");
+        assert!(!ran || refusal.ran != Executed::No, "{key} ran, and {refusal:?}");
     }
 }
 
@@ -50,7 +50,7 @@
         .values()
         .filter(|sent| sent.program == *program && sent.key.as_ref() == Some(key));
 
-    asked.all(|sent| matches!(&sent.reply, Some(Reply::Refused(r)) if r.ran == Ran::No))
+    asked.all(|sent| matches!(&sent.reply, Some(Reply::Refused(r)) if r.ran == Executed::No))
 }
 
 /// Checks the histories that the last home has: they hold each program's own calls, all
--- a/crates/policy/tests/programs_home/order.rs
+++ b/crates/policy/tests/programs_home/order.rs
@@ -1,6 +1,6 @@
 //! Order, repeats and history of a program's calls.
 
-use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
+use camphorwalk_core::calls::{CallOutcome, Code, Executed, Reply, Request};
 use camphorwalk_policy::programs::ProgramEvent;
 
 use crate::fixture::{Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, done};
@@ -17,7 +17,10 @@
     assert_eq!((first.call, first.stored), (1, true));
     assert_eq!((second.call, second.stored), (2, true));
     let refusal = home.refusal(stale);
-    assert_eq!((refusal.code, refusal.ran, refusal.head), (Code::OutOfOrder, Ran::No, Some(1)));
+    assert_eq!(
+        (refusal.code, refusal.ran, refusal.head),
+        (Code::OutOfOrder, Executed::No, Some(1))
+    );
     let keys: Vec<_> = home.history(platform).into_iter().map(|call| call.key).collect();
     assert_eq!(keys, ["k1".into(), "k2".into()]);
 }
@@ -105,7 +108,7 @@
     home.pass(platform, 2_000);
 
     for refusal in [home.refusal(gone), home.refusal(parked)] {
-        assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::Maybe));
+        assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Executed::Maybe));
         assert!(refusal.retry_after.is_some());
     }
 }
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -1,6 +1,6 @@
 //! Retries of model turns, and requests that crash targets.
 
-use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
+use camphorwalk_core::calls::{CallRequest, Code, Executed, Request};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::shared_types::AttemptOutcome;
@@ -33,7 +33,7 @@
     home.finish(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     assert_eq!(home.sent.len(), 1);
 }
 
@@ -77,7 +77,7 @@
     }
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Executed::Maybe));
 }
 
 /// The caller of a request that crashes targets gets a final answer after the second crash,
@@ -100,7 +100,7 @@
     assert!(!home.placed[0].suspect && home.placed[1].suspect);
     let refusals = [home.refusal(first), home.refusal(second)];
     assert_eq!(refusals.clone().map(|r| r.code), [Code::Quarantined, Code::Quarantined]);
-    assert_eq!(refusals.map(|r| r.ran), [Ran::Maybe, Ran::No]);
+    assert_eq!(refusals.map(|r| r.ran), [Executed::Maybe, Executed::No]);
     assert_eq!((home.sent.len(), home.quarantined.len()), (2, 1));
 }
 
--- a/crates/policy/tests/programs_home/tails.rs
+++ b/crates/policy/tests/programs_home/tails.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
-use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
+use camphorwalk_core::calls::{CallRequest, Code, Executed, Request};
 use camphorwalk_core::ids::ProgramId;
 
 use crate::fixture::{Home, Mode, PROGRAM, Platform, call, call_request, call_with_tail, open};
@@ -65,7 +65,7 @@
     let repeat = new.ask(platform, call_with_tail("model", "other", 0, tail));
 
     let refusal = new.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::OutOfOrder, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::OutOfOrder, Executed::No));
     assert_eq!(refusal.head, Some(1));
     assert_eq!(new.called(repeat).call, 1);
     assert_eq!(new.history(platform).len(), 1);
@@ -120,7 +120,7 @@
 
     for ticket in [changed, elsewhere] {
         let refusal = new.refusal(ticket);
-        assert_eq!((refusal.code, refusal.ran), (Code::BadRequest, Ran::No));
+        assert_eq!((refusal.code, refusal.ran), (Code::BadRequest, Executed::No));
     }
     assert!(new.history(platform).is_empty());
 }
--- a/crates/scenario/src/checks.rs
+++ b/crates/scenario/src/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use camphorwalk_core::calls::{HistoryCall, Ran, Reply, Request};
+use camphorwalk_core::calls::{Executed, HistoryCall, Reply, Request};
 use camphorwalk_core::hash::Set;
 use camphorwalk_core::ids::{ProgramId, TenantId};
 use camphorwalk_core::time::Instant;
@@ -56,7 +56,7 @@
 pub fn check_not_run(record: &Record) -> Result {
     for ((program, key), runs) in &record.ledger {
         let all = || calls(record).filter(|(p, k, _)| p == program && *k == &**key);
-        let not_run = |s: &Submission| s.answer().is_some_and(|r| ran(r) == Some(Ran::No));
+        let not_run = |s: &Submission| s.answer().is_some_and(|r| ran(r) == Some(Executed::No));
 
         if *runs > 0 && all().all(|(_, _, submission)| not_run(submission)) {
             return Err(format!("{program} {key} ran, and all its callers were told it did not"));
@@ -169,10 +169,10 @@
 }
 
 /// Returns whether the call behind an answer ran; `None` if it is no answer to a call.
-pub fn ran(reply: &Reply) -> Option<Ran> {
+pub fn ran(reply: &Reply) -> Option<Executed> {
     match reply {
         Reply::Refused(refusal) => Some(refusal.ran),
-        Reply::Called(_) => Some(Ran::Yes),
+        Reply::Called(_) => Some(Executed::Yes),
         _ => None,
     }
 }
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use camphorwalk_core::calls::{CallRequest, OpenRequest, Ran, Reply, Request};
+use camphorwalk_core::calls::{CallRequest, Executed, OpenRequest, Reply, Request};
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{ProgramId, TenantId};
@@ -289,7 +289,7 @@
 
         let (over, wait) = match reply {
             Some(Reply::Refused(refusal)) => {
-                let lost = refusal.ran != Ran::No && &*drive.spec.call.target == "deposit";
+                let lost = refusal.ran != Executed::No && &*drive.spec.call.target == "deposit";
                 let wait = refusal.retry_after.unwrap_or(REPEAT_AFTER).max(REPEAT_AFTER / 10);
                 (drive.spec.drop || lost, wait)
             }
