--- a/crates/camphorwalk/src/bin/camphorwalkd.rs
+++ b/crates/camphorwalk/src/bin/camphorwalkd.rs
@@ -92,7 +92,7 @@
     tokio::select! {
         _ = terminate.recv() => tracing::info!("host: asked to leave"),
         _ = interrupt.recv() => tracing::info!("host: interrupted, leaves"),
-        () = host.reached(camphorwalk::node::host::Phase::Leaving) => {
+        () = host.wait_for_phase(camphorwalk::node::host::Phase::Leaving) => {
             tracing::info!("host: an operator has it leave");
         }
     }
--- a/crates/camphorwalk/src/demo/fleet.rs
+++ b/crates/camphorwalk/src/demo/fleet.rs
@@ -63,7 +63,7 @@
         let fleet = Self { platform, engines, service, hosts };
         fleet.publish().await?;
         for host in &fleet.hosts {
-            host.reached(Phase::Serving).await;
+            host.wait_for_phase(Phase::Serving).await;
         }
 
         Ok(fleet)
@@ -171,14 +171,14 @@
     Settings {
         name: name.into(),
         zone: zone.into(),
-        callers: any_port(),
-        operators: any_port(),
+        callers_address: any_port(),
+        operators_address: any_port(),
         operator_key_file: PathBuf::new(),
-        peers: any_port(),
+        peers_address: any_port(),
         fleet_secret_file: PathBuf::new(),
         platform: PlatformSettings {
             address: platform,
-            deadline: Duration::from_secs(1),
+            request_timeout: Duration::from_secs(1),
             reads_per_second: 100.0,
             writes_per_second: 40.0,
         },
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -107,7 +107,7 @@
         // Peers come first: the address that they listen on goes into the host's session.
         let (inbound_tx, inbound) = mpsc::channel(INBOUND_BUFFER);
         let options = PeerOptions::new(
-            settings.peers,
+            settings.peers_address,
             &settings.name,
             &settings.zone,
             session,
@@ -142,8 +142,8 @@
         let carrier = Carrier { shared: shared.clone(), peers, platform, targets, watched };
         tokio::spawn(carrier.run(actions));
 
-        let callers = CallerServer::start(settings.callers, shared.clone())?;
-        let operators = OperatorServer::start(settings.operators, shared.clone())?;
+        let callers = CallerServer::start(settings.callers_address, shared.clone())?;
+        let operators = OperatorServer::start(settings.operators_address, shared.clone())?;
 
         Ok(Self { shared, callers, operators, peer_address, drain_delay: settings.drain_delay })
     }
@@ -164,7 +164,7 @@
     }
 
     /// Waits until the host has reached a phase.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         let mut rx = self.shared.phase.subscribe();
 
         // The sender lives in `self.shared`, so waiting cannot fail.
@@ -178,7 +178,7 @@
         self.shared.begin_leaving();
         tokio::time::sleep(self.drain_delay).await;
         self.shared.control.send(Event::Drain);
-        self.reached(Phase::Left).await;
+        self.wait_for_phase(Phase::Left).await;
 
         // Requests that were passed on to other homes may still be open.
         while self.shared.streams.count() > 0 {
@@ -404,7 +404,7 @@
 
 fn platform_client(settings: &Settings, seed: u64, metrics: &Metrics) -> Result<Client> {
     let mut options = ClientOptions::new(settings.platform.address, &settings.zone);
-    options.deadline = settings.platform.deadline;
+    options.deadline = settings.platform.request_timeout;
     options.quota.reads_per_second = settings.platform.reads_per_second;
     options.quota.writes_per_second = settings.platform.writes_per_second;
     options.seed = seed;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -29,13 +29,13 @@
     /// Its availability zone's name, as declared in `fleet.json`.
     pub zone: Box<str>,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// Where operators reach it.
-    pub operators: SocketAddr,
+    pub operators_address: SocketAddr,
     /// The file with the operators' key.
     pub operator_key_file: PathBuf,
     /// Where other hosts reach it.
-    pub peers: SocketAddr,
+    pub peers_address: SocketAddr,
     /// The file with the fleet's secret: 64 hexadecimal digits.
     pub fleet_secret_file: PathBuf,
     /// The platform.
@@ -59,7 +59,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// How long one try may take.
-    pub deadline: Duration,
+    pub request_timeout: Duration,
     /// This host's share of the platform's reads a second.
     pub reads_per_second: f64,
     /// This host's share of the platform's writes a second.
@@ -172,10 +172,10 @@
     Some(Settings {
         name: name?,
         zone: zone?,
-        callers: callers?,
-        operators: operators?,
+        callers_address: callers?,
+        operators_address: operators?,
         operator_key_file: PathBuf::from(&*operator_key_file?),
-        peers: peers?,
+        peers_address: peers?,
         fleet_secret_file: PathBuf::from(&*fleet_secret_file?),
         platform: platform??,
         limits: limits?,
@@ -188,11 +188,16 @@
 
 fn read_platform(r: &mut Reader<'_>) -> Option<PlatformSettings> {
     let address = r.address("address");
-    let deadline = r.duration_or("deadline", Duration::from_secs(1));
+    let request_timeout = r.duration_or("deadline", Duration::from_secs(1));
     let reads_per_second = r.rate_or("reads_per_second", 100.0);
     let writes_per_second = r.rate_or("writes_per_second", 40.0);
 
-    Some(PlatformSettings { address: address?, deadline, reads_per_second, writes_per_second })
+    Some(PlatformSettings {
+        address: address?,
+        request_timeout,
+        reads_per_second,
+        writes_per_second,
+    })
 }
 
 /// What of a host's share of writes is left to the journal; the rest renews and publishes.
