--- a/crates/bench/src/limits/fleet.rs
+++ b/crates/bench/src/limits/fleet.rs
@@ -38,17 +38,17 @@
     /// The part of messages that is lost.
     pub loss: f64,
     /// The part of messages that arrives twice.
-    pub repeat: f64,
+    pub duplication: f64,
     /// The least and the most delay, in microseconds.
     pub delay: (u64, u64),
 }
 
 impl Net {
     /// A network within a region.
-    pub const HEALTHY: Self = Self { loss: 0.0, repeat: 0.0, delay: (300, 1_500) };
+    pub const HEALTHY: Self = Self { loss: 0.0, duplication: 0.0, delay: (300, 1_500) };
 
     /// A network that does all it may, with delays beyond every timeout of a message.
-    pub const BAD: Self = Self { loss: 0.2, repeat: 0.2, delay: (300, 400 * MILLI) };
+    pub const UNRELIABLE: Self = Self { loss: 0.2, duplication: 0.2, delay: (300, 400 * MILLI) };
 }
 
 /// What a host sent and received.
@@ -110,7 +110,7 @@
     /// The hosts.
     pub nodes: Vec<Node>,
     /// The side of a cut that each host is on.
-    pub side: Vec<u8>,
+    pub partition_side: Vec<u8>,
     /// Whether to check after each step that no slice has two users.
     pub check_users: bool,
     /// The configuration in force.
@@ -154,7 +154,7 @@
             now: 0,
             net: Net::HEALTHY,
             nodes: (0..hosts).map(node).collect(),
-            side: vec![0; hosts],
+            partition_side: vec![0; hosts],
             check_users: false,
             admitted: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -172,12 +172,12 @@
 
         fleet.index = fleet.nodes.iter().enumerate().map(|(i, node)| (node.id, i)).collect();
         (0..hosts).for_each(|host| fleet.start(host));
-        fleet.show_all_hosts();
+        fleet.update_visible_hosts();
         fleet
     }
 
     /// Lets clocks run at different speeds, up to [`DRIFT_PPM`] off. Call it at the start.
-    pub fn drift(&mut self) {
+    pub fn enable_clock_drift(&mut self) {
         for (host, node) in self.nodes.iter_mut().enumerate() {
             node.drift_ppm = [0, DRIFT_PPM, -DRIFT_PPM][host % 3];
         }
@@ -206,7 +206,7 @@
     /// Lets a host leave: the others, and it, see it no more.
     pub fn leave(&mut self, host: usize) {
         self.nodes[host].leaving = true;
-        self.show_all_hosts();
+        self.update_visible_hosts();
     }
 
     /// Lets a host give up its columns, which go to others at once.
@@ -235,7 +235,7 @@
     }
 
     /// Tells a host that these hosts can be reached.
-    pub fn show(&mut self, host: usize, seen: impl Fn(usize) -> bool) {
+    pub fn set_visible_hosts(&mut self, host: usize, seen: impl Fn(usize) -> bool) {
         let stays = !self.nodes[host].leaving;
         let nodes = self.nodes.iter().enumerate();
         let all = nodes.filter(|(i, _)| (stays && *i == host) || seen(*i));
@@ -244,13 +244,13 @@
     }
 
     /// Tells each host of the live ones on its side of a cut.
-    pub fn show_all_hosts(&mut self) {
-        let side = self.side.clone();
+    pub fn update_visible_hosts(&mut self) {
+        let side = self.partition_side.clone();
         let live: Vec<bool> =
             self.nodes.iter().map(|node| node.slices.is_some() && !node.leaving).collect();
 
         for host in 0..self.nodes.len() {
-            self.show(host, |other| side[other] == side[host] && live[other]);
+            self.set_visible_hosts(host, |other| side[other] == side[host] && live[other]);
         }
     }
 
@@ -320,7 +320,7 @@
     }
 
     /// Returns whether the process of a host is there, paused or not.
-    pub fn lives(&self, host: usize) -> bool {
+    pub fn is_running(&self, host: usize) -> bool {
         self.nodes[host].slices.is_some()
     }
 
@@ -446,7 +446,7 @@
 
     fn send(&mut self, from: usize, to: HostId, message: SliceMessage) {
         let Some(to) = self.index.get(&to).copied() else { return };
-        let copies = 1 + u32::from(self.rng.random_bool(self.net.repeat));
+        let copies = 1 + u32::from(self.rng.random_bool(self.net.duplication));
 
         for host in [from, to] {
             self.nodes[host].traffic.messages += 1;
@@ -454,7 +454,9 @@
         }
 
         for _ in 0..copies {
-            if self.side[from] != self.side[to] || self.rng.random_bool(self.net.loss) {
+            if self.partition_side[from] != self.partition_side[to]
+                || self.rng.random_bool(self.net.loss)
+            {
                 continue;
             }
 
--- a/crates/bench/src/limits/methods.rs
+++ b/crates/bench/src/limits/methods.rs
@@ -180,7 +180,8 @@
 fn apply(fleet: &mut Fleet, plan: &Plan, fault: Fault) {
     match fault {
         Fault::Cut(cut) => {
-            fleet.side = (0..plan.hosts).map(|host| u8::from(cut && plan.is_cut(host))).collect();
+            fleet.partition_side =
+                (0..plan.hosts).map(|host| u8::from(cut && plan.is_cut(host))).collect();
         }
         Fault::Kill(host) => fleet.kill(host),
         Fault::Leave(host) => fleet.leave(host),
@@ -190,9 +191,9 @@
         }
         Fault::Start(host) => {
             fleet.start(host);
-            fleet.show_all_hosts();
+            fleet.update_visible_hosts();
         }
-        Fault::Notice => fleet.show_all_hosts(),
+        Fault::Notice => fleet.update_visible_hosts(),
     }
 }
 
--- a/crates/policy/tests/slices_fuzz.rs
+++ b/crates/policy/tests/slices_fuzz.rs
@@ -120,7 +120,7 @@
 
     fn init_test(seed: &u64) -> Fleet {
         let mut fleet = Fleet::new(figures(0), HOSTS, *seed);
-        fleet.drift();
+        fleet.enable_clock_drift();
         fleet.check_users = true;
         fleet.run(6 * SECOND);
         fleet
@@ -133,21 +133,21 @@
             }
             Fault::Storm { millis } => storm(&mut fleet, millis),
             Fault::Run { millis } => fleet.run(millis * MILLI),
-            Fault::Network { bad } => fleet.net = if bad { Net::BAD } else { Net::HEALTHY },
+            Fault::Network { bad } => fleet.net = if bad { Net::UNRELIABLE } else { Net::HEALTHY },
             Fault::Cut { sides, seen } => {
-                fleet.side = sides.to_vec();
+                fleet.partition_side = sides.to_vec();
                 if seen {
-                    fleet.show_all_hosts();
+                    fleet.update_visible_hosts();
                 }
             }
-            Fault::View { host, seen } => fleet.show(host, |other| seen[other]),
+            Fault::View { host, seen } => fleet.set_visible_hosts(host, |other| seen[other]),
             Fault::Pause { host } => fleet.pause(host),
             Fault::Resume { host } => fleet.resume(host),
             Fault::Kill { host } => fleet.kill(host),
             Fault::Start { host } => {
                 fleet.kill(host);
                 fleet.start(host);
-                fleet.show_all_hosts();
+                fleet.update_visible_hosts();
             }
             Fault::Move { column, abruptly } => fleet.move_column(column, abruptly),
             Fault::Configure { figures: which } => fleet.configure(figures(which)),
@@ -159,17 +159,17 @@
     /// After the faults, the fleet is whole again and serves its rate.
     fn teardown(mut fleet: Fleet) {
         fleet.net = Net::HEALTHY;
-        fleet.side = vec![0; HOSTS];
+        fleet.partition_side = vec![0; HOSTS];
         (0..HOSTS).for_each(|host| fleet.resume(host));
         fleet.configure(figures(0));
 
         for host in 0..HOSTS {
-            if !fleet.lives(host) {
+            if !fleet.is_running(host) {
                 fleet.start(host);
             }
         }
 
-        fleet.show_all_hosts();
+        fleet.update_visible_hosts();
         fleet.run(15 * SECOND);
         fleet.assert_all_answered();
         count(fleet.steps);
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -121,8 +121,8 @@
     }
 
     /// Puts `content` under a name that need not be its hash, as a faulty store would.
-    pub fn corrupt_object(&self, name: ObjectName, content: impl Into<Bytes>) {
-        lock(&self.state).store.corrupt_object(name, content.into());
+    pub fn put_corrupt_object(&self, name: ObjectName, content: impl Into<Bytes>) {
+        lock(&self.state).store.put_corrupt_object(name, content.into());
     }
 }
 
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -120,7 +120,7 @@
     }
 
     /// Puts an object under a name that need not be its hash, as a faulty store would.
-    pub fn corrupt_object(&mut self, name: ObjectName, content: Bytes) {
+    pub fn put_corrupt_object(&mut self, name: ObjectName, content: Bytes) {
         self.objects.insert(name, content);
     }
 
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -67,7 +67,7 @@
     let platform = platform().await;
     let client = client(&platform);
     let name = ObjectName::of(b"history");
-    platform.corrupt_object(name.clone(), &b"another's history"[..]);
+    platform.put_corrupt_object(name.clone(), &b"another's history"[..]);
 
     let reply = client.run(PlatformOp::GetObject(name)).await;
 
