--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -48,7 +48,7 @@
 
     /// Returns whether a host may be asked for its manifest.
     fn may_ask(&self, host: HostId) -> bool {
-        self.backoff.borrow().may_ask(clock::now(), host)
+        self.backoff.borrow().may_request(clock::now(), host)
     }
 }
 
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -270,7 +270,7 @@
     let slots = f64::from(targets.capacity(clock::now(), service).0);
     let places = (slots / shared.fleet.size() as f64).max(1.0);
 
-    targets.mean_hold(service).mul_f64(ahead as f64 / places)
+    targets.mean_service_time(service).mul_f64(ahead as f64 / places)
 }
 
 /// Returns the refusal of a new program while all targets are full.
--- a/crates/entry/src/status_updates.rs
+++ b/crates/entry/src/status_updates.rs
@@ -17,7 +17,7 @@
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 use camphorwalk_peer::Peers;
-use camphorwalk_policy::entry::prompts::Part;
+use camphorwalk_policy::entry::prompts::CachedPart;
 use camphorwalk_policy::entry::rates::{ReservedShare, TenantStatus};
 use tokio::time::sleep;
 use tracing::info;
@@ -50,7 +50,7 @@
 #[derive(Clone, Default)]
 struct Changes {
     /// The last part of each prompt that was sent to a target, by target.
-    prompts: Map<Box<str>, Vec<Part>>,
+    prompts: Map<Box<str>, Vec<CachedPart>>,
     demand: Map<Box<str>, TenantStatus>,
     crashes: Vec<CrashReport>,
 }
@@ -189,7 +189,7 @@
     }
 }
 
-fn prompts((target, parts): (Box<str>, Vec<Part>)) -> SentPrompts {
+fn prompts((target, parts): (Box<str>, Vec<CachedPart>)) -> SentPrompts {
     let (parts, tokens) = parts.into_iter().unzip();
 
     SentPrompts { target: target.into(), parts, tokens }
@@ -251,7 +251,7 @@
 
     for SentPrompts { target, parts, tokens } in prompts {
         parts.iter().for_each(|part| conversation_hosts.put(*part, from));
-        let parts: Vec<Part> = parts.into_iter().zip(tokens).collect();
+        let parts: Vec<CachedPart> = parts.into_iter().zip(tokens).collect();
         targets.record_remote_prompts(&target, &parts);
     }
 }
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -15,7 +15,7 @@
 use slotmap::SlotMap;
 
 use crate::entry::call_stats::CallStats;
-use crate::entry::prompts::{Part, Prompts};
+use crate::entry::prompts::{CachedPart, Prompts};
 
 slotmap::new_key_type! {
     /// Identifies one run of a target within this host.
@@ -72,7 +72,7 @@
     prompts: Prompts,
     /// The last parts of the prompts that this host sent there, not yet reported to the other
     /// hosts.
-    unreported_parts: Vec<Part>,
+    unreported_parts: Vec<CachedPart>,
 }
 
 /// The fraction of a target's slots up to which new programs may start there: for the first rank,
@@ -93,7 +93,7 @@
     /// The rank of the call if it starts a program.
     pub new_program_rank: Option<u32>,
     /// The prompt parts, in order. While a target reads a prompt, its other calls make no progress.
-    pub parts: Vec<Part>,
+    pub parts: Vec<CachedPart>,
     /// The object that the call refers to, for a call without a prompt.
     pub object: Option<u64>,
     /// The targets that the call was already sent to.
@@ -290,7 +290,7 @@
     }
 
     /// Records the last parts of prompts that another host sent to a target.
-    pub fn record_remote_prompts(&mut self, id: &str, parts: &[Part]) {
+    pub fn record_remote_prompts(&mut self, id: &str, parts: &[CachedPart]) {
         let target = self.by_id.get(id).and_then(|key| self.targets.get_mut(*key));
 
         if let Some(target) = target {
@@ -300,7 +300,7 @@
 
     /// Takes the last parts of the prompts that this host sent to each target since the previous
     /// call, by target id.
-    pub fn take_updates(&mut self) -> Vec<(Box<str>, Vec<Part>)> {
+    pub fn take_updates(&mut self) -> Vec<(Box<str>, Vec<CachedPart>)> {
         let targets =
             self.targets.values_mut().filter(|target| !target.unreported_parts.is_empty());
 
@@ -393,7 +393,7 @@
     }
 
     /// Returns the mean time for which a call occupies a slot at a service's targets.
-    pub fn mean_hold(&self, service: &str) -> Duration {
+    pub fn mean_service_time(&self, service: &str) -> Duration {
         Duration::from_secs_f64(self.stats(service).slot_ms() / 1_000.0)
     }
 
--- a/crates/policy/src/entry/prompts.rs
+++ b/crates/policy/src/entry/prompts.rs
@@ -7,7 +7,7 @@
 
 /// A part of a prompt: its id and its number of tokens. The part that holds a conversation keeps
 /// its id and grows with each turn.
-pub type Part = (u64, u32);
+pub type CachedPart = (u64, u32);
 
 /// The prompt parts that a target has read, known from the calls that this host sent and from other
 /// hosts' reports.
@@ -35,7 +35,7 @@
     /// assert_eq!(prompts.missing_tokens(&[(1, 512), (7, 700)]), 100);
     /// assert_eq!(prompts.missing_tokens(&[(1, 512), (8, 700)]), 1_212);
     /// ```
-    pub fn missing_tokens(&self, parts: &[Part]) -> u32 {
+    pub fn missing_tokens(&self, parts: &[CachedPart]) -> u32 {
         let mut missing = 0;
 
         for (id, tokens) in parts.iter().rev() {
@@ -57,7 +57,7 @@
     }
 
     /// Records that the target reads a part.
-    pub fn insert(&mut self, (id, tokens): Part) {
+    pub fn insert(&mut self, (id, tokens): CachedPart) {
         let cached = self.cached_tokens(id).unwrap_or_default();
 
         self.parts.put(id, tokens.max(cached));
--- a/crates/policy/src/entry/transfers.rs
+++ b/crates/policy/src/entry/transfers.rs
@@ -111,8 +111,8 @@
     /// use camphorwalk_policy::entry::transfers::Backoff;
     /// let mut backoff = Backoff::default();
     /// backoff.record_refusal(Instant(0), HostId(1));
-    /// assert!(!backoff.may_ask(Instant::from_millis(299), HostId(1)));
-    /// assert!(backoff.may_ask(Instant::from_millis(300), HostId(1)));
+    /// assert!(!backoff.may_request(Instant::from_millis(299), HostId(1)));
+    /// assert!(backoff.may_request(Instant::from_millis(300), HostId(1)));
     /// ```
     pub fn record_refusal(&mut self, now: Instant, host: HostId) {
         self.refused_at.retain(|_, at| now.since(*at) < REFUSED_PAUSE);
@@ -120,7 +120,7 @@
     }
 
     /// Returns whether a host may be asked again.
-    pub fn may_ask(&self, now: Instant, host: HostId) -> bool {
+    pub fn may_request(&self, now: Instant, host: HostId) -> bool {
         self.refused_at.get(&host).is_none_or(|at| now.since(*at) >= REFUSED_PAUSE)
     }
 }
--- a/crates/policy/tests/entry_transfers.rs
+++ b/crates/policy/tests/entry_transfers.rs
@@ -61,7 +61,7 @@
     fn ask(&mut self, now: u64, host: usize) {
         let may_ask = |i: &usize| {
             let backoff = &self.hosts[host].backoff;
-            self.hosts[*i].is_known_to_have(now) && backoff.may_ask(at(now), HostId(*i as u64))
+            self.hosts[*i].is_known_to_have(now) && backoff.may_request(at(now), HostId(*i as u64))
         };
         let able: Vec<_> = (0..self.hosts.len()).filter(may_ask).collect();
         // Any choice that differs between hosts and times is sufficient.
