--- a/crates/entry/src/status_updates.rs
+++ b/crates/entry/src/status_updates.rs
@@ -12,12 +12,12 @@
 use camphorwalk_core::hash::{Map, Set};
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::messages::entry::{
-    CrashReport, Demand, EntryStatus, InFlight, Prompts, WaitingCalls,
+    CrashReport, Demand, EntryStatus, InFlight, SentPrompts, WaitingCalls,
 };
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 use camphorwalk_peer::Peers;
-use camphorwalk_policy::entry::prompts::Part;
+use camphorwalk_policy::entry::prompts::CachedPart;
 use camphorwalk_policy::entry::rates::{ReservedShare, TenantStatus};
 use tokio::time::sleep;
 use tracing::info;
@@ -50,7 +50,7 @@
 #[derive(Clone, Default)]
 struct Changes {
     /// The last part of each prompt that was sent to a target, by target.
-    prompts: Map<Box<str>, Vec<Part>>,
+    prompts: Map<Box<str>, Vec<CachedPart>>,
     demand: Map<Box<str>, TenantStatus>,
     crashes: Vec<CrashReport>,
 }
@@ -189,10 +189,10 @@
     }
 }
 
-fn prompts((target, parts): (Box<str>, Vec<Part>)) -> Prompts {
+fn prompts((target, parts): (Box<str>, Vec<CachedPart>)) -> SentPrompts {
     let (parts, tokens) = parts.into_iter().unzip();
 
-    Prompts { target: target.into(), parts, tokens }
+    SentPrompts { target: target.into(), parts, tokens }
 }
 
 /// Applies a status update of another host.
@@ -245,13 +245,13 @@
     places::assign_all_places(shared);
 }
 
-fn apply_prompts(shared: &Shared, from: HostId, prompts: Vec<Prompts>) {
+fn apply_prompts(shared: &Shared, from: HostId, prompts: Vec<SentPrompts>) {
     let mut targets = shared.targets.borrow_mut();
     let mut conversation_hosts = shared.conversation_hosts.borrow_mut();
 
-    for Prompts { target, parts, tokens } in prompts {
+    for SentPrompts { target, parts, tokens } in prompts {
         parts.iter().for_each(|part| conversation_hosts.put(*part, from));
-        let parts: Vec<Part> = parts.into_iter().zip(tokens).collect();
+        let parts: Vec<CachedPart> = parts.into_iter().zip(tokens).collect();
         targets.record_remote_prompts(&target, &parts);
     }
 }
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Usage};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Usage};
 use camphorwalk_core::ids::AttemptId;
 use camphorwalk_core::units::Tokens;
 
@@ -124,7 +124,7 @@
         }
 
         if quarantined {
-            return self.give_up(cx, id, refusals::quarantined(Ran::Maybe));
+            return self.give_up(cx, id, refusals::quarantined(Executed::Maybe));
         }
 
         // After a part of the answer was streamed, a retry would append the text of another
@@ -193,8 +193,8 @@
     fn give_up(&mut self, cx: &mut StepContext<'_>, id: CallId, mut refusal: Refusal) {
         let program = self.calls[id].program;
 
-        if self.calls[id].may_have_run && refusal.ran == Ran::No {
-            refusal.ran = Ran::Maybe;
+        if self.calls[id].may_have_run && refusal.ran == Executed::No {
+            refusal.ran = Executed::Maybe;
         }
 
         self.answer_callers(cx, id, &refusal);
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use camphorwalk_core::calls::{CallRequest, Ran, Refusal};
+use camphorwalk_core::calls::{CallRequest, Executed, Refusal};
 use camphorwalk_core::config::{Template, TemplateTarget};
 use camphorwalk_core::ids::{KeyId, PoolId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
@@ -182,7 +182,7 @@
         }
 
         if self.suspects.is_quarantined(&call.digest) {
-            return Err(refusals::quarantined(Ran::No));
+            return Err(refusals::quarantined(Executed::No));
         }
 
         if call.reserved > self.accounts[program.account].available() {
@@ -268,10 +268,12 @@
     match program.state {
         ProgramState::Opening => Err(refusals::home_moving()),
         ProgramState::Ended if cx.now >= program.deadline => {
-            Err(refusals::deadline_passed(Ran::No))
+            Err(refusals::deadline_passed(Executed::No))
         }
         ProgramState::Ended => Err(refusals::not_found()),
-        ProgramState::Open if cx.now >= program.deadline => Err(refusals::deadline_passed(Ran::No)),
+        ProgramState::Open if cx.now >= program.deadline => {
+            Err(refusals::deadline_passed(Executed::No))
+        }
         ProgramState::Open => Ok(()),
     }
 }
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -1,6 +1,6 @@
 //! Handling of callers that disconnected and of API keys that were withdrawn.
 
-use camphorwalk_core::calls::Ran;
+use camphorwalk_core::calls::Executed;
 use camphorwalk_core::ids::{KeyId, RequestOrigin};
 
 use super::state::{Stage, WorkKind};
@@ -58,7 +58,7 @@
         let unsent = call.callers.is_empty()
             && !call.may_have_run
             && !matches!(call.stage, Stage::Running | Stage::JournalingOutcome);
-        let ran = if unsent { Ran::No } else { Ran::Maybe };
+        let ran = if unsent { Executed::No } else { Executed::Maybe };
 
         for caller in gone {
             self.refuse(cx, caller.ticket, refusals::unauthorized(ran));
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply};
 use camphorwalk_core::ids::{PartitionId, ProgramId, RequestOrigin, TenantId};
 
 use super::entries::Entry;
@@ -82,7 +82,7 @@
         }
 
         // The call was sent. If it must not be repeated, it runs to its end and is recorded.
-        let reason = reason.clone().ran(Ran::Maybe);
+        let reason = reason.clone().ran(Executed::Maybe);
         self.answer_callers(cx, id, &reason);
         self.cancel_unwanted(cx, id);
     }
@@ -117,7 +117,7 @@
                 Code::PlatformUnavailable,
                 "the program is over here, but the platform has no record of it yet",
             );
-            self.refuse(cx, ticket, refusal.ran(Ran::Maybe).retry_after(after));
+            self.refuse(cx, ticket, refusal.ran(Executed::Maybe).retry_after(after));
         }
     }
 
@@ -126,7 +126,7 @@
         let Some(program) = self.programs.get(key) else { return };
 
         if program.state == ProgramState::Open && cx.now >= program.deadline {
-            return self.end_family(cx, key, &refusals::deadline_passed(Ran::No));
+            return self.end_family(cx, key, &refusals::deadline_passed(Executed::No));
         }
 
         let Some(forget_at) = program.forget_at.filter(|_| program.state == ProgramState::Ended)
@@ -231,7 +231,7 @@
 
         // The opening or end may have become durable.
         for ticket in waiting {
-            self.refuse(cx, ticket, refusals::home_moving().ran(Ran::Maybe));
+            self.refuse(cx, ticket, refusals::home_moving().ran(Executed::Maybe));
         }
 
         match running {
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -5,7 +5,7 @@
 //! budget account. A separate reservation for each child was rejected: its size is not known in
 //! advance, and an idle child would hold back tokens that others need.
 
-use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, OpenRequest, Opened, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
 use camphorwalk_core::ids::{ClassId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::time::Instant;
@@ -312,7 +312,7 @@
         let after = self.journal.retry_after();
 
         // The refusal must not say "not run": the program may exist, and a repeat finds it.
-        let mut refusal = refusals::platform_unavailable(after).ran(Ran::Maybe);
+        let mut refusal = refusals::platform_unavailable(after).ran(Executed::Maybe);
         refusal.code = Code::OutcomeUnknown;
 
         for ticket in tickets {
--- a/crates/policy/src/scheduler/controllers.rs
+++ b/crates/policy/src/scheduler/controllers.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply};
 use camphorwalk_core::config::Config;
 use camphorwalk_core::ids::{Epoch, PartitionId, RequestId, RequestOrigin};
 use camphorwalk_core::messages::forward::Answer;
@@ -392,7 +392,7 @@
     message: &'static str,
     retry_after: Duration,
 ) -> Reply {
-    let ran = if is_call { Ran::Maybe } else { Ran::No };
+    let ran = if is_call { Executed::Maybe } else { Executed::No };
 
     Reply::Refused(Refusal::not_run(Code::Leaving, message).ran(ran).retry_after(retry_after))
 }
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use camphorwalk_core::calls::{
-    CallRequest, Called, HistoryCall, OpenRequest, Refusal, Reply, Request, Usage,
+    CallRequest, CompletedCall, HistoryCall, OpenRequest, Refusal, Reply, Request, Usage,
 };
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
@@ -356,7 +356,12 @@
     }
 
     /// Runs a call to its outcome; the target answers with `output`.
-    pub fn run_call(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
+    pub fn run_call(
+        &mut self,
+        platform: &mut Platform,
+        request: Request,
+        output: &str,
+    ) -> CompletedCall {
         let ticket = self.send(platform, request);
         self.end_attempt(platform, done(output));
 
@@ -381,7 +386,7 @@
     }
 
     /// Returns the result of a call; panics on any other reply.
-    pub fn called(&self, ticket: RequestOrigin) -> Called {
+    pub fn called(&self, ticket: RequestOrigin) -> CompletedCall {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
             reply => panic!("expected the result of a call, got {reply:?}"),
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -1,7 +1,7 @@
 //! Calls that must not be repeated: they run at most once, and "not run" is reported only when
 //! it is certain.
 
-use camphorwalk_core::calls::{Code, Ran};
+use camphorwalk_core::calls::{Code, Executed};
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::shared_types::AttemptOutcome;
 
@@ -43,7 +43,7 @@
 
     for ticket in [first, second] {
         let refusal = home.refusal(ticket);
-        assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
+        assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Executed::No));
         assert!(refusal.retry_after.is_some());
     }
     assert_eq!((third.call, home.dispatches.len()), (1, 1));
@@ -69,7 +69,7 @@
     let mut new = HomeHost::new(platform, 2);
     let again = new.run_call(platform, call("deposit", "k1", 1), "\"paid\"");
 
-    assert_eq!(home.refusal(ticket).ran, Ran::No);
+    assert_eq!(home.refusal(ticket).ran, Executed::No);
     assert_eq!(home.refusal(blocked).code, Code::PlatformUnavailable);
     assert_eq!((unblocked.stored, home.fenced), (true, 0));
     assert_eq!((home.dispatches.len(), new.dispatches.len()), (1, 1));
@@ -89,7 +89,7 @@
     let next = new.run_call(platform, call("model", "k2", 1), "\"text\"");
 
     let refusal = new.refusal(repeat);
-    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     assert_eq!(next.call, 2);
     assert_eq!((old.dispatches.len(), new.dispatches.len()), (1, 1));
 }
@@ -129,7 +129,7 @@
     let second = home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
     let mut new = HomeHost::new(platform, 2);
 
-    assert_eq!(home.refusal(first).ran, Ran::No);
+    assert_eq!(home.refusal(first).ran, Executed::No);
     assert_eq!(second.call, 1);
     assert_eq!(new.history(platform).len(), 1);
 }
@@ -148,7 +148,7 @@
     let moved = new.send(platform, call("deposit", "k1", 0));
 
     for refusal in [home.refusal(first), home.refusal(repeat), new.refusal(moved)] {
-        assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+        assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     }
     assert_eq!((home.dispatches.len(), new.dispatches.len()), (1, 0));
 }
@@ -186,7 +186,7 @@
     home.release(platform);
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Executed::No));
     assert!(home.dispatches.is_empty());
     assert_eq!(home.released.len(), 1);
 }
--- a/crates/policy/tests/programs_home/oracle.rs
+++ b/crates/policy/tests/programs_home/oracle.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use camphorwalk_core::calls::{HistoryCall, Ran, Reply};
+use camphorwalk_core::calls::{Executed, HistoryCall, Reply};
 use camphorwalk_core::ids::ProgramId;
 
 use crate::fixture::SMALL_BUDGET;
@@ -26,7 +26,7 @@
     if let (Some(key), Reply::Refused(refusal)) = (&sent.key, reply) {
         let ran = ledger.contains(&(sent.program, key.clone()));
         assert!(
-            !ran || refusal.ran != Ran::No,
+            !ran || refusal.ran != Executed::No,
             "call {key} ran but was refused as not run: {refusal:?}"
         );
     }
@@ -59,7 +59,7 @@
         .values()
         .filter(|sent| sent.program == *program && sent.key.as_ref() == Some(key));
 
-    asked.all(|sent| matches!(&sent.reply, Some(Reply::Refused(r)) if r.ran == Ran::No))
+    asked.all(|sent| matches!(&sent.reply, Some(Reply::Refused(r)) if r.ran == Executed::No))
 }
 
 /// Checks the final histories. They must contain only the program's own calls, all calls
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -1,6 +1,6 @@
 //! Retries of model turns, and requests that crash targets.
 
-use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
+use camphorwalk_core::calls::{CallRequest, Code, Executed, Request};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::shared_types::AttemptOutcome;
@@ -35,7 +35,7 @@
     home.end_attempt(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     assert_eq!(home.dispatches.len(), 1);
 }
 
@@ -79,7 +79,7 @@
     }
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Executed::Maybe));
 }
 
 /// After its second crash a request is quarantined and refused. It is recognized at once when
@@ -102,7 +102,7 @@
     assert!(!home.placed[0].suspect && home.placed[1].suspect);
     let refusals = [home.refusal(first), home.refusal(second)];
     assert_eq!(refusals.clone().map(|r| r.code), [Code::Quarantined, Code::Quarantined]);
-    assert_eq!(refusals.map(|r| r.ran), [Ran::Maybe, Ran::No]);
+    assert_eq!(refusals.map(|r| r.ran), [Executed::Maybe, Executed::No]);
     assert_eq!((home.dispatches.len(), home.quarantined.len()), (2, 1));
 }
 
