--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: tries, retries, and what they come to.
+//! The client: attempts, retries, and the reply that results from them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,52 +11,52 @@
 
 use crate::dialect::{Call, Dialect};
 use crate::errors::{Error, Result};
-use crate::limits::{Access, Patience, RetryBudget, Share};
+use crate::limits::{Access, AttemptTimeouts, Quota, RetryBudget};
 use crate::metrics::Metrics;
-use crate::operations::{self, Earlier, OnLoss};
+use crate::operations::{self, EarlierAttempts, OnLostAnswer};
 use crate::options::{ClientOptions, RetryOptions};
 use crate::transport::{Attempt, Transport};
 
-/// The name of listing the hosts in metrics.
-const HOSTS: &str = "hosts";
+/// The metric label of the operation that lists the hosts.
+const LIST_HOSTS: &str = "hosts";
 
-/// A client of the platform. Clones share the connections, the host's share and the budget
-/// of retries.
+/// A client of the platform. Clones share the connections, the host's quota and the retry
+/// budget.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// What all clones share.
+    /// The state shared by all clones.
     inner: Arc<Inner>,
 }
 
-/// What all clones of a client share.
+/// The state shared by all clones of a client.
 #[derive(Debug)]
 struct Inner {
-    /// The connections.
+    /// The HTTP connections.
     transport: Transport,
-    /// How operations are put to the platform.
+    /// The protocol that encodes requests and decodes answers.
     dialect: Dialect,
-    /// When an operation is tried again.
+    /// Limits on retries.
     retry: RetryOptions,
-    /// What is left to be asked.
+    /// The remaining quota and retry budget, and the attempt timeouts.
     limits: Mutex<Limits>,
-    /// What the client tells of itself.
+    /// The client's metrics.
     metrics: Metrics,
 }
 
-/// What is left to be asked.
+/// What limits further requests of the client.
 #[derive(Debug)]
 struct Limits {
-    /// The host's share.
-    share: Share,
-    /// The budget of retries.
+    /// The host's request quota.
+    quota: Quota,
+    /// The retry budget.
     budget: RetryBudget,
-    /// How long tries wait for their answers.
-    patience: Patience,
-    /// The jitter between tries.
+    /// How long an attempt waits for its answer.
+    timeouts: AttemptTimeouts,
+    /// The source of the jitter between attempts.
     rng: SmallRng,
 }
 
-/// What the tries of an operation came to.
+/// The result of all attempts of an operation.
 enum Outcome {
     /// The platform answered.
     Answered {
@@ -64,25 +64,25 @@
         status: StatusCode,
         /// The answer's body.
         body: Bytes,
-        /// What became of the tries before.
-        earlier: Earlier,
+        /// What is known about the attempts before the answered one.
+        earlier: EarlierAttempts,
     },
-    /// No try was answered.
+    /// No attempt was answered.
     Unanswered {
-        /// Whether the answer to any try was lost; else nothing was done.
+        /// Whether the answer to any attempt was lost; if not, the platform did nothing.
         lost: bool,
     },
-    /// Nothing was tried, for want of share.
-    OverShare,
+    /// No attempt was made because the quota was used up.
+    OverQuota,
 }
 
 impl Client {
-    /// Makes a client; it connects when it is used.
+    /// Creates a client, which connects on its first request.
     pub fn new(options: ClientOptions) -> Result<Self> {
         let limits = Limits {
-            share: Share::new(options.share, Instant::now()),
+            quota: Quota::new(options.share, Instant::now()),
             budget: RetryBudget::new(options.retry),
-            patience: Patience::new(options.least_deadline, options.deadline),
+            timeouts: AttemptTimeouts::new(options.least_deadline, options.deadline),
             rng: SmallRng::seed_from_u64(options.seed),
         };
         let inner = Inner {
@@ -101,18 +101,18 @@
         Ok(self.inner.metrics.register(registry)?)
     }
 
-    /// Runs an operation to its reply. It takes at most the tries of the retry options and the
-    /// pauses between them. A try ends when the answer's head, or a further piece of the answer,
-    /// is not there within the deadline; an answer that goes on coming may take longer.
+    /// Runs an operation and returns its reply, with as many attempts as the retry options allow.
+    /// An attempt is abandoned when the response head, or the next piece of the body, does not
+    /// arrive within the deadline. A body that keeps arriving may take longer in total.
     ///
-    /// Over the host's share the reply is `Unavailable` at once. Dropping the future of a
-    /// write leaves it as unknown as a lost answer does.
+    /// Replies `Unavailable` at once if the host's quota is used up. If the future of a write is
+    /// dropped, the write's outcome is unknown, as after a lost answer.
     pub async fn run(&self, op: PlatformOp) -> PlatformReply {
         self.run_watched(op, &|_| ()).await
     }
 
-    /// Runs an operation as [`run`](Self::run) does, and calls `on_piece` with each piece of an
-    /// answer's body, with the bytes of that body so far. A further try begins again with few.
+    /// Runs an operation like [`run`](Self::run), and calls `on_piece` for each piece of a response
+    /// body with the number of bytes received so far. The count restarts with each attempt.
     ///
     /// ```
     /// use camphorwalk_core::platform::{PlatformOp, PlatformReply};
@@ -130,159 +130,174 @@
         let name = operations::name(&op);
         let started = Instant::now();
         let Some(call) = (self.inner.dialect.call)(&op) else {
-            tracing::error!(operation = name, "platform: the dialect has no such operation");
+            tracing::error!(
+                operation = name,
+                "platform: operation not supported by the store protocol"
+            );
             return PlatformReply::Unavailable;
         };
-        let (access, on_loss) = (operations::access(&op), operations::on_loss(&op));
+        let (access, on_lost_answer) = (operations::access(&op), operations::on_lost_answer(&op));
 
-        let reply = match self.try_call(name, access, on_loss, &call, on_piece).await {
-            Outcome::OverShare => {
-                self.inner.metrics.over_share(name);
-                return PlatformReply::Unavailable;
-            }
-            Outcome::Unanswered { lost } => operations::unanswered(&op, lost),
-            Outcome::Answered { status, body, earlier } => {
-                match (self.inner.dialect.answer)(&op, status, &body) {
-                    Some(answer) => operations::reply(&op, earlier, answer),
-                    None => senseless(&op, earlier, status),
+        let reply =
+            match self.send_with_retries(name, access, on_lost_answer, &call, on_piece).await {
+                Outcome::OverQuota => {
+                    self.inner.metrics.over_quota(name);
+                    return PlatformReply::Unavailable;
                 }
-            }
-        };
+                Outcome::Unanswered { lost } => operations::reply_without_answer(&op, lost),
+                Outcome::Answered { status, body, earlier } => {
+                    match (self.inner.dialect.answer)(&op, status, &body) {
+                        Some(answer) => operations::reply(&op, earlier, answer),
+                        None => undecodable_answer_reply(&op, earlier, status),
+                    }
+                }
+            };
 
-        self.inner.metrics.finished(name, outcome_name(&reply), started.elapsed());
+        self.inner.metrics.record_operation(name, outcome_name(&reply), started.elapsed());
         reply
     }
 
-    /// Lists the hosts as the platform knows them; the list lags.
+    /// Lists the hosts that the platform knows; the list may be out of date.
     pub async fn hosts(&self) -> Result<Vec<HostListing>> {
         let started = Instant::now();
         let call = operations::hosts_call();
 
-        let outcome = self.try_call(HOSTS, Access::Read, OnLoss::SendAgain, &call, &|_| ());
+        let outcome =
+            self.send_with_retries(LIST_HOSTS, Access::Read, OnLostAnswer::Resend, &call, &|_| ());
         let hosts = match outcome.await {
-            Outcome::OverShare => {
-                self.inner.metrics.over_share(HOSTS);
-                return Err(Error::OverShare);
+            Outcome::OverQuota => {
+                self.inner.metrics.over_quota(LIST_HOSTS);
+                return Err(Error::OverQuota);
             }
             Outcome::Unanswered { .. } => None,
             Outcome::Answered { status, body, .. } => operations::read_hosts(status, &body),
         };
 
         let outcome = if hosts.is_some() { "ok" } else { "unavailable" };
-        self.inner.metrics.finished(HOSTS, outcome, started.elapsed());
+        self.inner.metrics.record_operation(LIST_HOSTS, outcome, started.elapsed());
         hosts.ok_or(Error::Unavailable)
     }
 
-    /// Tries a call until it is answered, or may not or need not be tried again.
-    async fn try_call(
+    /// Sends a request until it is answered or no further attempt is allowed.
+    async fn send_with_retries(
         &self,
         name: &str,
         access: Access,
-        on_loss: OnLoss,
+        on_lost_answer: OnLostAnswer,
         call: &Call,
         on_piece: &impl Fn(usize),
     ) -> Outcome {
-        if !self.limits().share.take(access, Instant::now()) {
-            return Outcome::OverShare;
+        if !self.limits().quota.take(access, Instant::now()) {
+            return Outcome::OverQuota;
         }
 
-        self.limits().budget.first_try();
+        self.limits().budget.record_first_attempt();
         let started = Instant::now();
         let mut lost = false;
-        let mut tries = 1;
-        let mut lost_tries = 0;
+        let mut attempts = 1;
+        let mut lost_attempts = 0;
 
         loop {
-            let patience = self.limits().patience.next(lost_tries);
-            let attempt = self.inner.transport.send(call, patience, on_piece).await;
-            self.learn_patience(&attempt, call);
+            let head_timeout = self.limits().timeouts.next(lost_attempts);
+            let attempt = self.inner.transport.send(call, head_timeout, on_piece).await;
+            self.update_timeouts(&attempt, call);
 
             match attempt {
                 Attempt::Answered { status, body, .. } => {
                     let earlier = self.earlier(lost, started);
                     return Outcome::Answered { status, body, earlier };
                 }
-                Attempt::NotDone => {}
+                Attempt::NotExecuted => {}
                 Attempt::Lost { .. } => {
                     lost = true;
-                    lost_tries += 1;
+                    lost_attempts += 1;
                 }
             }
 
-            if lost && on_loss == OnLoss::GiveUp {
+            if lost && on_lost_answer == OnLostAnswer::GiveUp {
                 return Outcome::Unanswered { lost };
             }
 
-            let Some(pause) = self.next_pause(tries, started, access) else {
+            let Some(pause) = self.next_pause(attempts, started, access) else {
                 return Outcome::Unanswered { lost };
             };
 
-            self.inner.metrics.retried(name);
+            self.inner.metrics.record_retry(name);
             tokio::time::sleep(pause).await;
-            tries += 1;
+            attempts += 1;
         }
     }
 
-    /// Takes in how long the head of an answer took, or its loss. Questions that wait for changes
-    /// say nothing.
-    fn learn_patience(&self, attempt: &Attempt, call: &Call) {
+    /// Updates the attempt timeouts from an answer or a loss. Requests that wait for changes on
+    /// the platform are left out, since their duration says nothing about its speed.
+    fn update_timeouts(&self, attempt: &Attempt, call: &Call) {
         if !call.wait.is_zero() {
             return;
         }
 
         match attempt {
-            Attempt::Answered { head_after, .. } => self.limits().patience.answered(*head_after),
-            Attempt::Lost { waited } => self.limits().patience.lost(*waited),
-            Attempt::NotDone => {}
+            Attempt::Answered { head_after, .. } => {
+                self.limits().timeouts.record_answer(*head_after)
+            }
+            Attempt::Lost { waited } => self.limits().timeouts.record_loss(*waited),
+            Attempt::NotExecuted => {}
         }
     }
 
-    /// Returns what became of the tries before the one that was just answered.
+    /// Returns what is known about the attempts before the one that was just answered.
     ///
-    /// A host that was paused meanwhile may find that others have tidied up the rows that
-    /// would have told, so that the window is looked at after the answer came.
-    fn earlier(&self, lost: bool, started: Instant) -> Earlier {
+    /// The retry window is checked after the answer arrived: while this process was paused, other
+    /// hosts may have deleted the rows that would show whether an earlier attempt took effect.
+    fn earlier(&self, lost: bool, started: Instant) -> EarlierAttempts {
         match lost {
-            false => Earlier::NotDone,
-            true if started.elapsed() > self.inner.retry.window => Earlier::LongLost,
-            true => Earlier::Lost,
+            false => EarlierAttempts::NotExecuted,
+            true if started.elapsed() > self.inner.retry.window => EarlierAttempts::LostTooLongAgo,
+            true => EarlierAttempts::AnswerLost,
         }
     }
 
-    /// Returns how long to wait before a further try, or none if there is to be none.
-    fn next_pause(&self, tries: u32, started: Instant, access: Access) -> Option<Duration> {
+    /// Returns the pause before the next attempt, or `None` if no further attempt is allowed.
+    fn next_pause(&self, attempts: u32, started: Instant, access: Access) -> Option<Duration> {
         let retry = self.inner.retry;
         let mut limits = self.limits();
 
-        if tries >= retry.most_tries
+        if attempts >= retry.most_tries
             || started.elapsed() > retry.window
             || !limits.budget.take()
-            || !limits.share.take(access, Instant::now())
+            || !limits.quota.take(access, Instant::now())
         {
             return None;
         }
 
-        // Jitter keeps the hosts that failed together from coming back together.
+        // Jitter prevents hosts that failed at the same time from retrying at the same time.
         let jitter = limits.rng.random_range(0.5..1.5);
 
-        Some(retry.pause.mul_f64(f64::from(1 << (tries - 1).min(10)) * jitter))
+        Some(retry.pause.mul_f64(f64::from(1 << (attempts - 1).min(10)) * jitter))
     }
 
-    /// Locks the limits; they are plain numbers, which a panic leaves usable.
+    /// Locks the limits. A poisoned lock is ignored: the limits are plain numbers, which are valid
+    /// even after a panic.
     fn limits(&self) -> MutexGuard<'_, Limits> {
         self.inner.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Returns the reply to an answer that makes no sense.
-fn senseless(op: &PlatformOp, earlier: Earlier, status: StatusCode) -> PlatformReply {
-    tracing::warn!(%status, operation = operations::name(op), "platform: senseless answer");
-
-    // A success that cannot be read may well have taken effect.
-    operations::unanswered(op, earlier != Earlier::NotDone || status.is_success())
+/// Returns the reply for an answer that cannot be decoded.
+fn undecodable_answer_reply(
+    op: &PlatformOp,
+    earlier: EarlierAttempts,
+    status: StatusCode,
+) -> PlatformReply {
+    tracing::warn!(%status, operation = operations::name(op), "platform: answer not understood");
+
+    // With a success status the operation may have taken effect, although the body is unreadable.
+    operations::reply_without_answer(
+        op,
+        earlier != EarlierAttempts::NotExecuted || status.is_success(),
+    )
 }
 
-/// Returns the name of a reply in metrics.
+/// Returns the metric label of a reply.
 fn outcome_name(reply: &PlatformReply) -> &'static str {
     match reply {
         PlatformReply::Committed(_) => "committed",
--- a/crates/store/src/dialect.rs
+++ b/crates/store/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How operations are put to a platform, and what its answers say.
+//! The protocol between the client and a platform: encoding of requests, decoding of answers.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::operations;
 
-/// A request to the platform, as it is sent at each try.
+/// An HTTP request to the platform; each attempt sends the same one.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The method.
@@ -17,33 +17,33 @@
     pub path: Box<str>,
     /// The body.
     pub body: Bytes,
-    /// How long the platform was asked to wait for changes; the answer's head is waited for that
-    /// much longer.
+    /// How long the request asks the platform to wait for changes. Added to the timeout for the
+    /// response head.
     pub wait: Duration,
 }
 
-/// What one answer says, whatever became of earlier tries.
+/// A decoded answer, not yet interpreted in the light of earlier attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The transaction took effect with this version.
+    /// The transaction committed with this version.
     Committed(RowVersion),
-    /// These checked rows stand differently.
+    /// The transaction failed: these checked rows have other versions than expected.
     Conflict(Vec<Row>),
     /// The reply to an operation other than a transaction.
     Reply(PlatformReply),
 }
 
-/// A platform's way of speaking.
+/// The encoding and decoding functions for one kind of platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
-    /// Makes the request of an operation; `None` if the platform has no such operation.
+    /// Encodes an operation; `None` if the platform does not support it.
     pub call: fn(&PlatformOp) -> Option<Call>,
-    /// Reads an answer; `None` if it makes no sense.
+    /// Decodes an answer; `None` if it is malformed or unexpected.
     pub answer: fn(&PlatformOp, StatusCode, &Bytes) -> Option<Answer>,
 }
 
 impl Default for Dialect {
-    /// Returns the product's own dialect, which its stand-in speaks.
+    /// Returns the protocol that the platform stand-in of this project implements.
     fn default() -> Self {
         Self { call: operations::call, answer: operations::answer }
     }
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -2,31 +2,31 @@
 
 use thiserror::Error;
 
-/// Why a client could not be made, or why the platform did not answer a question.
+/// Why a client could not be created, or why a request got no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum Error {
     /// The platform refused, could not be reached, or did not answer in time.
     #[error("the platform is unavailable")]
     Unavailable,
-    /// The host has used up its share of the platform's reads.
-    #[error("over the host's share of the platform")]
-    OverShare,
-    /// The availability zone's name cannot stand in an HTTP header.
+    /// The host has used up its quota of reads.
+    #[error("the host's request quota at the platform is used up")]
+    OverQuota,
+    /// The availability zone's name is not a valid HTTP header value.
     #[error("the availability zone's name has control characters: {zone:?}")]
     BadZone {
         /// The name.
         zone: Box<str>,
     },
-    /// The metrics could not be made or registered.
+    /// The metrics could not be created or registered.
     #[error("metrics: {message}")]
     Metrics {
-        /// What the metrics library says.
+        /// The message of the metrics library.
         message: Box<str>,
     },
 }
 
-/// The result of making a client or asking the platform.
+/// The result of creating a client or of a request to the platform.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl From<prometheus::Error> for Error {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The client of the platform: transactions, rows, objects and the list of hosts.
+//! A client of the platform's store: transactions, rows, objects and the list of hosts.
 //!
-//! Each try has a deadline for silence, each retry comes from a budget, and no more is asked than the
-//! host's share. A write whose answer is lost is found out where that can be done, and is
-//! told as unknown where it cannot; it is never taken for a failure.
+//! Each attempt has a timeout, retries are limited by a budget, and requests by the host's quota.
+//! If the answer to a write is lost, the client determines its outcome where it can and reports
+//! it as unknown otherwise. It never reports such a write as failed.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -1,6 +1,6 @@
-//! Token buckets: the host's share of the platform, and the budget of retries.
+//! The host's request quota, the retry budget and the timeouts of attempts.
 //!
-//! Time is passed in.
+//! Nothing here reads a clock: callers pass in the current time.
 
 use std::time::{Duration, Instant};
 
@@ -9,23 +9,23 @@
 /// A token bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// The tokens in it.
+    /// The tokens left.
     level: f64,
-    /// The most tokens it holds; at least one, or nothing would ever pass.
-    most: f64,
+    /// The most tokens it holds. At least one, since below that `take` would never succeed.
+    max: f64,
 }
 
 impl Bucket {
-    /// Makes a full bucket.
-    fn full(most: f64) -> Self {
-        let most = most.max(1.0);
+    /// Creates a full bucket.
+    fn full(max: f64) -> Self {
+        let max = max.max(1.0);
 
-        Self { level: most, most }
+        Self { level: max, max }
     }
 
-    /// Adds tokens, up to the most.
+    /// Adds tokens, up to the capacity.
     fn add(&mut self, tokens: f64) {
-        self.level = (self.level + tokens).min(self.most);
+        self.level = (self.level + tokens).min(self.max);
     }
 
     /// Takes a token; returns false if there is none.
@@ -39,43 +39,43 @@
     }
 }
 
-/// What an operation counts against.
+/// The kind of access that an operation counts as in the quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Access {
-    /// The share of reads.
+    /// Counts against the quota of reads.
     Read,
-    /// The share of writes.
+    /// Counts against the quota of writes.
     Write,
 }
 
-/// The host's share of the platform.
+/// The host's quota of platform requests, one token bucket for reads and one for writes.
 #[derive(Debug)]
-pub(crate) struct Share {
-    /// What is declared.
+pub(crate) struct Quota {
+    /// The configured rates.
     options: ShareOptions,
     /// The reads left.
     reads: Bucket,
     /// The writes left.
     writes: Bucket,
-    /// When the buckets were filled up last.
-    filled: Instant,
+    /// When the buckets were last refilled.
+    refilled_at: Instant,
 }
 
-impl Share {
-    /// Makes a share that is unused at `now`.
+impl Quota {
+    /// Creates a quota that is unused at `now`.
     pub(crate) fn new(options: ShareOptions, now: Instant) -> Self {
         Self {
             options,
             reads: Bucket::full(options.reads_per_second * options.saved_seconds),
             writes: Bucket::full(options.writes_per_second * options.saved_seconds),
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes one access from the share; returns false if it is used up.
+    /// Takes one access from the quota. Returns false if it is used up.
     pub(crate) fn take(&mut self, access: Access, now: Instant) -> bool {
-        let seconds = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
+        let seconds = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         self.reads.add(seconds * self.options.reads_per_second);
         self.writes.add(seconds * self.options.writes_per_second);
 
@@ -86,70 +86,71 @@
     }
 }
 
-/// The budget of retries: a fraction of first tries.
+/// The retry budget, which allows retries in proportion to first attempts.
 ///
-/// Without it, retries would multiply the load on a platform that is failing under load.
+/// Without it, retries would multiply the load on a platform that is already overloaded.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    /// How many retries each first try allows.
+    /// How many retries each first attempt adds to the budget.
     ratio: f64,
     /// The retries left.
     retries: Bucket,
 }
 
 impl RetryBudget {
-    /// Makes a budget with all that can be saved up.
+    /// Creates a full budget.
     pub(crate) fn new(options: RetryOptions) -> Self {
         Self { ratio: options.ratio, retries: Bucket::full(options.saved) }
     }
 
-    /// Notes a first try.
-    pub(crate) fn first_try(&mut self) {
+    /// Records the first attempt of an operation.
+    pub(crate) fn record_first_attempt(&mut self) {
         self.retries.add(self.ratio);
     }
 
-    /// Takes a retry; returns false if the budget is used up.
+    /// Takes one retry. Returns false if the budget is used up.
     pub(crate) fn take(&mut self) -> bool {
         self.retries.take()
     }
 }
 
-/// How many times the usual time to an answer's head a try waits for it.
-const PATIENCE_FACTOR: f64 = 8.0;
+/// The timeout of an attempt, as a multiple of the average time to the response head.
+const TIMEOUT_FACTOR: f64 = 8.0;
 
-/// The weight of the newest answer in the usual time.
-const NEWEST_WEIGHT: f64 = 0.1;
+/// The weight of the newest sample in the moving average.
+const NEWEST_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How long a try waits for the head of its answer, and for each further piece.
+/// The timeout of an attempt, adapted to how fast the platform has answered recently.
 #[derive(Debug)]
-pub(crate) struct Patience {
-    least: Duration,
-    most: Duration,
-    /// The usual time to an answer's head, in seconds.
-    usual: f64,
+pub(crate) struct AttemptTimeouts {
+    min: Duration,
+    max: Duration,
+    /// The moving average of the time to the response head, in seconds.
+    average: f64,
 }
 
-impl Patience {
-    /// Begins with what is least expected.
-    pub(crate) fn new(least: Duration, most: Duration) -> Self {
-        Self { least: least.min(most), most, usual: 0.0 }
+impl AttemptTimeouts {
+    /// Creates timeouts between `min` and `max`, starting at `min`.
+    pub(crate) fn new(min: Duration, max: Duration) -> Self {
+        Self { min: min.min(max), max, average: 0.0 }
     }
 
-    /// Returns how long a try waits after `lost` tries without an answer.
+    /// Returns the timeout of an operation's next attempt, after `lost` attempts without an answer.
     pub(crate) fn next(&self, lost: u32) -> Duration {
-        let usual = Duration::from_secs_f64(self.usual * PATIENCE_FACTOR);
+        let average = Duration::from_secs_f64(self.average * TIMEOUT_FACTOR);
 
-        usual.max(self.least).saturating_mul(1 << lost.min(8)).min(self.most)
+        average.max(self.min).saturating_mul(1 << lost.min(8)).min(self.max)
     }
 
-    /// Takes in how long the head of an answer took.
-    pub(crate) fn answered(&mut self, took: Duration) {
-        self.usual += (took.as_secs_f64() - self.usual) * NEWEST_WEIGHT;
+    /// Records the time to the response head of an answered attempt.
+    pub(crate) fn record_answer(&mut self, took: Duration) {
+        self.average += (took.as_secs_f64() - self.average) * NEWEST_SAMPLE_WEIGHT;
     }
 
-    /// Takes in that a try waited this long in vain: answers may take longer now.
-    pub(crate) fn lost(&mut self, waited: Duration) {
-        let bound = waited.as_secs_f64() / PATIENCE_FACTOR;
-        self.usual = self.usual.max(bound);
+    /// Records that an attempt waited this long without an answer. This raises the average, since
+    /// the platform may have become slower.
+    pub(crate) fn record_loss(&mut self, waited: Duration) {
+        let bound = waited.as_secs_f64() / TIMEOUT_FACTOR;
+        self.average = self.average.max(bound);
     }
 }
--- a/crates/store/src/metrics.rs
+++ b/crates/store/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the client tells of itself.
+//! The Prometheus metrics of the client.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 /// The metrics of a client; cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
-    /// Operations by kind and outcome.
+    /// Operations, by operation and outcome.
     operations: IntCounterVec,
-    /// Retries by kind.
+    /// Retries, by operation.
     retries: IntCounterVec,
-    /// How long operations took, tries and pauses together, by kind.
+    /// The duration of operations including retries and pauses, by operation.
     seconds: HistogramVec,
 }
 
 impl Metrics {
-    /// Makes metrics that are not registered yet.
+    /// Creates the metrics, not registered yet.
     pub(crate) fn new() -> prometheus::Result<Self> {
         let operations = Opts::new(
             "camphorwalk_store_operations_total",
@@ -49,19 +49,19 @@
         registry.register(Box::new(self.seconds.clone()))
     }
 
-    /// Notes the end of an operation.
-    pub(crate) fn finished(&self, operation: &str, outcome: &str, took: Duration) {
+    /// Records the end of an operation.
+    pub(crate) fn record_operation(&self, operation: &str, outcome: &str, took: Duration) {
         self.operations.with_label_values(&[operation, outcome]).inc();
         self.seconds.with_label_values(&[operation]).observe(took.as_secs_f64());
     }
 
-    /// Notes an operation that was not tried, for want of share.
-    pub(crate) fn over_share(&self, operation: &str) {
+    /// Records an operation that was not sent because the quota was used up.
+    pub(crate) fn over_quota(&self, operation: &str) {
         self.operations.with_label_values(&[operation, "over_share"]).inc();
     }
 
-    /// Notes a retry.
-    pub(crate) fn retried(&self, operation: &str) {
+    /// Records a retry.
+    pub(crate) fn record_retry(&self, operation: &str) {
         self.retries.with_label_values(&[operation]).inc();
     }
 }
--- a/crates/store/src/operations.rs
+++ b/crates/store/src/operations.rs
@@ -1,4 +1,4 @@
-//! Each operation as a request, and each answer as a reply.
+//! Encodes operations as requests and interprets answers as replies.
 
 use std::time::Duration;
 
@@ -13,28 +13,28 @@
 use crate::limits::Access;
 use crate::witness::{self, Explanation};
 
-/// What may be done when the answer to a try was lost.
+/// What to do when the answer to an attempt was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OnLoss {
-    /// Sending again is harmless, and the answer to it is as good as the first.
-    SendAgain,
-    /// Nothing: a second sending could not be told from the first.
+pub(crate) enum OnLostAnswer {
+    /// Send the request again: this is harmless, and the second answer is as good as the first.
+    Resend,
+    /// Stop: the effect of a second request could not be told from that of the first.
     GiveUp,
 }
 
-/// What became of the tries before the one that was answered.
+/// What is known about the attempts before the one that was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Earlier {
-    /// None of them did anything, or there were none.
-    NotDone,
+pub(crate) enum EarlierAttempts {
+    /// None of them took effect, or there were none.
+    NotExecuted,
     /// The answer to one of them was lost.
-    Lost,
-    /// The answer to one of them was lost, and the operation began too long ago for the
-    /// platform's rows to tell what became of it.
-    LongLost,
+    AnswerLost,
+    /// The answer to one of them was lost, and the operation started too long ago to determine
+    /// the outcome from the platform's rows.
+    LostTooLongAgo,
 }
 
-/// Returns the operation's name in metrics.
+/// Returns the metric label of the operation.
 pub(crate) fn name(op: &PlatformOp) -> &'static str {
     match op {
         PlatformOp::Commit(_) => "commit",
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the share that the operation counts against.
+/// Returns whether the operation counts as a read or as a write in the host's quota.
 pub(crate) fn access(op: &PlatformOp) -> Access {
     match op {
         PlatformOp::Commit(_) | PlatformOp::PutObject(_) => Access::Write,
@@ -59,26 +59,26 @@
     }
 }
 
-/// Returns what may be done when the answer was lost.
-pub(crate) fn on_loss(op: &PlatformOp) -> OnLoss {
+/// Returns what to do when the answer to the operation was lost.
+pub(crate) fn on_lost_answer(op: &PlatformOp) -> OnLostAnswer {
     match op {
-        // Objects are named by their content, so that a second put changes nothing; the
-        // others write nothing.
+        // An object's name is the hash of its content, so a second put changes nothing. The
+        // others only read.
         PlatformOp::PutObject(_)
         | PlatformOp::Read(_)
         | PlatformOp::Scan { .. }
         | PlatformOp::GetObject(_)
         | PlatformOp::Snapshot { .. }
-        | PlatformOp::Changes { .. } => OnLoss::SendAgain,
-        PlatformOp::Commit(tx) if tx.writes.is_empty() => OnLoss::SendAgain,
-        // The module `witness` tells why this is safe.
-        PlatformOp::Commit(tx) if witness::has_witness(tx) => OnLoss::SendAgain,
-        PlatformOp::Commit(_) => OnLoss::GiveUp,
+        | PlatformOp::Changes { .. } => OnLostAnswer::Resend,
+        PlatformOp::Commit(tx) if tx.writes.is_empty() => OnLostAnswer::Resend,
+        // The module `witness` explains why this is safe.
+        PlatformOp::Commit(tx) if witness::has_witness(tx) => OnLostAnswer::Resend,
+        PlatformOp::Commit(_) => OnLostAnswer::GiveUp,
     }
 }
 
-/// Returns the reply when no try was answered.
-pub(crate) fn unanswered(op: &PlatformOp, lost: bool) -> PlatformReply {
+/// Returns the reply for an operation of which no attempt was answered.
+pub(crate) fn reply_without_answer(op: &PlatformOp, lost: bool) -> PlatformReply {
     match op {
         PlatformOp::Commit(tx) if lost && !tx.writes.is_empty() => PlatformReply::Unknown,
         PlatformOp::PutObject(_) if lost => PlatformReply::Unknown,
@@ -98,15 +98,15 @@
 struct ScanRequest<'a> {
     /// The table.
     table: &'a str,
-    /// What keys begin with.
+    /// The prefix of the keys to return.
     prefix: &'a str,
-    /// The last key already seen, or empty.
+    /// The scan starts after this key; empty for the beginning.
     after: &'a str,
-    /// The most rows to return.
+    /// The maximum number of rows to return.
     limit: u32,
 }
 
-/// Returns the request of an operation in the product's own dialect, if it has one.
+/// Encodes an operation for the stand-in's protocol, or returns `None` if it does not support it.
 pub(crate) fn call(op: &PlatformOp) -> Option<Call> {
     let call = match op {
         PlatformOp::Commit(tx) => post("/v1/tx", tx),
@@ -137,50 +137,50 @@
     format!("/v1/objects/{}", name.0).into()
 }
 
-/// Makes a request that asks for something.
+/// Creates a GET request.
 fn get(path: Box<str>) -> Call {
     Call { method: Method::GET, path, body: Bytes::new(), wait: Duration::ZERO }
 }
 
-/// Makes a request with a JSON body; the types of this module cannot fail to be written.
+/// Creates a POST request with a JSON body. Serializing the types used here cannot fail.
 fn post<T: Serialize>(path: &str, body: &T) -> Call {
     let body = serde_json::to_vec(body).unwrap_or_default().into();
 
     Call { method: Method::POST, path: path.into(), body, wait: Duration::ZERO }
 }
 
-/// The answer to a transaction.
+/// The response body of a transaction.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum CommitAnswer {
-    /// It took effect with this version.
+    /// The transaction committed with this version.
     Committed(RowVersion),
-    /// These checked rows stand differently.
+    /// The transaction failed: these checked rows have other versions than expected.
     Conflict(Vec<Row>),
 }
 
-/// Rows as answered.
+/// The response body of a read or scan.
 #[derive(Debug, Deserialize)]
 struct RowsAnswer {
     /// The rows, in key order.
     rows: Vec<Row>,
 }
 
-/// The list of hosts as answered.
+/// The response body of the list of hosts.
 #[derive(Debug, Deserialize)]
 struct HostsAnswer {
     /// The hosts.
     hosts: Vec<HostListing>,
 }
 
-/// Reads the list of hosts; returns none if the answer is not one.
+/// Decodes the list of hosts; `None` if the answer cannot be decoded.
 pub(crate) fn read_hosts(status: StatusCode, body: &Bytes) -> Option<Vec<HostListing>> {
     let answer: HostsAnswer = parse(status, body)?;
 
     Some(answer.hosts)
 }
 
-/// Returns what an answer in the product's own dialect says, or none if it makes no sense.
+/// Decodes an answer in the stand-in's protocol; `None` if it is malformed or unexpected.
 pub(crate) fn answer(op: &PlatformOp, status: StatusCode, body: &Bytes) -> Option<Answer> {
     match op {
         PlatformOp::Commit(_) => commit_answer(status, body),
@@ -194,7 +194,7 @@
     }
 }
 
-/// Returns what an answer to a transaction says.
+/// Decodes the answer to a transaction.
 fn commit_answer(status: StatusCode, body: &Bytes) -> Option<Answer> {
     if status != StatusCode::OK && status != StatusCode::CONFLICT {
         return None;
@@ -206,8 +206,8 @@
     }
 }
 
-/// Returns the reply that an answer comes to, given what became of the tries before it.
-pub(crate) fn reply(op: &PlatformOp, earlier: Earlier, answer: Answer) -> PlatformReply {
+/// Returns the reply for an answer, given what is known about earlier attempts.
+pub(crate) fn reply(op: &PlatformOp, earlier: EarlierAttempts, answer: Answer) -> PlatformReply {
     match (op, answer) {
         (PlatformOp::Commit(tx), Answer::Conflict(rows)) => conflict_reply(tx, earlier, rows),
         (_, Answer::Conflict(rows)) => PlatformReply::Conflict(rows),
@@ -216,31 +216,31 @@
     }
 }
 
-/// Returns the reply that a conflict gives; it may be with this very transaction, sent
-/// before.
-fn conflict_reply(tx: &Transaction, earlier: Earlier, rows: Vec<Row>) -> PlatformReply {
+/// Returns the reply for a conflict. The conflict may be with an earlier attempt of the same
+/// transaction.
+fn conflict_reply(tx: &Transaction, earlier: EarlierAttempts, rows: Vec<Row>) -> PlatformReply {
     let explanation = match earlier {
-        // A transaction without writes conflicts with nothing of its own.
+        // Without writes, an earlier attempt cannot be the cause of the conflict.
         _ if tx.writes.is_empty() => Explanation::NotCommitted,
-        Earlier::NotDone => Explanation::NotCommitted,
-        Earlier::Lost => witness::explain(tx, &rows),
-        Earlier::LongLost => Explanation::Unclear,
+        EarlierAttempts::NotExecuted => Explanation::NotCommitted,
+        EarlierAttempts::AnswerLost => witness::explain(tx, &rows),
+        EarlierAttempts::LostTooLongAgo => Explanation::Undetermined,
     };
 
     match explanation {
         Explanation::Committed(version) => PlatformReply::Committed(version),
         Explanation::NotCommitted => PlatformReply::Conflict(rows),
-        Explanation::Unclear => PlatformReply::Unknown,
+        Explanation::Undetermined => PlatformReply::Unknown,
     }
 }
 
-/// Returns the reply that an answer to reading an object gives.
+/// Decodes the answer to reading an object.
 fn object_reply(name: &ObjectName, status: StatusCode, body: &Bytes) -> Option<PlatformReply> {
     if status == StatusCode::NOT_FOUND {
         return Some(PlatformReply::Object(None));
     }
 
-    // A damaged history must not be taken for the program's own.
+    // A corrupted object must not be used as a program's history.
     if status != StatusCode::OK || ObjectName::of(body) != *name {
         return None;
     }
@@ -248,7 +248,7 @@
     Some(PlatformReply::Object(Some(body.to_vec().into())))
 }
 
-/// Reads the JSON body of a good answer.
+/// Decodes the JSON body of a successful response.
 fn parse<T: serde::de::DeserializeOwned>(status: StatusCode, body: &Bytes) -> Option<T> {
     if status != StatusCode::OK {
         return None;
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -1,36 +1,36 @@
-//! What a client starts with.
+//! The options of a client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::dialect::Dialect;
 
-/// What a client starts with.
+/// The options of a client.
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
-    /// Where the platform listens.
+    /// The platform's address.
     pub address: SocketAddr,
-    /// The host's availability zone, which the platform is told.
+    /// The host's availability zone, sent with each request.
     pub zone: Box<str>,
-    /// The longest that one try waits for the head of its answer, and how long it then waits for
-    /// each further piece; an answer may take ten of these, and an operation some tries.
+    /// The longest wait of an attempt for the response head, and then for each piece of the body.
+    /// A whole body may take ten times as long, and an operation may make several attempts.
     pub deadline: Duration,
-    /// The least time that a try waits for the head. It waits a few times what the heads of answers took of
-    /// late, at least this and at most `deadline`, and twice as long after each lost answer: one
-    /// lost answer then costs an operation milliseconds instead of the whole deadline.
+    /// The shortest wait of an attempt for the response head. The wait is a multiple of the recent
+    /// average, between this and `deadline`, and doubles after each lost answer. With a value
+    /// below `deadline`, a lost answer costs an operation milliseconds instead of the deadline.
     pub least_deadline: Duration,
-    /// When an operation is tried again.
+    /// Limits on retries.
     pub retry: RetryOptions,
-    /// How much the host may ask of the platform.
+    /// The host's request quota.
     pub share: ShareOptions,
-    /// The seed of the jitter between tries.
+    /// The seed of the jitter between attempts.
     pub seed: u64,
-    /// How operations are put to the platform.
+    /// The protocol of the platform.
     pub dialect: Dialect,
 }
 
 impl ClientOptions {
-    /// Makes the options for the platform at `address`, with defaults for the rest.
+    /// Creates the options for the platform at `address`, with defaults for the rest.
     ///
     /// ```
     /// use camphorwalk_store::ClientOptions;
@@ -51,20 +51,20 @@
     }
 }
 
-/// When an operation is tried again.
+/// Limits on retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryOptions {
-    /// The most tries of one operation, the first included.
+    /// The most attempts of one operation, including the first.
     pub most_tries: u32,
-    /// How many retries each first try allows, over all operations.
+    /// How many retries each first attempt adds to the budget, which all operations share.
     pub ratio: f64,
-    /// The most retries that are saved up; the budget starts with these.
+    /// The capacity of the retry budget, which starts full.
     pub saved: f64,
-    /// The mean pause before the first retry; it doubles with each further one.
+    /// The mean pause before the first retry. It doubles with each further retry.
     pub pause: Duration,
-    /// How long after its first try an operation may still be tried again, and after a lost
-    /// answer its rows be taken for a sign of what became of it. Rows that are written with
-    /// an absent-check have to stay as they are for longer.
+    /// How long after its first attempt an operation may be retried, and a conflict may be used to
+    /// determine the outcome of an attempt whose answer was lost. Rows that were written with the
+    /// condition that they are absent must stay unchanged for longer than this.
     pub window: Duration,
 }
 
@@ -80,19 +80,19 @@
     }
 }
 
-/// How much a host may ask of the platform, as its operators declare.
+/// A host's request quota at the platform, as configured by the operators.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareOptions {
-    /// Reads, scans, object reads and host lists a second.
+    /// Reads, scans, object reads and host lists per second.
     pub reads_per_second: f64,
-    /// Transactions and object writes a second.
+    /// Transactions and object writes per second.
     pub writes_per_second: f64,
-    /// For how many seconds an unused share is saved up.
+    /// How many seconds' worth of unused quota is kept for bursts.
     pub saved_seconds: f64,
 }
 
 impl Default for ShareOptions {
-    /// A host's share where eleven hosts share what the platform handles.
+    /// The quota of a host when eleven hosts share the capacity of the platform.
     fn default() -> Self {
         Self { reads_per_second: 180.0, writes_per_second: 30.0, saved_seconds: 2.0 }
     }
--- a/crates/store/src/transport.rs
+++ b/crates/store/src/transport.rs
@@ -1,4 +1,4 @@
-//! One try of a request to the platform, and what is known after it.
+//! Sends one attempt of a request to the platform and classifies its result.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -17,22 +17,22 @@
 use crate::errors::{Error, Result};
 use crate::options::ClientOptions;
 
-/// The header that tells the platform the host's availability zone.
+/// The header that carries the host's availability zone.
 const ZONE_HEADER: HeaderName = HeaderName::from_static("x-zone");
 
-/// The largest answer taken in, in bytes.
+/// The largest response body that is accepted, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// How long an unused connection is kept.
+/// How long an idle connection is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How many deadlines a whole answer may take.
+/// The longest time for a whole response body, as a multiple of the deadline of one piece.
 const DEADLINES_PER_ANSWER: u32 = 10;
 
-/// How long is looked for what came while the process was paused.
+/// How long to wait after a timeout for data that arrived while the process was paused.
 const PAUSED_GRACE: Duration = Duration::from_millis(5);
 
-/// What is known after one try.
+/// The result of one attempt.
 #[derive(Debug)]
 pub(crate) enum Attempt {
     /// The platform answered.
@@ -44,11 +44,11 @@
         /// The time from the request to the answer's head.
         head_after: Duration,
     },
-    /// The platform did nothing and will not: it refused, or nothing was sent to it.
-    NotDone,
-    /// The platform may have done it, or may do it later: the answer was lost.
+    /// The request was not executed and will not be: it was refused or never sent_at.
+    NotExecuted,
+    /// The answer was lost: the request may have been executed or may be executed later.
     Lost {
-        /// How long the next part of the answer was waited for.
+        /// How long the attempt waited for the next part of the answer.
         waited: Duration,
     },
 }
@@ -58,22 +58,22 @@
 pub(crate) struct Transport {
     /// The pool of connections.
     client: Client<HttpConnector, Full<Bytes>>,
-    /// Where the platform listens.
+    /// The platform's address.
     address: SocketAddr,
     /// The host's availability zone.
     zone: HeaderValue,
-    /// How long a piece of an answer may take after its head.
+    /// The longest wait for each piece of a response body.
     deadline: Duration,
 }
 
 impl Transport {
-    /// Makes a transport; it connects when it is used.
+    /// Creates a transport, which connects on its first request.
     pub(crate) fn new(options: &ClientOptions) -> Result<Self> {
         let zone = HeaderValue::from_bytes(options.zone.as_bytes())
             .map_err(|_| Error::BadZone { zone: options.zone.clone() })?;
 
-        // Half of the deadline, so that a connection that is not made in time is known as
-        // one on which nothing was sent.
+        // Half of the deadline, so that a slow connect fails as a connect error, after which it is
+        // certain that nothing was sent_at, before the attempt itself times out.
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(options.deadline / 2));
         connector.set_nodelay(true);
@@ -86,33 +86,34 @@
         Ok(Self { client, address: options.address, zone, deadline: options.deadline })
     }
 
-    /// Makes one try. The answer's head is waited for as long as `patience` and what the platform
-    /// was asked to wait, and each further piece as long as the deadline. `on_piece` is told how
-    /// many bytes of the body have come, with each piece.
+    /// Makes one attempt. It waits for the response head for `head_timeout` plus the time that the
+    /// request asks the platform to wait, and for each piece of the body for the deadline. Each
+    /// piece calls `on_piece` with the number of body bytes received so far.
     ///
-    /// A bound on the whole that is made for short answers would give up long ones on slow links,
-    /// which then come again from their start.
+    /// The timeout applies to each piece rather than the whole body, because a total suited to
+    /// short answers would abort long ones on slow links, which then restart from the beginning.
     pub(crate) async fn send(
         &self,
         call: &Call,
-        patience: Duration,
+        head_timeout: Duration,
         on_piece: &impl Fn(usize),
     ) -> Attempt {
         let Some(req) = self.request(call) else {
-            return Attempt::NotDone;
+            return Attempt::NotExecuted;
         };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
 
-        // The request may be under way when the time is over, so that nothing is known.
-        let response = match within(patience + call.wait, self.client.request(req)).await {
-            Some(Ok(response)) => response,
-            Some(Err(error)) if error.is_connect() => return Attempt::NotDone,
-            Some(Err(_)) | None => return Attempt::Lost { waited: sent.elapsed() },
-        };
-        let (status, head_after) = (response.status(), sent.elapsed());
+        // On a timeout the request may still be in flight, so its outcome is unknown.
+        let response =
+            match timeout_with_grace(head_timeout + call.wait, self.client.request(req)).await {
+                Some(Ok(response)) => response,
+                Some(Err(error)) if error.is_connect() => return Attempt::NotExecuted,
+                Some(Err(_)) | None => return Attempt::Lost { waited: sent_at.elapsed() },
+            };
+        let (status, head_after) = (response.status(), sent_at.elapsed());
 
         if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
-            return Attempt::NotDone;
+            return Attempt::NotExecuted;
         }
         if status.is_server_error() {
             return Attempt::Lost { waited: head_after };
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Makes the HTTP request of a call.
+    /// Builds the HTTP request.
     fn request(&self, call: &Call) -> Option<Request<Full<Bytes>>> {
         let uri = Uri::builder()
             .scheme("http")
@@ -143,7 +144,7 @@
     }
 }
 
-/// Reads a body whole; or returns how long its next piece was waited for in vain.
+/// Reads a whole body. On failure, returns how long it waited for the missing piece.
 async fn read_body<B>(
     body: B,
     deadline: Duration,
@@ -155,12 +156,12 @@
 {
     let mut body = Limited::new(body, MAX_ANSWER_BYTES);
     let mut buf = BytesMut::new();
-    let end = Instant::now() + deadline * DEADLINES_PER_ANSWER;
+    let body_deadline = Instant::now() + deadline * DEADLINES_PER_ANSWER;
 
     loop {
-        let began = Instant::now();
-        let error = match within(deadline, body.frame()).await {
-            Some(Some(Ok(_))) if began > end => "it comes too slowly".into(),
+        let started = Instant::now();
+        let error = match timeout_with_grace(deadline, body.frame()).await {
+            Some(Some(Ok(_))) if started > body_deadline => "it comes too slowly".into(),
             Some(None) => return Ok(buf.freeze()),
             Some(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
@@ -172,21 +173,21 @@
             Some(Some(Err(e))) => e,
             None => "silence".into(),
         };
-        let waited = began.elapsed();
-        tracing::info!(%error, bytes = buf.len(), ?waited, "platform: answer broke off");
+        let waited = started.elapsed();
+        tracing::info!(%error, bytes = buf.len(), ?waited, "platform: answer incomplete");
         return Err(waited);
     }
 }
 
-/// Waits for something as long as `patience`.
+/// Waits for a future for at most `limit`, and once more for [`PAUSED_GRACE`].
 ///
-/// A process that was paused sees that the time is over before it sees what came meanwhile, since
-/// the connection is read by another task. Hosts with a part of a processor are paused for most of
-/// a tenth of a second again and again.
-async fn within<T>(patience: Duration, f: impl Future<Output = T>) -> Option<T> {
+/// After a pause of the process, the timer fires before the data that arrived meanwhile is
+/// seen, since another task reads the connection. Hosts with a CPU quota below one core are
+/// regularly paused for most of 100 ms.
+async fn timeout_with_grace<T>(limit: Duration, f: impl Future<Output = T>) -> Option<T> {
     let mut f = pin!(f);
 
-    match timeout(patience, &mut f).await {
+    match timeout(limit, &mut f).await {
         Ok(done) => Some(done),
         Err(_) => timeout(PAUSED_GRACE, f).await.ok(),
     }
--- a/crates/store/src/witness.rs
+++ b/crates/store/src/witness.rs
@@ -1,49 +1,49 @@
-//! Finding out whether a transaction whose answer was lost took effect.
+//! Determines whether a transaction took effect when its answer was lost.
 //!
-//! A *witness* is a row that the transaction checks as absent and writes, with a content
-//! that names its writer, such as the id of an attempt or of a session. A transaction with
-//! a witness is sent again when its answer is lost. If that conflicts, the rows of the
-//! conflict tell what became of the first sending ([`explain`]).
+//! A *witness* is a row that a transaction both writes and requires to be absent before. Its
+//! value identifies the writer, for example by the id of an attempt or a session. If the answer
+//! to a transaction with a witness is lost, the client sends the transaction again. If the
+//! second request conflicts, the conflicting rows show whether the first one took effect (see
+//! [`explain`]).
 //!
-//! Why sending twice runs the transaction at most once, also when the first sending was
-//! only delayed and reaches the platform after the second: the platform runs transactions
-//! one after the other. Whichever sending comes first and commits puts the witness there,
-//! and from then on the other one fails its absent-check.
+//! The transaction takes effect at most once, even if the first request was only delayed and
+//! arrives after the second. The platform runs transactions serially: the request that commits
+//! first writes the witness, and the other one then fails its check that the row is absent.
 //!
-//! Both this and the explanation need that a witness stays as it is for as long as a
-//! sending may be under way and the client may still ask. The client asks for no longer
-//! than [`RetryOptions::window`](crate::RetryOptions); a host that was paused for longer
-//! gets no explanation. Whoever deletes or changes witnesses has to wait longer than that.
+//! This requires that a witness stays unchanged while a request may still be in flight or a
+//! conflict may still be explained. The client does neither after
+//! [`RetryOptions::window`](crate::RetryOptions), even if its process was paused for longer.
+//! Code that deletes or changes witnesses has to wait longer than that window.
 
 use camphorwalk_core::platform::{Check, Row, RowVersion, Transaction, Write};
 
-/// What a conflict with a repeated transaction tells of its earlier sendings.
+/// The outcome of the earlier requests of a transaction, as shown by a conflict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Explanation {
-    /// One of them took effect with this version.
+    /// One of them committed with this version.
     Committed(RowVersion),
     /// None of them took effect, and none will.
     NotCommitted,
-    /// It does not tell.
-    Unclear,
+    /// The conflict does not show the outcome.
+    Undetermined,
 }
 
-/// Tells whether a transaction writes a row that can witness that it took effect.
+/// Returns whether a transaction writes a witness.
 pub(crate) fn has_witness(tx: &Transaction) -> bool {
     checked_writes(tx).any(|(check, _)| check.version == RowVersion::ABSENT)
 }
 
-/// Explains a conflict with a transaction that was sent before.
+/// Determines the outcome of the earlier requests of a transaction from a conflict.
 pub(crate) fn explain(tx: &Transaction, conflict: &[Row]) -> Explanation {
     let own = |write: &Write| {
         let row = conflict.iter().find(|row| row.key == write.key);
         row.filter(|row| Some(&row.value) == write.value.as_ref())
     };
 
-    // One row alone does not do. A host that took lease 1 by a transaction of unknown
-    // outcome and now takes leases 1 and 2 by another, finds lease 1 as it wanted to write
-    // it, and would think that it has lease 2 as well. A transaction gives one version to
-    // all that it writes, so that rows of two are told apart.
+    // All rows must match, with the same version. Suppose a host took lease 1 in a transaction
+    // with an unknown outcome, and now takes leases 1 and 2 in another. It finds lease 1 with
+    // the value that it wants to write, and would wrongly assume that it holds lease 2 as well.
+    // A transaction writes all its rows with one version, so different versions reveal this.
     let mut versions = checked_writes(tx).map(|(_, write)| own(write).map(|row| row.version));
 
     if let Some(Some(version)) = versions.next()
@@ -55,29 +55,30 @@
     let witnesses = checked_writes(tx).filter(|(check, _)| check.version == RowVersion::ABSENT);
 
     if witnesses.map(|(_, write)| own(write)).any(|row| row.is_some()) {
-        return Explanation::Unclear;
+        return Explanation::Undetermined;
     }
 
-    if is_final(tx, conflict) { Explanation::NotCommitted } else { Explanation::Unclear }
+    if is_final(tx, conflict) { Explanation::NotCommitted } else { Explanation::Undetermined }
 }
 
-/// Tells whether a sending that is still under way is bound to conflict as well.
+/// Returns whether a request that is still in flight is certain to conflict as well.
 ///
-/// It is if a row has left the version that was expected, for no version comes back; such
-/// a row is listed, or the list is empty because it was deleted. It is if a witness is
-/// another's, for witnesses stay. A row that must be absent and is not written, however,
-/// may be deleted before the delayed sending comes, which would then take effect.
+/// This holds if a row no longer has the expected version, because versions are never reused.
+/// Such a row is in `conflict`, or `conflict` is empty because the row was deleted. It also
+/// holds if another writer's witness exists, because witnesses stay. It does not hold for a
+/// row that must be absent and is not written: it may be deleted before the delayed request
+/// arrives, which would then commit.
 fn is_final(tx: &Transaction, conflict: &[Row]) -> bool {
-    let lasting = |check: &Check| {
+    let is_permanent = |check: &Check| {
         check.version != RowVersion::ABSENT
             || checked_writes(tx).any(|(witness, _)| witness.key == check.key)
     };
-    let listed = |check: &Check| conflict.iter().any(|row| row.key == check.key);
+    let in_conflict = |check: &Check| conflict.iter().any(|row| row.key == check.key);
 
-    conflict.is_empty() || tx.checks.iter().any(|check| listed(check) && lasting(check))
+    conflict.is_empty() || tx.checks.iter().any(|check| in_conflict(check) && is_permanent(check))
 }
 
-/// Returns the writes of `tx` that leave a row and whose row it checks, each with the check.
+/// Returns the writes of `tx` that do not delete and whose row it also checks, with the checks.
 fn checked_writes(tx: &Transaction) -> impl Iterator<Item = (&Check, &Write)> {
     let writes = tx.writes.iter().filter(|write| write.value.is_some());
 
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against a platform that answers, refuses, or is not there.
+//! Tests the client against a platform that answers, refuses or is unreachable.
 
 mod support;
 
@@ -9,15 +9,15 @@
 use camphorwalk_store::{Client, ClientOptions, Error, RetryOptions, ShareOptions};
 use prometheus::{Registry, TextEncoder};
 
-use support::{any_port, client, commit, key, options, plain, platform, row, witnessed};
+use support::{any_port, client, commit, key, options, platform, row, unconditional, witnessed};
 
 #[tokio::test]
 async fn a_committed_row_is_read_and_scanned() {
     let platform = platform().await;
     let client = client(&platform);
 
-    let first = commit(&client, plain("b/1", "one")).await;
-    let second = commit(&client, plain("b/2", "two")).await;
+    let first = commit(&client, unconditional("b/1", "one")).await;
+    let second = commit(&client, unconditional("b/2", "two")).await;
     let scanned = client
         .run(PlatformOp::Scan {
             table: "t".into(),
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_conflict_shows_the_row_that_stands_there() {
+async fn a_conflict_returns_the_conflicting_row() {
     let platform = platform().await;
     let client = client(&platform);
     commit(&client, witnessed("lease", "mine")).await;
@@ -60,10 +60,10 @@
     assert_eq!(missing, PlatformReply::Object(None));
 }
 
-/// The caller asks for a program's history and the store hands out damaged bytes. They
-/// must not be taken for the history: the reply is the same as if nothing had come.
+/// Guards against corrupted object content being used as a program's history. The reply must be
+/// the same as without an answer.
 #[tokio::test]
-async fn a_damaged_object_is_not_handed_out() {
+async fn a_corrupted_object_is_rejected() {
     let platform = platform().await;
     let client = client(&platform);
     let name = ObjectName::of(b"history");
@@ -74,15 +74,15 @@
     assert_eq!(reply, PlatformReply::Unavailable);
 }
 
-/// The platform refuses every request with 503. Nothing was done, and the client says so
-/// after its tries; it must not say that the outcome is unknown.
+/// The platform refuses every request with 503, so the write was certainly not executed. The
+/// client must report it as unavailable, not as unknown.
 #[tokio::test]
-async fn a_refused_write_was_not_done() {
+async fn a_refused_write_is_unavailable() {
     let platform = platform().await;
     let client = client(&platform);
     platform.set_mode(ModeSetting::all(Mode::Refuse));
 
-    let reply = commit(&client, plain("r", "x")).await;
+    let reply = commit(&client, unconditional("r", "x")).await;
 
     platform.set_mode(ModeSetting::all(Mode::Ok));
     assert_eq!(reply, PlatformReply::Unavailable);
@@ -90,36 +90,36 @@
     assert_eq!(row(&client, "r").await, None);
 }
 
-/// The platform refuses once. The client tries again from its budget, and the caller sees
-/// nothing of it.
+/// The platform refuses once. The client must retry within its budget, so that the caller does
+/// not see the refusal.
 #[tokio::test]
-async fn a_passing_refusal_is_retried() {
+async fn a_single_refusal_is_retried() {
     let platform = platform().await;
     let client = client(&platform);
-    support::next(&platform, Mode::Refuse, 1);
+    support::set_next_mode(&platform, Mode::Refuse, 1);
 
-    let reply = commit(&client, plain("r", "x")).await;
+    let reply = commit(&client, unconditional("r", "x")).await;
 
     assert_eq!(reply, PlatformReply::Committed(RowVersion(1)));
 }
 
-/// Nobody listens at the platform's address. The bytes of the write were never sent, so
-/// that the client can say that nothing was done.
+/// Nothing listens at the platform's address, so the write was never sent. The client must
+/// report it as unavailable, not as unknown.
 #[tokio::test]
-async fn a_write_that_was_never_sent_was_not_done() {
+async fn a_write_that_was_never_sent_is_unavailable() {
     let platform = platform().await;
     let client = client(&platform);
     platform.stop().await;
 
-    let reply = commit(&client, plain("r", "x")).await;
+    let reply = commit(&client, unconditional("r", "x")).await;
     let hosts = client.hosts().await;
 
     assert_eq!(reply, PlatformReply::Unavailable);
     assert_eq!(hosts, Err(Error::Unavailable));
 }
 
-/// The platform refuses for a long time. Retries would multiply the load on it, so that
-/// once the budget is used up each operation is tried once.
+/// Guards against retries multiplying the load on a platform that keeps refusing. Once the
+/// retry budget is used up, each operation must make a single attempt.
 #[tokio::test]
 async fn retries_stop_when_their_budget_is_used_up() {
     let platform = platform().await;
@@ -127,26 +127,26 @@
     let client = Client::new(ClientOptions { retry, ..options(platform.address()) }).unwrap();
     platform.set_mode(ModeSetting::all(Mode::Refuse));
 
-    commit(&client, plain("r", "x")).await;
+    commit(&client, unconditional("r", "x")).await;
     let with_budget = platform.stats().refused;
-    commit(&client, plain("r", "x")).await;
+    commit(&client, unconditional("r", "x")).await;
 
     assert_eq!(with_budget, 2);
     assert_eq!(platform.stats().refused, 3);
 }
 
-/// A host asks more than its share of the platform. It is answered at once that nothing
-/// was done, and the platform does not hear of it; reads have a share of their own.
+/// A write over the host's quota must fail at once without a request to the platform. Reads
+/// have a quota of their own and must still work.
 #[tokio::test]
-async fn over_its_share_a_write_is_not_sent() {
+async fn a_write_over_the_quota_is_not_sent() {
     let platform = platform().await;
     let share = ShareOptions { writes_per_second: 0.0, ..options(any_port()).share };
     let client = Client::new(ClientOptions { share, ..options(platform.address()) }).unwrap();
     let registry = Registry::new();
     client.register(&registry).unwrap();
 
-    let first = commit(&client, plain("r", "x")).await;
-    let second = commit(&client, plain("r", "y")).await;
+    let first = commit(&client, unconditional("r", "x")).await;
+    let second = commit(&client, unconditional("r", "y")).await;
 
     let metrics = TextEncoder::new().encode_to_string(&registry.gather()).unwrap();
     assert_eq!(first, PlatformReply::Committed(RowVersion(1)));
@@ -158,17 +158,18 @@
     assert!(metrics.contains(r#"operation_seconds_count{operation="commit"} 1"#));
 }
 
-/// One availability zone is cut off from the platform. Its host is refused, and a host of
-/// another availability zone goes on.
+/// The platform refuses requests of one availability zone only. This checks that clients send
+/// their zone: the host of the other zone must be served.
 #[tokio::test]
-async fn a_refusal_can_meet_one_availability_zone() {
+async fn a_refusal_can_affect_one_availability_zone() {
     let platform = platform().await;
-    let here = client(&platform);
-    let there = Client::new(ClientOptions { zone: "b".into(), ..options(platform.address()) });
+    let client_of_zone_a = client(&platform);
+    let client_of_zone_b =
+        Client::new(ClientOptions { zone: "b".into(), ..options(platform.address()) });
     platform.set_mode(ModeSetting::zone(Mode::Refuse, "a"));
 
-    let refused = here.run(PlatformOp::Read(vec![key("r")])).await;
-    let read = there.unwrap().run(PlatformOp::Read(vec![key("r")])).await;
+    let refused = client_of_zone_a.run(PlatformOp::Read(vec![key("r")])).await;
+    let read = client_of_zone_b.unwrap().run(PlatformOp::Read(vec![key("r")])).await;
 
     assert_eq!(refused, PlatformReply::Unavailable);
     assert_eq!(read, PlatformReply::Rows(vec![]));
--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -1,8 +1,9 @@
-//! Random transactions against a platform that refuses, loses and delays at random.
+//! Runs random transactions against a platform that randomly refuses requests, drops answers and
+//! delays execution.
 //!
-//! The oracle is what the platform holds once every delayed sending has run. What was told
-//! as committed stands there with its version, and what stands there was told as committed
-//! or as unknown.
+//! The expected result is the content of the platform after every delayed request has run. Each
+//! transaction reported as committed must be there with its version, and each row that is there
+//! must belong to a transaction reported as committed or unknown.
 
 mod support;
 
@@ -15,70 +16,70 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-use support::{both, commit, options, platform, witnessed};
+use support::{commit, options, platform, two_witnesses, witnessed};
 
-/// Sequences of steps that are tried.
+/// The number of step sequences to test.
 const CASES: u32 = 64;
 
-/// The rows that are written.
+/// The number of different rows.
 const ROWS: u8 = 4;
 
-/// The deadline of a try: within some delays and past others.
+/// The deadline of an attempt: longer than some delays and shorter than others.
 const DEADLINE: Duration = Duration::from_millis(20);
 
-/// The longest delay.
-const LONGEST_DELAY_MS: u64 = 40;
+/// The longest delay of an answer, in milliseconds.
+const MAX_DELAY_MS: u64 = 40;
 
-/// A transaction, and how the platform treats its tries.
+/// A transaction, and how the platform treats its attempts.
 #[derive(Clone, Debug)]
 struct Step {
-    /// The first row; some steps want the same one.
+    /// The first row; several steps may use the same one.
     row: u8,
-    /// How much further the second row is; none if zero.
+    /// The offset of the second row from the first; 0 for no second row.
     second: u8,
-    /// Whether the content is the same for many transactions, as the holder of a lease is.
+    /// Whether the value is the same as in other transactions, like the holder of a lease.
     shared: bool,
-    /// How the first tries are treated.
+    /// The mode of the platform for the first attempts.
     mode: Mode,
-    /// For how many tries that holds.
+    /// The number of attempts in that mode.
     times: u32,
-    /// How the tries after these are treated.
+    /// The mode for the attempts after these.
     then: Mode,
 }
 
 impl Step {
-    /// Returns the transaction of the step with this number.
+    /// Returns the transaction of this step, which is the one at index `number`.
     fn transaction(&self, number: usize) -> Transaction {
         let name = |row: u8| format!("row-{}", row % ROWS);
         let content = if self.shared { "session".into() } else { format!("attempt-{number}") };
 
         match self.second {
             0 => witnessed(&name(self.row), &content),
-            _ => both(&name(self.row), &name(self.row + self.second), &content),
+            _ => two_witnesses(&name(self.row), &name(self.row + self.second), &content),
         }
     }
 }
 
-/// Draws a mode.
+/// Generates a mode.
 fn mode() -> impl Strategy<Value = Mode> {
     prop_oneof![
         4 => Just(Mode::Ok),
         1 => Just(Mode::Refuse),
         4 => Just(Mode::DropAnswers),
         1 => Just(Mode::Hang),
-        1 => (1..LONGEST_DELAY_MS)
+        1 => (1..MAX_DELAY_MS)
             .prop_map(|millis| Mode::Slow { delay: Duration::from_millis(millis) }),
     ]
 }
 
-/// Draws a step.
+/// Generates a step.
 fn step() -> impl Strategy<Value = Step> {
     (0..ROWS, 0..ROWS, any::<bool>(), mode(), 1..3u32, mode()).prop_map(
         |(row, second, shared, mode, times, then)| Step { row, second, shared, mode, times, then },
     )
 }
 
-/// Runs the steps, and returns the reply to each.
+/// Runs the steps and returns the reply to each.
 async fn run(platform: &Platform, client: &Client, steps: &[Step]) -> Vec<PlatformReply> {
     let mut replies = Vec::new();
 
@@ -92,7 +93,7 @@
     replies
 }
 
-/// Tells whether the transaction of a step explains a row that stands there.
+/// Returns whether a transaction with this reply may have written the row.
 fn explains(tx: &Transaction, reply: &PlatformReply, row: &Row) -> bool {
     let writes =
         tx.writes.contains(&Write { key: row.key.clone(), value: Some(row.value.clone()) });
@@ -104,7 +105,7 @@
     }
 }
 
-/// Reads all rows.
+/// Reads all rows of the table.
 async fn rows(reader: &Client) -> Vec<Row> {
     let scan = PlatformOp::Scan {
         table: "t".into(),
@@ -115,12 +116,12 @@
 
     match reader.run(scan).await {
         PlatformReply::Rows(rows) => rows,
-        reply => panic!("a scan was answered {reply:?}"),
+        reply => panic!("unexpected reply to a scan: {reply:?}"),
     }
 }
 
 #[test]
-fn replies_are_true_whatever_is_lost_or_late() {
+fn replies_match_the_stored_rows_despite_lost_and_late_answers() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
@@ -133,16 +134,17 @@
                 pause: Duration::from_millis(1),
                 ..options(platform.address()).retry
             };
-            let hasty = ClientOptions { deadline: DEADLINE, retry, ..options(platform.address()) };
-            let client = Client::new(hasty).unwrap();
+            let client_options =
+                ClientOptions { deadline: DEADLINE, retry, ..options(platform.address()) };
+            let client = Client::new(client_options).unwrap();
             let reader = support::client(&platform);
 
             let replies = run(&platform, &client, &steps).await;
             platform.set_mode(ModeSetting::all(Mode::Ok));
-            tokio::time::sleep(2 * Duration::from_millis(LONGEST_DELAY_MS)).await;
+            tokio::time::sleep(2 * Duration::from_millis(MAX_DELAY_MS)).await;
 
             let rows = rows(&reader).await;
-            let told: Vec<_> = steps
+            let results: Vec<_> = steps
                 .iter()
                 .enumerate()
                 .map(|(number, step)| step.transaction(number))
@@ -150,14 +152,14 @@
                 .collect();
 
             for row in &rows {
-                let explained = told.iter().any(|(tx, reply)| explains(tx, reply, row));
-                prop_assert!(explained, "nobody was told of {row:?}");
+                let explained = results.iter().any(|(tx, reply)| explains(tx, reply, row));
+                prop_assert!(explained, "no reply accounts for {row:?}");
             }
 
-            for (tx, reply) in &told {
+            for (tx, reply) in &results {
                 if let PlatformReply::Committed(_) = reply {
-                    let there = rows.iter().filter(|row| explains(tx, reply, row)).count();
-                    prop_assert_eq!(there, tx.writes.len(), "{:?} is not whole", tx);
+                    let found = rows.iter().filter(|row| explains(tx, reply, row)).count();
+                    prop_assert_eq!(found, tx.writes.len(), "rows of {:?} are missing", tx);
                 }
             }
 
--- a/crates/store/tests/long_answers.rs
+++ b/crates/store/tests/long_answers.rs
@@ -1,4 +1,4 @@
-//! The client against a platform whose answers are long.
+//! Tests the client against a platform that sends long answers slowly.
 
 mod support;
 
@@ -14,40 +14,40 @@
 use tokio::runtime::Builder;
 use tokio::time::{sleep, timeout};
 
-use support::{PATIENT, any_port, options};
+use support::{TEST_TIMEOUT, any_port, options};
 
 /// The pause between two pieces of an answer.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// How long a client waits for a piece.
-const PATIENCE: Duration = Duration::from_millis(200);
+/// How long a client waits for each piece.
+const PIECE_DEADLINE: Duration = Duration::from_millis(200);
 
-/// The pieces of an answer, which come to some times the patience.
+/// The number of pieces of an answer. Sending them all takes several times the deadline.
 const PIECES: usize = 40;
 
-/// The bytes of a piece.
+/// The content of a piece.
 const PIECE: &[u8] = b"0123456789abcdef";
 
-/// What the store does after so many pieces.
+/// What the store does after it has sent its pieces.
 #[derive(Clone, Copy)]
-enum Then {
+enum AfterPieces {
     End,
     Stop,
 }
 
-/// The pieces of an answer that goes on for far longer than any may.
-const ENDLESS: usize = 100_000;
+/// The number of pieces of an answer that takes far longer than any answer may.
+const ENDLESS_PIECES: usize = 100_000;
 
-/// A store of one long object, which it sends in pieces.
+/// A server with one long object, which it sends in pieces.
 struct SlowStore {
     address: SocketAddr,
     requests: Arc<AtomicUsize>,
 }
 
 impl SlowStore {
-    /// Starts a store that answers its first `whole` requests wholly and stops in the middle of
-    /// all others.
-    async fn start(whole: usize) -> Self {
+    /// Starts a store that sends complete answers to its first `complete` requests, and stops in
+    /// the middle of the answers to all others.
+    async fn start(complete: usize) -> Self {
         let listener = TcpListener::bind(any_port()).await.unwrap();
         let address = listener.local_addr().unwrap();
         let requests = Arc::new(AtomicUsize::new(0));
@@ -55,15 +55,16 @@
         tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
-                tokio::spawn(serve(stream, Arc::clone(&counted), whole));
+                tokio::spawn(serve(stream, Arc::clone(&counted), complete));
             }
         });
 
         Self { address, requests }
     }
 
-    /// Starts a store with a thread of its own, which goes on while the client's thread is paused.
-    fn start_apart() -> Self {
+    /// Starts a store on a thread of its own, which keeps sending while the client's thread is
+    /// paused.
+    fn start_on_own_thread() -> Self {
         let (tx, rx) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -80,34 +81,40 @@
         self.requests.load(Ordering::Relaxed)
     }
 
-    /// Makes a client that tries once and gives up on a silence of [`PATIENCE`].
+    /// Creates a client that makes one attempt and waits [`PIECE_DEADLINE`] for each piece.
     fn client(&self) -> Client {
-        let usual = options(self.address);
-        let retry = RetryOptions { most_tries: 1, ..usual.retry };
-
-        Client::new(ClientOptions { deadline: PATIENCE, least_deadline: PATIENCE, retry, ..usual })
-            .unwrap()
+        let defaults = options(self.address);
+        let retry = RetryOptions { most_tries: 1, ..defaults.retry };
+
+        Client::new(ClientOptions {
+            deadline: PIECE_DEADLINE,
+            least_deadline: PIECE_DEADLINE,
+            retry,
+            ..defaults
+        })
+        .unwrap()
     }
 }
 
-async fn serve(mut stream: TcpStream, requests: Arc<AtomicUsize>, whole: usize) {
+async fn serve(mut stream: TcpStream, requests: Arc<AtomicUsize>, complete: usize) {
     let mut buf = [0; 4_096];
 
-    // The requests have no body and come one at a time, each in one piece.
+    // The requests have no body and arrive one at a time, each in a single read.
     while stream.read(&mut buf).await.is_ok_and(|bytes| bytes > 0) {
-        let is_whole = requests.fetch_add(1, Ordering::Relaxed) < whole;
-        let (pieces, then) = if is_whole { (PIECES, Then::End) } else { (3, Then::Stop) };
+        let is_complete = requests.fetch_add(1, Ordering::Relaxed) < complete;
+        let (pieces, then) =
+            if is_complete { (PIECES, AfterPieces::End) } else { (3, AfterPieces::Stop) };
         if send(&mut stream, pieces).await.is_err() {
             return;
         }
         match then {
-            Then::End => {}
-            Then::Stop => sleep(PATIENT).await,
+            AfterPieces::End => {}
+            AfterPieces::Stop => sleep(TEST_TIMEOUT).await,
         }
     }
 }
 
-/// Starts a store whose answer goes on for far longer than any may.
+/// Starts a store whose answer takes far longer than any answer may.
 async fn start_endless() -> SlowStore {
     let listener = TcpListener::bind(any_port()).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -115,7 +122,8 @@
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut buf = [0; 4_096];
         let _ = stream.read(&mut buf).await;
-        let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", ENDLESS * PIECE.len());
+        let head =
+            format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", ENDLESS_PIECES * PIECE.len());
         let mut next = head.as_bytes();
         while stream.write_all(next).await.is_ok() {
             sleep(PAUSE).await;
@@ -147,11 +155,12 @@
     client.run(PlatformOp::GetObject(ObjectName::of(&object()))).await
 }
 
-/// Guards against an answer that arrives well being given up and asked for again from its start.
+/// Guards against aborting a long answer that arrives steadily, and requesting it again from its
+/// start.
 #[tokio::test]
-async fn a_long_answer_that_goes_on_coming_is_not_given_up() {
+async fn a_long_answer_that_keeps_arriving_is_not_aborted() {
     let store = SlowStore::start(usize::MAX).await;
-    let client = Client::new(ClientOptions { deadline: PATIENCE, ..options(store.address) });
+    let client = Client::new(ClientOptions { deadline: PIECE_DEADLINE, ..options(store.address) });
 
     let reply = read(&client.unwrap()).await;
 
@@ -159,22 +168,23 @@
     assert_eq!(reply, PlatformReply::Object(Some(object())));
 }
 
-/// Guards against waiting for the rest of an answer that will not come.
+/// Guards against waiting indefinitely for the rest of an answer that stopped.
 #[tokio::test]
-async fn an_answer_that_stops_in_the_middle_is_given_up_within_the_patience() {
+async fn an_answer_that_stops_in_the_middle_is_aborted_within_the_deadline() {
     let store = SlowStore::start(0).await;
     let began = Instant::now();
 
-    let reply = timeout(PATIENT, read(&store.client())).await.expect("the client waits on");
+    let reply = timeout(TEST_TIMEOUT, read(&store.client())).await.expect("the client waits on");
 
     assert_eq!(reply, PlatformReply::Unavailable);
-    let most = 3 * PAUSE + 5 * PATIENCE;
-    assert!(began.elapsed() < most, "{:?} of {most:?}", began.elapsed());
+    let max = 3 * PAUSE + 5 * PIECE_DEADLINE;
+    assert!(began.elapsed() < max, "{:?} of {max:?}", began.elapsed());
 }
 
-/// Guards against long answers making a client wait long for the next lost one.
+/// Guards against long answers raising the timeout, which would delay the detection of the next
+/// lost answer. Only the time to the response head may count.
 #[tokio::test]
-async fn long_answers_do_not_make_the_client_patient() {
+async fn long_answers_do_not_raise_the_timeout() {
     let store = SlowStore::start(5).await;
     let client = store.client();
     for _ in 0..5 {
@@ -182,23 +192,23 @@
     }
     let began = Instant::now();
 
-    let reply = timeout(PATIENT, read(&client)).await.expect("the client waits on");
+    let reply = timeout(TEST_TIMEOUT, read(&client)).await.expect("the client waits on");
 
     assert_eq!(reply, PlatformReply::Unavailable);
-    let most = 3 * PAUSE + 5 * PATIENCE;
-    assert!(began.elapsed() < most, "{:?} of {most:?}", began.elapsed());
+    let max = 3 * PAUSE + 5 * PIECE_DEADLINE;
+    assert!(began.elapsed() < max, "{:?} of {max:?}", began.elapsed());
 }
 
-/// Guards against an answer that is given up because the process was paused while it came.
+/// Guards against aborting an answer because the process was paused while it arrived.
 #[tokio::test]
-async fn what_comes_while_the_process_is_paused_is_in_time() {
-    let store = SlowStore::start_apart();
-    let client = Client::new(ClientOptions { deadline: PATIENCE, ..options(store.address) });
+async fn data_that_arrives_while_the_process_is_paused_is_accepted() {
+    let store = SlowStore::start_on_own_thread();
+    let client = Client::new(ClientOptions { deadline: PIECE_DEADLINE, ..options(store.address) });
     tokio::spawn(async {
         loop {
             sleep(PAUSE / 2).await;
-            // The machine gives the process its processor for a part of the time.
-            std::thread::sleep(PATIENCE + PAUSE);
+            // Blocks the client's thread, like a process that exceeds its CPU quota.
+            std::thread::sleep(PIECE_DEADLINE + PAUSE);
         }
     });
 
@@ -208,29 +218,29 @@
     assert_eq!(reply, PlatformReply::Object(Some(object())));
 }
 
-/// Guards against an operation that never ends since its answer never does.
+/// Guards against an operation that never ends because its answer keeps arriving slowly.
 #[tokio::test]
-async fn an_answer_that_comes_too_slowly_is_given_up() {
+async fn an_answer_that_arrives_too_slowly_is_aborted() {
     let store = start_endless().await;
     let began = Instant::now();
 
-    let reply = timeout(PATIENT, read(&store.client())).await.expect("the client waits on");
+    let reply = timeout(TEST_TIMEOUT, read(&store.client())).await.expect("the client waits on");
 
     assert_eq!(reply, PlatformReply::Unavailable);
-    assert!(began.elapsed() > 5 * PATIENCE, "{:?}", began.elapsed());
+    assert!(began.elapsed() > 5 * PIECE_DEADLINE, "{:?}", began.elapsed());
 }
 
-/// Guards against a transfer that goes on without its owner being told.
+/// Guards against a long transfer without progress reports to the caller.
 #[tokio::test]
-async fn each_piece_of_an_answer_is_told() {
+async fn each_piece_of_an_answer_is_reported() {
     let store = SlowStore::start(1).await;
-    let told = std::sync::Mutex::new(Vec::new());
+    let reported = std::sync::Mutex::new(Vec::new());
 
-    let watch = |bytes| told.lock().unwrap().push(bytes);
+    let watch = |bytes| reported.lock().unwrap().push(bytes);
     let name = ObjectName::of(&object());
     store.client().run_watched(PlatformOp::GetObject(name), &watch).await;
 
-    let told = told.into_inner().unwrap();
-    assert!(told.len() > 3 && told.is_sorted(), "{told:?}");
-    assert_eq!(told.last(), Some(&object().len()));
+    let reported = reported.into_inner().unwrap();
+    assert!(reported.len() > 3 && reported.is_sorted(), "{reported:?}");
+    assert_eq!(reported.last(), Some(&object().len()));
 }
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the client's tests.
+//! Fixtures for the tests of the client.
 
 #![allow(dead_code)]
 
@@ -12,81 +12,81 @@
 use camphorwalk_standin::{Platform, PlatformOptions};
 use camphorwalk_store::{Client, ClientOptions, RetryOptions, ShareOptions};
 
-/// Long enough for any answer that comes at all.
-pub const PATIENT: Duration = Duration::from_secs(30);
+/// A timeout long enough for any answer that arrives at all.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// So short that the answers of [`LATE`] never come in time.
-pub const IMPATIENT: Duration = Duration::from_millis(100);
+/// A deadline so short that answers delayed by [`LATE`] always miss it.
+pub const SHORT_DEADLINE: Duration = Duration::from_millis(100);
 
-/// A delay past the deadline.
+/// A delay longer than [`SHORT_DEADLINE`].
 pub const LATE: Duration = Duration::from_millis(300);
 
-/// Any free port.
+/// The loopback address with any free port.
 pub fn any_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
-/// Starts a platform.
+/// Starts a platform stand-in.
 pub async fn platform() -> Platform {
     Platform::start(any_port(), PlatformOptions::default()).await.unwrap()
 }
 
-/// The options of a client that gives up on nothing but by its tries.
+/// The options of a client that is limited only by its number of attempts.
 pub fn options(address: SocketAddr) -> ClientOptions {
     ClientOptions {
-        deadline: PATIENT,
-        least_deadline: PATIENT,
+        deadline: TEST_TIMEOUT,
+        least_deadline: TEST_TIMEOUT,
         retry: RetryOptions {
             most_tries: 3,
             ratio: 1.0,
             saved: 100.0,
             pause: Duration::from_millis(1),
-            window: PATIENT,
+            window: TEST_TIMEOUT,
         },
         share: ShareOptions { reads_per_second: 1e6, writes_per_second: 1e6, saved_seconds: 1.0 },
         ..ClientOptions::new(address, "a")
     }
 }
 
-/// Makes a client with these options.
+/// Creates a client with these options.
 pub fn client(platform: &Platform) -> Client {
     Client::new(options(platform.address())).unwrap()
 }
 
-/// Makes a client whose deadline passes soon.
-pub fn impatient(platform: &Platform) -> Client {
-    Client::new(ClientOptions { deadline: IMPATIENT, ..options(platform.address()) }).unwrap()
+/// Creates a client with a short deadline.
+pub fn client_with_short_deadline(platform: &Platform) -> Client {
+    Client::new(ClientOptions { deadline: SHORT_DEADLINE, ..options(platform.address()) }).unwrap()
 }
 
-/// Sets a mode for the next requests.
-pub fn next(platform: &Platform, mode: Mode, times: u32) {
+/// Sets the mode of the platform for the next requests.
+pub fn set_next_mode(platform: &Platform, mode: Mode, times: u32) {
     platform.set_mode(ModeSetting::all(mode).times(times));
 }
 
-/// The key of a row.
+/// Returns the key of a row in the test table.
 pub fn key(name: &str) -> RowKey {
     RowKey::new("t", name)
 }
 
-/// A write of a row.
+/// Returns a write of a row.
 pub fn write(name: &str, value: &str) -> Write {
     Write { key: key(name), value: Some(value.into()) }
 }
 
-/// A transaction that writes a row, whatever stands there.
-pub fn plain(name: &str, value: &str) -> Transaction {
+/// Returns a transaction that writes a row unconditionally.
+pub fn unconditional(name: &str, value: &str) -> Transaction {
     Transaction { checks: vec![], writes: vec![write(name, value)] }
 }
 
-/// A transaction that writes a row that must not be there, with an attempt's id.
+/// Returns a transaction that creates a row with an attempt's id as its value (a witness).
 pub fn witnessed(name: &str, attempt: &str) -> Transaction {
     let check = Check { key: key(name), version: RowVersion::ABSENT };
 
     Transaction { checks: vec![check], writes: vec![write(name, attempt)] }
 }
 
-/// A transaction that writes two rows that must not be there.
-pub fn both(first: &str, second: &str, attempt: &str) -> Transaction {
+/// Returns a transaction that creates two rows.
+pub fn two_witnesses(first: &str, second: &str, attempt: &str) -> Transaction {
     let mut tx = witnessed(first, attempt);
     let other = witnessed(second, attempt);
     tx.checks.extend(other.checks);
@@ -95,15 +95,15 @@
     tx
 }
 
-/// Runs a transaction.
+/// Runs a transaction and returns the reply.
 pub async fn commit(client: &Client, tx: Transaction) -> PlatformReply {
     client.run(PlatformOp::Commit(tx)).await
 }
 
-/// Reads one row.
+/// Reads one row, or `None` if it does not exist.
 pub async fn row(client: &Client, name: &str) -> Option<Row> {
     match client.run(PlatformOp::Read(vec![key(name)])).await {
         PlatformReply::Rows(rows) => rows.into_iter().next(),
-        reply => panic!("a read was answered {reply:?}"),
+        reply => panic!("unexpected reply to a read: {reply:?}"),
     }
 }
