--- a/crates/peer/examples/peer_cost.rs
+++ b/crates/peer/examples/peer_cost.rs
@@ -1,7 +1,7 @@
-//! Measures what connections between hosts cost: memory, processor time and bytes.
+//! Measures the cost of connections between hosts in memory, CPU time and bytes.
 //!
-//! All hosts of a run stand in this one process, so each figure for a connection or a
-//! message holds both of its ends. Prints one JSON object a line.
+//! All hosts run in this one process, so each figure for a connection or a message covers both
+//! ends. Prints one JSON object per line.
 
 use std::time::{Duration, Instant};
 
@@ -12,22 +12,22 @@
 use prometheus::Registry;
 use tokio::sync::mpsc::{Receiver, channel};
 
-/// The hosts of the mesh.
+/// The number of hosts in the mesh.
 const MESH: usize = 24;
 
-/// How long the mesh is idle while it is watched.
+/// How long the idle mesh is measured.
 const IDLE: Duration = Duration::from_secs(10);
 
-/// The time between keepalives while the mesh is watched: short, to see their cost at all.
+/// The base of the idle keepalive interval of the mesh, short enough to make the cost measurable.
 const KEEPALIVE: Duration = Duration::from_millis(250);
 
-/// The clock ticks in a second, as Linux reports processor time.
+/// The clock ticks per second in which Linux reports CPU time.
 const TICKS: f64 = 100.0;
 
-/// The bytes of a page of memory.
+/// The size of a memory page, in bytes.
 const PAGE: u64 = 4096;
 
-/// A host of a run.
+/// A host of a measurement.
 struct Host {
     peers: Peers,
     inbound: Receiver<Inbound>,
@@ -42,7 +42,7 @@
     measure_messages(1 << 20, 500).await;
 }
 
-/// Starts a host whose options were changed by `change`.
+/// Starts a host with options modified by `change`.
 async fn start(number: usize, change: impl Fn(&mut PeerOptions)) -> Host {
     let listen = "127.0.0.1:0".parse().unwrap();
     let mut options = PeerOptions::new(listen, &name(number), "zone", 1, Secret::new([1; 32]));
@@ -60,27 +60,27 @@
     format!("host-{number}")
 }
 
-/// Makes a message with a content of this many bytes.
+/// Creates a message with a payload of this many bytes.
 fn message(bytes: usize) -> PeerMessage {
     Body::Gossip(Gossip { config: vec![7; bytes], ..Gossip::default() }).into()
 }
 
-/// Returns the processor time that this process has taken, in seconds.
-fn processor_time() -> f64 {
+/// Returns the CPU time that this process has used, in seconds.
+fn cpu_time() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
 
     fields[11..13].iter().map(|ticks| ticks.parse::<f64>().unwrap()).sum::<f64>() / TICKS
 }
 
-/// Returns the memory that this process holds, in bytes.
+/// Returns the resident memory of this process, in bytes.
 fn resident() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap();
 
     statm.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap() * PAGE
 }
 
-/// Returns the sum of a counter over its labels.
+/// Returns the sum of a counter over all its labels.
 fn count(host: &Host, name: &str) -> f64 {
     let families = host.registry.gather();
     let family = families.iter().find(|family| family.name().ends_with(name));
@@ -88,14 +88,14 @@
     family.map_or(0.0, |f| f.get_metric().iter().map(|m| m.get_counter().get_value()).sum())
 }
 
-/// Connects each host to each other one, and watches them idle.
+/// Connects each host to each other one, and measures the idle mesh.
 async fn measure_mesh() {
     let mut hosts = Vec::new();
     for number in 0..MESH {
         hosts.push(start(number, |options| options.idle_keepalive = KEEPALIVE * 8).await);
         hosts[number].peers.send(HostId::from_name("warm"), message(1));
     }
-    let (memory, time) = (resident(), processor_time());
+    let (memory, time) = (resident(), cpu_time());
 
     let addresses: Vec<_> = hosts.iter().map(|host| host.peers.local_address()).collect();
     for (number, host) in hosts.iter().enumerate() {
@@ -105,21 +105,21 @@
         }
     }
     for host in &mut hosts {
-        let mut heard = 0;
-        while heard < MESH - 1 {
+        let mut received = 0;
+        while received < MESH - 1 {
             if let Some(Inbound::Message { .. }) = host.inbound.recv().await {
-                heard += 1;
+                received += 1;
             }
         }
     }
     let connections = (MESH * (MESH - 1)) as f64;
-    let (connected_memory, connected_time) = (resident(), processor_time());
+    let (connected_memory, connected_time) = (resident(), cpu_time());
 
     let frames_before: f64 = hosts.iter().map(|host| count(host, "frames_total")).sum();
     let bytes_before: f64 = hosts.iter().map(|host| count(host, "bytes_total")).sum();
     let started = Instant::now();
     tokio::time::sleep(IDLE).await;
-    let idle_time = processor_time() - connected_time;
+    let idle_time = cpu_time() - connected_time;
     let frames: f64 = hosts.iter().map(|host| count(host, "frames_total")).sum::<f64>();
     let bytes: f64 = hosts.iter().map(|host| count(host, "bytes_total")).sum::<f64>();
 
@@ -135,32 +135,32 @@
     println!("{line}");
 }
 
-/// Sends messages from one host to another as fast as they go.
+/// Sends messages from one host to another as fast as possible.
 async fn measure_messages(bytes: usize, messages: usize) {
     let one = start(1, |_| {}).await;
     let mut two = start(2, |_| {}).await;
     let to = HostId::from_name(&name(2));
     one.peers.set_address(to, two.peers.local_address());
-    let (started, time) = (Instant::now(), processor_time());
+    let (started, time) = (Instant::now(), cpu_time());
 
     let sender = tokio::spawn(async move {
         for _ in 0..messages {
             while !one.peers.send(to, message(bytes)) {
-                // A full queue: spinning here would count as the cost of messages.
+                // The queue is full. Busy waiting would be measured as the cost of messages.
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         }
         one
     });
-    let mut heard = 0;
-    while heard < messages {
+    let mut received = 0;
+    while received < messages {
         if let Some(Inbound::Message { .. }) = two.inbound.recv().await {
-            heard += 1;
+            received += 1;
         }
     }
     let _one = sender.await.unwrap();
 
-    let (wall, cpu) = (started.elapsed().as_secs_f64(), processor_time() - time);
+    let (wall, cpu) = (started.elapsed().as_secs_f64(), cpu_time() - time);
     let line = serde_json::json!({
         "message_bytes": bytes,
         "messages_per_second": messages as f64 / wall,
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames with a MAC, over the length-delimited codec of `tokio-util`.
+//! The frame codec: adds a MAC to each frame of `tokio-util`'s length-delimited codec.
 
 use bytes::{BufMut as _, BytesMut};
 use camphorwalk_core::messages::PeerMessage;
@@ -8,23 +8,23 @@
 use crate::errors::{Error, Result};
 use crate::secret::{Key, same_tag};
 
-/// The part of a MAC that stands before a frame's content, in bytes.
+/// The length of the truncated MAC at the start of a frame, in bytes.
 pub const TAG_BYTES: usize = 16;
 
-/// The bytes of a frame's length.
+/// The size of a frame's length field, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// What a frame carries.
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// Nothing: it shows that the connection still works.
+    /// No content: requests, or gives, a sign that the connection works.
     Keepalive,
     /// A message.
     Message(PeerMessage),
 }
 
 impl Frame {
-    /// Returns the bytes that this frame takes on the wire.
+    /// Returns the size of this frame on the wire, in bytes.
     pub fn wire_bytes(&self) -> usize {
         let content = match self {
             Self::Keepalive => 0,
@@ -35,18 +35,18 @@
     }
 }
 
-/// The keys of the two directions of a connection, seen from one end.
+/// The keys of the two directions of a connection, from the view of one end.
 #[derive(Clone)]
 pub struct FrameKeys {
-    /// For the frames that this end sends.
+    /// The key for frames that this end sends.
     pub(crate) sending: Key,
-    /// For the frames that it receives.
+    /// The key for frames that this end receives.
     pub(crate) receiving: Key,
 }
 
-/// Reads and writes the frames of one connection after its handshake.
+/// Encodes and decodes the frames of one connection after its handshake.
 pub struct FrameCodec {
-    /// Cuts the stream into frames.
+    /// Splits the byte stream into frames.
     lengths: LengthDelimitedCodec,
     /// The connection's keys.
     keys: FrameKeys,
@@ -57,18 +57,19 @@
 }
 
 impl FrameCodec {
-    /// Makes the codec for a new connection.
+    /// Creates the codec of a new connection.
     pub(crate) fn new(keys: FrameKeys, max_frame_bytes: usize) -> Self {
-        Self { lengths: lengths(max_frame_bytes + TAG_BYTES), keys, sent: 0, received: 0 }
+        Self { lengths: length_codec(max_frame_bytes + TAG_BYTES), keys, sent: 0, received: 0 }
     }
 
-    /// Checks and reads one frame.
-    fn open(&mut self, mut content: BytesMut) -> Result<Frame> {
+    /// Verifies and decodes one frame.
+    fn verify_and_decode(&mut self, mut content: BytesMut) -> Result<Frame> {
         if content.len() < TAG_BYTES {
             return Err(Error::Malformed);
         }
 
-        // The number in the MAC makes a frame that is repeated, left out or moved fail.
+        // The MAC covers the frame's sequence number, so a repeated, dropped or reordered frame
+        // fails.
         let tag = content.split_to(TAG_BYTES);
         let expected = self.keys.receiving.tag(&self.received.to_be_bytes(), &content);
         if !same_tag(&expected[..TAG_BYTES], &tag) {
@@ -83,8 +84,8 @@
     }
 }
 
-/// Makes the codec that cuts a stream into frames of at most this length.
-pub(crate) fn lengths(max_bytes: usize) -> LengthDelimitedCodec {
+/// Creates a codec that splits a stream into frames of at most this length.
+pub(crate) fn length_codec(max_bytes: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(LENGTH_BYTES)
         .max_frame_length(max_bytes)
@@ -97,7 +98,7 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Frame>> {
         match self.lengths.decode(src)? {
-            Some(content) => self.open(content).map(Some),
+            Some(content) => self.verify_and_decode(content).map(Some),
             None => Ok(None),
         }
     }
--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The listener could not be opened.
+    /// The listening socket could not be opened.
     #[error("cannot listen for peers: {0}")]
     Listen(#[source] io::Error),
     /// The connection failed.
@@ -20,7 +20,7 @@
     /// A frame is longer than the limit.
     #[error("frame is longer than the limit")]
     Oversized,
-    /// A frame cannot be read.
+    /// A frame cannot be decoded.
     #[error("frame cannot be read")]
     Malformed,
     /// The other side does not hold the fleet's secret.
@@ -29,37 +29,37 @@
     /// A frame's MAC is wrong.
     #[error("wrong MAC on a frame")]
     WrongMac,
-    /// The other side speaks another version of the protocol.
+    /// The other side uses another protocol version.
     #[error("protocol version {0} is not ours")]
     Version(u32),
-    /// The other side gives this host's own name.
-    #[error("the other side gives our own name")]
+    /// The other side presents this host's own name.
+    #[error("the other side presents our own name")]
     OwnName,
-    /// Another host than the expected one answered.
+    /// Another host than the expected one listens at the address.
     #[error("another host answers at this address")]
     WrongHost,
-    /// The other side was silent for too long.
+    /// The other side did not respond in time.
     #[error("timeout")]
     Timeout,
     /// The other side closed the connection.
     #[error("connection closed")]
     Closed,
-    /// Too many connections wait for their handshake.
+    /// Too many incoming connections have not completed their handshake.
     #[error("too many connections wait for their handshake")]
-    Crowded,
+    TooManyHandshakes,
     /// A secret is not 64 hexadecimal digits.
     #[error("a peer secret must be 64 hexadecimal digits")]
     BadSecret,
-    /// The options contradict each other.
+    /// The options are invalid or inconsistent.
     #[error("bad peer options: {0}")]
     BadOptions(&'static str),
 }
 
-/// The result of something that a connection between hosts takes.
+/// The result of an operation on a connection between hosts.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Returns the label of this error in the counters.
+    /// Returns the metric label of this error.
     ///
     /// ```
     /// use camphorwalk_peer::Error;
@@ -79,7 +79,7 @@
             Self::WrongHost => "wrong_host",
             Self::Timeout => "timeout",
             Self::Closed => "closed",
-            Self::Crowded => "crowded",
+            Self::TooManyHandshakes => "crowded",
             Self::BadSecret => "bad_secret",
             Self::BadOptions(_) => "bad_options",
         }
@@ -88,7 +88,7 @@
 
 impl From<io::Error> for Error {
     fn from(error: io::Error) -> Self {
-        // The length-delimited codec tells its own findings by the kind alone.
+        // The errors of the length-delimited codec can only be told apart by their kind.
         match error.kind() {
             io::ErrorKind::InvalidData => Self::Oversized,
             io::ErrorKind::Other | io::ErrorKind::UnexpectedEof => Self::Truncated,
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -1,13 +1,13 @@
-//! The mutual challenge and response at connect.
+//! The handshake of a new connection: mutual challenge and response.
 //!
 //! ```text
 //! dialler  -> listener   Hello   {protocol, nonce, name, zone, session}
-//! listener -> dialler    Welcome {the same of its own, MAC "listener" over both}
-//! dialler  -> listener   Proof   {MAC "dialler" over both}
+//! listener -> dialler    Welcome {the listener's Hello, MAC "listener" over both Hellos}
+//! dialler  -> listener   Proof   {MAC "dialler" over both Hellos}
 //! ```
 //!
-//! Each MAC covers all fields of both sides. The fresh nonces make a recorded proof
-//! worthless; the role makes a proof worthless when it is sent back to its maker.
+//! Each MAC covers all fields of both sides. The fresh nonces prevent replay of a recorded
+//! proof, and the role in the MAC prevents reflection of a proof to the end that made it.
 
 use camphorwalk_core::hash::{Digest, digest};
 use camphorwalk_core::ids::HostId;
@@ -16,32 +16,32 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use crate::codec::{FrameCodec, FrameKeys, lengths};
+use crate::codec::{FrameCodec, FrameKeys, length_codec};
 use crate::errors::{Error, Result};
 use crate::secret::{Key, Secret, Tag, same_tag};
 
 /// The version of the protocol; both ends must have the same.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 
-/// The longest handshake message. Whoever has proved nothing makes us hold no more.
+/// The longest handshake message, in bytes. Limits the memory that an unauthenticated peer uses.
 pub const MAX_HANDSHAKE_BYTES: usize = 1024;
 
 /// The length of a nonce, in bytes.
 pub const NONCE_BYTES: usize = 32;
 
-/// The end that opened the connection, in MACs.
+/// The role of the end that opened the connection, as used in MACs.
 const DIALLER: &[u8] = b"camphorwalk dialler";
 
-/// The end that accepted the connection, in MACs.
+/// The role of the end that accepted the connection, as used in MACs.
 const LISTENER: &[u8] = b"camphorwalk listener";
 
-/// What one side says of itself.
+/// One end's identity and nonce.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
     /// The version of the protocol.
     #[prost(uint32, tag = "1")]
     pub protocol: u32,
-    /// Random bytes, new for each connection.
+    /// Random bytes, generated for each connection.
     #[prost(bytes = "vec", tag = "2")]
     pub nonce: Vec<u8>,
     /// The host's name.
@@ -50,7 +50,7 @@
     /// Its availability zone.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// The random number of this run of its process.
+    /// The random number that identifies this run of its process.
     #[prost(fixed64, tag = "5")]
     pub session: u64,
 }
@@ -58,10 +58,10 @@
 /// The listener's answer to a [`Hello`].
 #[derive(Clone, PartialEq, Message)]
 pub struct Welcome {
-    /// What the listener says of itself.
+    /// The listener's identity and nonce.
     #[prost(message, optional, tag = "1")]
     pub hello: Option<Hello>,
-    /// Its proof.
+    /// The listener's proof.
     #[prost(bytes = "vec", tag = "2")]
     pub mac: Vec<u8>,
 }
@@ -74,7 +74,7 @@
     pub mac: Vec<u8>,
 }
 
-/// Who stands at the other end of a connection, as its proof bears out.
+/// The identity of a host. For the other end of a connection, its proof has been verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// The host.
@@ -83,20 +83,20 @@
     pub name: Box<str>,
     /// Its availability zone.
     pub zone: Box<str>,
-    /// The random number of this run of its process.
+    /// The random number that identifies this run of its process.
     pub session: u64,
 }
 
 impl Identity {
-    /// Makes the identity that a host gives of itself.
+    /// Creates the identity of the host with this name.
     pub fn new(name: &str, zone: &str, session: u64) -> Self {
         Self { host: HostId::from_name(name), name: name.into(), zone: zone.into(), session }
     }
 
-    /// Returns what this host says at the start of a new connection.
+    /// Creates the `Hello` of this host for a new connection, with a fresh nonce.
     fn hello(&self) -> Hello {
         Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             nonce: rand::random::<[u8; NONCE_BYTES]>().to_vec(),
             name: self.name.to_string(),
             zone: self.zone.to_string(),
@@ -105,15 +105,15 @@
     }
 }
 
-/// A connection whose other end is known.
+/// A connection whose other end is authenticated.
 pub struct Connection<T> {
     /// The frames.
     pub frames: Framed<T, FrameCodec>,
-    /// The other end.
+    /// The identity of the other end.
     pub identity: Identity,
 }
 
-/// Proves this host to the listener at the other end of `io`, and checks its proof.
+/// Performs the handshake with the listener at the other end of `io`.
 pub async fn dial<T>(
     io: T,
     own: &Identity,
@@ -123,26 +123,26 @@
 where
     T: AsyncRead + AsyncWrite + Unpin,
 {
-    let mut frames = Framed::new(io, lengths(MAX_HANDSHAKE_BYTES));
+    let mut frames = Framed::new(io, length_codec(MAX_HANDSHAKE_BYTES));
     let hello = own.hello();
     write(&mut frames, &hello).await?;
 
     let welcome: Welcome = read(&mut frames).await?;
-    let theirs = welcome.hello.ok_or(Error::Malformed)?;
-    let identity = check_hello(&theirs, own)?;
-    let proofs = Proofs::new(secret, &hello, &theirs);
+    let peer_hello = welcome.hello.ok_or(Error::Malformed)?;
+    let identity = check_hello(&peer_hello, own)?;
+    let proofs = HandshakeKeys::new(secret, &hello, &peer_hello);
 
-    // The listener proves itself first, so a stranger's listener gets no proof of ours.
+    // The listener proves itself first, so an impostor at its address gets no proof of ours.
     if !same_tag(&proofs.tag(LISTENER), &welcome.mac) {
         return Err(Error::WrongProof);
     }
     write(&mut frames, &Proof { mac: proofs.tag(DIALLER).to_vec() }).await?;
 
     let keys = FrameKeys { sending: proofs.key(DIALLER), receiving: proofs.key(LISTENER) };
-    Ok(connection(frames, identity, keys, max_frame_bytes))
+    Ok(into_connection(frames, identity, keys, max_frame_bytes))
 }
 
-/// Proves this host to the dialler at the other end of `io`, and checks its proof.
+/// Performs the handshake with the dialler at the other end of `io`.
 pub async fn accept<T>(
     io: T,
     own: &Identity,
@@ -152,12 +152,12 @@
 where
     T: AsyncRead + AsyncWrite + Unpin,
 {
-    let mut frames = Framed::new(io, lengths(MAX_HANDSHAKE_BYTES));
-    let theirs: Hello = read(&mut frames).await?;
-    let identity = check_hello(&theirs, own)?;
+    let mut frames = Framed::new(io, length_codec(MAX_HANDSHAKE_BYTES));
+    let peer_hello: Hello = read(&mut frames).await?;
+    let identity = check_hello(&peer_hello, own)?;
 
     let hello = own.hello();
-    let proofs = Proofs::new(secret, &theirs, &hello);
+    let proofs = HandshakeKeys::new(secret, &peer_hello, &hello);
     let mac = proofs.tag(LISTENER).to_vec();
     write(&mut frames, &Welcome { hello: Some(hello), mac }).await?;
 
@@ -167,11 +167,12 @@
     }
 
     let keys = FrameKeys { sending: proofs.key(LISTENER), receiving: proofs.key(DIALLER) };
-    Ok(connection(frames, identity, keys, max_frame_bytes))
+    Ok(into_connection(frames, identity, keys, max_frame_bytes))
 }
 
-/// Turns the handshake's frames into those of the connection; bytes read ahead stay.
-fn connection<T>(
+/// Switches from the handshake's codec to that of the connection. Bytes that were already
+/// buffered are kept.
+fn into_connection<T>(
     frames: Framed<T, LengthDelimitedCodec>,
     identity: Identity,
     keys: FrameKeys,
@@ -185,17 +186,17 @@
     Connection { frames, identity }
 }
 
-/// Checks what the other side says of itself, as far as it can be without a proof.
+/// Checks the other end's `Hello` before its proof has been verified.
 fn check_hello(hello: &Hello, own: &Identity) -> Result<Identity> {
-    if hello.protocol != PROTOCOL {
+    if hello.protocol != PROTOCOL_VERSION {
         return Err(Error::Version(hello.protocol));
     }
     if hello.nonce.len() != NONCE_BYTES {
         return Err(Error::Malformed);
     }
 
-    // A host has no business with itself: this is our own message sent back, or two hosts
-    // with one name in their settings.
+    // A host never connects to itself. Its own name means that its message was reflected, or that
+    // two hosts have the same name in their settings.
     let identity = Identity::new(&hello.name, &hello.zone, hello.session);
     if identity.host == own.host {
         return Err(Error::OwnName);
@@ -204,15 +205,15 @@
     Ok(identity)
 }
 
-/// Makes the MACs and keys of one handshake.
-struct Proofs {
+/// Computes the MACs and keys of one handshake.
+struct HandshakeKeys {
     /// The fleet's secret.
     key: Key,
-    /// The digest of all that both sides said.
+    /// The digest of the `Hello`s of both ends.
     transcript: Digest,
 }
 
-impl Proofs {
+impl HandshakeKeys {
     fn new(secret: &Secret, dialler: &Hello, listener: &Hello) -> Self {
         let sides = [dialler.encode_to_vec(), listener.encode_to_vec()];
         let transcript = digest(&[&sides[0], &sides[1]]);
@@ -220,12 +221,12 @@
         Self { key: secret.key(), transcript }
     }
 
-    /// Returns the proof of the end in this role.
+    /// Returns the proof of the end with this role.
     fn tag(&self, role: &[u8]) -> Tag {
         self.key.tag(&digest(&[b"proof", role]), &self.transcript)
     }
 
-    /// Returns the key for the frames that the end in this role sends.
+    /// Returns the key for the frames that the end with this role sends.
     fn key(&self, role: &[u8]) -> Key {
         Key::new(&self.key.tag(&digest(&[b"frames", role]), &self.transcript))
     }
--- a/crates/peer/src/incoming.rs
+++ b/crates/peer/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Incoming connections: they deliver messages.
+//! Incoming connections, which receive messages from other hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,26 +16,26 @@
 use crate::codec::Frame;
 use crate::errors::{Error, Result};
 use crate::handshake::{Connection, Identity, accept};
-use crate::metrics::OpenGuard;
+use crate::metrics::OpenConnectionGuard;
 use crate::peers::{Inbound, Shared};
 
-/// The direction of this module's connections in the counters.
+/// The metric label for the direction of this module's connections.
 const DIRECTION: &str = "in";
 
-/// The pause after a failed accept, for example when there are no file descriptors left.
+/// The pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The connection of one host that delivers at present.
-pub(crate) struct Current {
-    /// Its number among all of this process.
+/// The incoming connection of a host that delivers messages at present.
+pub(crate) struct ActiveConnection {
+    /// The connection's number, unique in this process.
     number: u64,
-    /// Ends it.
+    /// Closes the connection.
     stop: CancellationToken,
-    /// Resolves when it has delivered its last.
-    over: oneshot::Receiver<()>,
+    /// Resolves when the connection has delivered its last event.
+    finished: oneshot::Receiver<()>,
 }
 
-/// Accepts connections until the part is stopped.
+/// Accepts connections until [`Peers`](crate::Peers) is dropped.
 pub(crate) async fn listen(shared: Arc<Shared>, listener: TcpListener) {
     let handshakes = Arc::new(Semaphore::new(shared.options.max_handshakes));
 
@@ -53,40 +53,40 @@
             }
         };
 
-        // Strangers that connect and say nothing must not pile up.
+        // Limits the connections that never complete their handshake.
         let Ok(permit) = Arc::clone(&handshakes).try_acquire_owned() else {
-            close(&shared, remote, &Error::Crowded);
+            record_closed(&shared, remote, &Error::TooManyHandshakes);
             continue;
         };
 
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            let admitted = admit(&shared, stream).await;
+            let handshake = perform_handshake(&shared, stream).await;
             drop(permit);
 
-            let ended = match admitted {
+            let ended = match handshake {
                 Ok(connection) => serve(&shared, connection).await,
                 Err(error) => Err(error),
             };
             if let Err(error) = ended {
-                close(&shared, remote, &error);
+                record_closed(&shared, remote, &error);
             }
         });
     }
 }
 
-/// Counts a closed connection, and logs it once for each reason and remote address.
-fn close(shared: &Shared, remote: SocketAddr, error: &Error) {
+/// Counts a closed connection, and logs it once per reason and remote address.
+fn record_closed(shared: &Shared, remote: SocketAddr, error: &Error) {
     let reason = error.reason();
     shared.metrics.closed.with_label_values(&[reason]).inc();
 
-    if shared.notices.is_new(reason, remote.ip()) {
+    if shared.log_dedup.should_log(reason, remote.ip()) {
         warn!("peer: connection from {remote} closed: {error}");
     }
 }
 
-/// Performs the handshake within its time limit.
-async fn admit(shared: &Shared, stream: TcpStream) -> Result<Connection<TcpStream>> {
+/// Performs the handshake within its timeout.
+async fn perform_handshake(shared: &Shared, stream: TcpStream) -> Result<Connection<TcpStream>> {
     stream.set_nodelay(true)?;
 
     let options = &shared.options;
@@ -95,19 +95,19 @@
     timeout(options.connect_timeout, handshake).await.map_err(|_| Error::Timeout)?
 }
 
-/// Delivers the messages of a connection, in place of the host's former one.
+/// Delivers the messages of a connection, which replaces the host's previous one.
 async fn serve(shared: &Shared, mut connection: Connection<TcpStream>) -> Result<()> {
     let identity = connection.identity.clone();
     let stop = shared.stop.child_token();
-    let (over_tx, over) = oneshot::channel();
+    let (finished_tx, finished) = oneshot::channel();
 
-    // The former connection ends first, so that nothing of it comes after this one's `Up`.
+    // The previous connection ends first, so that none of its messages follows the new `Up`.
     let number = shared.next_connection.fetch_add(1, Ordering::Relaxed);
-    let current = Current { number, stop: stop.clone(), over };
-    let former = shared.lock_current().insert(identity.host, current);
-    if let Some(former) = former {
-        former.stop.cancel();
-        let _ = former.over.await;
+    let active = ActiveConnection { number, stop: stop.clone(), finished };
+    let previous = shared.lock_active().insert(identity.host, active);
+    if let Some(previous) = previous {
+        previous.stop.cancel();
+        let _ = previous.finished.await;
     }
 
     let ended = tokio::select! {
@@ -118,14 +118,14 @@
     let _ = shared.inbound.send(Inbound::Down { host: identity.host }).await;
     debug!("peer: {} is down", identity.name);
 
-    // A newer connection may have put itself in this one's place.
-    let mut delivering = shared.lock_current();
-    if delivering.get(&identity.host).is_some_and(|current| current.number == number) {
-        delivering.remove(&identity.host);
+    // A newer connection may have replaced this one.
+    let mut connections = shared.lock_active();
+    if connections.get(&identity.host).is_some_and(|active| active.number == number) {
+        connections.remove(&identity.host);
     }
-    drop(delivering);
+    drop(connections);
 
-    let _ = over_tx.send(());
+    let _ = finished_tx.send(());
     ended
 }
 
@@ -136,7 +136,7 @@
     let idle_limit = shared.options.idle_keepalive + limit;
 
     debug!("peer: {name} is up");
-    let _open = OpenGuard::new(&shared.metrics, DIRECTION);
+    let _open = OpenConnectionGuard::new(&shared.metrics, DIRECTION);
     if shared.inbound.send(Inbound::Up { host, name, zone, session }).await.is_err() {
         return Ok(());
     }
@@ -147,14 +147,14 @@
             return Ok(());
         };
         let frame = frame?;
-        shared.metrics.frame(DIRECTION, frame.wire_bytes());
+        shared.metrics.record_frame(DIRECTION, frame.wire_bytes());
 
         match frame {
-            // The dialler learns by the answer that the whole way still works.
+            // The reply shows the dialler that the connection and this host's inbox still work.
             Frame::Keepalive => {
                 let answer = connection.frames.send(Frame::Keepalive);
                 timeout(limit, answer).await.map_err(|_| Error::Timeout)??;
-                shared.metrics.frame("out", Frame::Keepalive.wire_bytes());
+                shared.metrics.record_frame("out", Frame::Keepalive.wire_bytes());
             }
             Frame::Message(message) => {
                 if shared.inbound.send(Inbound::Message { from: host, message }).await.is_err() {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,16 +1,16 @@
-//! Authenticated frames between the hosts of a fleet.
+//! Authenticated messages between the hosts of a fleet.
 //!
-//! [`Peers`] keeps at most one outgoing connection to each known host and takes incoming
+//! [`Peers`] keeps at most one outgoing connection to each known host and accepts incoming
 //! ones from all. A frame carries one [`PeerMessage`](camphorwalk_core::messages::PeerMessage).
-//! Frames may be lost with their connection; those of one connection arrive in order.
+//! The frames of a connection arrive in order, but may be lost when it breaks.
 //!
-//! # What is trusted
+//! # Security model
 //!
-//! Both ends prove at connect that they hold the fleet's secret, each over the other's
-//! fresh nonce (see [`handshake`]). Each later frame carries a MAC over its number and
-//! content, under a key of that connection and direction: without it, whoever relays a
-//! connection could put frames of its own behind the true handshake. Frames are not
-//! encrypted, so the network between hosts must be trusted not to *listen*.
+//! During the handshake, each end proves that it holds the fleet's secret with a MAC over the
+//! other end's fresh nonce (see [`handshake`]). Each later frame carries a MAC over its sequence
+//! number and content, with a key for that connection and direction. Without it, an attacker who
+//! relays a connection could inject frames after the genuine handshake. Frames are not
+//! encrypted, so anyone who can observe the network between hosts can read them.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -19,12 +19,12 @@
 pub mod errors;
 pub mod handshake;
 mod incoming;
+mod keepalive;
+mod log_dedup;
 mod metrics;
-mod notices;
 mod options;
 mod outgoing;
 mod peers;
-mod pulse;
 pub mod secret;
 mod sending;
 
--- a/crates/peer/src/metrics.rs
+++ b/crates/peer/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Counters.
+//! The Prometheus metrics of connections between hosts.
 
 use prometheus::{IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
 
-/// What the peer part counts.
+/// The metrics of connections between hosts.
 pub(crate) struct Metrics {
     /// Frames by `direction`.
     pub(crate) frames: IntCounterVec,
@@ -14,12 +14,12 @@
     pub(crate) closed: IntCounterVec,
     /// Outgoing connections that failed or ended, by `reason`.
     pub(crate) failed: IntCounterVec,
-    /// Messages that were not taken or were lost, by `reason`.
+    /// Messages that were not queued or not sent, by `reason`.
     pub(crate) dropped: IntCounterVec,
 }
 
 impl Metrics {
-    /// Makes the counters, registered nowhere yet.
+    /// Creates the metrics, not registered yet.
     pub(crate) fn new() -> Self {
         Self {
             frames: counters("frames_total", "Frames between hosts.", "direction"),
@@ -41,22 +41,22 @@
     }
 
     /// Counts one frame.
-    pub(crate) fn frame(&self, direction: &str, bytes: usize) {
+    pub(crate) fn record_frame(&self, direction: &str, bytes: usize) {
         self.frames.with_label_values(&[direction]).inc();
         self.bytes.with_label_values(&[direction]).inc_by(bytes as u64);
     }
 
-    /// Counts messages that were not taken or were lost.
-    pub(crate) fn drop_messages(&self, reason: &str, count: usize) {
+    /// Counts messages that were not queued or not sent.
+    pub(crate) fn record_dropped(&self, reason: &str, count: usize) {
         self.dropped.with_label_values(&[reason]).inc_by(count as u64);
     }
 }
 
 /// Counts a connection as open until dropped.
-pub(crate) struct OpenGuard(IntGauge);
+pub(crate) struct OpenConnectionGuard(IntGauge);
 
-impl OpenGuard {
-    /// Counts one more connection in this direction.
+impl OpenConnectionGuard {
+    /// Counts a connection in this direction.
     pub(crate) fn new(metrics: &Metrics, direction: &str) -> Self {
         let gauge = metrics.connections.with_label_values(&[direction]);
         gauge.inc();
@@ -65,23 +65,23 @@
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
 }
 
-/// Makes the options of a metric of this part.
+/// Creates the options of a metric with this crate's prefix.
 fn opts(name: &str, help: &str) -> Opts {
     Opts::new(name, help).namespace("camphorwalk").subsystem("peer")
 }
 
-/// Makes counters with one label. The names are constants, so this cannot fail.
+/// Creates counters with one label. The names are constants, so this cannot fail.
 fn counters(name: &str, help: &str, label: &str) -> IntCounterVec {
     IntCounterVec::new(opts(name, help), &[label]).expect("a valid metric name")
 }
 
-/// Makes gauges with one label. The names are constants, so this cannot fail.
+/// Creates gauges with one label. The names are constants, so this cannot fail.
 fn gauges(name: &str, help: &str, label: &str) -> IntGaugeVec {
     IntGaugeVec::new(opts(name, help), &[label]).expect("a valid metric name")
 }
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -7,53 +7,54 @@
 
 use crate::errors::{Error, Result};
 use crate::handshake::Identity;
-use crate::pulse::Times;
+use crate::keepalive::KeepaliveTimes;
 use crate::secret::Secret;
 
-/// The longest name of a host or zone that fits a handshake, in bytes.
+/// The longest name of a host or zone, in bytes. Two such names fit into a handshake message.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// The shortest time between keepalives.
+/// The shortest allowed interval between keepalives.
 const MIN_KEEPALIVE: Duration = Duration::from_millis(2);
 
 /// The options of [`Peers`](crate::Peers).
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// Where to listen; port 0 takes a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// This host; the id of `name`.
+    /// This host's id, derived from `name`.
     pub host: HostId,
     /// This host's name.
     pub name: Box<str>,
     /// Its availability zone.
     pub zone: Box<str>,
-    /// The random number of this run of its process.
+    /// The random number that identifies this run of the process.
     pub session: u64,
     /// The fleet's secret.
     pub secret: Secret,
-    /// The longest message, in bytes. The same on all hosts.
+    /// The longest message, in bytes. Must be the same on all hosts.
     pub max_frame_bytes: usize,
-    /// The most frames that wait for one peer.
+    /// The capacity of the send queue of each peer, in messages.
     pub send_queue: usize,
     /// How long a connect and its handshake may take.
     pub connect_timeout: Duration,
-    /// The longest time from a message to the keepalive that asks for its receipt.
+    /// The longest time from a message to the keepalive that asks for its confirmation.
     pub keepalive: Duration,
-    /// The time between keepalives on a connection that sends nothing else. The same on
-    /// all hosts.
+    /// The interval between keepalives on a connection that sends nothing else. Must be the same
+    /// on all hosts.
     pub idle_keepalive: Duration,
-    /// How long the other end may owe an answer, or take nothing, before it counts as gone.
+    /// How long the peer may leave a keepalive without a reply, or a write blocked, before the
+    /// connection is closed.
     pub silence_limit: Duration,
     /// The pause after the first failed connect.
     pub min_backoff: Duration,
-    /// The longest pause after failed connects.
+    /// The longest pause between failed connects.
     pub max_backoff: Duration,
-    /// The most incoming connections that wait for their handshake.
+    /// The maximum number of incoming connections that have not completed their handshake.
     pub max_handshakes: usize,
 }
 
 impl PeerOptions {
-    /// Makes the options of the host with this name, with the usual limits.
+    /// Creates the options of the host with this name, with default limits.
     ///
     /// ```
     /// use camphorwalk_peer::{PeerOptions, Secret};
@@ -81,19 +82,19 @@
         }
     }
 
-    /// Returns what this host says of itself.
+    /// Returns this host's identity.
     pub(crate) fn identity(&self) -> Identity {
         Identity::new(&self.name, &self.zone, self.session)
     }
 
-    /// Returns the times of an outgoing connection.
-    pub(crate) fn times(&self) -> Times {
+    /// Returns the keepalive times of outgoing connections.
+    pub(crate) fn keepalive_times(&self) -> KeepaliveTimes {
         let Self { keepalive, idle_keepalive, silence_limit, .. } = *self;
 
-        Times { keepalive, idle_keepalive, silence_limit }
+        KeepaliveTimes { keepalive, idle_keepalive, silence_limit }
     }
 
-    /// Checks these options against each other.
+    /// Checks that the options are valid and consistent.
     pub(crate) fn check(&self) -> Result<()> {
         if self.host != HostId::from_name(&self.name) {
             return Err(Error::BadOptions("host is not the id of name"));
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections: each sends the messages for one peer.
+//! Outgoing connections, each of which sends the messages for one peer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,33 +15,33 @@
 use crate::errors::{Error, Result};
 use crate::handshake::{Connection, dial};
 use crate::peers::{Inbound, Shared};
-use crate::sending::{Ended, Sending};
+use crate::sending::{EndReason, Sending};
 
-/// The most items taken from the queue at once.
+/// The maximum number of items taken from the queue at once.
 pub(crate) const BATCH: usize = 64;
 
-/// What waits in a peer's queue.
+/// An item in a peer's send queue.
 #[derive(Debug)]
 pub(crate) enum Item {
     /// A message to send.
     Message(PeerMessage),
-    /// Tells when all before it was taken in; dropped if that cannot be known.
+    /// Signals when the peer has confirmed all messages before it; dropped if it cannot.
     Flush(oneshot::Sender<()>),
 }
 
-/// The sending side of one peer, as the rest of the process sees it.
-pub(crate) struct Link {
-    /// The peer's queue.
+/// The queue and controls of the task that sends to one peer.
+pub(crate) struct PeerHandle {
+    /// The peer's send queue.
     pub(crate) tx: mpsc::Sender<Item>,
     /// The peer's address.
     pub(crate) address: watch::Sender<SocketAddr>,
-    /// Ends the connection.
+    /// Stops the task and closes the connection.
     pub(crate) stop: CancellationToken,
 }
 
-/// What one peer's task reads from.
-pub(crate) struct Queue {
-    /// What waits.
+/// The receiving ends that the task of one peer reads from.
+pub(crate) struct PeerQueue {
+    /// The queued items.
     pub(crate) rx: mpsc::Receiver<Item>,
     /// Items taken from `rx` and not sent yet.
     pub(crate) batch: Vec<Item>,
@@ -49,26 +49,26 @@
     pub(crate) address: watch::Receiver<SocketAddr>,
 }
 
-/// Connects to one peer, again and again.
+/// The task that connects to one peer whenever there is something to send.
 struct Dialler {
-    /// What all of this part share.
+    /// The state shared by all tasks.
     shared: Arc<Shared>,
     /// The peer.
     host: HostId,
-    /// What is to be sent.
-    queue: Queue,
+    /// The items to send and the peer's address.
+    queue: PeerQueue,
     /// The pause after the next failure.
     backoff: Duration,
 }
 
 /// Starts the task that sends to one peer.
-pub(crate) fn start(shared: Arc<Shared>, host: HostId, address: SocketAddr) -> Link {
+pub(crate) fn start(shared: Arc<Shared>, host: HostId, address: SocketAddr) -> PeerHandle {
     let (tx, rx) = mpsc::channel(shared.options.send_queue);
     let (address_tx, address) = watch::channel(address);
     let stop = shared.stop.child_token();
 
     let backoff = shared.options.min_backoff;
-    let queue = Queue { rx, batch: Vec::new(), address };
+    let queue = PeerQueue { rx, batch: Vec::new(), address };
     let mut dialler = Dialler { shared, host, queue, backoff };
     let stopped = stop.clone();
     tokio::spawn(async move {
@@ -77,20 +77,20 @@
             () = dialler.run() => {}
         }
 
-        // When all stops, nobody is left to be told.
+        // If all tasks stop, nobody reads the events any more.
         if !dialler.shared.stop.is_cancelled() {
-            dialler.drop_waiting().await;
+            dialler.return_unsent().await;
         }
     });
 
-    Link { tx, address: address_tx, stop }
+    PeerHandle { tx, address: address_tx, stop }
 }
 
 impl Dialler {
-    /// Dials on demand and sends, until the queue's other end is gone.
+    /// Connects on demand and sends, until the queue's sender is dropped.
     async fn run(&mut self) {
         while self.wait_for_item().await {
-            // Nothing is under way without a connection, so there is nothing to dial for.
+            // Without a connection nothing is unconfirmed, so there is no need to connect.
             if let Some(done) = self.take_flush() {
                 let _ = done.send(());
                 continue;
@@ -100,38 +100,39 @@
             let address = *self.queue.address.borrow_and_update();
 
             match self.connect_and_send(address).await {
-                Ok(Ended::NewAddress) => {}
-                Ok(Ended::NoMore) => return,
+                Ok(EndReason::NewAddress) => {}
+                Ok(EndReason::QueueClosed) => return,
                 Err(error) => {
-                    self.note_failure(address, &error);
-                    self.drop_waiting().await;
-                    self.pause(started).await;
+                    self.record_failure(address, &error);
+                    self.return_unsent().await;
+                    self.back_off(started).await;
                 }
             }
         }
     }
 
-    /// Connects and sends until the connection ends; tells if messages may be lost with it.
-    async fn connect_and_send(&mut self, address: SocketAddr) -> Result<Ended> {
+    /// Connects and sends until the connection ends. Reports `Broken` if messages were not
+    /// confirmed by then.
+    async fn connect_and_send(&mut self, address: SocketAddr) -> Result<EndReason> {
         let connection = self.dial(address).await?;
         let mut sending = Sending::new(&self.shared, connection);
         let ended = sending.run(&mut self.queue).await;
 
-        if !sending.is_settled() {
+        if !sending.is_all_confirmed() {
             let broken = Inbound::Broken { host: self.host };
             let _ = self.shared.inbound.send(broken).await;
         }
         ended
     }
 
-    /// Waits until there is something to send; false when nothing can come any more.
+    /// Waits until there is something to send; false if the queue is closed.
     async fn wait_for_item(&mut self) -> bool {
-        let Queue { rx, batch, .. } = &mut self.queue;
+        let PeerQueue { rx, batch, .. } = &mut self.queue;
 
         !batch.is_empty() || rx.recv_many(batch, BATCH).await > 0
     }
 
-    /// Takes the first item that waits if it is a flush.
+    /// Takes the first queued item if it is a flush.
     fn take_flush(&mut self) -> Option<oneshot::Sender<()>> {
         match self.queue.batch.remove(0) {
             Item::Flush(done) => Some(done),
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Connects and performs the handshake within the time limit.
+    /// Connects and performs the handshake within the timeout.
     async fn dial(&self, address: SocketAddr) -> Result<Connection<TcpStream>> {
         let options = &self.shared.options;
         let connect = async {
@@ -153,8 +154,8 @@
         let connection =
             timeout(options.connect_timeout, connect).await.map_err(|_| Error::Timeout)??;
 
-        // A replaced host's address may belong to another one by now; what is meant for
-        // the one must not reach the other.
+        // The address of a replaced host may belong to another host by now, which must not receive
+        // messages for the former.
         if connection.identity.host != self.host {
             return Err(Error::WrongHost);
         }
@@ -163,40 +164,40 @@
         Ok(connection)
     }
 
-    /// Counts a failure, and logs it once for each reason and address.
-    fn note_failure(&self, address: SocketAddr, error: &Error) {
+    /// Counts a failure, and logs it once per reason and address.
+    fn record_failure(&self, address: SocketAddr, error: &Error) {
         let reason = error.reason();
         self.shared.metrics.failed.with_label_values(&[reason]).inc();
 
-        if self.shared.notices.is_new(reason, address.ip()) {
+        if self.shared.log_dedup.should_log(reason, address.ip()) {
             info!("peer: connection to {address} failed: {error}");
         }
     }
 
-    /// Gives back what waits: by the next connect it would be stale.
-    async fn drop_waiting(&mut self) {
-        let Queue { rx, batch, .. } = &mut self.queue;
+    /// Returns all queued messages as unsent, since they would be stale after the next connect.
+    async fn return_unsent(&mut self) {
+        let PeerQueue { rx, batch, .. } = &mut self.queue;
         while let Ok(item) = rx.try_recv() {
             batch.push(item);
         }
 
         for item in batch.drain(..) {
             if let Item::Message(message) = item {
-                self.shared.metrics.drop_messages("unsent", 1);
+                self.shared.metrics.record_dropped("unsent", 1);
                 let unsent = Inbound::Unsent { to: self.host, message };
                 let _ = self.shared.inbound.send(unsent).await;
             }
         }
     }
 
-    /// Pauses after a failure: longer each time, until a connection lasts.
-    async fn pause(&mut self, started: Instant) {
+    /// Waits after a failure, with exponential backoff. A connection that lasted resets it.
+    async fn back_off(&mut self, started: Instant) {
         let options = &self.shared.options;
         if started.elapsed() > options.connect_timeout + options.max_backoff {
             self.backoff = options.min_backoff;
         }
 
-        // The random half keeps the hosts from dialling a restarted peer all at once.
+        // Jitter prevents all hosts from connecting to a restarted peer at the same moment.
         let pause = self.backoff.mul_f64(rand::random_range(0.5..1.0));
         let _ = timeout(pause, self.queue.address.changed()).await;
         self.backoff = (self.backoff * 2).min(options.max_backoff);
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -1,4 +1,4 @@
-//! The front of this crate.
+//! [`Peers`], the public interface to the connections with other hosts.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -20,16 +20,16 @@
 
 use crate::errors::{Error, Result};
 use crate::handshake::Identity;
-use crate::incoming::{self, Current};
+use crate::incoming::{self, ActiveConnection};
+use crate::log_dedup::LogDedup;
 use crate::metrics::Metrics;
-use crate::notices::Notices;
 use crate::options::PeerOptions;
-use crate::outgoing::{self, Item, Link};
+use crate::outgoing::{self, Item, PeerHandle};
 
-/// What comes in from other hosts.
+/// An event from the connections with other hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Inbound {
-    /// A host's connection to this one is made.
+    /// A host has connected to this one.
     Up {
         /// The host.
         host: HostId,
@@ -37,30 +37,30 @@
         name: Box<str>,
         /// Its availability zone.
         zone: Box<str>,
-        /// The random number of this run of its process.
+        /// The random number that identifies this run of its process.
         session: u64,
     },
-    /// A message. For each host, messages come between an `Up` and a `Down`.
+    /// A message. Messages of a host are delivered only between its `Up` and its `Down`.
     Message {
         /// The host that sent it.
         from: HostId,
         /// The message.
         message: PeerMessage,
     },
-    /// A host's connection to this one ended: it is gone, cut off, or connects anew.
+    /// A host's connection to this one ended: the host stopped, is unreachable, or reconnects.
     Down {
         /// The host.
         host: HostId,
     },
-    /// A message that was queued was not sent, and never will be.
+    /// A queued message was not sent and will not be.
     Unsent {
-        /// The host that it was for.
+        /// The host that it was addressed to.
         to: HostId,
         /// The message.
         message: PeerMessage,
     },
-    /// The connection to a host broke. The messages that it did not confirm, the latest ones,
-    /// may or may not have arrived.
+    /// The connection to a host broke. The latest messages, which the host had not confirmed, may
+    /// or may not have arrived.
     Broken {
         /// The host.
         host: HostId,
@@ -69,53 +69,53 @@
 
 /// The connections to and from the other hosts.
 ///
-/// Clones share the connections; they end when the last clone is dropped.
+/// Clones share the connections, which are closed when the last clone is dropped.
 #[derive(Clone)]
 pub struct Peers {
-    /// What the tasks share.
+    /// The state shared with the connections' tasks.
     shared: Arc<Shared>,
-    /// Where this host listens.
+    /// The address that this host listens on.
     local_address: SocketAddr,
-    /// Stops the tasks with the last clone.
+    /// Stops the tasks when the last clone is dropped.
     _guard: Arc<DropGuard>,
 }
 
-/// What the tasks of this part share.
+/// The state shared by all tasks of this crate.
 pub(crate) struct Shared {
     /// The options.
     pub(crate) options: PeerOptions,
-    /// What this host says of itself.
+    /// The identity that this host presents in handshakes.
     pub(crate) identity: Identity,
-    /// Where what comes in is delivered.
+    /// The channel that receives events and messages.
     pub(crate) inbound: Sender<Inbound>,
     /// The counters.
     pub(crate) metrics: Metrics,
-    /// What was logged.
-    pub(crate) notices: Notices,
+    /// The connection failures that were already logged.
+    pub(crate) log_dedup: LogDedup,
     /// Stops all tasks.
     pub(crate) stop: CancellationToken,
-    /// The sending side of each known peer.
-    links: Mutex<Map<HostId, Link>>,
-    /// The delivering connection of each host.
-    current: Mutex<Map<HostId, Current>>,
-    /// The number of the next delivering connection.
+    /// The send queue and controls of each known peer.
+    handles: Mutex<Map<HostId, PeerHandle>>,
+    /// The incoming connection of each host that delivers messages at present.
+    active: Mutex<Map<HostId, ActiveConnection>>,
+    /// The number of the next incoming connection.
     pub(crate) next_connection: AtomicU64,
 }
 
 impl Shared {
-    /// Gets the delivering connections.
-    pub(crate) fn lock_current(&self) -> MutexGuard<'_, Map<HostId, Current>> {
-        self.current.lock().expect("no panic holds this lock")
+    /// Locks the map of active incoming connections.
+    pub(crate) fn lock_active(&self) -> MutexGuard<'_, Map<HostId, ActiveConnection>> {
+        self.active.lock().expect("no holder of this lock panics")
     }
 
-    /// Gets the sending sides.
-    fn lock_links(&self) -> MutexGuard<'_, Map<HostId, Link>> {
-        self.links.lock().expect("no panic holds this lock")
+    /// Locks the map of known peers.
+    fn lock_handles(&self) -> MutexGuard<'_, Map<HostId, PeerHandle>> {
+        self.handles.lock().expect("no holder of this lock panics")
     }
 }
 
 impl Peers {
-    /// Listens for other hosts and delivers what they send to `inbound`.
+    /// Starts to listen for other hosts, and delivers their messages to `inbound`.
     ///
     /// ```
     /// use camphorwalk_peer::{PeerOptions, Peers, Secret};
@@ -140,10 +140,10 @@
             options,
             inbound,
             metrics: Metrics::new(),
-            notices: Notices::default(),
+            log_dedup: LogDedup::default(),
             stop: stop.clone(),
-            links: Mutex::default(),
-            current: Mutex::default(),
+            handles: Mutex::default(),
+            active: Mutex::default(),
             next_connection: AtomicU64::new(0),
         });
         tokio::spawn(incoming::listen(Arc::clone(&shared), listener));
@@ -151,51 +151,51 @@
         Ok(Self { shared, local_address, _guard: Arc::new(stop.drop_guard()) })
     }
 
-    /// Returns where this host listens.
+    /// Returns the address that this host listens on.
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// Sets where a peer listens. Must be called within a `tokio` runtime.
+    /// Adds a peer or updates its address. Must be called within a `tokio` runtime.
     ///
-    /// A connection to another address is closed; the next message dials the new one.
+    /// A connection to the peer's old address is closed; the next message connects to the new one.
     pub fn set_address(&self, host: HostId, address: SocketAddr) {
-        let mut links = self.shared.lock_links();
+        let mut handles = self.shared.lock_handles();
 
-        match links.get(&host) {
-            Some(link) => {
-                link.address.send_if_modified(|old| std::mem::replace(old, address) != address);
+        match handles.get(&host) {
+            Some(handle) => {
+                handle.address.send_if_modified(|old| std::mem::replace(old, address) != address);
             }
             None => {
-                let link = outgoing::start(Arc::clone(&self.shared), host, address);
-                links.insert(host, link);
+                let handle = outgoing::start(Arc::clone(&self.shared), host, address);
+                handles.insert(host, handle);
             }
         }
     }
 
-    /// Forgets a peer: its connection is closed and what waits for it is dropped.
+    /// Removes a peer: closes the connection to it and drops its queued messages.
     pub fn forget(&self, host: HostId) {
-        if let Some(link) = self.shared.lock_links().remove(&host) {
-            link.stop.cancel();
+        if let Some(handle) = self.shared.lock_handles().remove(&host) {
+            handle.stop.cancel();
         }
     }
 
-    /// Queues a message for a peer; never waits.
+    /// Queues a message for a peer without blocking.
     ///
-    /// Returns false if the message will not be sent: the peer is not known, its queue is
-    /// full, or the message is over the limit. A message that was queued may still be lost:
-    /// [`Inbound::Unsent`] or [`Inbound::Broken`] tells.
+    /// Returns false if the message will not be sent: the peer is unknown, its queue is full, or
+    /// the message is too large. A queued message may still be lost, which [`Inbound::Unsent`] or
+    /// [`Inbound::Broken`] reports.
     pub fn send(&self, host: HostId, message: PeerMessage) -> bool {
         let refused = match self.try_send(host, message) {
             Ok(()) => return true,
             Err(reason) => reason,
         };
 
-        self.shared.metrics.drop_messages(refused, 1);
+        self.shared.metrics.record_dropped(refused, 1);
         false
     }
 
-    /// Queues a message, or returns why not.
+    /// Queues a message, or returns the metric label of the reason why it could not.
     fn try_send(
         &self,
         host: HostId,
@@ -205,21 +205,21 @@
             return Err("too_large");
         }
 
-        let links = self.shared.lock_links();
-        let link = links.get(&host).ok_or("unknown")?;
-        link.tx.try_send(Item::Message(message)).map_err(|error| match error {
+        let handles = self.shared.lock_handles();
+        let handle = handles.get(&host).ok_or("unknown")?;
+        handle.tx.try_send(Item::Message(message)).map_err(|error| match error {
             TrySendError::Full(_) => "queue_full",
             TrySendError::Closed(_) => "unknown",
         })
     }
 
-    /// Waits until all that is queued was taken in by the peers, or `limit` is over.
+    /// Waits until the peers have confirmed all queued messages, for at most `limit`.
     ///
-    /// Returns the number of peers of which that is not known. What was lost and counted
-    /// before is not waited for. A host that shuts down
-    /// calls this last: what stands in a socket's buffer may be lost when its process ends.
+    /// Returns the number of peers that did not confirm. Messages that were already counted as
+    /// lost are not waited for. A host calls this last when it shuts down, because messages in a
+    /// socket's send buffer may be lost when the process exits.
     pub async fn flush(&self, limit: Duration) -> usize {
-        let queues: Vec<_> = self.shared.lock_links().values().map(|l| l.tx.clone()).collect();
+        let queues: Vec<_> = self.shared.lock_handles().values().map(|l| l.tx.clone()).collect();
         let flushes = queues.into_iter().map(|tx| timeout(limit, flush(tx)));
 
         let confirmed = futures::future::join_all(flushes).await;
@@ -232,7 +232,7 @@
     }
 }
 
-/// Waits until all in a queue was taken in; false if that cannot be known.
+/// Waits until a peer has confirmed all queued messages; false if it cannot.
 async fn flush(tx: mpsc::Sender<Item>) -> bool {
     let (done, flushed) = oneshot::channel();
 
--- a/crates/peer/src/secret.rs
+++ b/crates/peer/src/secret.rs
@@ -11,17 +11,17 @@
 /// The length of the secret, in bytes.
 pub const SECRET_BYTES: usize = 32;
 
-/// The secret that all hosts of a fleet hold.
+/// The secret shared by all hosts of a fleet.
 #[derive(Clone)]
 pub struct Secret([u8; SECRET_BYTES]);
 
 impl Secret {
-    /// Makes a secret of these bytes.
+    /// Creates a secret from these bytes.
     pub const fn new(bytes: [u8; SECRET_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// Reads a secret from 64 hexadecimal digits, as its file holds them.
+    /// Parses a secret from 64 hexadecimal digits, the format of the secret's file.
     ///
     /// ```
     /// use camphorwalk_peer::Secret;
@@ -42,27 +42,28 @@
 }
 
 impl fmt::Debug for Secret {
-    // A secret in a log line would outlive its use.
+    // Keeps the secret out of logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Secret(..)")
     }
 }
 
-/// A full MAC.
+/// An untruncated MAC.
 pub(crate) type Tag = [u8; 32];
 
-/// A key for HMAC-SHA256, set up once and used for many MACs.
+/// A key for HMAC-SHA256, initialized once and used for many MACs.
 #[derive(Clone)]
 pub(crate) struct Key(Hmac<Sha256>);
 
 impl Key {
-    /// Sets up the key for MACs under these bytes.
+    /// Initializes a key from these bytes.
     pub(crate) fn new(bytes: &[u8; SECRET_BYTES]) -> Self {
         // HMAC takes a key of any length, so this cannot fail.
         Self(Hmac::new_from_slice(bytes).expect("HMAC takes any key"))
     }
 
-    /// Returns the MAC over `head` followed by `body`. `head` must be of a fixed length.
+    /// Returns the MAC over `head` followed by `body`. All calls with one key must use the same
+    /// length of `head`, or different pairs could give the same input.
     pub(crate) fn tag(&self, head: &[u8], body: &[u8]) -> Tag {
         let mut mac = self.0.clone();
         mac.update(head);
@@ -72,7 +73,7 @@
     }
 }
 
-/// Returns whether two MACs are equal, in a time that does not tell where they differ.
+/// Compares two MACs in constant time.
 pub(crate) fn same_tag(left: &[u8], right: &[u8]) -> bool {
     left.ct_eq(right).into()
 }
--- a/crates/peer/src/sending.rs
+++ b/crates/peer/src/sending.rs
@@ -1,4 +1,4 @@
-//! One outgoing connection while it is open.
+//! An open outgoing connection.
 
 use std::time::Instant;
 
@@ -11,50 +11,50 @@
 use crate::codec::Frame;
 use crate::errors::{Error, Result};
 use crate::handshake::Connection;
-use crate::metrics::OpenGuard;
-use crate::outgoing::{BATCH, Item, Queue};
+use crate::keepalive::{KeepaliveAction, KeepaliveTracker};
+use crate::metrics::OpenConnectionGuard;
+use crate::outgoing::{BATCH, Item, PeerQueue};
 use crate::peers::Shared;
-use crate::pulse::{Next, Pulse};
 
-/// The direction of this module's connections in the counters.
+/// The metric label for the direction of this module's connections.
 const DIRECTION: &str = "out";
 
 /// Why a connection ended without a failure.
-pub(crate) enum Ended {
+pub(crate) enum EndReason {
     /// The peer's address changed.
     NewAddress,
-    /// Nothing can come to be sent any more.
-    NoMore,
+    /// The send queue is closed.
+    QueueClosed,
 }
 
 /// An open connection that messages are sent on.
 pub(crate) struct Sending<'a> {
-    /// What all of this part share.
+    /// The state shared by all tasks.
     shared: &'a Shared,
     /// The connection.
     connection: Connection<TcpStream>,
-    /// Whether the other end still takes what is sent.
-    pulse: Pulse,
-    /// Flushes that wait for the answer to the keepalive with this number.
+    /// Tracks whether the peer still confirms messages.
+    keepalive: KeepaliveTracker,
+    /// Flushes, each with the number of the keepalive whose reply completes it.
     flushes: Vec<(u64, oneshot::Sender<()>)>,
 }
 
 impl<'a> Sending<'a> {
-    /// Makes the sending side of a connection that is just open.
+    /// Creates the sender of a new connection.
     pub(crate) fn new(shared: &'a Shared, connection: Connection<TcpStream>) -> Self {
-        let pulse = Pulse::new(shared.options.times(), Instant::now());
+        let keepalive = KeepaliveTracker::new(shared.options.keepalive_times(), Instant::now());
 
-        Self { shared, connection, pulse, flushes: Vec::new() }
+        Self { shared, connection, keepalive, flushes: Vec::new() }
     }
 
-    /// Returns whether all messages were surely taken in.
-    pub(crate) fn is_settled(&self) -> bool {
-        self.pulse.is_settled()
+    /// Returns whether the peer has confirmed all messages.
+    pub(crate) fn is_all_confirmed(&self) -> bool {
+        self.keepalive.is_all_confirmed()
     }
 
-    /// Sends what comes until the connection ends.
-    pub(crate) async fn run(&mut self, queue: &mut Queue) -> Result<Ended> {
-        let _open = OpenGuard::new(&self.shared.metrics, DIRECTION);
+    /// Sends queued items until the connection ends.
+    pub(crate) async fn run(&mut self, queue: &mut PeerQueue) -> Result<EndReason> {
+        let _open = OpenConnectionGuard::new(&self.shared.metrics, DIRECTION);
         let mut ticks = interval(self.shared.options.keepalive / 2);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
 
@@ -64,16 +64,16 @@
             tokio::select! {
                 count = queue.rx.recv_many(&mut queue.batch, BATCH) => {
                     if count == 0 {
-                        return Ok(Ended::NoMore);
+                        return Ok(EndReason::QueueClosed);
                     }
                 }
-                answer = self.connection.frames.next() => {
-                    let frame = answer.ok_or(Error::Closed)??;
-                    self.shared.metrics.frame("in", frame.wire_bytes());
-                    self.note_answer();
+                reply = self.connection.frames.next() => {
+                    let frame = reply.ok_or(Error::Closed)??;
+                    self.shared.metrics.record_frame("in", frame.wire_bytes());
+                    self.record_reply();
                 }
                 _ = ticks.tick() => self.tick().await?,
-                _ = queue.address.changed() => return Ok(Ended::NewAddress),
+                _ = queue.address.changed() => return Ok(EndReason::NewAddress),
             }
         }
     }
@@ -84,7 +84,7 @@
             return Ok(());
         }
 
-        // Items leave the batch one by one, so that a failure finds those not sent in it.
+        // Items are removed one by one, so that after a failure the batch holds those not sent.
         batch.reverse();
         while let Some(item) = batch.pop() {
             match item {
@@ -96,13 +96,13 @@
             }
         }
 
-        self.write_out().await
+        self.flush().await
     }
 
     /// Sends one message.
     async fn send_message(&mut self, message: PeerMessage) -> Result<()> {
-        // Noted first: once it is handed over, a part of it may be on its way.
-        self.pulse.note_message();
+        // Recorded before sending: after a failure, a part of the message may have been sent.
+        self.keepalive.record_message();
 
         self.send_frame(Frame::Message(message)).await
     }
@@ -111,24 +111,24 @@
     async fn ping(&mut self) -> Result<u64> {
         self.send_frame(Frame::Keepalive).await?;
 
-        Ok(self.pulse.note_ping(Instant::now()))
+        Ok(self.keepalive.record_ping(Instant::now()))
     }
 
-    /// Does what the time asks for.
+    /// Sends a keepalive, or fails, if either is due.
     async fn tick(&mut self) -> Result<()> {
-        match self.pulse.next(Instant::now()) {
-            Next::Wait => Ok(()),
-            Next::Close => Err(Error::Timeout),
-            Next::Ping => {
+        match self.keepalive.next(Instant::now()) {
+            KeepaliveAction::Wait => Ok(()),
+            KeepaliveAction::Close => Err(Error::Timeout),
+            KeepaliveAction::Ping => {
                 self.ping().await?;
-                self.write_out().await
+                self.flush().await
             }
         }
     }
 
-    /// Notes the answer to a keepalive, and ends the flushes that waited for it.
-    fn note_answer(&mut self) {
-        let number = self.pulse.note_answer(Instant::now());
+    /// Records the reply to a keepalive, and completes the flushes that waited for it.
+    fn record_reply(&mut self) {
+        let number = self.keepalive.record_reply(Instant::now());
         let is_open = |flush: &mut (u64, oneshot::Sender<()>)| flush.0 > number;
 
         for (_, done) in self.flushes.extract_if(.., |flush| !is_open(flush)) {
@@ -136,18 +136,18 @@
         }
     }
 
-    /// Puts one frame into the connection's buffer, and writes it out when that is full.
+    /// Writes one frame to the connection's buffer, and flushes the buffer if it is full.
     async fn send_frame(&mut self, frame: Frame) -> Result<()> {
         let bytes = frame.wire_bytes();
         let limit = self.shared.options.silence_limit;
 
         timeout(limit, self.connection.frames.feed(frame)).await.map_err(|_| Error::Timeout)??;
-        self.shared.metrics.frame(DIRECTION, bytes);
+        self.shared.metrics.record_frame(DIRECTION, bytes);
         Ok(())
     }
 
-    /// Writes out the connection's buffer.
-    async fn write_out(&mut self) -> Result<()> {
+    /// Flushes the connection's buffer.
+    async fn flush(&mut self) -> Result<()> {
         let limit = self.shared.options.silence_limit;
         let flush = SinkExt::<Frame>::flush(&mut self.connection.frames);
 
--- a/crates/peer/tests/delivery.rs
+++ b/crates/peer/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts that belong to one fleet.
+//! Tests of message delivery between hosts of one fleet.
 
 mod fixtures;
 
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn a_forgotten_peer_is_unknown() {
+async fn a_removed_peer_is_unknown() {
     let (one, mut two) = pair().await;
     one.peers.send(id("host-2"), message(1));
     two.next_message().await;
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_message_over_the_limit_is_not_taken() {
+async fn a_message_over_the_limit_is_rejected() {
     let (one, _two) = pair().await;
 
     assert!(!one.peers.send(id("host-2"), large_message(5 << 20)));
@@ -77,24 +77,23 @@
     assert_eq!(two.next_message().await, large);
 }
 
-// A peer takes nothing in: its queue here fills. The sender sees `false` at once and goes
-// on; what does not fit is counted and never held, since the layers above cope with loss.
+// The queue of an unreachable peer fills up. `send` must return false at once rather than block or
+// buffer without limit, and the rejected messages must be counted. The callers tolerate loss.
 #[tokio::test]
-async fn a_full_queue_refuses_at_once() {
-    let mut narrow = options("host-1");
-    narrow.send_queue = 2;
-    let one = start(narrow).await;
+async fn a_full_queue_rejects_at_once() {
+    let mut small_queue = options("host-1");
+    small_queue.send_queue = 2;
+    let one = start(small_queue).await;
     one.peers.set_address(id("host-2"), closed_address().await);
 
-    let taken = (0..20).filter(|number| one.peers.send(id("host-2"), message(*number))).count();
+    let queued = (0..20).filter(|number| one.peers.send(id("host-2"), message(*number))).count();
 
-    assert_eq!(taken, 2);
+    assert_eq!(queued, 2);
     assert_eq!(one.count("dropped_total", "queue_full"), 18);
 }
 
-// A host is replaced: its process ends, a new one starts elsewhere under the same name.
-// The sender sees its connection end and dials the new address; the receiver is told of
-// the new session.
+// A host's process is replaced by one at another address under the same name. The sender must
+// notice the end of its connection and connect to the new address.
 #[tokio::test]
 async fn a_restarted_peer_is_dialled_again() {
     let (one, mut two) = pair().await;
@@ -103,53 +102,53 @@
 
     let old_address = two.peers.local_address();
     drop(two);
-    let mut again = options("host-2");
-    again.session = 2;
-    let mut two = start(again).await;
+    let mut restarted = options("host-2");
+    restarted.session = 2;
+    let mut two = start(restarted).await;
     assert_ne!(two.peers.local_address(), old_address);
     one.peers.set_address(id("host-2"), two.peers.local_address());
 
-    one.send_until_heard(&mut two, id("host-2"), message(2)).await;
+    one.send_until_received(&mut two, id("host-2"), message(2)).await;
 }
 
-// The same, but at the same address, so that nothing tells the sender but the connection
-// itself.
+// Like the test before, but the new process has the same address, so that the sender can notice the
+// restart only by its connection.
 #[tokio::test]
 async fn a_peer_restarted_at_its_address_is_dialled_again() {
     let (one, mut two) = pair().await;
     one.peers.send(id("host-2"), message(1));
     two.next_message().await;
 
-    let mut again = options("host-2");
-    again.listen = two.peers.local_address();
-    again.session = 2;
+    let mut restarted = options("host-2");
+    restarted.listen = two.peers.local_address();
+    restarted.session = 2;
     drop(two);
     let mut two = loop {
         // The old listener closes a moment after its drop.
         let (tx, inbound) = tokio::sync::mpsc::channel(64);
-        match Peers::start(again.clone(), tx).await {
+        match Peers::start(restarted.clone(), tx).await {
             Ok(peers) => break fixtures::Host { peers, inbound, registry: Default::default() },
             Err(_) => tokio::task::yield_now().await,
         }
     };
 
-    one.send_until_heard(&mut two, id("host-2"), message(2)).await;
+    one.send_until_received(&mut two, id("host-2"), message(2)).await;
 }
 
-// A sender comes back under its name before the receiver has noticed that the old process
-// is gone. The receiver must not take the two for one: the old connection's end is told
-// before the new one's start, and nothing of the old follows.
+// A sender restarts under the same name before the receiver has noticed the end of the old
+// process. The receiver must report `Down` for the old connection before `Up` for the new one, and
+// deliver no message of the old one afterwards.
 #[tokio::test]
-async fn a_new_session_takes_the_place_of_the_old() {
+async fn a_new_session_replaces_the_old() {
     let mut two = start(options("host-2")).await;
     let old = start(options("host-1")).await;
     old.peers.set_address(id("host-2"), two.peers.local_address());
     old.peers.send(id("host-2"), message(1));
     two.next_message().await;
 
-    let mut again = options("host-1");
-    again.session = 2;
-    let new = start(again).await;
+    let mut restarted = options("host-1");
+    restarted.session = 2;
+    let new = start(restarted).await;
     new.peers.set_address(id("host-2"), two.peers.local_address());
     new.peers.send(id("host-2"), message(2));
 
@@ -160,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn options_that_contradict_each_other_are_refused() {
+async fn inconsistent_options_are_rejected() {
     let mut bad = options("host-1");
     bad.host = id("host-2");
     let (tx, _rx) = tokio::sync::mpsc::channel(1);
--- a/crates/peer/tests/silence.rs
+++ b/crates/peer/tests/silence.rs
@@ -1,4 +1,5 @@
-//! Connections whose other end is gone without a word, as when a network is cut.
+//! Tests of connections whose other end stops responding, as in a network partition, and of what
+//! is reported about unconfirmed messages.
 
 mod fixtures;
 
@@ -10,8 +11,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Returns options under which silence shows soon.
-fn brisk(name: &str) -> PeerOptions {
+/// Returns options with short timeouts.
+fn options_with_short_timeouts(name: &str) -> PeerOptions {
     PeerOptions {
         keepalive: Duration::from_millis(4),
         idle_keepalive: Duration::from_millis(8),
@@ -20,40 +21,39 @@
     }
 }
 
-/// Accepts one connection as a true member of the fleet.
-async fn admit(listener: &TcpListener, name: &str) -> Connection<TcpStream> {
+/// Accepts one connection with the fleet's secret.
+async fn accept_peer(listener: &TcpListener, name: &str) -> Connection<TcpStream> {
     let (stream, _) = listener.accept().await.unwrap();
     let own = Identity::new(name, "zone-a", 1);
 
     accept(stream, &own, &secret(), 1 << 20).await.unwrap()
 }
 
-// A peer is cut off while it is connected: it takes nothing and says nothing, and its
-// connection stays open. The sender misses the answers to its keepalives, closes, and
-// dials again for the next message, instead of waiting for TCP's own retries.
+// A connected peer stops responding, and its connection stays open. The sender gets no replies to
+// its keepalives. It must close the connection and dial again for the next message, instead of
+// waiting for TCP retransmissions.
 #[tokio::test]
 async fn a_peer_that_stops_answering_is_dialled_again() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let host = start(brisk("host-1")).await;
+    let host = start(options_with_short_timeouts("host-1")).await;
     host.peers.set_address(id("host-2"), listener.local_addr().unwrap());
     host.peers.send(id("host-2"), message(1));
 
-    let _mute = admit(&listener, "host-2").await;
+    let _unresponsive = accept_peer(&listener, "host-2").await;
     host.wait_count("failed_total", "timeout", 1).await;
     host.peers.send(id("host-2"), message(2));
 
-    admit(&listener, "host-2").await;
+    accept_peer(&listener, "host-2").await;
 }
 
-// A sender is cut off: its connection stays open and nothing comes any more. The receiver
-// is told that it is down.
+// A sender falls silent and its connection stays open. The receiver must report it as down.
 #[tokio::test]
-async fn a_sender_that_falls_silent_is_down() {
-    let mut host = start(brisk("host-2")).await;
+async fn a_sender_that_falls_silent_is_reported_down() {
+    let mut host = start(options_with_short_timeouts("host-2")).await;
     let stream = TcpStream::connect(host.peers.local_address()).await.unwrap();
     let own = Identity::new("host-1", "zone-a", 1);
 
-    let _mute = dial(stream, &own, &secret(), 1 << 20).await.unwrap();
+    let _unresponsive = dial(stream, &own, &secret(), 1 << 20).await.unwrap();
 
     assert!(matches!(host.next().await, Inbound::Up { .. }));
     assert_eq!(host.next().await, Inbound::Down { host: id("host-1") });
@@ -62,9 +62,12 @@
 
 #[tokio::test]
 async fn an_idle_connection_stays() {
-    let patient = |name| PeerOptions { silence_limit: Duration::from_secs(20), ..brisk(name) };
-    let mut two = start(patient("host-2")).await;
-    let one = start(patient("host-1")).await;
+    let options_with_long_silence_limit = |name| PeerOptions {
+        silence_limit: Duration::from_secs(20),
+        ..options_with_short_timeouts(name)
+    };
+    let mut two = start(options_with_long_silence_limit("host-2")).await;
+    let one = start(options_with_long_silence_limit("host-1")).await;
     one.peers.set_address(id("host-2"), two.peers.local_address());
     one.peers.send(id("host-2"), message(1));
     two.next_message().await;
@@ -80,8 +83,8 @@
     assert!(two.inbound.try_recv().is_err());
 }
 
-// A replaced host's address now belongs to another host of the fleet. What is meant for
-// the one must not reach the other, although that one holds the secret too.
+// The address of a replaced host now belongs to another host of the fleet. Messages for the
+// replaced host must not reach the other one, although it also holds the secret.
 #[tokio::test]
 async fn another_host_at_the_address_gets_nothing() {
     let mut two = start(options("host-2")).await;
@@ -97,10 +100,10 @@
     assert_eq!(two.next_message().await, message(2));
 }
 
-// The peer cannot be reached. What waits for it was surely never sent, and the sender is
-// told so with the message: it may promise its caller that nothing ran.
+// The peer is unreachable, so its queued messages were certainly never sent. They must be returned
+// to the sender, which can then report to its caller that nothing was executed.
 #[tokio::test]
-async fn a_message_that_was_never_sent_comes_back() {
+async fn a_message_that_was_never_sent_is_returned() {
     let mut one = start(options("host-1")).await;
     one.peers.set_address(id("host-2"), fixtures::closed_address().await);
 
@@ -113,16 +116,16 @@
     }
 }
 
-// The connection breaks after a message was written and before the peer confirmed it. It
-// may have arrived, so it does not come back as unsent; the sender is told that it is not
-// known, and does not wait for an answer that may never come.
+// The connection breaks after a message was written and before the peer confirmed it. The message
+// may have arrived, so it must not be returned as unsent. `Broken` must report the uncertainty, so
+// that the sender does not wait for a reply that may never come.
 #[tokio::test]
-async fn a_break_with_unconfirmed_messages_is_told() {
+async fn a_break_with_unconfirmed_messages_is_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut one = start(options("host-1")).await;
     one.peers.set_address(id("host-2"), listener.local_addr().unwrap());
     one.peers.send(id("host-2"), message(1));
-    let connection = admit(&listener, "host-2").await;
+    let connection = accept_peer(&listener, "host-2").await;
     one.wait_count("frames_total", "out", 1).await;
 
     drop(connection);
@@ -131,9 +134,9 @@
     assert_eq!(one.count("dropped_total", "unsent"), 0);
 }
 
-// The peer confirmed all messages before its connection ended, so nothing is told of it.
+// The peer confirmed all messages before its connection ended, so `Broken` must not be reported.
 #[tokio::test]
-async fn a_break_after_receipt_is_not_told() {
+async fn a_break_after_confirmation_is_not_reported() {
     let mut two = start(options("host-2")).await;
     let mut one = start(options("host-1")).await;
     one.peers.set_address(id("host-2"), two.peers.local_address());
@@ -150,10 +153,10 @@
     assert_eq!(one.next().await, expected);
 }
 
-// A host shuts down right after its last answers were queued. `flush` returns only when
-// the peer took them in, so that none is lost with the process.
+// A host shuts down right after it queued its last messages. `flush` must not return before the
+// peer has received them, so that none is lost with the process.
 #[tokio::test]
-async fn a_flush_waits_for_receipt() {
+async fn a_flush_waits_for_confirmation() {
     let mut two = start(options("host-2")).await;
     let one = start(options("host-1")).await;
     one.peers.set_address(id("host-2"), two.peers.local_address());
@@ -171,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn a_flush_tells_of_peers_that_are_away() {
+async fn a_flush_counts_unreachable_peers() {
     let one = start(options("host-1")).await;
     one.peers.set_address(id("host-2"), fixtures::closed_address().await);
     one.peers.send(id("host-2"), message(1));
@@ -181,15 +184,15 @@
     assert_eq!(unconfirmed, 1);
 }
 
-// The messages stand in the socket's buffers, but the peer does not take them in. They may
-// be lost yet, so the flush must not say that they arrived.
+// The messages are in the socket's buffers and the peer does not read them. They may still be lost,
+// so `flush` must not report them as confirmed.
 #[tokio::test]
-async fn a_flush_tells_of_a_peer_that_takes_nothing_in() {
+async fn a_flush_counts_an_unresponsive_peer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let one = start(options("host-1")).await;
     one.peers.set_address(id("host-2"), listener.local_addr().unwrap());
     one.peers.send(id("host-2"), message(1));
-    let _mute = admit(&listener, "host-2").await;
+    let _unresponsive = accept_peer(&listener, "host-2").await;
 
     let unconfirmed = one.peers.flush(Duration::from_millis(200)).await;
 
@@ -197,7 +200,7 @@
 }
 
 #[tokio::test]
-async fn a_flush_with_nothing_queued_dials_nobody() {
+async fn a_flush_with_nothing_queued_does_not_connect() {
     let one = start(options("host-1")).await;
     one.peers.set_address(id("host-2"), fixtures::closed_address().await);
 
--- a/crates/peer/tests/strangers.rs
+++ b/crates/peer/tests/strangers.rs
@@ -1,4 +1,4 @@
-//! Connections from whoever does not belong to the fleet.
+//! Tests of connections from attackers and others that do not belong to the fleet.
 
 mod fixtures;
 
@@ -6,7 +6,9 @@
 
 use camphorwalk_core::hash::digest;
 use camphorwalk_peer::codec::Frame;
-use camphorwalk_peer::handshake::{Connection, Hello, Identity, PROTOCOL, Proof, Welcome, dial};
+use camphorwalk_peer::handshake::{
+    Connection, Hello, Identity, PROTOCOL_VERSION, Proof, Welcome, dial,
+};
 use camphorwalk_peer::{Error, Secret};
 use fixtures::{Host, id, large_message, message, options, secret, start};
 use futures::SinkExt as _;
@@ -14,22 +16,23 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The frames of the tests that send larger ones than their host takes.
-const LARGE: usize = 16 << 20;
+/// The frame limit of clients in tests. Larger than the limit of the hosts, so that clients can
+/// exceed it.
+const CLIENT_FRAME_LIMIT: usize = 16 << 20;
 
-/// Connects to a host without saying anything.
+/// Connects to a host without sending anything.
 async fn connect(host: &Host) -> TcpStream {
     TcpStream::connect(host.peers.local_address()).await.unwrap()
 }
 
-/// Connects to a host as a true member of the fleet.
+/// Connects to a host with the fleet's secret.
 async fn join(host: &Host, name: &str) -> Connection<TcpStream> {
     let own = Identity::new(name, "zone-a", 1);
 
-    dial(connect(host).await, &own, &secret(), LARGE).await.unwrap()
+    dial(connect(host).await, &own, &secret(), CLIENT_FRAME_LIMIT).await.unwrap()
 }
 
-/// Writes a handshake message as the wire has it.
+/// Writes a handshake message in its wire format.
 async fn write(stream: &mut TcpStream, message: &impl Message) {
     let content = message.encode_to_vec();
     stream.write_u32(content.len() as u32).await.unwrap();
@@ -45,39 +48,39 @@
     M::decode(&content[..]).unwrap()
 }
 
-/// Makes what a stranger may say of itself.
+/// Creates a `Hello` with a fixed nonce, as an attacker may send it.
 fn hello(name: &str) -> Hello {
     let (name, zone) = (name.to_owned(), "zone-a".to_owned());
 
-    Hello { protocol: PROTOCOL, nonce: vec![3; 32], name, zone, session: 1 }
+    Hello { protocol: PROTOCOL_VERSION, nonce: vec![3; 32], name, zone, session: 1 }
 }
 
-/// Asserts that a host still takes in messages of the fleet, and nothing came before.
+/// Asserts that a host still receives messages of the fleet, and that it received none before.
 async fn assert_serves(host: &mut Host) {
-    let friend = start(options("friend")).await;
-    friend.peers.set_address(id("host-2"), host.peers.local_address());
+    let member = start(options("friend")).await;
+    member.peers.set_address(id("host-2"), host.peers.local_address());
 
-    friend.peers.send(id("host-2"), message(9));
+    member.peers.send(id("host-2"), message(9));
 
     assert_eq!(host.next_message().await, message(9));
 }
 
-// A host with another fleet's secret dials. It is turned away by the other end's proof
-// before it gives its own, and the listener serves on.
+// A host with another fleet's secret connects. It must detect the listener's wrong proof before it
+// sends its own, and the listener must keep working.
 #[tokio::test]
-async fn a_wrong_secret_is_turned_away() {
+async fn a_wrong_secret_is_rejected() {
     let mut host = start(options("host-2")).await;
     let own = Identity::new("host-1", "zone-a", 1);
 
-    let refused = dial(connect(&host).await, &own, &Secret::new([8; 32]), LARGE).await;
+    let refused = dial(connect(&host).await, &own, &Secret::new([8; 32]), CLIENT_FRAME_LIMIT).await;
 
     assert!(matches!(refused, Err(Error::WrongProof)));
     assert_serves(&mut host).await;
 }
 
-// A stranger gives a proof of its own making. It sees its connection close.
+// An attacker sends an invented proof. The host must close the connection.
 #[tokio::test]
-async fn a_made_up_proof_is_turned_away() {
+async fn an_invented_proof_is_rejected() {
     let mut host = start(options("host-2")).await;
     let mut stream = connect(&host).await;
     write(&mut stream, &hello("host-1")).await;
@@ -90,10 +93,10 @@
     assert_serves(&mut host).await;
 }
 
-// A stranger sends the listener's own proof back as if it were its own. The proof is true
-// and over the right nonces, but for the other role: it is turned away.
+// An attacker sends the listener's proof back as its own. The proof is over the right nonces but
+// for the other role, so it must be rejected.
 #[tokio::test]
-async fn a_reflected_proof_is_turned_away() {
+async fn a_reflected_proof_is_rejected() {
     let mut host = start(options("host-2")).await;
     let mut stream = connect(&host).await;
     write(&mut stream, &hello("host-1")).await;
@@ -105,28 +108,28 @@
     assert_serves(&mut host).await;
 }
 
-// A host is led to dial a stranger, who answers its challenge by asking the host itself:
-// it dials back and passes on what it is told. Both ends then name the same host, which
-// has no business with itself.
+// A host connects to an attacker, who opens a connection to that host and relays the handshake
+// messages, so that the host answers its own challenge. Both ends then present the same host
+// name, which must be rejected.
 #[tokio::test]
-async fn a_challenge_reflected_to_its_maker_is_turned_away() {
+async fn a_challenge_reflected_to_its_sender_is_rejected() {
     let host = start(options("host-1")).await;
-    let stranger = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    host.peers.set_address(id("host-2"), stranger.local_addr().unwrap());
+    let attacker = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    host.peers.set_address(id("host-2"), attacker.local_addr().unwrap());
     host.peers.send(id("host-2"), message(1));
-    let (mut dialled, _) = stranger.accept().await.unwrap();
+    let (mut dialled, _) = attacker.accept().await.unwrap();
     let challenge: Hello = read(&mut dialled).await;
 
-    let mut back = connect(&host).await;
-    write(&mut back, &Hello { name: "host-2".to_owned(), ..challenge }).await;
-    let welcome: Welcome = read(&mut back).await;
+    let mut reflected = connect(&host).await;
+    write(&mut reflected, &Hello { name: "host-2".to_owned(), ..challenge }).await;
+    let welcome: Welcome = read(&mut reflected).await;
     write(&mut dialled, &welcome).await;
 
     host.wait_count("failed_total", "own_name", 1).await;
 }
 
 #[tokio::test]
-async fn a_host_with_our_own_name_is_turned_away() {
+async fn a_host_with_our_own_name_is_rejected() {
     let mut host = start(options("host-2")).await;
     let mut stream = connect(&host).await;
 
@@ -137,25 +140,25 @@
 }
 
 #[tokio::test]
-async fn another_version_is_turned_away() {
+async fn another_protocol_version_is_rejected() {
     let mut host = start(options("host-2")).await;
     let mut stream = connect(&host).await;
 
-    write(&mut stream, &Hello { protocol: PROTOCOL + 1, ..hello("host-1") }).await;
+    write(&mut stream, &Hello { protocol: PROTOCOL_VERSION + 1, ..hello("host-1") }).await;
 
     host.wait_count("closed_total", "version", 1).await;
     assert_serves(&mut host).await;
 }
 
-// A stranger recorded a true host's whole connection and plays it again. The listener's
-// nonce is new, so the recorded proof is worthless.
+// An attacker replays a recorded handshake of a genuine host. The listener's nonce is new, so the
+// recorded proof must be rejected.
 #[tokio::test]
-async fn a_recorded_handshake_is_turned_away() {
+async fn a_replayed_handshake_is_rejected() {
     let mut host = start(options("host-2")).await;
     let relay = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let friend = start(options("host-1")).await;
-    friend.peers.set_address(id("host-2"), relay.local_addr().unwrap());
-    friend.peers.send(id("host-2"), message(1));
+    let member = start(options("host-1")).await;
+    member.peers.set_address(id("host-2"), relay.local_addr().unwrap());
+    member.peers.send(id("host-2"), message(1));
     let (mut near, _) = relay.accept().await.unwrap();
     let mut far = connect(&host).await;
     let challenge: Hello = read(&mut near).await;
@@ -172,15 +175,15 @@
     assert_serves(&mut host).await;
 }
 
-// A stranger relays a true handshake, which neither end can tell, and then puts a frame of
-// its own behind it. The frame's MAC gives it away: nothing of it is delivered.
+// An attacker relays a genuine handshake, which neither end can detect, and then injects a frame of
+// its own. The frame's MAC is wrong, so the frame must not be delivered.
 #[tokio::test]
-async fn a_frame_put_behind_a_relayed_handshake_is_not_delivered() {
+async fn a_frame_injected_after_a_relayed_handshake_is_not_delivered() {
     let mut host = start(options("host-2")).await;
     let relay = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let friend = start(options("host-1")).await;
-    friend.peers.set_address(id("host-2"), relay.local_addr().unwrap());
-    friend.peers.send(id("host-2"), message(1));
+    let member = start(options("host-1")).await;
+    member.peers.set_address(id("host-2"), relay.local_addr().unwrap());
+    member.peers.send(id("host-2"), message(1));
     let (mut near, _) = relay.accept().await.unwrap();
     let mut far = connect(&host).await;
     write(&mut far, &read::<Hello>(&mut near).await).await;
@@ -196,15 +199,15 @@
     assert_serves(&mut host).await;
 }
 
-// Whoever relays a connection sends a frame of it twice. The number in the MAC gives the
-// second away; the message is delivered once.
+// An attacker who relays a connection sends one frame twice. The MAC covers the sequence number, so
+// the message must be delivered only once.
 #[tokio::test]
 async fn a_repeated_frame_is_not_delivered() {
     let mut host = start(options("host-2")).await;
     let relay = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let friend = start(options("host-1")).await;
-    friend.peers.set_address(id("host-2"), relay.local_addr().unwrap());
-    friend.peers.send(id("host-2"), message(1));
+    let member = start(options("host-1")).await;
+    member.peers.set_address(id("host-2"), relay.local_addr().unwrap());
+    member.peers.send(id("host-2"), message(1));
     let (mut near, _) = relay.accept().await.unwrap();
     let mut far = connect(&host).await;
     write(&mut far, &read::<Hello>(&mut near).await).await;
@@ -225,7 +228,7 @@
 }
 
 #[tokio::test]
-async fn an_oversized_greeting_is_turned_away() {
+async fn an_oversized_hello_is_rejected() {
     let mut host = start(options("host-2")).await;
     let mut stream = connect(&host).await;
 
@@ -260,7 +263,7 @@
 }
 
 #[tokio::test]
-async fn a_greeting_that_is_none_is_turned_away() {
+async fn a_malformed_hello_is_rejected() {
     let mut host = start(options("host-2")).await;
     let mut stream = connect(&host).await;
 
@@ -271,28 +274,28 @@
 }
 
 #[tokio::test]
-async fn a_silent_stranger_is_turned_away() {
-    let mut impatient = options("host-2");
-    impatient.connect_timeout = Duration::from_millis(30);
-    let host = start(impatient).await;
+async fn a_silent_client_is_disconnected() {
+    let mut short_timeout = options("host-2");
+    short_timeout.connect_timeout = Duration::from_millis(30);
+    let host = start(short_timeout).await;
 
     let _stream = connect(&host).await;
 
     host.wait_count("closed_total", "timeout", 1).await;
 }
 
-// Strangers connect and say nothing. Past the limit they are closed at once, so that they
-// cannot pile up; those within it go when their time is over.
+// Clients connect and send nothing. Connections over the limit must be closed at once, so that they
+// cannot accumulate, and the others after the handshake timeout.
 #[tokio::test]
-async fn silent_strangers_do_not_pile_up() {
-    let mut narrow = options("host-2");
-    narrow.max_handshakes = 2;
-    narrow.connect_timeout = Duration::from_millis(300);
-    let mut host = start(narrow).await;
+async fn silent_clients_do_not_accumulate() {
+    let mut few_handshakes = options("host-2");
+    few_handshakes.max_handshakes = 2;
+    few_handshakes.connect_timeout = Duration::from_millis(300);
+    let mut host = start(few_handshakes).await;
 
-    let mut strangers = Vec::new();
+    let mut silent_clients = Vec::new();
     for _ in 0..5 {
-        strangers.push(connect(&host).await);
+        silent_clients.push(connect(&host).await);
     }
 
     host.wait_count("closed_total", "crowded", 3).await;
