--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -6,8 +6,8 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 use serde::Serialize;
 
 use crate::fleet::{Engines, POOL, config, tenant_name};
@@ -77,8 +77,8 @@
     places: u64,
     tenants: u64,
     asked: u64,
-    granted: std::collections::VecDeque<Asker>,
-    out: Vec<QueueNext>,
+    granted: std::collections::VecDeque<PlaceRequestId>,
+    out: Vec<QueueAction>,
 }
 
 impl Load {
@@ -104,8 +104,8 @@
         self.scheduler.step(self.now, event, &mut self.out);
 
         for next in self.out.drain(..) {
-            if let QueueNext::Grant { asker, .. } = next {
-                self.granted.push_back(asker);
+            if let QueueAction::Grant { request_id, .. } = next {
+                self.granted.push_back(request_id);
             }
         }
     }
@@ -129,18 +129,21 @@
             suspect: false,
         };
 
-        self.step(QueueEvent::Ask { asker: Asker { host: HostId(1), number }, request });
+        self.step(QueueEvent::Request {
+            request_id: PlaceRequestId { host: HostId(1), number },
+            request,
+        });
     }
 
     fn end_oldest(&mut self) {
-        let Some(asker) = self.granted.pop_front() else { return };
-        let end = PlaceEnd {
-            how: PlaceEndKind::Finished,
-            computed: Tokens(200),
+        let Some(request_id) = self.granted.pop_front() else { return };
+        let end = PlaceRelease {
+            outcome: PlaceOutcome::Finished,
+            computed_prompt: Tokens(200),
             output: Tokens(100),
-            program_over: false,
+            program_ended: false,
         };
 
-        self.step(QueueEvent::Vacate { asker, end });
+        self.step(QueueEvent::Release { request_id, end });
     }
 }
--- a/crates/bench/src/drive.rs
+++ b/crates/bench/src/drive.rs
@@ -8,8 +8,8 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{LoadReport, QueueEvent, QueueNext};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -105,7 +105,7 @@
     woken: Option<u64>,
     start: Start,
     next_closed: usize,
-    out: Vec<QueueNext>,
+    out: Vec<QueueAction>,
 }
 
 impl<'a> Drive<'a> {
@@ -262,7 +262,7 @@
         self.asked += 1;
         self.askers.insert(number, program);
         self.progress[program].asked = Some(number);
-        self.tell(QueueEvent::Ask { asker: asker(number), request });
+        self.tell(QueueEvent::Request { request_id: request_id(number), request });
     }
 
     /// Tells the scheduler, and does what it says.
@@ -272,8 +272,8 @@
 
         for next in out.drain(..) {
             match next {
-                QueueNext::Grant { asker, target } => self.granted(asker, target),
-                QueueNext::Refuse { asker, .. } => self.refused(asker),
+                QueueAction::Grant { request_id, target } => self.granted(request_id, target),
+                QueueAction::Refuse { request_id, .. } => self.refused(request_id),
             }
         }
 
@@ -291,18 +291,23 @@
         }
     }
 
-    fn granted(&mut self, asker: Asker, target: TargetId) {
-        let Some(program) = self.askers.get(&asker.number).copied() else { return };
+    fn granted(&mut self, request_id: PlaceRequestId, target: TargetId) {
+        let Some(program) = self.askers.get(&request_id.number).copied() else { return };
         let Some(engine) = self.targets.iter().position(|known| *known == target) else { return };
         let turn = &self.programs[program].turns[self.progress[program].turn];
 
         self.progress[program].engine = Some(engine);
-        self.engines[engine].send(Sequence::new(asker.number, program, turn.prompt, turn.output));
+        self.engines[engine].send(Sequence::new(
+            request_id.number,
+            program,
+            turn.prompt,
+            turn.output,
+        ));
         self.iterate(engine);
     }
 
-    fn refused(&mut self, asker: Asker) {
-        let Some(program) = self.askers.remove(&asker.number) else { return };
+    fn refused(&mut self, request_id: PlaceRequestId) {
+        let Some(program) = self.askers.remove(&request_id.number) else { return };
 
         self.progress[program].asked = None;
         self.end(self.root(program), End::Refused);
@@ -355,19 +360,19 @@
         self.progress[program].engine = None;
         self.progress[program].asked = None;
         self.askers.remove(&sequence.number);
-        self.vacate(sequence.number, PlaceEndKind::Finished, sequence.computed, sequence.output);
+        self.vacate(sequence.number, PlaceOutcome::Finished, sequence.computed, sequence.output);
         self.after_turn(program, turn);
     }
 
-    fn vacate(&mut self, number: u64, how: PlaceEndKind, computed: u64, output: u64) {
-        let end = PlaceEnd {
-            how,
-            computed: Tokens(computed),
+    fn vacate(&mut self, number: u64, outcome: PlaceOutcome, computed: u64, output: u64) {
+        let end = PlaceRelease {
+            outcome,
+            computed_prompt: Tokens(computed),
             output: Tokens(output),
-            program_over: how == PlaceEndKind::Failed || how == PlaceEndKind::NotSent,
+            program_ended: outcome == PlaceOutcome::Failed || outcome == PlaceOutcome::NotSent,
         };
 
-        self.tell(QueueEvent::Vacate { asker: asker(number), end });
+        self.tell(QueueEvent::Release { request_id: request_id(number), end });
     }
 
     fn after_turn(&mut self, program: usize, turn: usize) {
@@ -447,9 +452,9 @@
         match self.progress[program].engine.take() {
             Some(engine) => {
                 self.engines[engine].cancel(number);
-                self.vacate(number, PlaceEndKind::Failed, 0, 0);
+                self.vacate(number, PlaceOutcome::Failed, 0, 0);
             }
-            None => self.vacate(number, PlaceEndKind::NotSent, 0, 0),
+            None => self.vacate(number, PlaceOutcome::NotSent, 0, 0),
         }
     }
 
@@ -486,6 +491,6 @@
     ProgramId(number as u128)
 }
 
-fn asker(number: u64) -> Asker {
-    Asker { host: HostId(1), number }
+fn request_id(number: u64) -> PlaceRequestId {
+    PlaceRequestId { host: HostId(1), number }
 }
