--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -1,7 +1,7 @@
-//! What callers ask and what they are answered.
+//! Requests of callers and the replies to them.
 //!
-//! These types travel as JSON: to callers, and inside the frame in which an entry host
-//! passes a request on to the home of the program.
+//! These types are encoded as JSON, both for callers and in the messages in which an entry host
+//! forwards a request to the home of its program.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::ids::ProgramId;
 use crate::units::Tokens;
 
-/// A caller's request, after its key was checked.
+/// A request of an authenticated caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Request {
@@ -20,23 +20,23 @@
     Open(OpenRequest),
     /// Makes one call of a program.
     Call(CallRequest),
-    /// Asks for a program's state.
+    /// Returns a program's state.
     View {
         /// The program.
         program: ProgramId,
     },
-    /// Asks for the recorded outcome of a call.
+    /// Returns the recorded outcome of a call.
     Outcome {
         /// The program.
         program: ProgramId,
         /// The call's idempotency key.
         key: Box<str>,
     },
-    /// Asks for the calls of a program in order.
+    /// Returns the calls of a program in order.
     History {
         /// The program.
         program: ProgramId,
-        /// The first call to return; the first of all is 1.
+        /// The number of the first call to return. Numbers start at 1.
         from: u32,
     },
     /// Ends a program.
@@ -47,7 +47,7 @@
 }
 
 impl Request {
-    /// Returns the program that it is about.
+    /// Returns the program that the request is for.
     ///
     /// ```
     /// use camphorwalk_core::calls::Request;
@@ -70,17 +70,18 @@
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRequest {
-    /// The id it will have, chosen by the entry host (see [`ProgramId`]).
+    /// The id of the new program, chosen by the entry host (see [`ProgramId`]).
     pub program: ProgramId,
     /// The template's name.
     pub template: Box<str>,
-    /// How long the caller waits for the whole program.
+    /// How long the whole program may take.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "deadline_ms")]
     pub deadline: Duration,
-    /// The program that this one is a sub-agent of; its budget is drawn from.
+    /// The program that this one is a sub-agent of and whose budget it uses.
     pub parent: Option<ProgramId>,
-    /// Whether the caller gave an idempotency key: then a repeat finds the first.
+    /// Whether the caller gave an idempotency key, so that a repeated request finds the program
+    /// that the first one opened.
     pub repeatable: bool,
 }
 
@@ -91,40 +92,42 @@
     pub program: ProgramId,
     /// The caller's idempotency key for this call.
     pub key: Box<str>,
-    /// The last call that the caller has seen; 0 at first.
+    /// The number of the last call that the caller has seen; 0 for none.
     pub after: u32,
     /// The target's name in the template.
     pub target: Box<str>,
     /// The input, as JSON text.
     pub input: Box<str>,
-    /// The most tokens to generate; the template's limit if left out.
+    /// The maximum number of tokens to generate; the template's limit if `None`.
     pub max_tokens: Option<u32>,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// The sealed turns that were not stored yet, as the last answer gave them.
+    /// The sealed turns that were not stored yet, as returned with the last answer. The seal is a
+    /// MAC, so that callers cannot alter them.
     pub tail: Option<Box<str>>,
-    /// The digest of the body as the caller sent it, to tell a repeat from a reused key.
+    /// The digest of the body as the caller sent it, which distinguishes a repeated request from
+    /// another one with the same key.
     pub body: Digest,
 }
 
-/// The tokens that a call took.
+/// The tokens that a call used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// The prompt tokens.
     pub prompt_tokens: Tokens,
-    /// Tokens of the prompt that the engine had in its cache.
+    /// The prompt tokens that were in the engine's cache.
     pub cached_tokens: Tokens,
-    /// Tokens generated.
+    /// The generated tokens.
     pub output_tokens: Tokens,
 }
 
-/// The answer to a request.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Reply {
     /// The program is open.
     Opened(Opened),
-    /// The call ran; a repeat gets the same.
+    /// The call completed. A repeated request gets the same reply.
     Called(Called),
     /// A program's state.
     View(ProgramView),
@@ -135,38 +138,38 @@
         /// The calls, in order.
         calls: Vec<HistoryCall>,
     },
-    /// The program is ended.
+    /// The program has ended.
     Ended,
     /// The request was refused or failed.
     Refused(Refusal),
 }
 
-/// A program as opened.
+/// The reply for a newly opened program.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Opened {
     /// The program.
     pub program: ProgramId,
-    /// What it may spend.
+    /// The tokens that it may spend.
     pub budget_tokens: Tokens,
-    /// How long is left until its deadline.
+    /// The time left until its deadline.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "deadline_ms")]
     pub deadline: Duration,
 }
 
-/// A call that ran to its end.
+/// A call that completed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Called {
-    /// Its number in the program; the first is 1.
+    /// Its number in the program, starting at 1.
     pub call: u32,
     /// The output, as JSON text.
     pub output: Box<str>,
-    /// The tokens it took.
+    /// The tokens that it used.
     pub usage: Usage,
-    /// Whether the platform holds it.
+    /// Whether the platform has stored the call.
     pub stored: bool,
-    /// The sealed turns that are not stored yet, to be handed back with the next call.
+    /// The sealed turns that are not stored yet. The caller has to send them with the next call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tail: Option<Box<str>>,
 }
@@ -183,9 +186,9 @@
     pub state: Box<str>,
     /// The number of its last finished call.
     pub head: u32,
-    /// What it may still spend.
+    /// The tokens that it may still spend.
     pub budget_left_tokens: Tokens,
-    /// How long is left until its deadline.
+    /// The time left until its deadline.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "deadline_left_ms")]
     pub deadline_left: Duration,
@@ -195,18 +198,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// It runs, or waits to.
+    /// It is running or queued.
     Running,
-    /// It ran.
+    /// It completed.
     Done(Called),
-    /// It failed for good.
+    /// It failed and will not be retried.
     Failed(Refusal),
 }
 
 /// A call in a program's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryCall {
-    /// Its number; the first is 1.
+    /// Its number, starting at 1.
     pub call: u32,
     /// Its idempotency key.
     pub key: Box<str>,
@@ -216,21 +219,21 @@
     pub input: Box<str>,
     /// The output, as JSON text.
     pub output: Box<str>,
-    /// Whether the platform holds it; one that it does not hold may yet be lost, unless the
-    /// caller of that call hands its sealed tail back.
+    /// Whether the platform has stored the call. If not, it may still be lost, unless the caller
+    /// sends back the sealed tail of that call.
     #[serde(default)]
     pub stored: bool,
 }
 
-/// Whether the call behind a refusal ran.
+/// Whether a refused or failed call was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It did not and will not: a promise. Said only by whoever can prove it.
+    /// It was not executed and never will be. Reported only if this is certain.
     No,
-    /// It may have run; it is not repeated.
+    /// It may have been executed. It is not retried.
     Maybe,
-    /// It ran.
+    /// It was executed.
     Yes,
 }
 
@@ -240,36 +243,36 @@
 pub enum Code {
     /// The request is malformed.
     BadRequest,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The key is missing, unknown or withdrawn.
+    /// The caller's key is missing, unknown or withdrawn.
     Unauthorized,
-    /// There is no such thing, or it is another tenant's.
+    /// The object does not exist or belongs to another tenant.
     NotFound,
-    /// The call does not follow the program's head.
+    /// The call does not follow the program's last finished call (its head).
     OutOfOrder,
-    /// The idempotency key came before with another body.
+    /// The idempotency key was used before with another body.
     KeyReused,
     /// The program's budget does not cover the call.
     BudgetExhausted,
-    /// The request brought targets down before.
+    /// The request has crashed targets before.
     Quarantined,
-    /// The tenant is over its rate and burst.
+    /// The tenant exceeds its rate and burst.
     OverRate,
-    /// The deadline could not be met.
+    /// The request could not be served within its deadline.
     Overloaded,
-    /// The platform is away and the call needs it.
+    /// The platform is unavailable and the request needs it.
     PlatformUnavailable,
-    /// The host is shutting down, or the program's home is moving.
+    /// The host is shutting down, or the program is moving to another home.
     Leaving,
     /// The deadline passed.
     Deadline,
-    /// The call may have run; its outcome is lost.
+    /// The call may have been executed, but its outcome is lost.
     OutcomeUnknown,
 }
 
 impl Code {
-    /// Returns the HTTP status that goes with this code.
+    /// Returns the HTTP status for this code.
     ///
     /// ```
     /// use camphorwalk_core::calls::Code;
@@ -292,38 +295,38 @@
     }
 }
 
-/// A refusal or a failure, final for this request.
+/// The final refusal or failure of a request.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// The reason.
     pub code: Code,
-    /// The reason for a human reader.
+    /// The reason as text for people.
     pub message: Box<str>,
-    /// Whether the call ran.
+    /// Whether the call was executed.
     pub ran: Ran,
-    /// When a later try can help.
+    /// After what time a retry may succeed.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "retry_after_ms", default, skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<Duration>,
-    /// The program's head, with [`Code::OutOfOrder`].
+    /// The number of the program's last finished call, with [`Code::OutOfOrder`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub head: Option<u32>,
 }
 
 impl Refusal {
-    /// Makes a refusal of a request that did not run.
+    /// Creates a refusal of a request that was not executed.
     pub fn not_run(code: Code, message: impl Into<Box<str>>) -> Self {
         Self { code, message: message.into(), ran: Ran::No, retry_after: None, head: None }
     }
 
-    /// Returns this refusal with the time after which a later try can help.
+    /// Sets the time after which a retry may succeed.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Returns this refusal saying this of whether the call ran.
+    /// Sets whether the call was executed.
     pub fn ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,7 +1,7 @@
-//! The declarations of a deployment, as operators write them and hosts run them.
+//! The configuration of a deployment, which operators write and hosts apply.
 //!
-//! The types here say what a declaration is; `camphorwalk-declare` reads them from files,
-//! checks them against each other and publishes them. Unknown fields are errors.
+//! `camphorwalk-declare` reads these types from files, validates them and publishes them. Unknown
+//! fields are errors.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 
 use crate::units::{ConfigVersion, Tokens};
 
-/// The partitions of a deployment that does not say.
+/// The default number of partitions of a deployment.
 pub const DEFAULT_PARTITIONS: u16 = 64;
 
-/// The slices of each tenant's rate in a deployment that does not say.
+/// The default number of slices of each tenant's rate.
 pub const DEFAULT_SLICES: u16 = 16;
 
-/// A whole configuration: what one version in force everywhere says.
+/// One version of the complete configuration of a deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Its version, set when it is published.
+    /// Its version, assigned on publication.
     #[serde(default)]
     pub version: ConfigVersion,
-    /// What holds for the whole deployment.
+    /// Settings of the whole deployment.
     pub fleet: Fleet,
     /// The targets.
     pub targets: Vec<Target>,
@@ -34,7 +34,7 @@
     pub tenants: Vec<Tenant>,
 }
 
-/// What holds for the whole deployment (`fleet.json`).
+/// Settings of the whole deployment (`fleet.json`).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -44,11 +44,11 @@
     pub zones: Vec<Zone>,
     /// The classes of work.
     pub classes: Vec<Class>,
-    /// The number of partitions. Fixed for the life of a deployment.
+    /// The number of partitions of programs. Cannot be changed later.
     #[serde(default = "default_partitions")]
     pub partitions: u16,
-    /// The number of slices that each tenant's rate is cut into, in each region. Fixed for
-    /// the life of a deployment.
+    /// The number of slices into which each tenant's rate is divided, in each region. Cannot be
+    /// changed later.
     #[serde(default = "default_slices")]
     pub slices: u16,
 }
@@ -67,7 +67,7 @@
 pub struct Zone {
     /// Its name.
     pub name: Box<str>,
-    /// The region it lies in.
+    /// Its region.
     pub region: Box<str>,
 }
 
@@ -77,15 +77,15 @@
 pub struct Class {
     /// Its name.
     pub name: Box<str>,
-    /// Its place in the order: lower ranks are answered first.
+    /// Its priority. Lower ranks are served first.
     pub rank: u8,
 }
 
-/// What kind of target something is.
+/// The kind of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
-    /// A model engine: batches, caches prefixes, streams.
+    /// A model engine, which batches calls, caches prompt prefixes and streams output.
     Engine,
     /// A plain service.
     Service,
@@ -97,23 +97,23 @@
 pub struct Target {
     /// Its name.
     pub name: Box<str>,
-    /// The pool it belongs to: the targets that serve the same model or service.
+    /// Its pool, which consists of the targets that serve the same model or service.
     pub pool: Box<str>,
-    /// Its kind; the same in the whole pool.
+    /// Its kind, which must be the same for the whole pool.
     pub kind: TargetKind,
-    /// The availability zone it stands in.
+    /// Its availability zone.
     pub zone: Box<str>,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// The most requests that are in flight at it.
+    /// The maximum number of requests in flight.
     pub window: u32,
-    /// How many tokens its prefix cache holds; engines only.
+    /// The capacity of its prefix cache in tokens, for engines only.
     #[serde(default)]
     pub cache_tokens: Tokens,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects commands with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether it is leaving, and gets nothing new.
+    /// Whether it is being drained and gets no new calls.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -125,37 +125,37 @@
 pub struct Template {
     /// Its name.
     pub name: Box<str>,
-    /// The targets that its calls may name.
+    /// The targets that its calls may use.
     pub targets: Vec<TemplateTarget>,
-    /// The most calls of a program.
+    /// The maximum number of calls of a program.
     pub max_calls: u32,
-    /// The most sub-agents above one another; 0 allows none.
+    /// The maximum nesting depth of sub-agents; 0 allows none.
     #[serde(default)]
     pub max_depth: u8,
-    /// The most tokens that one call generates.
+    /// The maximum number of tokens that one call may generate.
     pub max_output_tokens: u32,
-    /// The longest deadline that a caller may ask for.
+    /// The longest deadline that a caller may request.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "max_deadline_ms")]
     pub max_deadline: Duration,
-    /// Whether it is withdrawn: programs that run are finished, none is opened.
+    /// Whether it is withdrawn: running programs may finish, but no new ones can be opened.
     #[serde(default)]
     pub withdrawn: bool,
 }
 
-/// A target as a template's calls name it.
+/// A target under the name that a template's calls use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TemplateTarget {
-    /// The name that calls give.
+    /// The name that calls use.
     pub name: Box<str>,
     /// The pool that serves it.
     pub pool: Box<str>,
-    /// The operation of a plain service.
+    /// The operation to call, for plain services only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operation: Option<Box<str>>,
-    /// Whether a call may be run again after a failure. Model turns are; a plain service's
-    /// operation is not unless its declaration says so.
+    /// Whether a call may be retried after a failure. Model turns always may; operations of plain
+    /// services only if this is set.
     #[serde(default)]
     pub idempotent: bool,
 }
@@ -166,21 +166,20 @@
 pub struct Tenant {
     /// Its name.
     pub name: Box<str>,
-    /// The templates that it may open, with the class of each.
+    /// The templates that it may use, with the class of each.
     pub assistants: Vec<Assistant>,
-    /// Its rate in calls a second, over all hosts together.
+    /// Its rate in calls per second, over all hosts together.
     pub rate_per_second: f64,
     /// Its burst in calls, over all hosts together.
     pub burst: u32,
-    /// What each of its programs may spend, sub-agents included.
+    /// The tokens that each of its programs may spend, including sub-agents.
     pub budget_tokens: Tokens,
-    /// Its weight in fair shares.
+    /// Its weight in fair sharing of capacity.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Its callers' keys.
+    /// The keys of its callers.
     pub keys: Vec<Key>,
-    /// Whether a zone that is cut off from everyone, and so cannot hear of a withdrawn key,
-    /// goes on serving it.
+    /// Whether an isolated zone, which does not learn of withdrawn keys, continues to serve it.
     #[serde(default = "default_true")]
     pub serve_when_cut_off: bool,
 }
@@ -193,7 +192,7 @@
     true
 }
 
-/// A template that a tenant may open.
+/// A template that a tenant may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assistant {
@@ -203,11 +202,11 @@
     pub class: Box<str>,
 }
 
-/// A caller's key, kept as a digest only.
+/// A caller's key, of which only a digest is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Its public name, for operators.
+    /// Its public name, which operators use.
     pub id: Box<str>,
     /// The SHA-256 digest of the secret, in hexadecimal.
     pub sha256: Box<str>,
--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -2,27 +2,27 @@
 
 use thiserror::Error;
 
-/// A fault found while reading one of the shared types.
+/// An error in parsing one of the shared types.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// A text that should be an id is malformed.
+    /// A text is not a valid id.
     #[error("malformed {what}: {text}")]
     Malformed {
-        /// What was expected, for example `program id`.
+        /// The expected kind of id, for example `program id`.
         what: &'static str,
-        /// The offending text, cut to a readable length.
+        /// The invalid text, truncated to a readable length.
         text: Box<str>,
     },
 }
 
-/// The result of reading one of the shared types.
+/// The result of parsing one of the shared types.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The longest part of an offending text that an error repeats, in characters.
-const SHOWN_CHARS: usize = 60;
+/// The maximum number of characters of an invalid text that an error includes.
+const MAX_TEXT_CHARS: usize = 60;
 
-/// Makes the error for a malformed text.
+/// Creates the error for a malformed text.
 pub(crate) fn malformed(what: &'static str, text: &str) -> Error {
-    Error::Malformed { what, text: text.chars().take(SHOWN_CHARS).collect() }
+    Error::Malformed { what, text: text.chars().take(MAX_TEXT_CHARS).collect() }
 }
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,4 +1,4 @@
-//! Hash maps with a fast hasher, and the stable hash that ids are made of.
+//! Hash maps with a fast hasher, stable hashes for ids, and rendezvous hashing.
 
 use sha2::{Digest as _, Sha256};
 
@@ -11,9 +11,9 @@
 /// A SHA-256 digest.
 pub type Digest = [u8; 32];
 
-/// Returns the SHA-256 digest of `parts`, each preceded by its length.
+/// Returns the SHA-256 digest of `parts`, each prefixed with its length.
 ///
-/// The length keeps `("ab", "c")` and `("a", "bc")` apart.
+/// Because of the lengths, `("ab", "c")` and `("a", "bc")` have different digests.
 ///
 /// ```
 /// use camphorwalk_core::hash::digest;
@@ -32,20 +32,20 @@
 
 /// Returns the first eight bytes of [`digest`] as a number.
 ///
-/// The value is the same on every host and in every version, so it may stand on the wire
-/// and in the platform's tables.
+/// The value is the same on every host and in every version, so it may be sent to other hosts
+/// and stored on the platform.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let digest = digest(parts);
-    let mut head = [0; 8];
-    head.copy_from_slice(&digest[..8]);
+    let mut first_bytes = [0; 8];
+    first_bytes.copy_from_slice(&digest[..8]);
 
-    u64::from_be_bytes(head)
+    u64::from_be_bytes(first_bytes)
 }
 
 /// Returns the member of `members` with the highest rendezvous weight for `item`.
 ///
-/// Each host that sees the same members picks the same one, and when a member leaves only
-/// its own items move.
+/// All hosts with the same members select the same one, and when a member leaves, only its own
+/// items move to others.
 ///
 /// ```
 /// use camphorwalk_core::hash::rendezvous;
@@ -58,7 +58,7 @@
     members.into_iter().max_by_key(|member| rendezvous_weight(item, *member))
 }
 
-/// Returns the rendezvous weight of a member for `item`: the highest wins.
+/// Returns the rendezvous weight of a member for `item`; the member with the highest wins.
 ///
 /// ```
 /// use camphorwalk_core::hash::{rendezvous, rendezvous_weight};
@@ -69,7 +69,7 @@
     (mix(item, member), member)
 }
 
-/// Returns `members` in the order of their rendezvous weight for `item`, the highest first.
+/// Returns `members` in descending order of their rendezvous weight for `item`.
 ///
 /// ```
 /// use camphorwalk_core::hash::{rendezvous, rendezvous_order};
@@ -83,7 +83,7 @@
     members
 }
 
-/// Mixes two numbers into a well spread weight (the finalizer of SplitMix64).
+/// Mixes two numbers into a uniformly distributed weight (the finalizer of SplitMix64).
 fn mix(a: u64, b: u64) -> u64 {
     let mut z = a.wrapping_add(b.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,8 +1,8 @@
 //! Small `Copy` ids.
 //!
-//! Ids of declared things are stable hashes of their names, so that they mean the same on
-//! every host and may stand on the wire. `camphorwalk check` refuses two names of one kind
-//! with the same id.
+//! The ids of configured objects are stable hashes of their names, so that they are the same on
+//! every host and can be sent in messages. `camphorwalk check` rejects two names of one kind with
+//! the same id.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 use crate::errors::{Error, Result, malformed};
 use crate::hash::{digest, stable_hash};
 
-/// Defines an id that is the stable hash of a declared name.
+/// Defines an id that is the stable hash of a configured name.
 macro_rules! named_id {
     ($(#[$doc:meta])* $name:ident, $kind:literal) => {
         $(#[$doc])*
@@ -18,7 +18,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Returns the id of the thing with this declared name.
+            /// Returns the id of the object with this configured name.
             pub fn from_name(name: &str) -> Self {
                 Self(stable_hash(&[$kind.as_bytes(), name.as_bytes()]))
             }
@@ -39,7 +39,7 @@
 }
 
 named_id!(
-    /// An entry host, by its name in the settings.
+    /// A host, by its name in the settings.
     HostId,
     "host"
 );
@@ -49,12 +49,12 @@
     "zone"
 );
 named_id!(
-    /// A tenant (the brief also says customer).
+    /// A tenant, also called a customer.
     TenantId,
     "tenant"
 );
 named_id!(
-    /// A target: one model worker or one plain service worker.
+    /// A target: one model engine or one instance of a plain service.
     TargetId,
     "target"
 );
@@ -64,12 +64,12 @@
     "pool"
 );
 named_id!(
-    /// A class of work, such as arrival check-ins.
+    /// A class of work, which determines the rank of its calls.
     ClassId,
     "class"
 );
 named_id!(
-    /// A template.
+    /// A template for programs.
     TemplateId,
     "template"
 );
@@ -79,27 +79,27 @@
     "key"
 );
 
-/// A program, by a number whose top 16 bits choose its partition.
+/// A program's id. Its top 16 bits determine the program's partition.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProgramId(pub u128);
 
-/// The number of low bits of a program id that do not choose the partition.
+/// The number of low bits of a program id that do not affect the partition.
 const PARTITION_SHIFT: u32 = 112;
 
 /// The number of hexadecimal digits of a program id.
-const PROGRAM_DIGITS: usize = 32;
+const PROGRAM_ID_DIGITS: usize = 32;
 
 impl ProgramId {
-    /// Returns the id that an opening with this idempotency key always gets.
+    /// Returns the id for a program that is opened with this idempotency key.
     ///
-    /// A repeated opening thereby reaches the same partition on any host, and finds the
-    /// program that the first one made.
+    /// A repeated request thus reaches the same partition from any host, and finds the program that
+    /// the first request created.
     pub fn from_open_key(tenant: TenantId, key: &str) -> Self {
         let digest = digest(&[b"open", &tenant.0.to_be_bytes(), key.as_bytes()]);
-        let mut head = [0; 16];
-        head.copy_from_slice(&digest[..16]);
+        let mut first_bytes = [0; 16];
+        first_bytes.copy_from_slice(&digest[..16]);
 
-        Self(u128::from_be_bytes(head))
+        Self(u128::from_be_bytes(first_bytes))
     }
 
     /// Returns the partition of this program among `partitions`.
@@ -114,7 +114,8 @@
         PartitionId(top % partitions.max(1))
     }
 
-    /// Returns this id moved into `partition`, for a host that opens a program at home.
+    /// Returns this id with its partition replaced. A host uses this to open a program in a
+    /// partition that it holds.
     pub fn in_partition(self, partition: PartitionId) -> Self {
         let low = self.0 & ((1 << PARTITION_SHIFT) - 1);
 
@@ -140,8 +141,8 @@
     fn from_str(text: &str) -> Result<Self> {
         let digits = text.strip_prefix('p').unwrap_or("");
 
-        // `from_str_radix` alone would take a sign and any length.
-        if digits.len() != PROGRAM_DIGITS || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
+        // `from_str_radix` alone would accept a sign and any length.
+        if digits.len() != PROGRAM_ID_DIGITS || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
             return Err(malformed("program id", text));
         }
 
@@ -163,11 +164,11 @@
     }
 }
 
-/// A partition of the programs: the unit that one host at a time is home of.
+/// A partition of the programs. One host at a time is the home of all its programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartitionId(pub u16);
 
-/// The epoch of a lease, which fences writes of its former holders.
+/// The epoch of a lease, which increases with each holder and fences the writes of former ones.
 #[derive(
     Clone,
     Copy,
@@ -185,16 +186,17 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch of a lease that nobody held before.
+    /// The epoch of the first holder of a lease.
     pub const FIRST: Self = Self(1);
 }
 
-/// One attempt of a call at a target. Unique in the fleet: host session, then a counter.
+/// The id of an attempt to run a call at a target. It consists of the host's session and a
+/// counter, and is unique in the fleet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u128);
 
 impl AttemptId {
-    /// Makes the id of the attempt with this number in a host's session.
+    /// Creates the id of the attempt with this number in a host's session.
     pub fn new(session: u64, number: u64) -> Self {
         Self((u128::from(session) << 64) | u128::from(number))
     }
@@ -212,15 +214,15 @@
     }
 }
 
-/// A request that a host took in from one of its own callers.
+/// The id of a request that a host received from one of its own callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Where a request entered the fleet, and so where its reply goes.
+/// Where a request entered the fleet, which is where its reply must be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestOrigin {
     /// The host that the caller is connected to.
     pub entry: HostId,
-    /// The request's number on that host.
+    /// The request's id on that host.
     pub request: RequestId,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Shared types of camphorwalk: ids, units, time, declarations, platform rows, calls and
-//! the messages between hosts.
+//! Shared types of camphorwalk: ids, units, time, configuration, platform rows, calls and the
+//! messages between hosts.
 //!
-//! Nothing here does I/O. Each other crate of the workspace builds on this one.
+//! This crate does no I/O. All other crates of the workspace depend on it.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,8 +1,7 @@
 //! The messages between hosts.
 //!
-//! One [`PeerMessage`] is one frame. Fields are only ever added, with new tags: during a
-//! roll-out, hosts of two versions talk to each other. The messages of each part stand in
-//! a module of their own.
+//! Each frame holds one [`PeerMessage`]. Fields may only be added, with new tags, because hosts
+//! of two versions communicate during a rollout. Each group of messages has its own module.
 
 pub mod entry;
 pub mod forward;
@@ -14,7 +13,7 @@
 /// A message from one host to another.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerMessage {
-    /// The part it is for; `None` comes from a newer version and is passed over.
+    /// The content. `None` if a newer version sent a message of an unknown kind, which is ignored.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14")]
     pub body: Option<Body>,
 }
@@ -22,46 +21,46 @@
 /// The content of a [`PeerMessage`].
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// A request passed on to the home of its program.
+    /// A request forwarded to the home of its program.
     #[prost(message, tag = "1")]
     Forward(forward::Forward),
-    /// A part of a streamed answer, on its way back.
+    /// A part of a streamed answer, returned to the entry host.
     #[prost(message, tag = "2")]
     Chunk(forward::Chunk),
-    /// The final answer to a request passed on.
+    /// The final answer to a forwarded request.
     #[prost(message, tag = "3")]
     Answer(forward::Answer),
-    /// The caller of a request passed on is gone.
+    /// The caller of a forwarded request has disconnected.
     #[prost(message, tag = "4")]
     CallerGone(forward::CallerGone),
-    /// What a host knows of the fleet.
+    /// The sender's knowledge of the fleet.
     #[prost(message, tag = "5")]
     Gossip(gossip::Gossip),
-    /// Lending, returning and drawing on slices.
+    /// A message about slices of tenants' rates.
     #[prost(message, tag = "6")]
     Slices(slices::SliceMessage),
-    /// Asking a pool's queue for a place at a target.
+    /// A message between a program's home and the host of a pool's queue.
     #[prost(message, tag = "7")]
     Queue(queue::QueueMessage),
-    /// An operator wants the receiver to leave.
+    /// Asks the receiver to shut down, on behalf of an operator.
     #[prost(message, tag = "8")]
     Drain(forward::Drain),
-    /// Asking whether programs are still open.
+    /// Asks which programs have ended.
     #[prost(message, tag = "9")]
     EndedQuery(live::EndedQuery),
-    /// Programs that are over.
+    /// Programs that have ended.
     #[prost(message, tag = "10")]
     EndedPrograms(live::EndedPrograms),
-    /// What an entry host has under way.
+    /// The status of an entry host.
     #[prost(message, tag = "11")]
     EntryStatus(entry::EntryStatus),
-    /// A manifest, for a host that has an older one.
+    /// A manifest, sent to a host that has an older one.
     #[prost(message, tag = "12")]
     Manifest(entry::Manifest),
-    /// A question to another entry host.
+    /// A query to another entry host.
     #[prost(message, tag = "13")]
     PeerQuery(entry::PeerQuery),
-    /// The reply to such a question.
+    /// The reply to a query.
     #[prost(message, tag = "14")]
     PeerQueryReply(entry::PeerQueryReply),
 }
--- a/crates/core/src/messages/forward.rs
+++ b/crates/core/src/messages/forward.rs
@@ -1,18 +1,18 @@
-//! Requests on their way from the entry host to a program's home, and back.
+//! Requests that an entry host forwards to a program's home, and their answers.
 
-/// A request passed on to the home of its program.
+/// A request forwarded to the home of its program.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Forward {
     /// The request's number at the entry host.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// The tenant whose key came with it.
+    /// The tenant that the caller's key belongs to.
     #[prost(fixed64, tag = "2")]
     pub tenant: u64,
-    /// The key, by its public name's id; the secret stays at the entry host.
+    /// The id of the caller's key, derived from its public name. The secret is not forwarded.
     #[prost(fixed64, tag = "3")]
     pub key: u64,
-    /// A [`crate::calls::Request`] as JSON: the caller's own payload is JSON already.
+    /// A [`crate::calls::Request`] as JSON, since the caller's payload in it is JSON already.
     #[prost(bytes = "bytes", tag = "4")]
     pub body: bytes::Bytes,
 }
@@ -23,21 +23,21 @@
     /// The request's number at the entry host.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// The place of this part in the stream, from 0. A gap ends the stream with an error.
+    /// The index of this part in the stream, from 0. A gap ends the stream with an error.
     #[prost(uint32, tag = "2")]
     pub number: u32,
-    /// The text generated.
+    /// The generated text.
     #[prost(string, tag = "3")]
     pub text: String,
 }
 
-/// The final answer to a request passed on.
+/// The final answer to a forwarded request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Answer {
     /// The request's number at the entry host.
     #[prost(uint64, tag = "1")]
     pub request: u64,
-    /// How many chunks went before it.
+    /// The number of chunks sent before this answer.
     #[prost(uint32, tag = "2")]
     pub chunks: u32,
     /// A [`crate::calls::Reply`] as JSON.
@@ -45,7 +45,7 @@
     pub body: bytes::Bytes,
 }
 
-/// The caller of a request passed on is gone.
+/// The caller of a forwarded request has disconnected.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CallerGone {
     /// The request's number at the entry host.
@@ -53,6 +53,6 @@
     pub request: u64,
 }
 
-/// An operator, through another host, wants the receiver to leave.
+/// An operator asks the receiver, through another host, to shut down.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Drain {}
--- a/crates/core/src/messages/gossip.rs
+++ b/crates/core/src/messages/gossip.rs
@@ -1,9 +1,9 @@
-//! What hosts tell each other of the fleet.
+//! The gossip messages by which hosts exchange their knowledge of the fleet.
 
-/// What a host knows of the fleet.
+/// The sender's knowledge of the fleet.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Gossip {
-    /// Hosts, the sender first; a bounded number of others, the newest news first.
+    /// The sender, followed by a limited number of other hosts, the most recent changes first.
     #[prost(message, repeated, tag = "1")]
     pub hosts: Vec<HostInfo>,
     /// The configuration version in force at the sender.
@@ -12,49 +12,51 @@
     /// The name of that configuration's object.
     #[prost(string, tag = "3")]
     pub config_object: String,
-    /// Keys that were withdrawn, by id.
+    /// The ids of withdrawn keys.
     #[prost(fixed64, repeated, tag = "4")]
     pub withdrawn_keys: Vec<u64>,
-    /// Digests of requests that bring targets down.
+    /// The digests of requests that crash targets.
     #[prost(bytes = "vec", repeated, tag = "5")]
     pub quarantined: Vec<Vec<u8>>,
-    /// The holders of partitions that the sender knows, epochs included.
+    /// The holders of partitions that the sender knows, with the epochs of their leases.
     #[prost(message, repeated, tag = "6")]
     pub partitions: Vec<PartitionHolder>,
-    /// The whole configuration, sent to a peer that is behind and cannot reach the platform.
+    /// The complete configuration, sent to a peer that has an older one and cannot reach the
+    /// platform.
     #[prost(bytes = "vec", tag = "7")]
     pub config: Vec<u8>,
-    /// Hosts of which nothing but their heartbeat is new.
+    /// Hosts of which only the heartbeat has changed.
     #[prost(message, repeated, tag = "8")]
     pub beats: Vec<HostHeartbeat>,
-    /// Whether the sender cannot renew its session and promises to end nobody else's for a
-    /// while, counted from the sending of this message.
+    /// Whether the sender cannot renew its session at the platform. It then promises not to end
+    /// other hosts' sessions for some time after it sent this message.
     #[prost(bool, tag = "9")]
     pub without_platform: bool,
-    /// The receiver's latest heartbeat that the sender knows: the receiver counts the promise
-    /// from when it sent that one.
+    /// The latest heartbeat of the receiver that the sender knows. The receiver measures the
+    /// promise's duration from when it sent that heartbeat, which was before the promise.
     #[prost(uint64, tag = "10")]
     pub echo: u64,
-    /// The run of the receiver's process that the heartbeat is of.
+    /// The session of the receiver that the heartbeat in `echo` belongs to.
     #[prost(fixed64, tag = "11")]
     pub echo_session: u64,
 }
 
-/// A heartbeat of a host that the receiver knows by now: a third of the bytes of its news.
+/// The heartbeat of a host whose [`HostInfo`] the receiver already has. It takes a third of the
+/// bytes of a `HostInfo`.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct HostHeartbeat {
     /// The host's id.
     #[prost(fixed64, tag = "1")]
     pub host: u64,
-    /// The number of the run of its process.
+    /// The random number that identifies this run of its process.
     #[prost(fixed64, tag = "2")]
     pub session: u64,
-    /// Counts up at its host.
+    /// A counter that the host increments.
     #[prost(uint64, tag = "3")]
     pub heartbeat: u64,
 }
 
-/// What is known of one host.
+/// What is known about a host.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HostInfo {
     /// The host's name.
@@ -63,21 +65,21 @@
     /// Its availability zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Where its peers reach it.
+    /// The address that its peers connect to.
     #[prost(string, tag = "3")]
     pub peer_address: String,
-    /// A random number of this run of its process.
+    /// The random number that identifies this run of its process.
     #[prost(fixed64, tag = "4")]
     pub session: u64,
-    /// Counts up at its host, so that newer news is told from older.
+    /// A counter that the host increments, so that newer information replaces older.
     #[prost(uint64, tag = "5")]
     pub heartbeat: u64,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
 }
 
-/// Who holds a partition.
+/// The host that holds the lease of a partition.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PartitionHolder {
     /// The partition.
@@ -86,7 +88,7 @@
     /// The epoch of its lease.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// The holder's host id.
+    /// The id of the host that holds it.
     #[prost(fixed64, tag = "3")]
     pub holder: u64,
 }
--- a/crates/core/src/messages/live.rs
+++ b/crates/core/src/messages/live.rs
@@ -1,23 +1,23 @@
-//! Asking the home of programs whether they are still open, for engines' memory.
+//! Queries for ended programs, so that engines can free the memory that they hold for them.
 
-/// Which of these programs, held at a target, are over?
+/// Asks the home of programs which of them have ended.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EndedQuery {
-    /// The target that holds them.
+    /// The target that holds memory for the programs.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
-    /// The programs, each as sixteen bytes.
+    /// The ids of the programs, each as 16 bytes.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub programs: Vec<Vec<u8>>,
 }
 
-/// These programs are over: the target may free what it holds for them.
+/// Programs that have ended, whose memory the target may free.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EndedPrograms {
-    /// The target that holds them.
+    /// The target that holds memory for the programs.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
-    /// The programs, each as sixteen bytes.
+    /// The ids of the programs, each as 16 bytes.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub programs: Vec<Vec<u8>>,
 }
--- a/crates/core/src/messages/queue.rs
+++ b/crates/core/src/messages/queue.rs
@@ -1,9 +1,11 @@
-//! Asking a pool's queue, which one host of a zone keeps, for a place at a target.
+//! Requests for a place at a target, the right to have one call in flight there.
+//!
+//! One host of each zone runs the queue of a pool and grants the places.
 
-/// A message between a program's home and the host that keeps a pool's queue.
+/// A message between a program's home and the host that runs a pool's queue.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct QueueMessage {
-    /// What it says.
+    /// The content.
     #[prost(oneof = "QueueBody", tags = "1, 2, 3, 4")]
     pub body: Option<QueueBody>,
 }
@@ -11,24 +13,24 @@
 /// The content of a [`QueueMessage`].
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum QueueBody {
-    /// A call asks for a place.
+    /// Requests a place for a call.
     #[prost(message, tag = "1")]
     RequestPlace(RequestPlace),
-    /// The call may go to this target.
+    /// Grants a place at a target.
     #[prost(message, tag = "2")]
     Grant(Grant),
-    /// The call cannot be served in time.
+    /// Refuses a place because the call cannot be served in time.
     #[prost(message, tag = "3")]
     RefusePlace(RefusePlace),
-    /// The call is over, or is no longer wanted; its place is free.
+    /// Releases a place because the call has ended or was cancelled.
     #[prost(message, tag = "4")]
     ReleasePlace(ReleasePlace),
 }
 
-/// A call asks for a place at a target of a pool.
+/// Requests a place at a target of a pool for a call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RequestPlace {
-    /// The asking host's number for this question.
+    /// The number of the request, chosen by the requesting host.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The pool.
@@ -40,36 +42,37 @@
     /// The class.
     #[prost(fixed64, tag = "4")]
     pub class: u64,
-    /// The program, high half first.
+    /// The high half of the program's id.
     #[prost(fixed64, tag = "5")]
     pub program_high: u64,
-    /// The program's low half.
+    /// The low half of the program's id.
     #[prost(fixed64, tag = "6")]
     pub program_low: u64,
-    /// Tokens that the program has been served so far.
+    /// The tokens of service that the program has received so far.
     #[prost(uint64, tag = "7")]
     pub attained_tokens: u64,
     /// Tokens of the prompt.
     #[prost(uint64, tag = "8")]
     pub prompt_tokens: u64,
-    /// The most tokens to be generated.
+    /// The maximum number of tokens to generate.
     #[prost(uint32, tag = "9")]
     pub output_tokens: u32,
     /// Milliseconds left until the program's deadline.
     #[prost(uint64, tag = "10")]
     pub deadline_left_ms: u64,
-    /// A target not to be chosen, because this call just failed there; 0 for none.
+    /// A target to avoid because this call just failed there; 0 for none.
     #[prost(fixed64, tag = "11")]
     pub avoid: u64,
-    /// Whether the call was in flight when a target crashed: it must run alone.
+    /// Whether the call was in flight when a target crashed. It must then run alone, so that a
+    /// further crash shows whether it is the cause.
     #[prost(bool, tag = "12")]
     pub suspect: bool,
 }
 
-/// A call may go to a target.
+/// Grants a place at a target.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Grant {
-    /// The number of the question.
+    /// The number of the request.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The target.
@@ -77,33 +80,33 @@
     pub target: u64,
 }
 
-/// A call cannot be served in time.
+/// Refuses a place because the call cannot be served in time.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RefusePlace {
-    /// The number of the question.
+    /// The number of the request.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// When a later try can help, in milliseconds.
+    /// After how many milliseconds a retry may succeed.
     #[prost(uint64, tag = "2")]
     pub retry_after_ms: u64,
 }
 
-/// A call's place is free.
+/// Releases the place of a call.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReleasePlace {
-    /// The number of the question.
+    /// The number of the request.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// How it ended at the target: 0 not sent, 1 finished, 2 failed, 3 the target crashed.
+    /// The outcome at the target: 0 not sent, 1 finished, 2 failed, 3 the target crashed.
     #[prost(uint32, tag = "2")]
     pub end: u32,
-    /// Tokens of the prompt that were not in the engine's cache.
+    /// The prompt tokens that were not in the engine's cache.
     #[prost(uint64, tag = "3")]
     pub computed_tokens: u64,
-    /// Tokens generated.
+    /// The tokens generated.
     #[prost(uint64, tag = "4")]
     pub output_tokens: u64,
-    /// Whether the program is over and its prefix is of no more use.
+    /// Whether the program has ended, so that its cached prefix is no longer needed.
     #[prost(bool, tag = "5")]
     pub program_over: bool,
 }
--- a/crates/core/src/messages/slices.rs
+++ b/crates/core/src/messages/slices.rs
@@ -1,13 +1,17 @@
-//! Lending, returning and drawing on slices of a tenant's rate.
+//! Messages for lending and returning slices of tenants' rates, and for taking tokens from them.
 //!
-//! Between a lender and a borrower, each change goes through a numbered request of the
-//! borrower and the lender's grant that answers it. One request and one grant speak for all
-//! tenants of the two hosts. Amounts are in millionths of a token (one token, one call).
+//! Each tenant's rate is divided into numbered slices. A column consists of the slices with one
+//! number of all tenants, and one host at a time owns it. The owner lends its slices to other
+//! hosts.
+//!
+//! Each change between a lender and a borrower takes a numbered request of the borrower and a
+//! grant of the lender in reply. One request and one grant cover all tenants. Amounts are in
+//! millionths of a token, and a call costs one token.
 
-/// A message between the parts of two hosts that keep slices.
+/// A message between two hosts about slices.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SliceMessage {
-    /// What it says.
+    /// The content.
     #[prost(oneof = "SliceBody", tags = "1, 2, 3, 4, 5")]
     pub body: Option<SliceBody>,
 }
@@ -15,25 +19,25 @@
 /// The content of a [`SliceMessage`].
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum SliceBody {
-    /// The sender has slices to lend, or to ask back: send a request.
+    /// The sender has slices to lend or to recall, so the receiver should send a request.
     #[prost(message, tag = "1")]
     Offer(LoanOffer),
-    /// The sender asks for what the receiver lends it, and renews what it holds.
+    /// The sender requests new loans from the receiver and renews those that it has.
     #[prost(message, tag = "2")]
     Request(LoanRequest),
-    /// The answer to a request.
+    /// The reply to a loan request.
     #[prost(message, tag = "3")]
     Grant(LoanGrant),
-    /// A tenant's call wants a token from its admission host.
+    /// Requests a token for a call from the tenant's admission host.
     #[prost(message, tag = "4")]
     Take(TakeRequest),
-    /// The answer of the admission host.
+    /// The reply of the admission host.
     #[prost(message, tag = "5")]
     Answer(TakeAnswer),
 }
 
 impl SliceMessage {
-    /// Returns the length of its encoding in bytes, without a frame.
+    /// Returns the length of the encoded message in bytes, without the frame.
     ///
     /// ```
     /// use camphorwalk_core::messages::slices::{LoanOffer, SliceBody, SliceMessage};
@@ -50,16 +54,16 @@
     }
 }
 
-/// A lender has something to say to a borrower, which should send a request.
+/// Asks a borrower to send a request, because the lender has loans to grant or recall.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoanOffer {
-    /// Columns that came to the lender from another owner, whose loans may still run. The
-    /// request should claim those that the borrower has.
+    /// Columns that the lender took over from another owner whose loans may still be valid. The
+    /// request should claim the borrower's loans among them.
     #[prost(uint32, repeated, tag = "1")]
     pub columns: Vec<u32>,
 }
 
-/// A borrower's request for loans, new and renewed.
+/// A borrower's request for new loans and for the renewal of current ones.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoanRequest {
     /// The session of the borrower's process.
@@ -68,21 +72,21 @@
     /// The request's number; later requests have higher ones.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// The session of the lender that `acknowledged` and `returns` are about.
+    /// The session of the lender that `acknowledged` and `returns` refer to.
     #[prost(fixed64, tag = "3")]
     pub lender: u64,
-    /// The number of the last grant that was taken in; 0 for none.
+    /// The number of the last grant that the borrower applied; 0 for none.
     #[prost(uint64, tag = "4")]
     pub acknowledged: u64,
-    /// Loans that the borrower uses no more, listed until a grant answers.
+    /// Loans that the borrower no longer uses, repeated until a grant replies.
     #[prost(message, repeated, tag = "5")]
     pub returns: Vec<LoanReturn>,
-    /// Running loans of former owners, to go on as the receiver's.
+    /// Valid loans from former owners that the receiver should adopt.
     #[prost(message, repeated, tag = "6")]
     pub claims: Vec<LoanClaim>,
 }
 
-/// A running loan of a column's former owner.
+/// A valid loan from a column's former owner.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoanClaim {
     /// The tenant.
@@ -91,21 +95,21 @@
     /// The column.
     #[prost(uint32, tag = "2")]
     pub column: u32,
-    /// The host that lent it.
+    /// The host that granted the loan.
     #[prost(fixed64, tag = "3")]
     pub lender: u64,
-    /// Its number there.
+    /// The loan's number at that host.
     #[prost(uint64, tag = "4")]
     pub loan: u64,
 }
 
-/// A loan that its borrower uses no more.
+/// A loan that its borrower no longer uses.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoanReturn {
-    /// The loan.
+    /// The loan's number.
     #[prost(uint64, tag = "1")]
     pub loan: u64,
-    /// What was left in it, in millionths of a token.
+    /// The remaining amount, in millionths of a token.
     #[prost(uint64, tag = "2")]
     pub level: u64,
 }
@@ -128,28 +132,28 @@
     /// The columns whose loans to this borrower are renewed.
     #[prost(uint32, repeated, tag = "5")]
     pub columns: Vec<u32>,
-    /// How long loans of these columns last, in milliseconds from the request's sending.
+    /// How long the loans of these columns are valid, in milliseconds after the request was sent.
     #[prost(uint32, tag = "6")]
     pub lifetime_ms: u32,
     /// New loans.
     #[prost(message, repeated, tag = "7")]
     pub loans: Vec<Loan>,
-    /// Loans that the borrower is to return.
+    /// The loans that the borrower has to return.
     #[prost(uint64, repeated, tag = "8")]
     pub recalls: Vec<u64>,
-    /// Loans whose rate or burst is another from now on.
+    /// Loans whose rate or burst has changed.
     #[prost(message, repeated, tag = "9")]
     pub changes: Vec<LoanChange>,
-    /// Claimed loans that go on as the lender's.
+    /// Claimed loans that the lender has adopted.
     #[prost(message, repeated, tag = "10")]
     pub adoptions: Vec<LoanAdoption>,
-    /// One number for each of `columns`: the sender's loans below it are of a time when it
-    /// owned the column before, and are over. Empty if no such loan can still run.
+    /// One loan number for each of `columns`. Loans with lower numbers date from an earlier
+    /// ownership of the column by the sender and have ended. Empty if no such loan can be valid.
     #[prost(uint64, repeated, tag = "11")]
     pub since: Vec<u64>,
 }
 
-/// A claimed loan that goes on, level included, as the loan of a column's new owner.
+/// A claimed loan that the column's new owner has adopted, with its current level.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoanAdoption {
     /// The claim.
@@ -158,15 +162,15 @@
     /// The loan's new number.
     #[prost(uint64, tag = "2")]
     pub loan: u64,
-    /// Its refill, in millionths of a token a second.
+    /// The refill rate, in millionths of a token per second.
     #[prost(uint64, tag = "3")]
     pub rate: u64,
-    /// The most it holds, in millionths of a token.
+    /// The capacity, in millionths of a token.
     #[prost(uint64, tag = "4")]
     pub burst: u64,
 }
 
-/// A slice that is lent, level included.
+/// A slice that is lent, with its level.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Loan {
     /// The loan's number, unique in the lender's session.
@@ -178,38 +182,38 @@
     /// The column.
     #[prost(uint32, tag = "3")]
     pub column: u32,
-    /// What is in it, in millionths of a token.
+    /// The level, in millionths of a token.
     #[prost(uint64, tag = "4")]
     pub level: u64,
-    /// Its refill, in millionths of a token a second.
+    /// The refill rate, in millionths of a token per second.
     #[prost(uint64, tag = "5")]
     pub rate: u64,
-    /// The most it holds, in millionths of a token.
+    /// The capacity, in millionths of a token.
     #[prost(uint64, tag = "6")]
     pub burst: u64,
 }
 
-/// A loan whose rate or burst is another from now on.
+/// A loan whose rate or burst has changed.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoanChange {
-    /// The loan.
+    /// The loan's number.
     #[prost(uint64, tag = "1")]
     pub loan: u64,
-    /// Its refill, in millionths of a token a second.
+    /// The refill rate, in millionths of a token per second.
     #[prost(uint64, tag = "2")]
     pub rate: u64,
-    /// The most it holds, in millionths of a token.
+    /// The capacity, in millionths of a token.
     #[prost(uint64, tag = "3")]
     pub burst: u64,
 }
 
-/// A call wants a token of its tenant.
+/// Requests one token of a tenant for a call.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct TakeRequest {
-    /// The session of the asking host's process.
+    /// The session of the requesting host.
     #[prost(fixed64, tag = "1")]
     pub session: u64,
-    /// The number of the take request, the same when it is repeated.
+    /// The request's number, which stays the same when the request is repeated.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// The tenant.
@@ -217,19 +221,19 @@
     pub tenant: u64,
 }
 
-/// The answer to a [`TakeRequest`].
+/// The reply to a [`TakeRequest`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct TakeAnswer {
-    /// The session of the asking host's process.
+    /// The session of the requesting host.
     #[prost(fixed64, tag = "1")]
     pub session: u64,
-    /// The number of the take request.
+    /// The request's number.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Whether the token is taken.
+    /// Whether the token was taken.
     #[prost(bool, tag = "3")]
     pub admitted: bool,
-    /// When a token will be there, in microseconds, if it is not.
+    /// If not, after how many microseconds a token will be available.
     #[prost(uint64, tag = "4")]
     pub retry_after_us: u64,
 }
--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -1,30 +1,30 @@
-//! The platform's services as the policy sees them: rows with versions, transactions,
-//! objects and the list of hosts.
+//! The platform's services as the policy code uses them: versioned rows, transactions, objects and
+//! the list of hosts.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// The place of a row.
+/// The table and key that identify a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RowKey {
     /// The table's name.
     pub table: Box<str>,
-    /// The row's key; scans go in its byte order.
+    /// The row's key. Scans return rows in the byte order of their keys.
     pub key: Box<str>,
 }
 
 impl RowKey {
-    /// Makes the key of a row.
+    /// Creates the key of a row.
     pub fn new(table: &str, key: impl Into<Box<str>>) -> Self {
         Self { table: table.into(), key: key.into() }
     }
 }
 
-/// The version of a row: set by the platform at each write, never used twice for a key,
-/// not even after the row was deleted. Zero stands for a row that is not there.
+/// The version of a row, set by the platform at each write. A version is never reused for a key,
+/// not even after the row was deleted. Zero means that the row does not exist.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -32,29 +32,29 @@
 pub struct RowVersion(pub u64);
 
 impl RowVersion {
-    /// The version that a missing row is checked with.
+    /// The version that represents a missing row in a [`Check`].
     pub const ABSENT: Self = Self(0);
 }
 
-/// A row as read.
+/// A row as read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Its place.
+    /// Its table and key.
     pub key: RowKey,
     /// Its version.
     pub version: RowVersion,
-    /// Its content, mostly JSON.
+    /// Its content, usually JSON.
     pub value: Box<str>,
 }
 
-/// A condition of a transaction: the row has exactly this version.
+/// A condition of a transaction: the row must have exactly this version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Check {
     /// The row.
     pub key: RowKey,
-    /// The version it must have; [`RowVersion::ABSENT`] if it must not be there.
+    /// The required version; [`RowVersion::ABSENT`] if the row must not exist.
     pub version: RowVersion,
 }
 
@@ -68,12 +68,11 @@
     pub value: Option<Box<str>>,
 }
 
-/// A transaction: all checks hold and all writes take effect, or nothing does.
+/// A transaction. If all checks hold, all writes take effect; otherwise none does.
 ///
-/// A writer that must be able to tell whether a transaction took effect although its
-/// answer was lost, writes a row that only this transaction can have written, checked as
-/// absent. Sending the same transaction again is then harmless, and after a conflict that
-/// row tells.
+/// To find out whether a transaction took effect although its answer was lost, a writer includes a
+/// row that only this transaction can have written, and checks that the row is absent. The same
+/// transaction can then safely be sent again, and after a conflict that row shows the outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Transaction {
@@ -86,73 +85,73 @@
 /// An operation on the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlatformOp {
-    /// Runs a transaction. Answers: `Committed`, `Conflict`, `Unavailable`, `Unknown`.
+    /// Runs a transaction. Replies: `Committed`, `Conflict`, `Unavailable`, `Unknown`.
     Commit(Transaction),
-    /// Reads rows. Answers: `Rows` (those that are there), `Unavailable`.
+    /// Reads rows. Replies: `Rows` (those that exist), `Unavailable`.
     Read(Vec<RowKey>),
-    /// Reads the rows of a table whose keys begin with `prefix` and come after `after`.
+    /// Reads the rows of a table whose keys start with `prefix` and are greater than `after`.
+    /// Replies: `Rows`, `Unavailable`.
     Scan {
         /// The table.
         table: Box<str>,
-        /// What keys begin with.
+        /// The prefix of the keys to return.
         prefix: Box<str>,
-        /// The last key already seen, or empty.
+        /// The last key already read, or empty to start at the beginning.
         after: Box<str>,
-        /// The most rows to return.
+        /// The maximum number of rows to return.
         limit: u32,
     },
-    /// Reads a table's rows after the key `after`, with the version of the platform at which
-    /// they stand, so that changes can be followed from there. Answers: `Changes`,
-    /// `Unavailable`.
+    /// Reads a table's rows after the key `after`, with the platform's version at that time, from
+    /// which `Changes` can follow. Replies: `Changes`, `Unavailable`.
     Snapshot {
         /// The table.
         table: Box<str>,
-        /// The last key already seen, or empty.
+        /// The last key already read, or empty to start at the beginning.
         after: Box<str>,
-        /// The most rows to return.
+        /// The maximum number of rows to return.
         limit: u32,
     },
-    /// Reads what changed in a table after a version, waiting up to `wait` for a first change.
-    /// Answers: `Changes`, `HistoryGone`, `Unavailable`.
+    /// Reads the changes of a table after a version, and waits up to `wait` for the first one.
+    /// Replies: `Changes`, `HistoryGone`, `Unavailable`.
     Changes {
         /// The table.
         table: Box<str>,
-        /// The last version already seen.
+        /// The last version already read.
         after: RowVersion,
-        /// How long the platform may wait for a change.
+        /// The maximum time that the platform waits for a change.
         wait: Duration,
     },
-    /// Stores an object under the hash of its content. Answers: `Stored`, `Unavailable`,
+    /// Stores an object under the hash of its content. Replies: `Stored`, `Unavailable`,
     /// `Unknown`.
     PutObject(Box<[u8]>),
-    /// Reads an object. Answers: `Object`, `Unavailable`.
+    /// Reads an object. Replies: `Object`, `Unavailable`.
     GetObject(ObjectName),
 }
 
 /// A change of a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowChange {
-    /// The row was written and stands so.
+    /// The row was written with this content.
     Written(Row),
-    /// The row was removed.
+    /// The row was deleted.
     Removed(RowKey),
 }
 
-/// What changed in a table.
+/// The changes of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChanges {
-    /// The changes in the order in which they took effect. A row may be written and removed, or
-    /// removed and written, within one answer: the last change of a key is the one that holds.
+    /// The changes in the order in which they took effect. One list may contain several changes of
+    /// a row, of which the last one is valid.
     pub changes: Vec<RowChange>,
-    /// Whether a read of rows was cut short and further rows come after the last one.
+    /// Whether a snapshot is incomplete and more rows follow the last one.
     #[serde(default)]
     pub has_more: bool,
-    /// The newest version of the platform: the next question goes on from here.
+    /// The platform's version up to which changes are included. The next request continues here.
     pub version: RowVersion,
 }
 
 impl TableChanges {
-    /// Returns the rows written, in order.
+    /// Returns the written rows, in order.
     ///
     /// ```
     /// use camphorwalk_core::platform::{Row, RowChange, RowKey, RowVersion, TableChanges};
@@ -170,28 +169,28 @@
     }
 }
 
-/// The answer to a [`PlatformOp`].
+/// The reply to a [`PlatformOp`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlatformReply {
-    /// The transaction took effect; each row written has this version.
+    /// The transaction took effect, and each written row has this version.
     Committed(RowVersion),
-    /// The transaction did not take effect: these checked rows stand differently, and
-    /// those not listed are absent or as expected.
+    /// The transaction did not take effect, because these checked rows have other versions than
+    /// expected. Checked rows that are not listed are absent or as expected.
     Conflict(Vec<Row>),
-    /// The rows read, in key order.
+    /// The rows, in key order.
     Rows(Vec<Row>),
-    /// What changed in a table, in order.
+    /// The changes of a table, in order.
     Changes(TableChanges),
-    /// The platform no longer has the history that was asked for: the table is to be read whole.
+    /// The platform no longer has the requested history, so the whole table must be read again.
     HistoryGone,
-    /// The object is stored.
+    /// The object was stored.
     Stored(ObjectName),
-    /// The object's content, checked against its name; `None` if it is not there.
+    /// The object's content, verified against its name; `None` if it does not exist.
     Object(Option<Box<[u8]>>),
-    /// The platform certainly did nothing: it refused, or the bytes were never sent.
+    /// The operation was certainly not executed: the platform refused it, or it was never sent.
     Unavailable,
-    /// The write may have taken effect, now or later: its answer was lost. Never to be
-    /// taken for a failure.
+    /// The answer to the write was lost, so it may have taken effect or may do so later. This must
+    /// never be treated as a failure.
     Unknown,
 }
 
@@ -212,17 +211,17 @@
     }
 }
 
-/// A host as the platform lists it; the list lags.
+/// A host in the platform's list of hosts, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostListing {
     /// The host's name.
     pub name: Box<str>,
-    /// The availability zone it stands in.
+    /// Its availability zone.
     pub zone: Box<str>,
-    /// Where its peers reach it.
+    /// The address that its peers connect to.
     pub peer_address: std::net::SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,16 +1,16 @@
-//! Monotonic time as the policy sees it: a number that is passed in.
+//! Monotonic time as a plain number, which callers pass to the policy code.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A point on a host's monotonic clock, in microseconds since a start of its own.
+/// A point in time on a host's monotonic clock, in microseconds since the clock's start.
 ///
-/// Instants of two hosts cannot be compared.
+/// Instants of different hosts cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// Makes the instant this many milliseconds after the clock's start.
+    /// Creates the instant this many milliseconds after the clock's start.
     ///
     /// ```
     /// use camphorwalk_core::time::Instant;
@@ -21,7 +21,7 @@
         Self(millis * 1_000)
     }
 
-    /// Returns the time from `earlier` to this instant, or zero if it lies ahead.
+    /// Returns the time from `earlier` to this instant, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -46,7 +46,7 @@
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    /// Returns the instant that lies `rhs` before this one, or the clock's start.
+    /// Returns the instant `rhs` before this one, but not before the clock's start.
     fn sub(self, rhs: Duration) -> Self {
         Self(self.0.saturating_sub(u64::try_from(rhs.as_micros()).unwrap_or(u64::MAX)))
     }
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,8 +1,8 @@
-//! Units as types.
+//! Newtypes for quantities and versions.
 
 use serde::{Deserialize, Serialize};
 
-/// Model tokens, prompt and output alike.
+/// A number of model tokens, of prompts or outputs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -10,18 +10,18 @@
 pub struct Tokens(pub u64);
 
 impl Tokens {
-    /// Returns the sum, or the largest number there is.
+    /// Returns the sum, saturating at the largest number.
     pub fn plus(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// Returns the difference, or zero.
+    /// Returns the difference, saturating at zero.
     pub fn minus(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 }
 
-/// The version of a published configuration; higher is later.
+/// The version of a published configuration. Later versions are higher.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
