--- a/crates/peer/src/incoming.rs
+++ b/crates/peer/src/incoming.rs
@@ -150,7 +150,7 @@
         shared.metrics.record_frame(DIRECTION, frame.wire_bytes());
 
         match frame {
-            // The reply shows the dialler that the connection and this host's inbox still work.
+            // The reply shows the dialler that the connection and this host still work.
             Frame::Keepalive => {
                 let answer = connection.frames.send(Frame::Keepalive);
                 timeout(limit, answer).await.map_err(|_| Error::Timeout)??;
--- a/crates/store/src/transport.rs
+++ b/crates/store/src/transport.rs
@@ -44,7 +44,7 @@
         /// The time from the request to the answer's head.
         head_after: Duration,
     },
-    /// The request was not executed and will not be: it was refused or never sent_at.
+    /// The request was not executed and will not be: it was refused or never sent.
     NotExecuted,
     /// The answer was lost: the request may have been executed or may be executed later.
     Lost {
@@ -73,7 +73,7 @@
             .map_err(|_| Error::BadZone { zone: options.zone.clone() })?;
 
         // Half of the deadline, so that a slow connect fails as a connect error, after which it is
-        // certain that nothing was sent_at, before the attempt itself times out.
+        // certain that nothing was sent, before the attempt itself times out.
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(options.deadline / 2));
         connector.set_nodelay(true);
--- a/crates/store/tests/lost_answers.rs
+++ b/crates/store/tests/lost_answers.rs
@@ -90,7 +90,7 @@
 
 /// A host took lease 1 without knowing it. It now takes leases 1 and 2, and the first answer is
 /// lost. The second request finds lease 1 with the value that the host writes. This must not
-/// count for two_witnesses leases, or the host would act as a second holder of lease 2.
+/// count for both leases, or the host would act as a second holder of lease 2.
 #[tokio::test]
 async fn one_matching_row_does_not_prove_a_commit() {
     let platform = platform().await;
