--- a/crates/core/src/messages/slices.rs
+++ b/crates/core/src/messages/slices.rs
@@ -114,7 +114,7 @@
     pub level: u64,
 }
 
-/// A lender's answer to a [`LoanRequest`].
+/// A lender's reply to a [`LoanRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoanGrant {
     /// The session of the borrower, from its request.
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -130,15 +130,15 @@
     let welcome: Welcome = read(&mut frames).await?;
     let peer_hello = welcome.hello.ok_or(Error::Malformed)?;
     let identity = check_hello(&peer_hello, own)?;
-    let proofs = HandshakeKeys::new(secret, &hello, &peer_hello);
+    let macs = HandshakeMacs::new(secret, &hello, &peer_hello);
 
     // The listener proves itself first, so an impostor at its address gets no proof of ours.
-    if !same_tag(&proofs.tag(LISTENER), &welcome.mac) {
+    if !same_tag(&macs.tag(LISTENER), &welcome.mac) {
         return Err(Error::WrongProof);
     }
-    write(&mut frames, &Proof { mac: proofs.tag(DIALLER).to_vec() }).await?;
+    write(&mut frames, &Proof { mac: macs.tag(DIALLER).to_vec() }).await?;
 
-    let keys = FrameKeys { sending: proofs.key(DIALLER), receiving: proofs.key(LISTENER) };
+    let keys = FrameKeys { sending: macs.key(DIALLER), receiving: macs.key(LISTENER) };
     Ok(into_connection(frames, identity, keys, max_frame_bytes))
 }
 
@@ -157,16 +157,16 @@
     let identity = check_hello(&peer_hello, own)?;
 
     let hello = own.hello();
-    let proofs = HandshakeKeys::new(secret, &peer_hello, &hello);
-    let mac = proofs.tag(LISTENER).to_vec();
+    let macs = HandshakeMacs::new(secret, &peer_hello, &hello);
+    let mac = macs.tag(LISTENER).to_vec();
     write(&mut frames, &Welcome { hello: Some(hello), mac }).await?;
 
     let proof: Proof = read(&mut frames).await?;
-    if !same_tag(&proofs.tag(DIALLER), &proof.mac) {
+    if !same_tag(&macs.tag(DIALLER), &proof.mac) {
         return Err(Error::WrongProof);
     }
 
-    let keys = FrameKeys { sending: proofs.key(LISTENER), receiving: proofs.key(DIALLER) };
+    let keys = FrameKeys { sending: macs.key(LISTENER), receiving: macs.key(DIALLER) };
     Ok(into_connection(frames, identity, keys, max_frame_bytes))
 }
 
@@ -206,14 +206,14 @@
 }
 
 /// Computes the MACs and keys of one handshake.
-struct HandshakeKeys {
+struct HandshakeMacs {
     /// The fleet's secret.
     key: Key,
     /// The digest of the `Hello`s of both ends.
     transcript: Digest,
 }
 
-impl HandshakeKeys {
+impl HandshakeMacs {
     fn new(secret: &Secret, dialler: &Hello, listener: &Hello) -> Self {
         let sides = [dialler.encode_to_vec(), listener.encode_to_vec()];
         let transcript = digest(&[&sides[0], &sides[1]]);
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -22,7 +22,7 @@
 
 /// An item in a peer's send queue.
 #[derive(Debug)]
-pub(crate) enum Item {
+pub(crate) enum QueueItem {
     /// A message to send.
     Message(PeerMessage),
     /// Signals when the peer has confirmed all messages before it; dropped if it cannot.
@@ -32,7 +32,7 @@
 /// The queue and controls of the task that sends to one peer.
 pub(crate) struct PeerHandle {
     /// The peer's send queue.
-    pub(crate) tx: mpsc::Sender<Item>,
+    pub(crate) tx: mpsc::Sender<QueueItem>,
     /// The peer's address.
     pub(crate) address: watch::Sender<SocketAddr>,
     /// Stops the task and closes the connection.
@@ -42,9 +42,9 @@
 /// The receiving ends that the task of one peer reads from.
 pub(crate) struct PeerQueue {
     /// The queued items.
-    pub(crate) rx: mpsc::Receiver<Item>,
+    pub(crate) rx: mpsc::Receiver<QueueItem>,
     /// Items taken from `rx` and not sent yet.
-    pub(crate) batch: Vec<Item>,
+    pub(crate) batch: Vec<QueueItem>,
     /// The peer's address.
     pub(crate) address: watch::Receiver<SocketAddr>,
 }
@@ -135,7 +135,7 @@
     /// Takes the first queued item if it is a flush.
     fn take_flush(&mut self) -> Option<oneshot::Sender<()>> {
         match self.queue.batch.remove(0) {
-            Item::Flush(done) => Some(done),
+            QueueItem::Flush(done) => Some(done),
             message => {
                 self.queue.batch.insert(0, message);
                 None
@@ -182,7 +182,7 @@
         }
 
         for item in batch.drain(..) {
-            if let Item::Message(message) = item {
+            if let QueueItem::Message(message) = item {
                 self.shared.metrics.record_dropped("unsent", 1);
                 let unsent = Inbound::Unsent { to: self.host, message };
                 let _ = self.shared.inbound.send(unsent).await;
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -24,7 +24,7 @@
 use crate::log_dedup::LogDedup;
 use crate::metrics::Metrics;
 use crate::options::PeerOptions;
-use crate::outgoing::{self, Item, PeerHandle};
+use crate::outgoing::{self, PeerHandle, QueueItem};
 
 /// An event from the connections with other hosts.
 #[derive(Clone, Debug, PartialEq)]
@@ -207,7 +207,7 @@
 
         let handles = self.shared.lock_handles();
         let handle = handles.get(&host).ok_or("unknown")?;
-        handle.tx.try_send(Item::Message(message)).map_err(|error| match error {
+        handle.tx.try_send(QueueItem::Message(message)).map_err(|error| match error {
             TrySendError::Full(_) => "queue_full",
             TrySendError::Closed(_) => "unknown",
         })
@@ -233,8 +233,8 @@
 }
 
 /// Waits until a peer has confirmed all queued messages; false if it cannot.
-async fn flush(tx: mpsc::Sender<Item>) -> bool {
+async fn flush(tx: mpsc::Sender<QueueItem>) -> bool {
     let (done, flushed) = oneshot::channel();
 
-    tx.send(Item::Flush(done)).await.is_ok() && flushed.await.is_ok()
+    tx.send(QueueItem::Flush(done)).await.is_ok() && flushed.await.is_ok()
 }
--- a/crates/peer/src/sending.rs
+++ b/crates/peer/src/sending.rs
@@ -13,7 +13,7 @@
 use crate::handshake::Connection;
 use crate::keepalive::{KeepaliveAction, KeepaliveTracker};
 use crate::metrics::OpenConnectionGuard;
-use crate::outgoing::{BATCH, Item, PeerQueue};
+use crate::outgoing::{BATCH, PeerQueue, QueueItem};
 use crate::peers::Shared;
 
 /// The metric label for the direction of this module's connections.
@@ -79,7 +79,7 @@
     }
 
     /// Sends the items taken from the queue.
-    async fn send_batch(&mut self, batch: &mut Vec<Item>) -> Result<()> {
+    async fn send_batch(&mut self, batch: &mut Vec<QueueItem>) -> Result<()> {
         if batch.is_empty() {
             return Ok(());
         }
@@ -88,8 +88,8 @@
         batch.reverse();
         while let Some(item) = batch.pop() {
             match item {
-                Item::Message(message) => self.send_message(message).await?,
-                Item::Flush(done) => {
+                QueueItem::Message(message) => self.send_message(message).await?,
+                QueueItem::Flush(done) => {
                     let number = self.ping().await?;
                     self.flushes.push((number, done));
                 }
--- a/crates/store/src/transport.rs
+++ b/crates/store/src/transport.rs
@@ -41,7 +41,7 @@
         status: StatusCode,
         /// The answer's body.
         body: Bytes,
-        /// The time from the request to the answer's head.
+        /// The time from the request to the response head.
         head_after: Duration,
     },
     /// The request was not executed and will not be: it was refused or never sent.
