--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -317,7 +317,7 @@
 impl Refusal {
     /// Creates a refusal of a request that was not executed.
     pub fn not_run(code: Code, message: impl Into<Box<str>>) -> Self {
-        Self { code, message: message.into(), ran: Ran::No, retry_after: None, head: None }
+        Self { code, message: message.into(), ran: Executed::No, retry_after: None, head: None }
     }
 
     /// Sets the time after which a retry may succeed.
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -3,10 +3,10 @@
 //! Each frame holds one [`PeerMessage`]. Fields may only be added, with new tags, because hosts
 //! of two versions communicate during a rollout. Each group of messages has its own module.
 
+pub mod ended_programs;
 pub mod entry;
 pub mod forward;
 pub mod gossip;
-pub mod live;
 pub mod queue;
 pub mod slices;
 
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -1,4 +1,4 @@
-//! Sending a call to a target once, and what is known after it.
+//! Sends a call to a target once, and determines whether the target may have run it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use crate::host::Shared;
 use crate::places::Place;
 
-/// An answer's head, whose body is still to come.
+/// An answer of which the head was received, and the body is still to come.
 pub(crate) struct Started {
     pub(crate) response: Response<Incoming>,
     pub(crate) head: AnswerHead,
@@ -28,52 +28,53 @@
     pub(crate) place: Place,
 }
 
-/// What is known after a call was sent.
-pub(crate) enum Sent {
-    /// The target answers.
+/// The outcome of sending a call.
+pub(crate) enum SendOutcome {
+    /// The target has begun to answer.
     Started(Box<Started>),
-    /// The call has not run at this target and never will.
+    /// The target has not run the call and never will.
     NotRun(&'static str),
-    /// It may have run.
+    /// The target may have run the call.
     Unknown {
-        /// What happened.
+        /// The failure.
         reason: &'static str,
-        /// Whether the target's process went down under it.
+        /// Whether the target's process crashed while it had the call.
         crashed: bool,
     },
 }
 
-/// What is sent.
-pub(crate) struct Sending<'a> {
+/// What to send.
+pub(crate) struct CallAttempt<'a> {
     /// The call.
     pub(crate) call: &'a Call,
-    /// Its body for the target.
+    /// The body for the target.
     pub(crate) body: Bytes,
-    /// The last event received, of a stream that is to go on.
+    /// The id of the last event that was received, if a stream is to be resumed.
     pub(crate) last_event: Option<u64>,
-    /// How long the answer's head may take.
-    pub(crate) patience: Duration,
+    /// How long to wait for the answer's head.
+    pub(crate) head_timeout: Duration,
 }
 
 /// Sends a call to the target of `place` and waits for the head of its answer.
-pub(crate) async fn send(sending: &Sending<'_>, place: Place) -> Sent {
-    let shared = &sending.call.shared;
+pub(crate) async fn send(attempt: &CallAttempt<'_>, place: Place) -> SendOutcome {
+    let shared = &attempt.call.shared;
     let key = place.key;
     let Some((id, address)) = ({
         let targets = shared.targets.borrow();
         targets.get(key).map(|t| (t.entry.id.clone(), t.entry.address))
     }) else {
-        return Sent::NotRun("the target is gone");
+        return SendOutcome::NotRun("the target is gone");
     };
 
-    // A kept connection may be closing. Then the request comes back unsent, and goes on a new one.
+    // The target may be closing an idle connection. The request then comes back unsent and is sent
+    // on another connection.
     while let Some(connection) = shared.connections.take(key) {
-        match exchange(sending, connection, &id).await {
+        match exchange(attempt, connection, &id).await {
             Exchange::Unsent => continue,
             Exchange::Answered(response, connection) => {
-                return judge(sending, place, response, connection);
+                return classify(attempt, place, response, connection);
             }
-            Exchange::Lost(reason) => return lost(sending, place, reason).await,
+            Exchange::Lost(reason) => return classify_lost(attempt, place, reason).await,
         }
     }
 
@@ -82,7 +83,7 @@
         Ok(connection) => connection,
         Err(e) => {
             place.end(Outcome::Failed);
-            return Sent::NotRun(match e {
+            return SendOutcome::NotRun(match e {
                 ConnectError::Refused => "the target refuses connections",
                 ConnectError::Silent => "the target does not answer a connect",
                 ConnectError::Broken => "the connection broke at once",
@@ -90,34 +91,34 @@
         }
     };
 
-    match exchange(sending, connection, &id).await {
+    match exchange(attempt, connection, &id).await {
         Exchange::Unsent => {
             place.end(Outcome::Failed);
-            Sent::NotRun("the connection broke before the request was sent")
+            SendOutcome::NotRun("the connection broke before the request was sent")
         }
-        Exchange::Answered(response, connection) => judge(sending, place, response, connection),
-        Exchange::Lost(reason) => lost(sending, place, reason).await,
+        Exchange::Answered(response, connection) => classify(attempt, place, response, connection),
+        Exchange::Lost(reason) => classify_lost(attempt, place, reason).await,
     }
 }
 
 enum Exchange {
-    /// Nothing was sent.
+    /// The request was not sent.
     Unsent,
-    /// The head of an answer came.
+    /// The head of an answer was received.
     Answered(Response<Incoming>, Connection),
-    /// The request was sent, and no head came.
+    /// The request was sent, but no head was received.
     Lost(&'static str),
 }
 
-async fn exchange(sending: &Sending<'_>, mut connection: Connection, target: &str) -> Exchange {
-    let call = sending.call;
+async fn exchange(attempt: &CallAttempt<'_>, mut connection: Connection, target: &str) -> Exchange {
+    let call = attempt.call;
     let outgoing = OutgoingHeaders {
         target,
         tenant: call.tenant.as_deref(),
         remaining: clock::until(call.deadline),
-        last_event: sending.last_event,
+        last_event: attempt.last_event,
     };
-    let mut req = Request::new(Full::new(sending.body.clone()));
+    let mut req = Request::new(Full::new(attempt.body.clone()));
     *req.method_mut() = call.method.clone();
     *req.headers_mut() = head::write_call(&call.headers, outgoing);
     match call.path.parse() {
@@ -125,12 +126,12 @@
         Err(_) => return Exchange::Unsent,
     }
 
-    call.sent();
-    match timeout(sending.patience, connection.sender.try_send_request(req)).await {
+    call.record_sent();
+    match timeout(attempt.head_timeout, connection.sender.try_send_request(req)).await {
         Ok(Ok(response)) => Exchange::Answered(response, connection),
         Ok(Err(mut e)) => match e.take_message() {
             Some(_) => {
-                call.not_run();
+                call.record_not_run();
                 Exchange::Unsent
             }
             None if e.error().is_parse() => Exchange::Lost("the target's answer makes no sense"),
@@ -140,36 +141,36 @@
     }
 }
 
-/// Judges the head of an answer.
-fn judge(
-    sending: &Sending<'_>,
+/// Classifies an answer by its head.
+fn classify(
+    attempt: &CallAttempt<'_>,
     place: Place,
     response: Response<Incoming>,
     connection: Connection,
-) -> Sent {
-    let request_id = &sending.call.head.request_id;
+) -> SendOutcome {
+    let request_id = &attempt.call.head.request_id;
     let head = head::read_answer(request_id, response.status(), response.headers());
 
     if head.not_run && head.matches_request {
-        sending.call.not_run();
+        attempt.call.record_not_run();
         if head.wrong_instance {
             place.end(Outcome::Failed);
-            return Sent::NotRun("another target has the address");
+            return SendOutcome::NotRun("another target has the address");
         }
         let key = place.key;
         place.end(Outcome::Shed);
-        drain(sending, key, response, connection, head.keep_alive.filter(|_| !head.closes));
-        return Sent::NotRun("the target is full");
+        drain(attempt, key, response, connection, head.keep_alive.filter(|_| !head.closes));
+        return SendOutcome::NotRun("the target is full");
     }
     if !head.matches_request {
         place.end(Outcome::Failed);
-        return Sent::Unknown { reason: "the answer is to another call", crashed: false };
+        return SendOutcome::Unknown { reason: "the answer is to another call", crashed: false };
     }
 
-    Sent::Started(Box::new(Started { response, head, connection, place }))
+    SendOutcome::Started(Box::new(Started { response, head, connection, place }))
 }
 
-/// Keeps a connection whose answer was taken whole, unless its target closes it.
+/// Returns a connection to the pool after a complete answer, unless the target closes it.
 pub(crate) fn put_back(
     shared: &Rc<Shared>,
     key: TargetKey,
@@ -180,23 +181,23 @@
         return;
     }
 
-    let (shared, keeps_for) = (Rc::clone(shared), head.keep_alive);
+    let (shared, keep_alive) = (Rc::clone(shared), head.keep_alive);
     tokio::task::spawn_local(async move {
-        shared.connections.put_back(key, connection, keeps_for).await;
+        shared.connections.put_back(key, connection, keep_alive).await;
     });
 }
 
-/// Reads a refusal's body, so that its connection can be kept.
+/// Reads the body of a refusal, so that the connection can be reused.
 fn drain(
-    sending: &Sending<'_>,
+    attempt: &CallAttempt<'_>,
     key: TargetKey,
     response: Response<Incoming>,
     connection: Connection,
     keep: Option<Duration>,
 ) {
-    /// A refusal's body is short and comes with its head.
+    /// A refusal's body is short and arrives together with its head.
     const LIMIT: Duration = Duration::from_millis(100);
-    let shared = Rc::clone(&sending.call.shared);
+    let shared = Rc::clone(&attempt.call.shared);
     let Some(keep) = keep else { return };
 
     tokio::task::spawn_local(async move {
@@ -207,18 +208,22 @@
     });
 }
 
-/// Finds out whether the target's process went down under a call whose answer was lost: then
-/// nothing listens at its address.
-async fn lost(sending: &Sending<'_>, place: Place, reason: &'static str) -> Sent {
-    let shared = &sending.call.shared;
+/// Classifies a call whose answer was lost. If nothing listens at the target's address, its process
+/// has crashed.
+async fn classify_lost(
+    attempt: &CallAttempt<'_>,
+    place: Place,
+    reason: &'static str,
+) -> SendOutcome {
+    let shared = &attempt.call.shared;
     let key = place.key;
     place.end(Outcome::Failed);
 
-    Sent::Unknown { reason, crashed: is_down(shared, key, sending.call).await }
+    SendOutcome::Unknown { reason, crashed: is_down(shared, key, attempt.call).await }
 }
 
-/// Returns whether nothing listens at the address of a target; whether it went down under the
-/// call is then found out.
+/// Returns whether nothing listens at the address of a target. If so, a background task checks
+/// whether the target crashed because of the call.
 pub(crate) async fn is_down(shared: &Rc<Shared>, key: TargetKey, call: &Call) -> bool {
     let target = {
         let targets = shared.targets.borrow();
@@ -234,36 +239,37 @@
         }
         Err(ConnectError::Refused) => {
             let request = call.head.request_id.clone();
-            let suspect = Suspect { address, zone, request, fingerprint: call.fingerprint() };
-            tokio::task::spawn_local(count_crash(Rc::clone(shared), suspect));
+            let suspected =
+                SuspectedCrash { address, zone, request, fingerprint: call.fingerprint() };
+            tokio::task::spawn_local(count_crash(Rc::clone(shared), suspected));
             true
         }
         Err(ConnectError::Silent | ConnectError::Broken) => false,
     }
 }
 
-/// A target that may have gone down under a call.
-struct Suspect {
+/// A target that may have crashed because of a call.
+struct SuspectedCrash {
     address: SocketAddr,
     zone: Box<str>,
     request: Box<str>,
     fingerprint: Fingerprint,
 }
 
-/// Counts a crash unless the target's zone is cut off.
+/// Counts a crash, unless the target's zone is partitioned off.
 ///
-/// A cut may refuse connections like the machine of a process that is gone. Without the
-/// difference, calls that were under way when a zone was cut off are barred as if they had
-/// brought its targets down. Some time later a host behind a cut is silent, while one beside a
-/// crashed target still tells its news.
-async fn count_crash(shared: Rc<Shared>, suspect: Suspect) {
-    /// Longer than news are fresh, so that hosts behind a new cut are silent; shorter than
-    /// targets take to be back.
+/// A partition may refuse connections just like the machine of a crashed process. If it counted as
+/// a crash, the calls that were running in a zone when it was partitioned off would be blocked as
+/// the cause. After a short while the two can be told apart: hosts behind a partition have become
+/// silent, while those beside a crashed target still send status updates.
+async fn count_crash(shared: Rc<Shared>, suspected: SuspectedCrash) {
+    /// Longer than a status update is valid, so that hosts behind a new partition are no longer
+    /// live. Shorter than a target takes to restart.
     const DELAY: Duration = Duration::from_millis(900);
-    let Suspect { address, zone, request, fingerprint } = suspect;
+    let SuspectedCrash { address, zone, request, fingerprint } = suspected;
     tokio::time::sleep(DELAY).await;
 
-    let in_reach = *zone == *shared.settings.zone || shared.fleet.hears_zone(&zone);
+    let in_reach = *zone == *shared.settings.zone || shared.fleet.is_zone_live(&zone);
     if !in_reach || connections::connect(address).await.is_ok() {
         info!(request = %request, target = %address, in_reach, "call: target did not go down");
         return;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,15 +1,14 @@
-//! An entry host on the users' platform: it takes any call of a caller, finds its route and
-//! target, and forwards it.
+//! An entry host on the users' platform. It accepts all calls of callers, determines the route and
+//! the target of each, and forwards it.
 //!
-//! Everything runs on one thread: a host has half a core or less, and a second thread would
-//! cost a switch for each call. Decisions are made by `camphorwalk_policy::entry`, which does no
-//! I/O; this crate carries them out.
+//! Everything runs on one thread, because a host has half a core or less and a second thread would
+//! cost a context switch for each call. Decisions are made by `camphorwalk_policy::entry`, which
+//! does no I/O; this crate carries them out.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
 
 mod answer;
-mod asks;
 mod budget;
 mod call;
 mod callers;
@@ -21,19 +20,20 @@
 mod forward;
 mod grants;
 mod host;
-mod keeping;
+mod log_sampler;
 mod manifests;
 mod metrics;
-mod news;
 mod places;
-mod plain;
 mod probes;
+mod queries;
 mod registry;
 mod retention;
+mod status_updates;
 mod store;
-mod stories;
 mod stream;
+mod turn_storage;
 mod turns;
+mod unary;
 mod watch;
 
 pub use errors::{Error, Result};
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -9,12 +9,12 @@
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use crate::dialect::{Call, Dialect};
 use crate::errors::{Error, Result};
 use crate::limits::{Access, AttemptTimeouts, Quota, RetryBudget};
 use crate::metrics::Metrics;
 use crate::operations::{self, EarlierAttempts, OnLostAnswer};
 use crate::options::{ClientOptions, RetryOptions};
+use crate::protocol::{StoreProtocol, StoreRequest};
 use crate::transport::{Attempt, Transport};
 
 /// The metric label of the operation that lists the hosts.
@@ -87,7 +87,7 @@
         };
         let inner = Inner {
             transport: Transport::new(&options)?,
-            dialect: options.dialect,
+            protocol: options.protocol,
             retry: options.retry,
             limits: Mutex::new(limits),
             metrics: Metrics::new()?,
@@ -108,7 +108,7 @@
     /// Replies `Unavailable` at once if the host's quota is used up. If the future of a write is
     /// dropped, the write's outcome is unknown, as after a lost answer.
     pub async fn run(&self, op: PlatformOp) -> PlatformReply {
-        self.run_watched(op, &|_| ()).await
+        self.run_with_progress(op, &|_| ()).await
     }
 
     /// Runs an operation like [`run`](Self::run), and calls `on_piece` for each piece of a response
@@ -122,11 +122,15 @@
     /// let client = Client::new(ClientOptions::new(nobody, "a")).unwrap();
     /// let bytes = std::sync::atomic::AtomicUsize::new(0);
     /// let watch = |so_far| bytes.store(so_far, std::sync::atomic::Ordering::Relaxed);
-    /// let reply = client.run_watched(PlatformOp::Read(vec![]), &watch).await;
+    /// let reply = client.run_with_progress(PlatformOp::Read(vec![]), &watch).await;
     /// assert_eq!((reply, bytes.into_inner()), (PlatformReply::Unavailable, 0));
     /// # });
     /// ```
-    pub async fn run_watched(&self, op: PlatformOp, on_piece: &impl Fn(usize)) -> PlatformReply {
+    pub async fn run_with_progress(
+        &self,
+        op: PlatformOp,
+        on_piece: &impl Fn(usize),
+    ) -> PlatformReply {
         let name = operations::name(&op);
         let started = Instant::now();
         let Some(call) = (self.inner.dialect.call)(&op) else {
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::options::{RetryOptions, ShareOptions};
+use crate::options::{QuotaOptions, RetryOptions};
 
 /// A token bucket.
 #[derive(Clone, Copy, Debug)]
@@ -100,7 +100,7 @@
 impl RetryBudget {
     /// Creates a full budget.
     pub(crate) fn new(options: RetryOptions) -> Self {
-        Self { ratio: options.ratio, retries: Bucket::full(options.saved) }
+        Self { ratio: options.ratio, retries: Bucket::full(options.max_saved) }
     }
 
     /// Records the first attempt of an operation.
--- a/crates/store/src/operations.rs
+++ b/crates/store/src/operations.rs
@@ -9,8 +9,8 @@
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::dialect::{Answer, Call};
 use crate::limits::Access;
+use crate::protocol::{StoreRequest, StoreResponse};
 use crate::witness::{self, Explanation};
 
 /// What to do when the answer to an attempt was lost.
@@ -114,7 +114,7 @@
         PlatformOp::Scan { table, prefix, after, limit } => {
             post("/v1/scan", &ScanRequest { table, prefix, after, limit: *limit })
         }
-        PlatformOp::PutObject(content) => Call {
+        PlatformOp::PutObject(content) => StoreRequest {
             method: Method::PUT,
             path: object_path(&ObjectName::of(content)),
             body: Bytes::copy_from_slice(content),
@@ -128,7 +128,7 @@
 }
 
 /// Returns the request for the list of hosts.
-pub(crate) fn hosts_call() -> Call {
+pub(crate) fn hosts_call() -> StoreRequest {
     get("/v1/hosts".into())
 }
 
@@ -146,7 +146,7 @@
 fn post<T: Serialize>(path: &str, body: &T) -> Call {
     let body = serde_json::to_vec(body).unwrap_or_default().into();
 
-    Call { method: Method::POST, path: path.into(), body, wait: Duration::ZERO }
+    StoreRequest { method: Method::POST, path: path.into(), body, wait: Duration::ZERO }
 }
 
 /// The response body of a transaction.
@@ -185,11 +185,11 @@
     match op {
         PlatformOp::Commit(_) => commit_answer(status, body),
         PlatformOp::Read(_) | PlatformOp::Scan { .. } => parse(status, body)
-            .map(|answer: RowsAnswer| Answer::Reply(PlatformReply::Rows(answer.rows))),
+            .map(|answer: RowsAnswer| StoreResponse::Reply(PlatformReply::Rows(answer.rows))),
         PlatformOp::PutObject(content) => status
             .is_success()
-            .then(|| Answer::Reply(PlatformReply::Stored(ObjectName::of(content)))),
-        PlatformOp::GetObject(name) => object_reply(name, status, body).map(Answer::Reply),
+            .then(|| StoreResponse::Reply(PlatformReply::Stored(ObjectName::of(content)))),
+        PlatformOp::GetObject(name) => object_reply(name, status, body).map(StoreResponse::Reply),
         PlatformOp::Snapshot { .. } | PlatformOp::Changes { .. } => None,
     }
 }
@@ -201,18 +201,20 @@
     }
 
     match serde_json::from_slice(body).ok()? {
-        CommitAnswer::Committed(version) => Some(Answer::Committed(version)),
-        CommitAnswer::Conflict(rows) => Some(Answer::Conflict(rows)),
+        CommitAnswer::Committed(version) => Some(StoreResponse::Committed(version)),
+        CommitAnswer::Conflict(rows) => Some(StoreResponse::Conflict(rows)),
     }
 }
 
 /// Returns the reply for an answer, given what is known about earlier attempts.
 pub(crate) fn reply(op: &PlatformOp, earlier: EarlierAttempts, answer: Answer) -> PlatformReply {
     match (op, answer) {
-        (PlatformOp::Commit(tx), Answer::Conflict(rows)) => conflict_reply(tx, earlier, rows),
-        (_, Answer::Conflict(rows)) => PlatformReply::Conflict(rows),
-        (_, Answer::Committed(version)) => PlatformReply::Committed(version),
-        (_, Answer::Reply(reply)) => reply,
+        (PlatformOp::Commit(tx), StoreResponse::Conflict(rows)) => {
+            conflict_reply(tx, earlier, rows)
+        }
+        (_, StoreResponse::Conflict(rows)) => PlatformReply::Conflict(rows),
+        (_, StoreResponse::Committed(version)) => PlatformReply::Committed(version),
+        (_, StoreResponse::Reply(reply)) => reply,
     }
 }
 
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::dialect::Dialect;
+use crate::protocol::StoreProtocol;
 
 /// The options of a client.
 #[derive(Clone, Debug)]
@@ -35,18 +35,18 @@
     /// ```
     /// use camphorwalk_store::ClientOptions;
     /// let options = ClientOptions::new("127.0.0.1:9000".parse().unwrap(), "a");
-    /// assert_eq!(options.retry.most_tries, 3);
+    /// assert_eq!(options.retry.max_attempts, 3);
     /// ```
     pub fn new(address: SocketAddr, zone: &str) -> Self {
         Self {
             address,
             zone: zone.into(),
             deadline: Duration::from_millis(500),
-            least_deadline: Duration::from_millis(500),
+            min_deadline: Duration::from_millis(500),
             retry: RetryOptions::default(),
-            share: ShareOptions::default(),
+            quota: QuotaOptions::default(),
             seed: 0,
-            dialect: Dialect::default(),
+            protocol: StoreProtocol::default(),
         }
     }
 }
@@ -71,11 +71,11 @@
 impl Default for RetryOptions {
     fn default() -> Self {
         Self {
-            most_tries: 3,
+            max_attempts: 3,
             ratio: 0.2,
-            saved: 10.0,
-            pause: Duration::from_millis(10),
-            window: Duration::from_secs(2),
+            max_saved: 10.0,
+            base_backoff: Duration::from_millis(10),
+            retry_window: Duration::from_secs(2),
         }
     }
 }
@@ -94,6 +94,6 @@
 impl Default for ShareOptions {
     /// The quota of a host when eleven hosts share the capacity of the platform.
     fn default() -> Self {
-        Self { reads_per_second: 180.0, writes_per_second: 30.0, saved_seconds: 2.0 }
+        Self { reads_per_second: 180.0, writes_per_second: 30.0, burst_seconds: 2.0 }
     }
 }
--- a/crates/store/src/dialect.rs
+++ b/crates/store/src/protocol.rs
@@ -10,7 +10,7 @@
 
 /// An HTTP request to the platform; each attempt sends the same one.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct StoreRequest {
     /// The method.
     pub method: Method,
     /// The path, with its query.
@@ -45,6 +45,6 @@
 impl Default for Dialect {
     /// Returns the protocol that the platform stand-in of this project implements.
     fn default() -> Self {
-        Self { call: operations::call, answer: operations::answer }
+        Self { encode_request: operations::call, decode_response: operations::answer }
     }
 }
--- a/crates/store/src/transport.rs
+++ b/crates/store/src/transport.rs
@@ -13,9 +13,9 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use tokio::time::timeout;
 
-use crate::dialect::Call;
 use crate::errors::{Error, Result};
 use crate::options::ClientOptions;
+use crate::protocol::StoreRequest;
 
 /// The header that carries the host's availability zone.
 const ZONE_HEADER: HeaderName = HeaderName::from_static("x-zone");
--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -131,7 +131,7 @@
         runtime.block_on(async {
             let platform = platform().await;
             let retry = RetryOptions {
-                pause: Duration::from_millis(1),
+                base_backoff: Duration::from_millis(1),
                 ..options(platform.address()).retry
             };
             let client_options =
--- a/crates/store/tests/long_answers.rs
+++ b/crates/store/tests/long_answers.rs
@@ -238,7 +238,7 @@
 
     let watch = |bytes| reported.lock().unwrap().push(bytes);
     let name = ObjectName::of(&object());
-    store.client().run_watched(PlatformOp::GetObject(name), &watch).await;
+    store.client().run_with_progress(PlatformOp::GetObject(name), &watch).await;
 
     let reported = reported.into_inner().unwrap();
     assert!(reported.len() > 3 && reported.is_sorted(), "{reported:?}");
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -10,7 +10,7 @@
 };
 use camphorwalk_standin::platform::{Mode, ModeSetting};
 use camphorwalk_standin::{Platform, PlatformOptions};
-use camphorwalk_store::{Client, ClientOptions, RetryOptions, ShareOptions};
+use camphorwalk_store::{Client, ClientOptions, QuotaOptions, RetryOptions};
 
 /// A timeout long enough for any answer that arrives at all.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
@@ -37,13 +37,13 @@
         deadline: TEST_TIMEOUT,
         least_deadline: TEST_TIMEOUT,
         retry: RetryOptions {
-            most_tries: 3,
+            max_attempts: 3,
             ratio: 1.0,
             saved: 100.0,
             pause: Duration::from_millis(1),
             window: TEST_TIMEOUT,
         },
-        share: ShareOptions { reads_per_second: 1e6, writes_per_second: 1e6, saved_seconds: 1.0 },
+        quota: QuotaOptions { reads_per_second: 1e6, writes_per_second: 1e6, burst_seconds: 1.0 },
         ..ClientOptions::new(address, "a")
     }
 }
