--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -128,7 +128,7 @@
     /// The program is open.
     Opened(Opened),
     /// The call completed. A repeated request gets the same reply.
-    Called(Called),
+    Called(CompletedCall),
     /// A program's state.
     View(ProgramView),
     /// A call's recorded outcome.
@@ -160,7 +160,7 @@
 
 /// A call that completed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Called {
+pub struct CompletedCall {
     /// Its number in the program, starting at 1.
     pub call: u32,
     /// The output, as JSON text.
@@ -201,7 +201,7 @@
     /// It is running or queued.
     Running,
     /// It completed.
-    Done(Called),
+    Done(CompletedCall),
     /// It failed and will not be retried.
     Failed(Refusal),
 }
@@ -228,7 +228,7 @@
 /// Whether a refused or failed call was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum Executed {
     /// It was not executed and never will be. Reported only if this is certain.
     No,
     /// It may have been executed. It is not retried.
@@ -304,7 +304,7 @@
     /// The reason as text for people.
     pub message: Box<str>,
     /// Whether the call was executed.
-    pub ran: Ran,
+    pub ran: Executed,
     /// After what time a retry may succeed.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "retry_after_ms", default, skip_serializing_if = "Option::is_none")]
@@ -327,7 +327,7 @@
     }
 
     /// Sets whether the call was executed.
-    pub fn ran(mut self, ran: Ran) -> Self {
+    pub fn ran(mut self, ran: Executed) -> Self {
         self.ran = ran;
         self
     }
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -47,10 +47,10 @@
     Drain(forward::Drain),
     /// Asks which programs have ended.
     #[prost(message, tag = "9")]
-    EndedQuery(live::EndedQuery),
+    EndedQuery(ended_programs::EndedQuery),
     /// Programs that have ended.
     #[prost(message, tag = "10")]
-    EndedPrograms(live::EndedPrograms),
+    EndedPrograms(ended_programs::EndedPrograms),
     /// The status of an entry host.
     #[prost(message, tag = "11")]
     EntryStatus(entry::EntryStatus),
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Connects and sends until the connection ends. Reports `Broken` if messages were not
+    /// Connects and sends until the connection ends. Reports `ConnectionLost` if messages were not
     /// confirmed by then.
     async fn connect_and_send(&mut self, address: SocketAddr) -> Result<EndReason> {
         let connection = self.dial(address).await?;
@@ -119,8 +119,8 @@
         let ended = sending.run(&mut self.queue).await;
 
         if !sending.is_all_confirmed() {
-            let broken = Inbound::Broken { host: self.host };
-            let _ = self.shared.inbound.send(broken).await;
+            let lost = Inbound::ConnectionLost { host: self.host };
+            let _ = self.shared.inbound.send(lost).await;
         }
         ended
     }
@@ -184,8 +184,8 @@
         for item in batch.drain(..) {
             if let QueueItem::Message(message) = item {
                 self.shared.metrics.record_dropped("unsent", 1);
-                let unsent = Inbound::Unsent { to: self.host, message };
-                let _ = self.shared.inbound.send(unsent).await;
+                let failed = Inbound::SendFailed { to: self.host, message };
+                let _ = self.shared.inbound.send(failed).await;
             }
         }
     }
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -53,7 +53,7 @@
         host: HostId,
     },
     /// A queued message was not sent and will not be.
-    Unsent {
+    SendFailed {
         /// The host that it was addressed to.
         to: HostId,
         /// The message.
@@ -61,7 +61,7 @@
     },
     /// The connection to a host broke. The latest messages, which the host had not confirmed, may
     /// or may not have arrived.
-    Broken {
+    ConnectionLost {
         /// The host.
         host: HostId,
     },
@@ -174,7 +174,7 @@
     }
 
     /// Removes a peer: closes the connection to it and drops its queued messages.
-    pub fn forget(&self, host: HostId) {
+    pub fn remove(&self, host: HostId) {
         if let Some(handle) = self.shared.lock_handles().remove(&host) {
             handle.stop.cancel();
         }
@@ -183,8 +183,8 @@
     /// Queues a message for a peer without blocking.
     ///
     /// Returns false if the message will not be sent: the peer is unknown, its queue is full, or
-    /// the message is too large. A queued message may still be lost, which [`Inbound::Unsent`] or
-    /// [`Inbound::Broken`] reports.
+    /// the message is too large. A queued message may still be lost, which [`Inbound::SendFailed`] or
+    /// [`Inbound::ConnectionLost`] reports.
     pub fn send(&self, host: HostId, message: PeerMessage) -> bool {
         let refused = match self.try_send(host, message) {
             Ok(()) => return true,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -12,7 +12,7 @@
 use crate::errors::{Error, Result};
 use crate::limits::{Access, AttemptTimeouts, Quota, RetryBudget};
 use crate::metrics::Metrics;
-use crate::operations::{self, EarlierAttempts, OnLostAnswer};
+use crate::operations::{self, EarlierAttempts, OnLostResponse};
 use crate::options::{ClientOptions, RetryOptions};
 use crate::protocol::{StoreProtocol, StoreRequest};
 use crate::transport::{Attempt, Transport};
@@ -33,8 +33,8 @@
 struct Inner {
     /// The HTTP connections.
     transport: Transport,
-    /// The protocol that encodes requests and decodes answers.
-    dialect: Dialect,
+    /// The protocol that encodes requests and decodes responses.
+    protocol: StoreProtocol,
     /// Limits on retries.
     retry: RetryOptions,
     /// The remaining quota and retry budget, and the attempt timeouts.
@@ -50,7 +50,7 @@
     quota: Quota,
     /// The retry budget.
     budget: RetryBudget,
-    /// How long an attempt waits for its answer.
+    /// How long an attempt waits for its response.
     timeouts: AttemptTimeouts,
     /// The source of the jitter between attempts.
     rng: SmallRng,
@@ -60,16 +60,16 @@
 enum Outcome {
     /// The platform answered.
     Answered {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
-        /// The answer's body.
+        /// The response's body.
         body: Bytes,
         /// What is known about the attempts before the answered one.
         earlier: EarlierAttempts,
     },
     /// No attempt was answered.
     Unanswered {
-        /// Whether the answer to any attempt was lost; if not, the platform did nothing.
+        /// Whether the response to any attempt was lost; if not, the platform did nothing.
         lost: bool,
     },
     /// No attempt was made because the quota was used up.
@@ -80,9 +80,9 @@
     /// Creates a client, which connects on its first request.
     pub fn new(options: ClientOptions) -> Result<Self> {
         let limits = Limits {
-            quota: Quota::new(options.share, Instant::now()),
+            quota: Quota::new(options.quota, Instant::now()),
             budget: RetryBudget::new(options.retry),
-            timeouts: AttemptTimeouts::new(options.least_deadline, options.deadline),
+            timeouts: AttemptTimeouts::new(options.min_deadline, options.deadline),
             rng: SmallRng::seed_from_u64(options.seed),
         };
         let inner = Inner {
@@ -106,7 +106,7 @@
     /// arrive within the deadline. A body that keeps arriving may take longer in total.
     ///
     /// Replies `Unavailable` at once if the host's quota is used up. If the future of a write is
-    /// dropped, the write's outcome is unknown, as after a lost answer.
+    /// dropped, the write's outcome is unknown, as after a lost response.
     pub async fn run(&self, op: PlatformOp) -> PlatformReply {
         self.run_with_progress(op, &|_| ()).await
     }
@@ -133,29 +133,32 @@
     ) -> PlatformReply {
         let name = operations::name(&op);
         let started = Instant::now();
-        let Some(call) = (self.inner.dialect.call)(&op) else {
+        let Some(request) = (self.inner.protocol.encode_request)(&op) else {
             tracing::error!(
                 operation = name,
                 "platform: operation not supported by the store protocol"
             );
             return PlatformReply::Unavailable;
         };
-        let (access, on_lost_answer) = (operations::access(&op), operations::on_lost_answer(&op));
+        let (access, on_lost_response) =
+            (operations::access(&op), operations::on_lost_response(&op));
 
-        let reply =
-            match self.send_with_retries(name, access, on_lost_answer, &call, on_piece).await {
-                Outcome::OverQuota => {
-                    self.inner.metrics.over_quota(name);
-                    return PlatformReply::Unavailable;
-                }
-                Outcome::Unanswered { lost } => operations::reply_without_answer(&op, lost),
-                Outcome::Answered { status, body, earlier } => {
-                    match (self.inner.dialect.answer)(&op, status, &body) {
-                        Some(answer) => operations::reply(&op, earlier, answer),
-                        None => undecodable_answer_reply(&op, earlier, status),
-                    }
+        let reply = match self
+            .send_with_retries(name, access, on_lost_response, &request, on_piece)
+            .await
+        {
+            Outcome::OverQuota => {
+                self.inner.metrics.over_quota(name);
+                return PlatformReply::Unavailable;
+            }
+            Outcome::Unanswered { lost } => operations::reply_without_response(&op, lost),
+            Outcome::Answered { status, body, earlier } => {
+                match (self.inner.protocol.decode_response)(&op, status, &body) {
+                    Some(response) => operations::reply(&op, earlier, response),
+                    None => undecodable_response_reply(&op, earlier, status),
                 }
-            };
+            }
+        };
 
         self.inner.metrics.record_operation(name, outcome_name(&reply), started.elapsed());
         reply
@@ -164,10 +167,15 @@
     /// Lists the hosts that the platform knows; the list may be out of date.
     pub async fn hosts(&self) -> Result<Vec<HostListing>> {
         let started = Instant::now();
-        let call = operations::hosts_call();
-
-        let outcome =
-            self.send_with_retries(LIST_HOSTS, Access::Read, OnLostAnswer::Resend, &call, &|_| ());
+        let request = operations::hosts_request();
+
+        let outcome = self.send_with_retries(
+            LIST_HOSTS,
+            Access::Read,
+            OnLostResponse::Resend,
+            &request,
+            &|_| (),
+        );
         let hosts = match outcome.await {
             Outcome::OverQuota => {
                 self.inner.metrics.over_quota(LIST_HOSTS);
@@ -187,8 +195,8 @@
         &self,
         name: &str,
         access: Access,
-        on_lost_answer: OnLostAnswer,
-        call: &Call,
+        on_lost_response: OnLostResponse,
+        request: &StoreRequest,
         on_piece: &impl Fn(usize),
     ) -> Outcome {
         if !self.limits().quota.take(access, Instant::now()) {
@@ -203,8 +211,8 @@
 
         loop {
             let head_timeout = self.limits().timeouts.next(lost_attempts);
-            let attempt = self.inner.transport.send(call, head_timeout, on_piece).await;
-            self.update_timeouts(&attempt, call);
+            let attempt = self.inner.transport.send(request, head_timeout, on_piece).await;
+            self.update_timeouts(&attempt, request);
 
             match attempt {
                 Attempt::Answered { status, body, .. } => {
@@ -218,7 +226,7 @@
                 }
             }
 
-            if lost && on_lost_answer == OnLostAnswer::GiveUp {
+            if lost && on_lost_response == OnLostResponse::GiveUp {
                 return Outcome::Unanswered { lost };
             }
 
@@ -232,16 +240,16 @@
         }
     }
 
-    /// Updates the attempt timeouts from an answer or a loss. Requests that wait for changes on
+    /// Updates the attempt timeouts from a response or a loss. Requests that wait for changes on
     /// the platform are left out, since their duration says nothing about its speed.
-    fn update_timeouts(&self, attempt: &Attempt, call: &Call) {
-        if !call.wait.is_zero() {
+    fn update_timeouts(&self, attempt: &Attempt, request: &StoreRequest) {
+        if !request.wait.is_zero() {
             return;
         }
 
         match attempt {
-            Attempt::Answered { head_after, .. } => {
-                self.limits().timeouts.record_answer(*head_after)
+            Attempt::Answered { head_time, .. } => {
+                self.limits().timeouts.record_response(*head_time)
             }
             Attempt::Lost { waited } => self.limits().timeouts.record_loss(*waited),
             Attempt::NotExecuted => {}
@@ -250,13 +258,15 @@
 
     /// Returns what is known about the attempts before the one that was just answered.
     ///
-    /// The retry window is checked after the answer arrived: while this process was paused, other
+    /// The retry window is checked after the response arrived: while this process was paused, other
     /// hosts may have deleted the rows that would show whether an earlier attempt took effect.
     fn earlier(&self, lost: bool, started: Instant) -> EarlierAttempts {
         match lost {
             false => EarlierAttempts::NotExecuted,
-            true if started.elapsed() > self.inner.retry.window => EarlierAttempts::LostTooLongAgo,
-            true => EarlierAttempts::AnswerLost,
+            true if started.elapsed() > self.inner.retry.retry_window => {
+                EarlierAttempts::LostTooLongAgo
+            }
+            true => EarlierAttempts::ResponseLost,
         }
     }
 
@@ -265,8 +275,8 @@
         let retry = self.inner.retry;
         let mut limits = self.limits();
 
-        if attempts >= retry.most_tries
-            || started.elapsed() > retry.window
+        if attempts >= retry.max_attempts
+            || started.elapsed() > retry.retry_window
             || !limits.budget.take()
             || !limits.quota.take(access, Instant::now())
         {
@@ -276,7 +286,7 @@
         // Jitter prevents hosts that failed at the same time from retrying at the same time.
         let jitter = limits.rng.random_range(0.5..1.5);
 
-        Some(retry.pause.mul_f64(f64::from(1 << (attempts - 1).min(10)) * jitter))
+        Some(retry.base_backoff.mul_f64(f64::from(1 << (attempts - 1).min(10)) * jitter))
     }
 
     /// Locks the limits. A poisoned lock is ignored: the limits are plain numbers, which are valid
@@ -286,16 +296,16 @@
     }
 }
 
-/// Returns the reply for an answer that cannot be decoded.
-fn undecodable_answer_reply(
+/// Returns the reply for a response that cannot be decoded.
+fn undecodable_response_reply(
     op: &PlatformOp,
     earlier: EarlierAttempts,
     status: StatusCode,
 ) -> PlatformReply {
-    tracing::warn!(%status, operation = operations::name(op), "platform: answer not understood");
+    tracing::warn!(%status, operation = operations::name(op), "platform: response not understood");
 
     // With a success status the operation may have taken effect, although the body is unreadable.
-    operations::reply_without_answer(
+    operations::reply_without_response(
         op,
         earlier != EarlierAttempts::NotExecuted || status.is_success(),
     )
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -2,11 +2,11 @@
 
 use thiserror::Error;
 
-/// Why a client could not be created, or why a request got no answer.
+/// Why a client could not be created, or why a request got no response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The platform refused, could not be reached, or did not answer in time.
+    /// The platform refused, could not be reached, or did not response in time.
     #[error("the platform is unavailable")]
     Unavailable,
     /// The host has used up its quota of reads.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! A client of the platform's store: transactions, rows, objects and the list of hosts.
 //!
 //! Each attempt has a timeout, retries are limited by a budget, and requests by the host's quota.
-//! If the answer to a write is lost, the client determines its outcome where it can and reports
+//! If the response to a write is lost, the client determines its outcome where it can and reports
 //! it as unknown otherwise. It never reports such a write as failed.
 
 #![warn(rust_2018_idioms)]
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(crate) struct Quota {
     /// The configured rates.
-    options: ShareOptions,
+    options: QuotaOptions,
     /// The reads left.
     reads: Bucket,
     /// The writes left.
@@ -63,11 +63,11 @@
 
 impl Quota {
     /// Creates a quota that is unused at `now`.
-    pub(crate) fn new(options: ShareOptions, now: Instant) -> Self {
+    pub(crate) fn new(options: QuotaOptions, now: Instant) -> Self {
         Self {
             options,
-            reads: Bucket::full(options.reads_per_second * options.saved_seconds),
-            writes: Bucket::full(options.writes_per_second * options.saved_seconds),
+            reads: Bucket::full(options.reads_per_second * options.burst_seconds),
+            writes: Bucket::full(options.writes_per_second * options.burst_seconds),
             refilled_at: now,
         }
     }
@@ -135,19 +135,20 @@
         Self { min: min.min(max), max, average: 0.0 }
     }
 
-    /// Returns the timeout of an operation's next attempt, after `lost` attempts without an answer.
+    /// Returns the timeout of an operation's next attempt, after `lost` attempts without a
+    /// response.
     pub(crate) fn next(&self, lost: u32) -> Duration {
         let average = Duration::from_secs_f64(self.average * TIMEOUT_FACTOR);
 
         average.max(self.min).saturating_mul(1 << lost.min(8)).min(self.max)
     }
 
-    /// Records the time to the response head of an answered attempt.
-    pub(crate) fn record_answer(&mut self, took: Duration) {
+    /// Records the time to the response head of a responseed attempt.
+    pub(crate) fn record_response(&mut self, took: Duration) {
         self.average += (took.as_secs_f64() - self.average) * NEWEST_SAMPLE_WEIGHT;
     }
 
-    /// Records that an attempt waited this long without an answer. This raises the average, since
+    /// Records that an attempt waited this long without a response. This raises the average, since
     /// the platform may have become slower.
     pub(crate) fn record_loss(&mut self, waited: Duration) {
         let bound = waited.as_secs_f64() / TIMEOUT_FACTOR;
--- a/crates/store/src/operations.rs
+++ b/crates/store/src/operations.rs
@@ -1,4 +1,4 @@
-//! Encodes operations as requests and interprets answers as replies.
+//! Encodes operations as requests and interprets responses as replies.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use crate::protocol::{StoreRequest, StoreResponse};
 use crate::witness::{self, Explanation};
 
-/// What to do when the answer to an attempt was lost.
+/// What to do when the response to an attempt was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OnLostAnswer {
-    /// Send the request again: this is harmless, and the second answer is as good as the first.
+pub(crate) enum OnLostResponse {
+    /// Send the request again: this is harmless, and the second response is as good as the first.
     Resend,
     /// Stop: the effect of a second request could not be told from that of the first.
     GiveUp,
@@ -27,9 +27,9 @@
 pub(crate) enum EarlierAttempts {
     /// None of them took effect, or there were none.
     NotExecuted,
-    /// The answer to one of them was lost.
-    AnswerLost,
-    /// The answer to one of them was lost, and the operation started too long ago to determine
+    /// The response to one of them was lost.
+    ResponseLost,
+    /// The response to one of them was lost, and the operation started too long ago to determine
     /// the outcome from the platform's rows.
     LostTooLongAgo,
 }
@@ -59,8 +59,8 @@
     }
 }
 
-/// Returns what to do when the answer to the operation was lost.
-pub(crate) fn on_lost_answer(op: &PlatformOp) -> OnLostAnswer {
+/// Returns what to do when the response to the operation was lost.
+pub(crate) fn on_lost_response(op: &PlatformOp) -> OnLostResponse {
     match op {
         // An object's name is the hash of its content, so a second put changes nothing. The
         // others only read.
@@ -69,16 +69,16 @@
         | PlatformOp::Scan { .. }
         | PlatformOp::GetObject(_)
         | PlatformOp::Snapshot { .. }
-        | PlatformOp::Changes { .. } => OnLostAnswer::Resend,
-        PlatformOp::Commit(tx) if tx.writes.is_empty() => OnLostAnswer::Resend,
+        | PlatformOp::Changes { .. } => OnLostResponse::Resend,
+        PlatformOp::Commit(tx) if tx.writes.is_empty() => OnLostResponse::Resend,
         // The module `witness` explains why this is safe.
-        PlatformOp::Commit(tx) if witness::has_witness(tx) => OnLostAnswer::Resend,
-        PlatformOp::Commit(_) => OnLostAnswer::GiveUp,
+        PlatformOp::Commit(tx) if witness::has_witness(tx) => OnLostResponse::Resend,
+        PlatformOp::Commit(_) => OnLostResponse::GiveUp,
     }
 }
 
 /// Returns the reply for an operation of which no attempt was answered.
-pub(crate) fn reply_without_answer(op: &PlatformOp, lost: bool) -> PlatformReply {
+pub(crate) fn reply_without_response(op: &PlatformOp, lost: bool) -> PlatformReply {
     match op {
         PlatformOp::Commit(tx) if lost && !tx.writes.is_empty() => PlatformReply::Unknown,
         PlatformOp::PutObject(_) if lost => PlatformReply::Unknown,
@@ -107,8 +107,8 @@
 }
 
 /// Encodes an operation for the stand-in's protocol, or returns `None` if it does not support it.
-pub(crate) fn call(op: &PlatformOp) -> Option<Call> {
-    let call = match op {
+pub(crate) fn encode_request(op: &PlatformOp) -> Option<StoreRequest> {
+    let request = match op {
         PlatformOp::Commit(tx) => post("/v1/tx", tx),
         PlatformOp::Read(keys) => post("/v1/read", &ReadRequest { keys }),
         PlatformOp::Scan { table, prefix, after, limit } => {
@@ -124,11 +124,11 @@
         PlatformOp::Snapshot { .. } | PlatformOp::Changes { .. } => return None,
     };
 
-    Some(call)
+    Some(request)
 }
 
 /// Returns the request for the list of hosts.
-pub(crate) fn hosts_call() -> StoreRequest {
+pub(crate) fn hosts_request() -> StoreRequest {
     get("/v1/hosts".into())
 }
 
@@ -138,12 +138,12 @@
 }
 
 /// Creates a GET request.
-fn get(path: Box<str>) -> Call {
-    Call { method: Method::GET, path, body: Bytes::new(), wait: Duration::ZERO }
+fn get(path: Box<str>) -> StoreRequest {
+    StoreRequest { method: Method::GET, path, body: Bytes::new(), wait: Duration::ZERO }
 }
 
 /// Creates a POST request with a JSON body. Serializing the types used here cannot fail.
-fn post<T: Serialize>(path: &str, body: &T) -> Call {
+fn post<T: Serialize>(path: &str, body: &T) -> StoreRequest {
     let body = serde_json::to_vec(body).unwrap_or_default().into();
 
     StoreRequest { method: Method::POST, path: path.into(), body, wait: Duration::ZERO }
@@ -152,7 +152,7 @@
 /// The response body of a transaction.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum CommitAnswer {
+enum CommitResponse {
     /// The transaction committed with this version.
     Committed(RowVersion),
     /// The transaction failed: these checked rows have other versions than expected.
@@ -161,31 +161,35 @@
 
 /// The response body of a read or scan.
 #[derive(Debug, Deserialize)]
-struct RowsAnswer {
+struct RowsResponse {
     /// The rows, in key order.
     rows: Vec<Row>,
 }
 
 /// The response body of the list of hosts.
 #[derive(Debug, Deserialize)]
-struct HostsAnswer {
+struct HostsResponse {
     /// The hosts.
     hosts: Vec<HostListing>,
 }
 
-/// Decodes the list of hosts; `None` if the answer cannot be decoded.
+/// Decodes the list of hosts; `None` if the response cannot be decoded.
 pub(crate) fn read_hosts(status: StatusCode, body: &Bytes) -> Option<Vec<HostListing>> {
-    let answer: HostsAnswer = parse(status, body)?;
+    let response: HostsResponse = parse(status, body)?;
 
-    Some(answer.hosts)
+    Some(response.hosts)
 }
 
-/// Decodes an answer in the stand-in's protocol; `None` if it is malformed or unexpected.
-pub(crate) fn answer(op: &PlatformOp, status: StatusCode, body: &Bytes) -> Option<Answer> {
+/// Decodes a response in the stand-in's protocol; `None` if it is malformed or unexpected.
+pub(crate) fn decode_response(
+    op: &PlatformOp,
+    status: StatusCode,
+    body: &Bytes,
+) -> Option<StoreResponse> {
     match op {
-        PlatformOp::Commit(_) => commit_answer(status, body),
+        PlatformOp::Commit(_) => commit_response(status, body),
         PlatformOp::Read(_) | PlatformOp::Scan { .. } => parse(status, body)
-            .map(|answer: RowsAnswer| StoreResponse::Reply(PlatformReply::Rows(answer.rows))),
+            .map(|response: RowsResponse| StoreResponse::Reply(PlatformReply::Rows(response.rows))),
         PlatformOp::PutObject(content) => status
             .is_success()
             .then(|| StoreResponse::Reply(PlatformReply::Stored(ObjectName::of(content)))),
@@ -194,21 +198,25 @@
     }
 }
 
-/// Decodes the answer to a transaction.
-fn commit_answer(status: StatusCode, body: &Bytes) -> Option<Answer> {
+/// Decodes the response to a transaction.
+fn commit_response(status: StatusCode, body: &Bytes) -> Option<StoreResponse> {
     if status != StatusCode::OK && status != StatusCode::CONFLICT {
         return None;
     }
 
     match serde_json::from_slice(body).ok()? {
-        CommitAnswer::Committed(version) => Some(StoreResponse::Committed(version)),
-        CommitAnswer::Conflict(rows) => Some(StoreResponse::Conflict(rows)),
+        CommitResponse::Committed(version) => Some(StoreResponse::Committed(version)),
+        CommitResponse::Conflict(rows) => Some(StoreResponse::Conflict(rows)),
     }
 }
 
-/// Returns the reply for an answer, given what is known about earlier attempts.
-pub(crate) fn reply(op: &PlatformOp, earlier: EarlierAttempts, answer: Answer) -> PlatformReply {
-    match (op, answer) {
+/// Returns the reply for a response, given what is known about earlier attempts.
+pub(crate) fn reply(
+    op: &PlatformOp,
+    earlier: EarlierAttempts,
+    response: StoreResponse,
+) -> PlatformReply {
+    match (op, response) {
         (PlatformOp::Commit(tx), StoreResponse::Conflict(rows)) => {
             conflict_reply(tx, earlier, rows)
         }
@@ -225,7 +233,7 @@
         // Without writes, an earlier attempt cannot be the cause of the conflict.
         _ if tx.writes.is_empty() => Explanation::NotCommitted,
         EarlierAttempts::NotExecuted => Explanation::NotCommitted,
-        EarlierAttempts::AnswerLost => witness::explain(tx, &rows),
+        EarlierAttempts::ResponseLost => witness::explain(tx, &rows),
         EarlierAttempts::LostTooLongAgo => Explanation::Undetermined,
     };
 
@@ -236,7 +244,7 @@
     }
 }
 
-/// Decodes the answer to reading an object.
+/// Decodes the response to reading an object.
 fn object_reply(name: &ObjectName, status: StatusCode, body: &Bytes) -> Option<PlatformReply> {
     if status == StatusCode::NOT_FOUND {
         return Some(PlatformReply::Object(None));
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -16,17 +16,17 @@
     /// A whole body may take ten times as long, and an operation may make several attempts.
     pub deadline: Duration,
     /// The shortest wait of an attempt for the response head. The wait is a multiple of the recent
-    /// average, between this and `deadline`, and doubles after each lost answer. With a value
-    /// below `deadline`, a lost answer costs an operation milliseconds instead of the deadline.
-    pub least_deadline: Duration,
+    /// average, between this and `deadline`, and doubles after each lost response. With a value
+    /// below `deadline`, a lost response costs an operation milliseconds instead of the deadline.
+    pub min_deadline: Duration,
     /// Limits on retries.
     pub retry: RetryOptions,
     /// The host's request quota.
-    pub share: ShareOptions,
+    pub quota: QuotaOptions,
     /// The seed of the jitter between attempts.
     pub seed: u64,
     /// The protocol of the platform.
-    pub dialect: Dialect,
+    pub protocol: StoreProtocol,
 }
 
 impl ClientOptions {
@@ -55,17 +55,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryOptions {
     /// The most attempts of one operation, including the first.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// How many retries each first attempt adds to the budget, which all operations share.
     pub ratio: f64,
     /// The capacity of the retry budget, which starts full.
-    pub saved: f64,
+    pub max_saved: f64,
     /// The mean pause before the first retry. It doubles with each further retry.
-    pub pause: Duration,
+    pub base_backoff: Duration,
     /// How long after its first attempt an operation may be retried, and a conflict may be used to
-    /// determine the outcome of an attempt whose answer was lost. Rows that were written with the
+    /// determine the outcome of an attempt whose response was lost. Rows that were written with the
     /// condition that they are absent must stay unchanged for longer than this.
-    pub window: Duration,
+    pub retry_window: Duration,
 }
 
 impl Default for RetryOptions {
@@ -82,16 +82,16 @@
 
 /// A host's request quota at the platform, as configured by the operators.
 #[derive(Clone, Copy, Debug)]
-pub struct ShareOptions {
+pub struct QuotaOptions {
     /// Reads, scans, object reads and host lists per second.
     pub reads_per_second: f64,
     /// Transactions and object writes per second.
     pub writes_per_second: f64,
     /// How many seconds' worth of unused quota is kept for bursts.
-    pub saved_seconds: f64,
+    pub burst_seconds: f64,
 }
 
-impl Default for ShareOptions {
+impl Default for QuotaOptions {
     /// The quota of a host when eleven hosts share the capacity of the platform.
     fn default() -> Self {
         Self { reads_per_second: 180.0, writes_per_second: 30.0, burst_seconds: 2.0 }
--- a/crates/store/src/protocol.rs
+++ b/crates/store/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol between the client and a platform: encoding of requests, decoding of answers.
+//! The protocol between the client and a platform: encoding of requests, decoding of responses.
 
 use std::time::Duration;
 
@@ -22,9 +22,9 @@
     pub wait: Duration,
 }
 
-/// A decoded answer, not yet interpreted in the light of earlier attempts.
+/// A decoded response, not yet interpreted in the light of earlier attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum StoreResponse {
     /// The transaction committed with this version.
     Committed(RowVersion),
     /// The transaction failed: these checked rows have other versions than expected.
@@ -35,16 +35,19 @@
 
 /// The encoding and decoding functions for one kind of platform.
 #[derive(Clone, Copy, Debug)]
-pub struct Dialect {
+pub struct StoreProtocol {
     /// Encodes an operation; `None` if the platform does not support it.
-    pub call: fn(&PlatformOp) -> Option<Call>,
-    /// Decodes an answer; `None` if it is malformed or unexpected.
-    pub answer: fn(&PlatformOp, StatusCode, &Bytes) -> Option<Answer>,
+    pub encode_request: fn(&PlatformOp) -> Option<StoreRequest>,
+    /// Decodes a response; `None` if it is malformed or unexpected.
+    pub decode_response: fn(&PlatformOp, StatusCode, &Bytes) -> Option<StoreResponse>,
 }
 
-impl Default for Dialect {
+impl Default for StoreProtocol {
     /// Returns the protocol that the platform stand-in of this project implements.
     fn default() -> Self {
-        Self { encode_request: operations::call, decode_response: operations::answer }
+        Self {
+            encode_request: operations::encode_request,
+            decode_response: operations::decode_response,
+        }
     }
 }
--- a/crates/store/src/transport.rs
+++ b/crates/store/src/transport.rs
@@ -21,13 +21,13 @@
 const ZONE_HEADER: HeaderName = HeaderName::from_static("x-zone");
 
 /// The largest response body that is accepted, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// How long an idle connection is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The longest time for a whole response body, as a multiple of the deadline of one piece.
-const DEADLINES_PER_ANSWER: u32 = 10;
+const DEADLINES_PER_RESPONSE: u32 = 10;
 
 /// How long to wait after a timeout for data that arrived while the process was paused.
 const PAUSED_GRACE: Duration = Duration::from_millis(5);
@@ -37,18 +37,18 @@
 pub(crate) enum Attempt {
     /// The platform answered.
     Answered {
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
-        /// The answer's body.
+        /// The response's body.
         body: Bytes,
         /// The time from the request to the response head.
-        head_after: Duration,
+        head_time: Duration,
     },
     /// The request was not executed and will not be: it was refused or never sent.
     NotExecuted,
-    /// The answer was lost: the request may have been executed or may be executed later.
+    /// The response was lost: the request may have been executed or may be executed later.
     Lost {
-        /// How long the attempt waited for the next part of the answer.
+        /// How long the attempt waited for the next part of the response.
         waited: Duration,
     },
 }
@@ -91,55 +91,55 @@
     /// piece calls `on_piece` with the number of body bytes received so far.
     ///
     /// The timeout applies to each piece rather than the whole body, because a total suited to
-    /// short answers would abort long ones on slow links, which then restart from the beginning.
+    /// short responses would abort long ones on slow links, which then restart from the beginning.
     pub(crate) async fn send(
         &self,
-        call: &Call,
+        request: &StoreRequest,
         head_timeout: Duration,
         on_piece: &impl Fn(usize),
     ) -> Attempt {
-        let Some(req) = self.request(call) else {
+        let Some(req) = self.http_request(request) else {
             return Attempt::NotExecuted;
         };
         let sent_at = Instant::now();
 
         // On a timeout the request may still be in flight, so its outcome is unknown.
         let response =
-            match timeout_with_grace(head_timeout + call.wait, self.client.request(req)).await {
+            match timeout_with_grace(head_timeout + request.wait, self.client.request(req)).await {
                 Some(Ok(response)) => response,
                 Some(Err(error)) if error.is_connect() => return Attempt::NotExecuted,
                 Some(Err(_)) | None => return Attempt::Lost { waited: sent_at.elapsed() },
             };
-        let (status, head_after) = (response.status(), sent_at.elapsed());
+        let (status, head_time) = (response.status(), sent_at.elapsed());
 
         if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
             return Attempt::NotExecuted;
         }
         if status.is_server_error() {
-            return Attempt::Lost { waited: head_after };
+            return Attempt::Lost { waited: head_time };
         }
 
         match read_body(response.into_body(), self.deadline, on_piece).await {
-            Ok(body) => Attempt::Answered { status, body, head_after },
+            Ok(body) => Attempt::Answered { status, body, head_time },
             Err(waited) => Attempt::Lost { waited },
         }
     }
 
     /// Builds the HTTP request.
-    fn request(&self, call: &Call) -> Option<Request<Full<Bytes>>> {
+    fn http_request(&self, request: &StoreRequest) -> Option<Request<Full<Bytes>>> {
         let uri = Uri::builder()
             .scheme("http")
             .authority(self.address.to_string())
-            .path_and_query(&*call.path)
+            .path_and_query(&*request.path)
             .build()
             .ok()?;
 
         Request::builder()
-            .method(&call.method)
+            .method(&request.method)
             .uri(uri)
             .header(ZONE_HEADER, &self.zone)
             .header(CONTENT_TYPE, "application/json")
-            .body(Full::new(call.body.clone()))
+            .body(Full::new(request.body.clone()))
             .ok()
     }
 }
@@ -154,9 +154,9 @@
     B: BodyExt<Data = Bytes> + Unpin,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    let mut body = Limited::new(body, MAX_ANSWER_BYTES);
+    let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
     let mut buf = BytesMut::new();
-    let body_deadline = Instant::now() + deadline * DEADLINES_PER_ANSWER;
+    let body_deadline = Instant::now() + deadline * DEADLINES_PER_RESPONSE;
 
     loop {
         let started = Instant::now();
@@ -174,7 +174,7 @@
             None => "silence".into(),
         };
         let waited = started.elapsed();
-        tracing::info!(%error, bytes = buf.len(), ?waited, "platform: answer incomplete");
+        tracing::info!(%error, bytes = buf.len(), ?waited, "platform: response incomplete");
         return Err(waited);
     }
 }
--- a/crates/store/src/witness.rs
+++ b/crates/store/src/witness.rs
@@ -1,7 +1,7 @@
-//! Determines whether a transaction took effect when its answer was lost.
+//! Determines whether a transaction took effect when its response was lost.
 //!
 //! A *witness* is a row that a transaction both writes and requires to be absent before. Its
-//! value identifies the writer, for example by the id of an attempt or a session. If the answer
+//! value identifies the writer, for example by the id of an attempt or a session. If the response
 //! to a transaction with a witness is lost, the client sends the transaction again. If the
 //! second request conflicts, the conflicting rows show whether the first one took effect (see
 //! [`explain`]).
@@ -12,7 +12,7 @@
 //!
 //! This requires that a witness stays unchanged while a request may still be in flight or a
 //! conflict may still be explained. The client does neither after
-//! [`RetryOptions::window`](crate::RetryOptions), even if its process was paused for longer.
+//! [`RetryOptions::retry_window`](crate::RetryOptions), even if its process was paused for longer.
 //! Code that deletes or changes witnesses has to wait longer than that window.
 
 use camphorwalk_core::platform::{Check, Row, RowVersion, Transaction, Write};
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,4 +1,4 @@
-//! Tests the client against a platform that answers, refuses or is unreachable.
+//! Tests the client against a platform that responses, refuses or is unreachable.
 
 mod support;
 
@@ -61,7 +61,7 @@
 }
 
 /// Guards against corrupted object content being used as a program's history. The reply must be
-/// the same as without an answer.
+/// the same as without a response.
 #[tokio::test]
 async fn a_corrupted_object_is_rejected() {
     let platform = platform().await;
--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Runs random transactions against a platform that randomly refuses requests, drops answers and
+//! Runs random transactions against a platform that randomly refuses requests, drops responses and
 //! delays execution.
 //!
 //! The expected result is the content of the platform after every delayed request has run. Each
@@ -27,7 +27,7 @@
 /// The deadline of an attempt: longer than some delays and shorter than others.
 const DEADLINE: Duration = Duration::from_millis(20);
 
-/// The longest delay of an answer, in milliseconds.
+/// The longest delay of a response, in milliseconds.
 const MAX_DELAY_MS: u64 = 40;
 
 /// A transaction, and how the platform treats its attempts.
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn replies_match_the_stored_rows_despite_lost_and_late_answers() {
+fn replies_match_the_stored_rows_despite_lost_and_late_responses() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
--- a/crates/store/tests/long_answers.rs
+++ b/crates/store/tests/long_answers.rs
@@ -1,4 +1,4 @@
-//! Tests the client against a platform that sends long answers slowly.
+//! Tests the client against a platform that sends long responses slowly.
 
 mod support;
 
@@ -16,13 +16,13 @@
 
 use support::{TEST_TIMEOUT, any_port, options};
 
-/// The pause between two pieces of an answer.
+/// The pause between two pieces of a response.
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// How long a client waits for each piece.
 const PIECE_DEADLINE: Duration = Duration::from_millis(200);
 
-/// The number of pieces of an answer. Sending them all takes several times the deadline.
+/// The number of pieces of a response. Sending them all takes several times the deadline.
 const PIECES: usize = 40;
 
 /// The content of a piece.
@@ -35,7 +35,7 @@
     Stop,
 }
 
-/// The number of pieces of an answer that takes far longer than any answer may.
+/// The number of pieces of a response that takes far longer than any response may.
 const ENDLESS_PIECES: usize = 100_000;
 
 /// A server with one long object, which it sends in pieces.
@@ -45,8 +45,8 @@
 }
 
 impl SlowStore {
-    /// Starts a store that sends complete answers to its first `complete` requests, and stops in
-    /// the middle of the answers to all others.
+    /// Starts a store that sends complete responses to its first `complete` requests, and stops in
+    /// the middle of the responses to all others.
     async fn start(complete: usize) -> Self {
         let listener = TcpListener::bind(any_port()).await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -84,11 +84,11 @@
     /// Creates a client that makes one attempt and waits [`PIECE_DEADLINE`] for each piece.
     fn client(&self) -> Client {
         let defaults = options(self.address);
-        let retry = RetryOptions { most_tries: 1, ..defaults.retry };
+        let retry = RetryOptions { max_attempts: 1, ..defaults.retry };
 
         Client::new(ClientOptions {
             deadline: PIECE_DEADLINE,
-            least_deadline: PIECE_DEADLINE,
+            min_deadline: PIECE_DEADLINE,
             retry,
             ..defaults
         })
@@ -114,7 +114,7 @@
     }
 }
 
-/// Starts a store whose answer takes far longer than any answer may.
+/// Starts a store whose response takes far longer than any response may.
 async fn start_endless() -> SlowStore {
     let listener = TcpListener::bind(any_port()).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -155,10 +155,10 @@
     client.run(PlatformOp::GetObject(ObjectName::of(&object()))).await
 }
 
-/// Guards against aborting a long answer that arrives steadily, and requesting it again from its
+/// Guards against aborting a long response that arrives steadily, and requesting it again from its
 /// start.
 #[tokio::test]
-async fn a_long_answer_that_keeps_arriving_is_not_aborted() {
+async fn a_long_response_that_keeps_arriving_is_not_aborted() {
     let store = SlowStore::start(usize::MAX).await;
     let client = Client::new(ClientOptions { deadline: PIECE_DEADLINE, ..options(store.address) });
 
@@ -168,9 +168,9 @@
     assert_eq!(reply, PlatformReply::Object(Some(object())));
 }
 
-/// Guards against waiting indefinitely for the rest of an answer that stopped.
+/// Guards against waiting indefinitely for the rest of a response that stopped.
 #[tokio::test]
-async fn an_answer_that_stops_in_the_middle_is_aborted_within_the_deadline() {
+async fn a_response_that_stops_in_the_middle_is_aborted_within_the_deadline() {
     let store = SlowStore::start(0).await;
     let began = Instant::now();
 
@@ -181,10 +181,10 @@
     assert!(began.elapsed() < max, "{:?} of {max:?}", began.elapsed());
 }
 
-/// Guards against long answers raising the timeout, which would delay the detection of the next
-/// lost answer. Only the time to the response head may count.
+/// Guards against long responses raising the timeout, which would delay the detection of the next
+/// lost response. Only the time to the response head may count.
 #[tokio::test]
-async fn long_answers_do_not_raise_the_timeout() {
+async fn long_responses_do_not_raise_the_timeout() {
     let store = SlowStore::start(5).await;
     let client = store.client();
     for _ in 0..5 {
@@ -199,7 +199,7 @@
     assert!(began.elapsed() < max, "{:?} of {max:?}", began.elapsed());
 }
 
-/// Guards against aborting an answer because the process was paused while it arrived.
+/// Guards against aborting a response because the process was paused while it arrived.
 #[tokio::test]
 async fn data_that_arrives_while_the_process_is_paused_is_accepted() {
     let store = SlowStore::start_on_own_thread();
@@ -218,9 +218,9 @@
     assert_eq!(reply, PlatformReply::Object(Some(object())));
 }
 
-/// Guards against an operation that never ends because its answer keeps arriving slowly.
+/// Guards against an operation that never ends because its response keeps arriving slowly.
 #[tokio::test]
-async fn an_answer_that_arrives_too_slowly_is_aborted() {
+async fn a_response_that_arrives_too_slowly_is_aborted() {
     let store = start_endless().await;
     let began = Instant::now();
 
@@ -232,7 +232,7 @@
 
 /// Guards against a long transfer without progress reports to the caller.
 #[tokio::test]
-async fn each_piece_of_an_answer_is_reported() {
+async fn each_piece_of_a_response_is_reported() {
     let store = SlowStore::start(1).await;
     let reported = std::sync::Mutex::new(Vec::new());
 
--- a/crates/store/tests/lost_answers.rs
+++ b/crates/store/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Tests the client against a platform whose answers are lost or late.
+//! Tests the client against a platform whose responses are lost or late.
 
 mod support;
 
@@ -13,7 +13,7 @@
     two_witnesses, unconditional, witnessed, write,
 };
 
-/// The platform commits and its answer is lost. The second request conflicts with the first
+/// The platform commits and its response is lost. The second request conflicts with the first
 /// one's row, which shows that the transaction committed.
 #[tokio::test]
 async fn a_lost_commit_is_detected_by_its_witness() {
@@ -28,7 +28,7 @@
     assert_eq!(platform.stats().rows_written, 1);
 }
 
-/// The platform commits and its answer is lost, but no row identifies the writer. A second
+/// The platform commits and its response is lost, but no row identifies the writer. A second
 /// request could execute the write twice, so the client must report it as unknown.
 #[tokio::test]
 async fn a_lost_commit_without_a_witness_is_unknown() {
@@ -42,7 +42,7 @@
     assert_eq!(platform.stats().transactions, 1);
 }
 
-/// The answer to a conflicting transaction is lost. The second request conflicts with another
+/// The response to a conflicting transaction is lost. The second request conflicts with another
 /// writer's row, which must not be mistaken for the transaction's own.
 #[tokio::test]
 async fn a_lost_conflict_stays_a_conflict() {
@@ -56,7 +56,7 @@
     assert_eq!(reply, PlatformReply::Conflict(vec![row(&client, "entry/1").await.unwrap()]));
 }
 
-/// A former holder writes under a lease that another host has taken over, and the first answer
+/// A former holder writes under a lease that another host has taken over, and the first response
 /// is lost. The second request conflicts on the lease and the witness is missing. No request can
 /// commit any more, since the lease never returns to its old version: this is a conflict.
 #[tokio::test]
@@ -75,7 +75,7 @@
     assert_eq!(row(&client, "entry/1").await, None);
 }
 
-/// The answer to a transaction with several new rows is lost. The rows all have the same version,
+/// The response to a transaction with several new rows is lost. The rows all have the same version,
 /// which is that of the transaction.
 #[tokio::test]
 async fn a_lost_commit_is_detected_by_all_its_rows() {
@@ -88,7 +88,7 @@
     assert_eq!(reply, PlatformReply::Committed(RowVersion(1)));
 }
 
-/// A host took lease 1 without knowing it. It now takes leases 1 and 2, and the first answer is
+/// A host took lease 1 without knowing it. It now takes leases 1 and 2, and the first response is
 /// lost. The second request finds lease 1 with the value that the host writes. This must not
 /// count for both leases, or the host would act as a second holder of lease 2.
 #[tokio::test]
@@ -126,7 +126,7 @@
     assert_eq!(reply, PlatformReply::Unknown);
 }
 
-/// The host is paused between the lost answer and the second request, and other hosts may have
+/// The host is paused between the lost response and the second request, and other hosts may have
 /// deleted the witness meanwhile. After the retry window, the client must not conclude anything
 /// from the conflict.
 #[tokio::test]
@@ -134,7 +134,7 @@
     let platform = platform().await;
     let defaults = options(platform.address());
     let pause = Duration::from_millis(400);
-    let retry = RetryOptions { window: pause / 4, pause, ..defaults.retry };
+    let retry = RetryOptions { retry_window: pause / 4, base_backoff: pause, ..defaults.retry };
     let client = Client::new(ClientOptions { retry, ..defaults }).unwrap();
     set_next_mode(&platform, Mode::DropAnswers, 1);
 
@@ -147,7 +147,7 @@
 async fn after_the_window_nothing_is_sent_again() {
     let platform = platform().await;
     let defaults = options(platform.address());
-    let retry = RetryOptions { window: Duration::ZERO, ..defaults.retry };
+    let retry = RetryOptions { retry_window: Duration::ZERO, ..defaults.retry };
     let client = Client::new(ClientOptions { retry, ..defaults }).unwrap();
     set_next_mode(&platform, Mode::DropAnswers, 1);
 
@@ -176,10 +176,10 @@
     assert_eq!(platform.stats().rows_written, 1);
 }
 
-/// The answer to the first request is lost and the platform refuses all later ones. The refusals
+/// The response to the first request is lost and the platform refuses all later ones. The refusals
 /// say nothing about the first request, which may have committed.
 #[tokio::test]
-async fn a_refusal_after_a_lost_answer_is_unknown() {
+async fn a_refusal_after_a_lost_response_is_unknown() {
     let platform = platform().await;
     let client_with_short_deadline = client_with_short_deadline(&platform);
     platform.set_mode(ModeSetting::all(Mode::Refuse));
@@ -190,7 +190,7 @@
     assert_eq!(reply, PlatformReply::Unknown);
 }
 
-/// A read without an answer has no effect, so it is reported as unavailable rather than unknown.
+/// A read without a response has no effect, so it is reported as unavailable rather than unknown.
 #[tokio::test]
 async fn a_read_that_is_not_answered_is_unavailable() {
     let platform = platform().await;
@@ -205,7 +205,7 @@
     assert_eq!(checked, PlatformReply::Unavailable);
 }
 
-/// The answer to putting an object is lost. Its name is the hash of its content, so it is safe to
+/// The response to putting an object is lost. Its name is the hash of its content, so it is safe to
 /// put it again.
 #[tokio::test]
 async fn a_lost_put_is_sent_again() {
--- a/crates/store/tests/support/mod.rs
+++ b/crates/store/tests/support/mod.rs
@@ -12,10 +12,10 @@
 use camphorwalk_standin::{Platform, PlatformOptions};
 use camphorwalk_store::{Client, ClientOptions, QuotaOptions, RetryOptions};
 
-/// A timeout long enough for any answer that arrives at all.
+/// A timeout long enough for any response that arrives at all.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A deadline so short that answers delayed by [`LATE`] always miss it.
+/// A deadline so short that responses delayed by [`LATE`] always miss it.
 pub const SHORT_DEADLINE: Duration = Duration::from_millis(100);
 
 /// A delay longer than [`SHORT_DEADLINE`].
@@ -35,13 +35,13 @@
 pub fn options(address: SocketAddr) -> ClientOptions {
     ClientOptions {
         deadline: TEST_TIMEOUT,
-        least_deadline: TEST_TIMEOUT,
+        min_deadline: TEST_TIMEOUT,
         retry: RetryOptions {
             max_attempts: 3,
             ratio: 1.0,
-            saved: 100.0,
-            pause: Duration::from_millis(1),
-            window: TEST_TIMEOUT,
+            max_saved: 100.0,
+            base_backoff: Duration::from_millis(1),
+            retry_window: TEST_TIMEOUT,
         },
         quota: QuotaOptions { reads_per_second: 1e6, writes_per_second: 1e6, burst_seconds: 1.0 },
         ..ClientOptions::new(address, "a")
