--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -70,9 +70,10 @@
 
 /// A transaction. If all checks hold, all writes take effect; otherwise none does.
 ///
-/// To find out whether a transaction took effect although its response was lost, a writer includes a
-/// row that only this transaction can have written, and checks that the row is absent. The same
-/// transaction can then safely be sent again, and after a conflict that row shows the outcome.
+/// To find out whether a transaction took effect although its response was lost, a writer
+/// includes a row that only this transaction can have written, and checks that the row is absent.
+/// The same transaction can then safely be sent again, and after a conflict that row shows the
+/// outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Transaction {
@@ -189,8 +190,8 @@
     Object(Option<Box<[u8]>>),
     /// The operation was certainly not executed: the platform refused it, or it was never sent.
     Unavailable,
-    /// The response to the write was lost, so it may have taken effect or may do so later. This must
-    /// never be treated as a failure.
+    /// The response to the write was lost, so it may have taken effect or may do so later. This
+    /// must never be treated as a failure.
     Unknown,
 }
 
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -183,8 +183,8 @@
     /// Queues a message for a peer without blocking.
     ///
     /// Returns false if the message will not be sent: the peer is unknown, its queue is full, or
-    /// the message is too large. A queued message may still be lost, which [`Inbound::SendFailed`] or
-    /// [`Inbound::ConnectionLost`] reports.
+    /// the message is too large. A queued message may still be lost, which
+    /// [`Inbound::SendFailed`] or [`Inbound::ConnectionLost`] reports.
     pub fn send(&self, host: HostId, message: PeerMessage) -> bool {
         let refused = match self.try_send(host, message) {
             Ok(()) => return true,
--- a/crates/peer/tests/silence.rs
+++ b/crates/peer/tests/silence.rs
@@ -117,8 +117,8 @@
 }
 
 // The connection breaks after a message was written and before the peer confirmed it. The message
-// may have arrived, so it must not be returned as unsent. `ConnectionLost` must report the uncertainty, so
-// that the sender does not wait for a reply that may never come.
+// may have arrived, so it must not be returned as unsent. `ConnectionLost` must report the
+// uncertainty, so that the sender does not wait for a reply that may never come.
 #[tokio::test]
 async fn a_break_with_unconfirmed_messages_is_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -134,7 +134,8 @@
     assert_eq!(one.count("dropped_total", "unsent"), 0);
 }
 
-// The peer confirmed all messages before its connection ended, so `ConnectionLost` must not be reported.
+// The peer confirmed all messages before its connection ended, so `ConnectionLost` must not be
+// reported.
 #[tokio::test]
 async fn a_break_after_confirmation_is_not_reported() {
     let mut two = start(options("host-2")).await;
--- a/crates/store/tests/lost_answers.rs
+++ b/crates/store/tests/lost_answers.rs
@@ -133,8 +133,8 @@
 async fn after_the_window_a_conflict_is_unknown() {
     let platform = platform().await;
     let defaults = options(platform.address());
-    let pause = Duration::from_millis(400);
-    let retry = RetryOptions { retry_window: pause / 4, base_backoff: pause, ..defaults.retry };
+    let base_backoff = Duration::from_millis(400);
+    let retry = RetryOptions { retry_window: base_backoff / 4, base_backoff, ..defaults.retry };
     let client = Client::new(ClientOptions { retry, ..defaults }).unwrap();
     set_next_mode(&platform, Mode::DropAnswers, 1);
 
