--- a/crates/store/src/protocol.rs
+++ b/crates/store/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How operations are put to a platform, and what its answers say.
+//! The protocol between the client and a platform: encoding of requests, decoding of responses.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::operations;
 
-/// A request to the platform, as it is sent at each try.
+/// An HTTP request to the platform; each attempt sends the same one.
 #[derive(Clone, Debug)]
 pub struct StoreRequest {
     /// The method.
@@ -17,34 +17,37 @@
     pub path: Box<str>,
     /// The body.
     pub body: Bytes,
-    /// How long the platform was asked to wait for changes; the answer's head is waited for that
-    /// much longer.
+    /// How long the request asks the platform to wait for changes. Added to the timeout for the
+    /// response head.
     pub wait: Duration,
 }
 
-/// What one answer says, whatever became of earlier tries.
+/// A decoded response, not yet interpreted in the light of earlier attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreResponse {
-    /// The transaction took effect with this version.
+    /// The transaction committed with this version.
     Committed(RowVersion),
-    /// These checked rows stand differently.
+    /// The transaction failed: these checked rows have other versions than expected.
     Conflict(Vec<Row>),
     /// The reply to an operation other than a transaction.
     Reply(PlatformReply),
 }
 
-/// A platform's way of speaking.
+/// The encoding and decoding functions for one kind of platform.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreProtocol {
-    /// Makes the request of an operation; `None` if the platform has no such operation.
+    /// Encodes an operation; `None` if the platform does not support it.
     pub encode_request: fn(&PlatformOp) -> Option<StoreRequest>,
-    /// Reads an answer; `None` if it makes no sense.
+    /// Decodes a response; `None` if it is malformed or unexpected.
     pub decode_response: fn(&PlatformOp, StatusCode, &Bytes) -> Option<StoreResponse>,
 }
 
 impl Default for StoreProtocol {
-    /// Returns the product's own dialect, which its stand-in speaks.
+    /// Returns the protocol that the platform stand-in of this project implements.
     fn default() -> Self {
-        Self { encode_request: operations::call, decode_response: operations::answer }
+        Self {
+            encode_request: operations::encode_request,
+            decode_response: operations::decode_response,
+        }
     }
 }
