--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -1,4 +1,4 @@
-//! Which key belongs to which tenant, as traffic threads look it up.
+//! Authenticates callers: maps the digest of a key to its tenant.
 
 use std::sync::Arc;
 
@@ -8,28 +8,28 @@
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq as _;
 
-/// Whose key came with a request.
+/// The tenant and key that a request came with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The tenant.
+    /// The id of the tenant.
     pub tenant: TenantId,
-    /// The tenant's name.
+    /// The tenant's name, as metrics show it.
     pub tenant_name: Arc<str>,
-    /// The key.
+    /// The id of the key.
     pub key: KeyId,
 }
 
-/// The keys in force.
+/// The callers' keys of the configuration in force, and the ids of keys that are no longer valid.
 #[derive(Debug, Default)]
 pub struct Keys {
     callers: Map<Digest, Caller>,
     withdrawn: Set<KeyId>,
-    /// Keys that an earlier configuration had and the one in force has not.
+    /// Keys of earlier configurations that the one in force no longer has.
     removed: Set<KeyId>,
 }
 
 impl Keys {
-    /// Takes over the keys of a configuration; keys withdrawn before stay withdrawn.
+    /// Replaces the keys by those of a configuration. Keys that were withdrawn stay withdrawn.
     pub fn adopt(&mut self, config: &Config) {
         self.removed.extend(self.callers.values().map(|caller| caller.key));
         self.callers.clear();
@@ -51,25 +51,25 @@
         }
     }
 
-    /// Withdraws a key for good.
+    /// Withdraws a key permanently, even if a later configuration still lists it.
     pub fn withdraw(&mut self, key: KeyId) {
         self.withdrawn.insert(key);
     }
 
-    /// Returns whether a key may be used, if it was good once.
-    pub fn stands(&self, key: KeyId) -> bool {
+    /// Returns whether a key that was valid at some time has been neither withdrawn nor removed.
+    pub fn is_in_force(&self, key: KeyId) -> bool {
         !self.withdrawn.contains(&key) && !self.removed.contains(&key)
     }
 
-    /// Returns whose key this secret is.
+    /// Returns the caller whose key has this secret.
     ///
-    /// The lookup is by digest, so its timing tells nothing of the secret; the comparison
-    /// after it takes the same time wherever the digests differ.
+    /// The lookup uses the secret's digest, so its timing reveals nothing about the secret. The
+    /// comparison after it takes constant time.
     pub fn find(&self, secret: &str) -> Option<Caller> {
         let digest: Digest = Sha256::digest(secret.as_bytes()).into();
         let (stored, caller) = self.callers.get_key_value(&digest)?;
         let same: bool = stored.ct_eq(&digest).into();
 
-        (same && self.stands(caller.key)).then(|| caller.clone())
+        (same && self.is_in_force(caller.key)).then(|| caller.clone())
     }
 }
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -19,12 +19,12 @@
 }
 
 impl CallerServer {
-    /// Starts to listen.
+    /// Binds the address and starts to serve callers.
     pub fn start(listen: SocketAddr, shared: Arc<Shared>) -> Result<Self> {
         let config = ConfigDropshot {
             bind_address: listen,
             default_request_body_max_bytes: shared.limits.body_bytes,
-            // A handler is dropped when its caller goes away, which withdraws the request.
+            // The handler is dropped when its caller disconnects, which cancels the request.
             default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
             log_headers: Vec::new(),
             ..ConfigDropshot::default()
@@ -38,17 +38,17 @@
         Ok(Self { server })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that was bound.
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 }
 
-/// Returns the description of the API.
+/// Returns the dropshot description of all endpoints for callers.
 fn description() -> ApiDescription<Arc<Shared>> {
     let mut description = ApiDescription::new();
 
-    api::register(&mut description).expect("the API's paths are distinct");
+    api::register(&mut description).expect("the endpoints have distinct paths");
 
     description
 }
@@ -60,5 +60,5 @@
     description()
         .openapi("camphorwalk callers", version)
         .json()
-        .expect("the description is a valid document")
+        .expect("the endpoints make a valid OpenAPI document")
 }
--- a/crates/node/src/callers/answers.rs
+++ b/crates/node/src/callers/answers.rs
@@ -1,4 +1,4 @@
-//! What callers are answered, as HTTP.
+//! Converts replies to callers into HTTP responses.
 
 use std::fmt;
 use std::time::Duration;
@@ -36,7 +36,8 @@
     }
 }
 
-/// What dropshot says of a body over the limit; it has no code of its own for that.
+/// Part of dropshot's message for a body over the limit. Dropshot has no error code for it, so the
+/// message is the only way to recognize the case.
 const OVER_LIMIT: &str = "exceeded maximum size";
 
 impl From<HttpError> for Malformed {
@@ -53,7 +54,7 @@
     }
 }
 
-/// An answer to a call.
+/// The response body for a call that succeeded.
 #[derive(Serialize)]
 struct CalledBody<'a> {
     call: u32,
@@ -64,7 +65,7 @@
     tail: Option<&'a str>,
 }
 
-/// The outcome of a call.
+/// The response body for the recorded outcome of a call.
 #[derive(Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 enum OutcomeBody<'a> {
@@ -73,7 +74,7 @@
     Failed { error: &'a Refusal },
 }
 
-/// A call of a history.
+/// One call in the response body for a program's history.
 #[derive(Serialize)]
 struct HistoryBody<'a> {
     call: u32,
@@ -84,7 +85,7 @@
     stored: bool,
 }
 
-/// Returns the HTTP answer for a reply.
+/// Returns the HTTP response for a reply.
 pub fn response(reply: &Reply) -> Response<Body> {
     match reply {
         Reply::Opened(opened) => json(StatusCode::CREATED, opened),
@@ -98,8 +99,8 @@
                     call: c.call,
                     key: &c.key,
                     target: &c.target,
-                    input: raw(&c.input),
-                    output: raw(&c.output),
+                    input: raw_json(&c.input),
+                    output: raw_json(&c.output),
                     stored: c.stored,
                 })
                 .collect();
@@ -110,7 +111,7 @@
     }
 }
 
-/// Returns the HTTP answer for a refusal.
+/// Returns the HTTP response for a refusal, with `Retry-After` if the refusal has a delay.
 pub fn refused(refusal: &Refusal) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.code.status()).unwrap_or(StatusCode::BAD_REQUEST);
     let mut response = json(status, &error_json(refusal));
@@ -123,20 +124,20 @@
     response
 }
 
-/// Returns the JSON of a refusal.
+/// Returns the JSON body for a refusal.
 pub fn error_json(refusal: &Refusal) -> serde_json::Value {
     serde_json::json!({ "error": refusal })
 }
 
-/// Returns the JSON of an answer to a call.
+/// Returns the JSON body for a call that succeeded.
 pub fn called_json(called: &Called) -> String {
-    serde_json::to_string(&called_body(called)).expect("an answer is plain data")
+    serde_json::to_string(&called_body(called)).expect("a response body serializes to JSON")
 }
 
 fn called_body(called: &Called) -> CalledBody<'_> {
     CalledBody {
         call: called.call,
-        output: raw(&called.output),
+        output: raw_json(&called.output),
         usage: &called.usage,
         stored: called.stored,
         tail: called.tail.as_deref(),
@@ -151,12 +152,13 @@
     }
 }
 
-/// Returns a text as the JSON it holds; one that is none (which no path makes) as `null`.
-fn raw(text: &str) -> &RawValue {
+/// Returns the JSON that a stored text holds. All stored texts are valid JSON; `null` stands in for
+/// one that is not.
+fn raw_json(text: &str) -> &RawValue {
     serde_json::from_str(text).unwrap_or(RawValue::NULL)
 }
 
-/// `Retry-After` counts whole seconds: rounded up, so that nobody comes back too early.
+/// Rounds a delay up to the whole seconds of `Retry-After`, so that callers do not retry too early.
 fn whole_seconds(after: Duration) -> u64 {
     after.as_millis().div_ceil(1_000).max(1) as u64
 }
--- a/crates/node/src/callers/api.rs
+++ b/crates/node/src/callers/api.rs
@@ -1,4 +1,4 @@
-//! The paths of the API for callers.
+//! The endpoints of the API for callers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,25 +18,25 @@
 use super::stream;
 use crate::auth::Caller;
 use crate::host::{Shared, read};
-use crate::streams::OpenRequest as OpenAnswer;
+use crate::streams::ReplyReceiver;
 
 /// The header with a caller's idempotency key.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What stands for the tenant in the metrics where a request was refused before it was known.
+/// The tenant label in metrics for a request that was refused before its tenant was known.
 const UNKNOWN_TENANT: &str = "";
 
 /// The longest idempotency key, in bytes.
-const LONGEST_KEY: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
-/// When to come back to a host that has as many requests open as it may.
-const FULL: Duration = Duration::from_secs(1);
+/// `Retry-After` for a caller refused because the host has as many requests open as it may.
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 type Context = RequestContext<Arc<Shared>>;
 type Answer = Result<Response<Body>, Malformed>;
 type Checked<T> = Result<T, Box<Refusal>>;
 
-/// Registers all paths.
+/// Registers all endpoints for callers.
 pub fn register(
     description: &mut ApiDescription<Arc<Shared>>,
 ) -> Result<(), ApiDescriptionRegisterError> {
@@ -48,36 +48,36 @@
     description.register(end_program)
 }
 
-/// A request that was handed to the control thread and is not answered yet.
+/// A request that was sent to the control thread and has no reply yet.
 ///
-/// Dropped before it is finished, which happens when its caller goes away, it withdraws the
-/// request: nobody would read the answer.
-pub struct Pending {
+/// If it is dropped before `finished` is set, which happens when its caller disconnects, it cancels
+/// the request, since nobody would read the answer.
+pub struct PendingReply {
     shared: Arc<Shared>,
     request: RequestId,
-    /// Whose request it is.
+    /// The tenant and key that the request came with.
     pub caller: Caller,
     kind: &'static str,
     began: Instant,
-    /// Where the answer comes.
-    pub open: OpenAnswer,
+    /// Receives the streamed parts and the final reply.
+    pub receiver: ReplyReceiver,
     finished: bool,
 }
 
-impl Pending {
+impl PendingReply {
     fn start(shared: &Arc<Shared>, caller: Caller, kind: &'static str, body: Request) -> Self {
-        let request = RequestId(shared.number());
-        let open = shared.streams.open(request);
+        let request = RequestId(shared.next_request_number());
+        let receiver = shared.streams.open(request);
         shared.metrics.open_requests.inc();
         let (tenant, key) = (caller.tenant, caller.key);
         shared.control.send(Event::Request { request, tenant, key, body });
 
         let shared = shared.clone();
-        Self { shared, request, caller, kind, began: Instant::now(), open, finished: false }
+        Self { shared, request, caller, kind, began: Instant::now(), receiver, finished: false }
     }
 
-    /// Notes that the request has its final answer.
-    pub fn finished(&mut self, reply: &Reply) {
+    /// Marks the request as finished, and counts its duration and any refusal in the metrics.
+    pub fn record_reply(&mut self, reply: &Reply) {
         self.finished = true;
         let tenant = &*self.caller.tenant_name;
         let metrics = &self.shared.metrics;
@@ -89,19 +89,19 @@
         }
     }
 
-    /// Waits for the answer and returns it whole.
-    async fn whole(mut self) -> Response<Body> {
-        let reply = match (&mut self.open.answer).await {
-            Ok(end) => end.reply,
-            Err(_) => Reply::Refused(stream::lost()),
+    /// Waits for the final reply and returns it as one response, without streaming.
+    async fn wait(mut self) -> Response<Body> {
+        let reply = match (&mut self.receiver.reply).await {
+            Ok(last) => last.reply,
+            Err(_) => Reply::Refused(stream::reply_lost()),
         };
-        self.finished(&reply);
+        self.record_reply(&reply);
 
         response(&reply)
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingReply {
     fn drop(&mut self) {
         self.shared.metrics.open_requests.dec();
         if !self.finished {
@@ -143,20 +143,20 @@
     let streams = body.stream;
     let caller = match admit(&cx) {
         Ok(caller) => caller,
-        Err(refusal) => return Ok(refused_at_the_door(&cx, &refusal)),
+        Err(refusal) => return Ok(refused_early(&cx, &refusal)),
     };
     let request = match call_request(&cx, &path.into_inner().program, body) {
         Ok(request) => Request::Call(request),
-        Err(refusal) => return Ok(refused_at_the_door(&cx, &refusal)),
+        Err(refusal) => return Ok(refused_early(&cx, &refusal)),
     };
 
     let shared = cx.context();
-    let pending = Pending::start(shared, caller, "call", request);
+    let pending = PendingReply::start(shared, caller, "call", request);
     if streams {
         return Ok(stream::answer(shared.clone(), pending, began).await);
     }
 
-    Ok(pending.whole().await)
+    Ok(pending.wait().await)
 }
 
 /// Gets a program's state.
@@ -202,7 +202,7 @@
     respond(&cx, "end", |_| Ok(Request::End { program: parse_program(&path.program)? })).await
 }
 
-/// Admits a caller, makes its request and waits for the answer.
+/// Admits a caller, builds its request with `make` and waits for the reply.
 async fn respond(
     cx: &Context,
     kind: &'static str,
@@ -212,21 +212,22 @@
 
     match made {
         Ok((request, caller)) => {
-            Ok(Pending::start(cx.context(), caller, kind, request).whole().await)
+            Ok(PendingReply::start(cx.context(), caller, kind, request).wait().await)
         }
-        Err(refusal) => Ok(refused_at_the_door(cx, &refusal)),
+        Err(refusal) => Ok(refused_early(cx, &refusal)),
     }
 }
 
-/// Answers a request that is refused before it is handed on. Its tenant may not be known.
-fn refused_at_the_door(cx: &Context, refusal: &Refusal) -> Response<Body> {
+/// Returns the response for a request that is refused before it is sent to the control thread. It
+/// is counted without a tenant, which may not be known yet.
+fn refused_early(cx: &Context, refusal: &Refusal) -> Response<Body> {
     let labels = [UNKNOWN_TENANT, code_label(refusal.code)];
     cx.context().metrics.refusals.with_label_values(&labels).inc();
 
     refused(refusal)
 }
 
-/// Finds out who calls, and whether the host takes on one more request.
+/// Finds the caller by its key and checks that the host may open one more request.
 fn admit(cx: &Context) -> Checked<Caller> {
     let shared = cx.context();
     let secret = cx
@@ -236,7 +237,8 @@
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "));
 
-    // Unknown, withdrawn and missing look alike: a caller learns nothing of which it is.
+    // Unknown, withdrawn and missing keys get the same refusal, so that it does not reveal which
+    // keys exist.
     let caller = secret.and_then(|secret| read(&shared.keys).find(secret));
     let Some(caller) = caller else {
         let message = "a key in force is needed: Authorization: Bearer KEY";
@@ -245,7 +247,9 @@
 
     if shared.streams.count() >= shared.limits.open_requests {
         let message = "this host has as many requests open as it may";
-        return Err(Refusal::not_run(Code::Overloaded, message).retry_after(FULL).into());
+        return Err(Refusal::not_run(Code::Overloaded, message)
+            .retry_after(FULL_RETRY_AFTER)
+            .into());
     }
 
     Ok(caller)
@@ -258,7 +262,8 @@
         return Err(Refusal::not_run(Code::BadRequest, message).into());
     };
 
-    // What makes two bodies the same call; the sealed tail and streaming do not.
+    // The digest covers what must be equal when a call is repeated with the same key. The sealed
+    // tail and the choice of streaming may differ.
     let max_tokens = body.max_tokens.unwrap_or(0).to_be_bytes();
     let parts: [&[u8]; 4] = [
         &body.after.to_be_bytes(),
@@ -280,14 +285,14 @@
     })
 }
 
-/// Returns the idempotency key, if there is one.
+/// Returns the idempotency key from the request's header, if there is one.
 fn idempotency_key(cx: &Context) -> Checked<Option<Box<str>>> {
     let Some(value) = cx.request.headers().get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
 
     match value.to_str() {
-        Ok(key) if (1..=LONGEST_KEY).contains(&key.len()) => Ok(Some(key.into())),
+        Ok(key) if (1..=MAX_KEY_BYTES).contains(&key.len()) => Ok(Some(key.into())),
         _ => {
             let message = "an Idempotency-Key has 1 to 200 visible ASCII characters";
             Err(Refusal::not_run(Code::BadRequest, message).into())
--- a/crates/node/src/callers/bodies.rs
+++ b/crates/node/src/callers/bodies.rs
@@ -1,4 +1,4 @@
-//! What callers send.
+//! Request bodies, paths and queries of the API for callers.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -1,4 +1,4 @@
-//! Answers as server-sent events.
+//! Answers to calls as server-sent events.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -14,31 +14,36 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::answers::{called_json, error_json, refused, response};
-use super::api::Pending;
+use super::api::PendingReply;
 use crate::host::Shared;
-use crate::streams::{Final, Part};
+use crate::streams::{FinalReply, Part};
 
-/// The first thing that comes for a streamed call.
-enum First {
+/// The first item received for a streamed call.
+enum FirstItem {
     Part(Part),
-    Final(Final),
+    Final(FinalReply),
 }
 
-/// Answers a call with a stream, or plainly if it is refused before anything was generated.
-pub async fn answer(shared: Arc<Shared>, mut pending: Pending, began: Instant) -> Response<Body> {
+/// Answers a call with an event stream, or with a plain refusal if the call fails before its first
+/// part.
+pub async fn answer(
+    shared: Arc<Shared>,
+    mut pending: PendingReply,
+    began: Instant,
+) -> Response<Body> {
     let first = tokio::select! {
         biased;
-        Some(part) = pending.open.parts.recv() => First::Part(part),
-        end = &mut pending.open.answer => match end {
-            Ok(end) => First::Final(end),
-            Err(_) => return refused(&lost()),
+        Some(part) = pending.receiver.parts.recv() => FirstItem::Part(part),
+        last = &mut pending.receiver.reply => match last {
+            Ok(last) => FirstItem::Final(last),
+            Err(_) => return refused(&reply_lost()),
         },
     };
 
     match first {
-        First::Final(end) if !matches!(end.reply, Reply::Called(_)) => {
-            pending.finished(&end.reply);
-            response(&end.reply)
+        FirstItem::Final(last) if !matches!(last.reply, Reply::Called(_)) => {
+            pending.record_reply(&last.reply);
+            response(&last.reply)
         }
         first => {
             let labels = [&*pending.caller.tenant_name];
@@ -61,72 +66,73 @@
         .header(header::CONTENT_TYPE, "text/event-stream")
         .header(header::CACHE_CONTROL, "no-store")
         .body(Body::wrap(StreamBody::new(frames)))
-        .expect("a status and fixed headers make an answer")
+        .expect("a response with a fixed status and fixed headers is valid")
 }
 
-/// Writes the events of a stream. It ends early, and so withdraws the request, when the
-/// caller is gone.
-async fn write_events(mut pending: Pending, first: First, tx: mpsc::Sender<String>) {
-    let mut count = 0;
-    let mut end = None;
+/// Writes the events of a stream. When the caller disconnects it returns early, which drops
+/// `pending` and so cancels the request.
+async fn write_events(mut pending: PendingReply, first: FirstItem, tx: mpsc::Sender<String>) {
+    let mut written = 0;
+    let mut final_reply = None;
 
     match first {
-        First::Part(part) => {
-            if !write_part(&tx, &part, &mut count).await {
+        FirstItem::Part(part) => {
+            if !write_part(&tx, &part, &mut written).await {
                 return;
             }
         }
-        First::Final(last) => end = Some(last),
+        FirstItem::Final(last) => final_reply = Some(last),
     }
 
-    while end.is_none() {
-        match next(&mut pending, &tx).await {
-            Next::Part(part) => {
-                if !write_part(&tx, &part, &mut count).await {
+    while final_reply.is_none() {
+        match next_item(&mut pending, &tx).await {
+            NextItem::Part(part) => {
+                if !write_part(&tx, &part, &mut written).await {
                     return;
                 }
             }
-            Next::Final(last) => end = Some(last),
-            Next::Lost => break,
-            Next::CallerGone => return,
+            NextItem::Final(last) => final_reply = Some(last),
+            NextItem::Lost => break,
+            NextItem::CallerGone => return,
         }
     }
 
-    // All parts were put in line before the answer: what is left of them is here now.
-    while let Ok(part) = pending.open.parts.try_recv() {
-        if !write_part(&tx, &part, &mut count).await {
+    // All parts were queued before the final reply, so the remaining ones are in the channel now.
+    while let Ok(part) = pending.receiver.parts.try_recv() {
+        if !write_part(&tx, &part, &mut written).await {
             return;
         }
     }
 
-    let last = last_event(&mut pending, end, count);
-    // A caller that is gone by now has missed only the end.
+    let last = final_event(&mut pending, final_reply, written);
+    // Sending fails if the caller has disconnected; it then misses only the last event.
     let _ = tx.send(last).await;
 }
 
-/// What comes next on a stream.
-enum Next {
+/// The next item received for a streamed call.
+enum NextItem {
     Part(Part),
-    Final(Final),
+    Final(FinalReply),
     Lost,
     CallerGone,
 }
 
-async fn next(pending: &mut Pending, tx: &mpsc::Sender<String>) -> Next {
+async fn next_item(pending: &mut PendingReply, tx: &mpsc::Sender<String>) -> NextItem {
     tokio::select! {
         biased;
-        () = tx.closed() => Next::CallerGone,
-        Some(part) = pending.open.parts.recv() => Next::Part(part),
-        end = &mut pending.open.answer => end.map_or(Next::Lost, Next::Final),
+        () = tx.closed() => NextItem::CallerGone,
+        Some(part) = pending.receiver.parts.recv() => NextItem::Part(part),
+        last = &mut pending.receiver.reply => last.map_or(NextItem::Lost, NextItem::Final),
     }
 }
 
-/// Writes a part, if it is the one whose turn it is; returns whether the caller is there.
-async fn write_part(tx: &mpsc::Sender<String>, part: &Part, count: &mut u32) -> bool {
-    if part.number != *count {
+/// Writes a part if it is the next one in order, and otherwise skips it. Returns whether the caller
+/// is still connected.
+async fn write_part(tx: &mpsc::Sender<String>, part: &Part, written: &mut u32) -> bool {
+    if part.number != *written {
         return true;
     }
-    *count += 1;
+    *written += 1;
 
     tx.send(part_event(part)).await.is_ok()
 }
@@ -135,30 +141,34 @@
     format!("data: {}\n\n", serde_json::json!({ "text": part.text }))
 }
 
-/// Returns the event that ends a stream: `done` only if all of it went before.
-fn last_event(pending: &mut Pending, end: Option<Final>, count: u32) -> String {
-    let refusal = match end {
-        Some(Final { reply: Reply::Called(called), parts }) if parts == count => {
-            pending.finished(&Reply::Called(called.clone()));
+/// Returns the event that ends a stream: `done` only if all parts were written before it.
+fn final_event(
+    pending: &mut PendingReply,
+    final_reply: Option<FinalReply>,
+    written: u32,
+) -> String {
+    let refusal = match final_reply {
+        Some(FinalReply { reply: Reply::Called(called), parts }) if parts == written => {
+            pending.record_reply(&Reply::Called(called.clone()));
             return format!("event: done\ndata: {}\n\n", called_json(&called));
         }
-        // A part was lost between two hosts. The whole answer is recorded: the caller gets
-        // it by asking for the outcome, never a short one that looks whole.
-        Some(Final { reply: Reply::Called(_), .. }) => Refusal::not_run(
+        // A part was lost between two hosts. The caller gets an error instead of a truncated
+        // answer that looks complete; the full answer is recorded as the call's outcome.
+        Some(FinalReply { reply: Reply::Called(_), .. }) => Refusal::not_run(
             Code::OutcomeUnknown,
             "a part of the stream was lost; ask for the outcome",
         )
         .ran(Ran::Yes),
-        Some(Final { reply: Reply::Refused(refusal), .. }) => refusal,
-        Some(_) | None => lost(),
+        Some(FinalReply { reply: Reply::Refused(refusal), .. }) => refusal,
+        Some(_) | None => reply_lost(),
     };
 
-    pending.finished(&Reply::Refused(refusal.clone()));
+    pending.record_reply(&Reply::Refused(refusal.clone()));
     format!("event: error\ndata: {}\n\n", error_json(&refusal))
 }
 
-/// Returns the refusal for an answer that will not come.
-pub fn lost() -> Refusal {
+/// Returns the refusal for a request whose reply channel closed without a reply.
+pub fn reply_lost() -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, "the answer is lost; ask for the outcome")
         .ran(Ran::Maybe)
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: one scheduler, fed by a channel.
+//! The control thread: runs the scheduler on events from a channel.
 //!
-//! Every decision is made here, one after another, so none needs a lock. The thread does no
-//! I/O; what it decides is carried out by [`Actions`] on tokio's threads.
+//! All decisions are made on this thread, one after another, so the scheduler needs no locks. The
+//! thread does no I/O: the [`Action`]s that it returns are executed on tokio's threads.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::thread;
@@ -11,21 +11,21 @@
 use camphorwalk_policy::scheduler::{Action, Event, Scheduler, SchedulerOptions};
 use prometheus::IntCounter;
 
-/// The most events that are handled before the actions they led to are carried out.
-const EVENTS_PER_TURN: usize = 256;
+/// How many events are handled at most before the resulting actions are executed.
+const MAX_EVENTS_PER_BATCH: usize = 256;
 
-/// Hands events to the control thread. Clones feed the same one.
+/// Sends events to the control thread. Clones send to the same thread.
 #[derive(Clone, Debug)]
 pub struct Control {
     events: Sender<Event>,
 }
 
 impl Control {
-    /// Starts the control thread; `carry_out` gets each action, in order.
+    /// Starts the control thread. It calls `execute` with each action, in order.
     pub fn start(
         options: SchedulerOptions,
         counter: IntCounter,
-        carry_out: impl FnMut(&Scheduler, Action) + Send + 'static,
+        execute: impl FnMut(&Scheduler, Action) + Send + 'static,
     ) -> std::io::Result<Self> {
         let (events, inbox) = channel();
         let name = format!("control-{}", options.host);
@@ -33,23 +33,23 @@
 
         thread::Builder::new()
             .name(name)
-            .spawn(move || run(scheduler, &inbox, &counter, carry_out))?;
+            .spawn(move || run(scheduler, &inbox, &counter, execute))?;
 
         Ok(Self { events })
     }
 
-    /// Hands over an event. Once the thread has ended, events are dropped.
+    /// Sends an event. Once the thread has ended, events are dropped.
     pub fn send(&self, event: Event) {
         let _ = self.events.send(event);
     }
 }
 
-/// Runs until every sender is gone.
+/// Handles events until all senders are dropped.
 fn run(
     mut scheduler: Scheduler,
     inbox: &Receiver<Event>,
     counter: &IntCounter,
-    mut carry_out: impl FnMut(&Scheduler, Action),
+    mut execute: impl FnMut(&Scheduler, Action),
 ) {
     let start = Clock::now();
     let now = || Instant(u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX));
@@ -62,23 +62,23 @@
             Err(RecvTimeoutError::Disconnected) => return,
         };
 
-        // What came in meanwhile is handled in the same turn.
+        // Events that have arrived in the meantime are handled in the same batch.
         scheduler.step(now(), event, &mut actions);
         let mut handled = 1;
-        while let Some(event) = more(inbox, handled) {
+        while let Some(event) = next_in_batch(inbox, handled) {
             scheduler.step(now(), event, &mut actions);
             handled += 1;
         }
 
         counter.inc_by(handled as u64);
         for action in actions.drain(..) {
-            carry_out(&scheduler, action);
+            execute(&scheduler, action);
         }
     }
 }
 
-fn more(inbox: &Receiver<Event>, handled: usize) -> Option<Event> {
-    if handled >= EVENTS_PER_TURN {
+fn next_in_batch(inbox: &Receiver<Event>, handled: usize) -> Option<Event> {
+    if handled >= MAX_EVENTS_PER_BATCH {
         return None;
     }
 
--- a/crates/node/src/errors.rs
+++ b/crates/node/src/errors.rs
@@ -1,4 +1,4 @@
-//! The error of the runtime.
+//! Errors that keep a host from starting.
 
 use std::path::Path;
 
@@ -6,33 +6,33 @@
 
 use crate::settings::SettingsFault;
 
-/// A fault that keeps a host from starting.
+/// An error that keeps a host from starting.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The settings are wrong; each fault is listed.
-    #[error("settings: {}", list(.0))]
+    /// The settings have faults; all of them are listed.
+    #[error("settings: {}", join_faults(.0))]
     Settings(Vec<SettingsFault>),
-    /// A file cannot be read.
+    /// A file of settings or secrets cannot be read.
     #[error("cannot read {path}: {source}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: Box<str>,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A listener cannot be opened.
+    /// A listener, or the control thread, cannot be started.
     #[error("cannot listen for {what}: {reason}")]
     Listen {
-        /// Whom the listener is for.
+        /// What cannot be started: `callers`, `operators` or the control thread.
         what: &'static str,
-        /// Why.
+        /// The cause, as text.
         reason: Box<str>,
     },
-    /// The client of the platform cannot be made.
+    /// The client of the platform cannot be created.
     #[error("platform client: {0}")]
     Platform(#[from] camphorwalk_store::Error),
-    /// The peers cannot be started.
+    /// The connections to peers cannot be started.
     #[error("peers: {0}")]
     Peers(#[from] camphorwalk_peer::Error),
     /// A metric cannot be registered.
@@ -43,17 +43,17 @@
 /// The result of starting a host.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Makes the error for a file that cannot be read.
+/// Returns the error for a file that cannot be read.
 pub(crate) fn unreadable(path: &Path, source: std::io::Error) -> Error {
     Error::File { path: path.display().to_string().into(), source }
 }
 
-/// Makes the error for a listener that cannot be opened.
+/// Returns the error for a listener, or the control thread, that cannot be started.
 pub(crate) fn cannot_listen(what: &'static str, reason: impl std::fmt::Display) -> Error {
     Error::Listen { what, reason: reason.to_string().into() }
 }
 
-fn list(faults: &[SettingsFault]) -> String {
+fn join_faults(faults: &[SettingsFault]) -> String {
     let lines: Vec<_> = faults.iter().map(ToString::to_string).collect();
 
     lines.join("; ")
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -1,4 +1,4 @@
-//! A running entry host.
+//! Starts an entry host, connects its parts and shuts it down.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -27,51 +27,52 @@
 use crate::streams::{Part, Streams};
 use crate::targets::Targets;
 
-/// How often the platform's list of hosts is read: it lags by itself.
+/// How often the platform's list of hosts is read. The list itself lags behind, so reading it more
+/// often gains nothing.
 const HOST_LIST_PERIOD: Duration = Duration::from_secs(2);
 
-/// How many messages of peers wait for the router.
+/// How many messages from peers may wait to be routed.
 const INBOUND_BUFFER: usize = 4_096;
 
-/// How far a host is on its way.
+/// The stages of a host's life, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has no configuration yet.
+    /// The host has no configuration yet.
     Starting,
-    /// It serves.
+    /// The host serves callers.
     Serving,
-    /// It is leaving, and finishes what runs.
+    /// The host is shutting down and finishes open work.
     Leaving,
-    /// It has handed back all that it held.
+    /// The host has handed over everything that it held.
     Left,
 }
 
-/// What the parts of a host share.
+/// State shared by the servers, tasks and connections of a host.
 pub struct Shared {
     /// The host's name.
     pub name: Box<str>,
-    /// The way to the control thread.
+    /// Sends events to the control thread.
     pub control: Control,
-    /// The open requests.
+    /// The open requests of callers and the streams that belong to them.
     pub streams: Streams,
-    /// The keys in force.
+    /// The callers' keys that are currently valid.
     pub keys: RwLock<Keys>,
-    /// What is measured.
+    /// The metrics of this host.
     pub metrics: Metrics,
-    /// What the settings allow at most.
+    /// The limits from the settings.
     pub limits: crate::settings::Limits,
-    /// The digest of the operators' key.
+    /// The SHA-256 digest of the operators' key.
     pub operator_key: [u8; 32],
-    /// How far the host is.
+    /// The current phase; tasks can wait for a change.
     pub phase: watch::Sender<Phase>,
-    /// Operators who wait for an answer.
-    pub operators: Mutex<Map<OperatorId, oneshot::Sender<OperatorReply>>>,
-    /// Counts the requests and the operators' questions.
+    /// Requests of operators that wait for the control thread's reply.
+    pub operator_requests: Mutex<Map<OperatorId, oneshot::Sender<OperatorReply>>>,
+    /// The next number for a request of a caller or an operator.
     pub counter: std::sync::atomic::AtomicU64,
 }
 
 impl Shared {
-    /// Says that the host is leaving, unless it has left already.
+    /// Moves the host to [`Phase::Leaving`], unless it is in that phase or has left already.
     pub fn begin_leaving(&self) {
         self.phase.send_if_modified(|phase| {
             let first = *phase < Phase::Leaving;
@@ -82,13 +83,13 @@
         });
     }
 
-    /// Returns a number never used before on this run of the host.
-    pub fn number(&self) -> u64 {
+    /// Returns a request number that this process has not used before.
+    pub fn next_request_number(&self) -> u64 {
         self.counter.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
     }
 }
 
-/// A running entry host. It stops when it is dropped or has left.
+/// A running entry host. It stops when it is dropped or when [`Host::drain`] has completed.
 pub struct Host {
     shared: Arc<Shared>,
     callers: CallerServer,
@@ -104,7 +105,7 @@
         let metrics = Metrics::new()?;
         let session = new_session();
 
-        // Peers come first: the address that they listen on goes into the host's session.
+        // The peer listener starts first, because its address is published with the host's session.
         let (inbound_tx, inbound) = mpsc::channel(INBOUND_BUFFER);
         let options = PeerOptions::new(
             settings.peers,
@@ -131,16 +132,16 @@
             limits: settings.limits,
             operator_key: secrets.operator_key_digest(),
             phase: watch::Sender::new(Phase::Starting),
-            operators: Mutex::default(),
+            operator_requests: Mutex::default(),
             counter: std::sync::atomic::AtomicU64::new(1),
         });
         let targets = make_targets(&shared, &peers, &settings.name);
         tokio::spawn(route_inbound(shared.clone(), inbound));
-        tokio::spawn(list_hosts(shared.clone(), platform.clone()));
+        tokio::spawn(poll_hosts(shared.clone(), platform.clone()));
         let (watched, watched_rx) = watch::channel(Vec::new());
         tokio::spawn(crate::watch::run(shared.clone(), targets.clone(), watched_rx));
-        let carrier = Carrier { shared: shared.clone(), peers, platform, targets, watched };
-        tokio::spawn(carrier.run(actions));
+        let executor = ActionExecutor { shared: shared.clone(), peers, platform, targets, watched };
+        tokio::spawn(executor.run(actions));
 
         let callers = CallerServer::start(settings.callers, shared.clone())?;
         let operators = OperatorServer::start(settings.operators, shared.clone())?;
@@ -148,22 +149,22 @@
         Ok(Self { shared, callers, operators, peer_address, drain_delay: settings.drain_delay })
     }
 
-    /// Returns where callers reach this host.
+    /// Returns the address of the API for callers, with the port that was bound.
     pub fn caller_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Returns where operators reach this host.
+    /// Returns the address of the API for operators, with the port that was bound.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Returns where other hosts reach this host.
+    /// Returns the address on which this host accepts connections from peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Waits until the host has reached a phase.
+    /// Waits until the host has reached a phase or a later one.
     pub async fn reached(&self, phase: Phase) {
         let mut rx = self.shared.phase.subscribe();
 
@@ -171,24 +172,25 @@
         let _ = rx.wait_for(|now| *now >= phase).await;
     }
 
-    /// Leaves without cutting a request, and returns once all is handed back.
+    /// Shuts down gracefully, and returns once everything is handed over and no request is open.
     ///
-    /// Health says so at once; requests are taken on until the balancer has heard of it.
+    /// The readiness check fails at once. New requests are still accepted for `drain_delay`, so
+    /// that the load balancer can notice the failing check before requests are refused.
     pub async fn drain(&self) {
         self.shared.begin_leaving();
         tokio::time::sleep(self.drain_delay).await;
         self.shared.control.send(Event::Drain);
         self.reached(Phase::Left).await;
 
-        // Requests that were passed on to other homes may still be open.
+        // Requests forwarded to programs' homes on other hosts may still be open.
         while self.shared.streams.count() > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
-/// Carries out the actions of the control thread.
-struct Carrier {
+/// Performs the I/O for the actions of the control thread.
+struct ActionExecutor {
     shared: Arc<Shared>,
     peers: Peers,
     platform: Client,
@@ -196,14 +198,14 @@
     watched: watch::Sender<Vec<camphorwalk_core::ids::TargetId>>,
 }
 
-impl Carrier {
+impl ActionExecutor {
     async fn run(self, mut actions: mpsc::UnboundedReceiver<Action>) {
         while let Some(action) = actions.recv().await {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
             Action::Answer { request, reply } => self.shared.streams.answer(request, *reply),
             Action::Send { to, message } => self.send(to, message),
@@ -233,20 +235,22 @@
                 tracing::info!("config: key {key} withdrawn");
                 write(&self.shared.keys).withdraw(key);
             }
-            Action::OperatorAnswer { ask, reply } => self.answer_operator(ask, *reply),
+            Action::OperatorAnswer { ask: request_id, reply } => {
+                self.answer_operator(request_id, *reply);
+            }
             Action::Left => {
-                tracing::info!("host: all is handed back");
+                tracing::info!("host: all partitions and places are handed over");
                 self.shared.phase.send_replace(Phase::Left);
             }
         }
     }
 
     fn send(&self, to: HostId, mut message: PeerMessage) {
-        // Only the traffic side knows how much was streamed before an answer. One that is sent
-        // again has the number already.
+        // The control thread does not see streamed parts, so their number is filled in here. An
+        // answer that is sent again already has it, and `take_sent` then returns 0.
         if let Some(Body::Answer(answer)) = &mut message.body {
-            let ticket = Ticket { entry: to, request: RequestId(answer.request) };
-            answer.chunks = answer.chunks.max(self.shared.streams.take_sent(ticket));
+            let origin = Ticket { entry: to, request: RequestId(answer.request) };
+            answer.chunks = answer.chunks.max(self.shared.streams.take_sent(origin));
         }
 
         if !self.peers.send(to, message.clone()) {
@@ -259,16 +263,16 @@
         let (targets, shared) = (self.targets.clone(), self.shared.clone());
 
         tokio::spawn(async move {
-            // The last look before anything is sent: a key withdrawn meanwhile has no effect
-            // at any target.
-            let stands = read(&shared.keys).stands(dispatch.key);
-            let end = if stands { targets.run(dispatch).await } else { key_withdrawn() };
-            // A cancelled attempt may be answered to nobody: what was counted for the answer goes.
-            if let (AttemptEnd::Cancelled, Some(ticket)) = (&end, stream) {
-                shared.streams.take_sent(ticket);
+            // The key is checked again right before sending, so that no target receives an
+            // attempt whose key was withdrawn after the request was admitted.
+            let in_force = read(&shared.keys).is_in_force(dispatch.key);
+            let outcome = if in_force { targets.run(dispatch).await } else { key_withdrawn() };
+            // There may be no answer after a cancelled attempt, so its part count is removed here.
+            if let (AttemptEnd::Cancelled, Some(origin)) = (&outcome, stream) {
+                shared.streams.take_sent(origin);
             }
-            shared.metrics.attempts.with_label_values(&[end_label(&end)]).inc();
-            shared.control.send(Event::Ended { attempt, end });
+            shared.metrics.attempts.with_label_values(&[outcome_label(&outcome)]).inc();
+            shared.control.send(Event::Ended { attempt, end: outcome });
         });
     }
 
@@ -285,34 +289,39 @@
         });
     }
 
-    fn answer_operator(&self, ask: OperatorId, reply: OperatorReply) {
-        let waiting =
-            self.shared.operators.lock().unwrap_or_else(PoisonError::into_inner).remove(&ask);
+    fn answer_operator(&self, request_id: OperatorId, reply: OperatorReply) {
+        let waiting = self
+            .shared
+            .operator_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(&request_id);
 
         if let Some(waiting) = waiting {
-            // An operator that went away has no use for the answer.
+            // Sending fails if the operator has disconnected, and the reply is then dropped.
             let _ = waiting.send(reply);
         }
     }
 }
 
-/// Sorts what peers send: streamed parts go straight on, the rest to the control thread.
+/// Routes messages from peers: streamed parts go directly to the open requests, other messages to
+/// the control thread.
 async fn route_inbound(shared: Arc<Shared>, mut inbound: mpsc::Receiver<Inbound>) {
     while let Some(item) = inbound.recv().await {
         match item {
             Inbound::Message {
                 message: PeerMessage { body: Some(Body::Chunk(chunk)) }, ..
             } => {
-                pass_chunk(&shared.streams, chunk);
+                forward_chunk(&shared.streams, chunk);
             }
-            // The whole way of leaving starts with the health that the balancer sees, so the
-            // control thread hears of it only after the balancer's delay.
+            // Shutdown starts with the readiness check that the load balancer sees. The control
+            // thread gets `Event::Drain` only after `drain_delay`.
             Inbound::Message { message: PeerMessage { body: Some(Body::Drain(_)) }, .. } => {
                 shared.begin_leaving();
             }
             Inbound::Message { from, message } => {
                 if let Some(Body::Answer(answer)) = &message.body {
-                    shared.streams.expect(RequestId(answer.request), answer.chunks);
+                    shared.streams.set_part_count(RequestId(answer.request), answer.chunks);
                 }
                 shared.control.send(Event::Peer { from, message });
             }
@@ -329,43 +338,45 @@
     }
 }
 
-/// Passes a part on without waiting: one slow caller must not hold up all others. If its
-/// buffer is full the part is lost, and the caller's stream ends with an error.
-fn pass_chunk(streams: &Streams, chunk: Chunk) {
+/// Forwards a streamed part without waiting, because one slow caller must not delay the messages
+/// for all others. If the caller's buffer is full, the part is dropped and the caller's stream
+/// ends with an error.
+fn forward_chunk(streams: &Streams, chunk: Chunk) {
     if let Some(parts) = streams.parts(RequestId(chunk.request)) {
         let _ = parts.try_send(Part { number: chunk.number, text: chunk.text });
     }
 }
 
-/// Tells the control thread of the platform's list of hosts, again and again.
-async fn list_hosts(shared: Arc<Shared>, platform: Client) {
+/// Reads the platform's list of hosts periodically and sends it to the control thread.
+async fn poll_hosts(shared: Arc<Shared>, platform: Client) {
     loop {
         match platform.hosts().await {
             Ok(hosts) => shared.control.send(Event::Hosts(hosts)),
-            Err(e) => tracing::debug!("platform: no list of hosts: {e}"),
+            Err(e) => tracing::debug!("platform: the list of hosts could not be read: {e}"),
         }
         tokio::time::sleep(HOST_LIST_PERIOD).await;
     }
 }
 
-/// Makes the sender of attempts, with the way back for what they stream.
+/// Creates the sender of attempts. Streamed parts go to the request they belong to, on this host
+/// or through the peer connection to the host that received the request.
 fn make_targets(shared: &Arc<Shared>, peers: &Peers, name: &str) -> Targets {
     let me = HostId::from_name(name);
     let (shared, peers) = (shared.clone(), peers.clone());
 
-    Targets::new(Box::new(move |ticket, number, text| {
+    Targets::new(Box::new(move |origin, number, text| {
         let (shared, peers) = (shared.clone(), peers.clone());
         Box::pin(async move {
-            if ticket.entry == me {
-                shared.streams.expect(ticket.request, number + 1);
-                return match shared.streams.parts(ticket.request) {
+            if origin.entry == me {
+                shared.streams.set_part_count(origin.request, number + 1);
+                return match shared.streams.parts(origin.request) {
                     Some(parts) => parts.send(Part { number, text }).await.is_ok(),
                     None => false,
                 };
             }
-            shared.streams.note_sent(ticket, number + 1);
-            let chunk = Chunk { request: ticket.request.0, number, text };
-            peers.send(ticket.entry, Body::Chunk(chunk).into())
+            shared.streams.record_sent(origin, number + 1);
+            let chunk = Chunk { request: origin.request.0, number, text };
+            peers.send(origin.entry, Body::Chunk(chunk).into())
         })
     }))
 }
@@ -388,11 +399,11 @@
         read_config: |bytes| camphorwalk_declare::unbundle(bytes).map_err(|e| e.to_string().into()),
         write_config: camphorwalk_declare::bundle,
     };
-    let carry_out = move |_: &_, action| {
-        // The carrier ends only with the whole host.
+    let send_action = move |_: &_, action| {
+        // Sending fails only after the executor has ended, which happens when the host shuts down.
         let _ = actions.send(action);
     };
-    Control::start(options, metrics.events.clone(), carry_out)
+    Control::start(options, metrics.events.clone(), send_action)
         .map_err(|e| crate::errors::cannot_listen("the control thread", e))
 }
 
@@ -409,21 +420,21 @@
     Ok(client)
 }
 
-/// Makes the number of this run: seconds since 1970 above, random bits below, so that a
-/// later run of a host has a higher one.
+/// Generates the session number of this process: seconds since 1970 in the upper 32 bits, random
+/// bits in the lower ones, so that a host has a higher number after each restart.
 fn new_session() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
 
     (since.as_secs() << 32) | u64::from(rand::rng().next_u32())
 }
 
-/// Returns the end of an attempt whose key was withdrawn before it was sent.
+/// Returns the outcome of an attempt that was not sent because its key had been withdrawn.
 fn key_withdrawn() -> AttemptEnd {
     AttemptEnd::Refused { message: "its key was withdrawn".into() }
 }
 
-fn end_label(end: &AttemptEnd) -> &'static str {
-    match end {
+fn outcome_label(outcome: &AttemptEnd) -> &'static str {
+    match outcome {
         AttemptEnd::Done { .. } => "done",
         AttemptEnd::NotSent => "not_sent",
         AttemptEnd::Refused { .. } => "refused",
@@ -433,7 +444,8 @@
     }
 }
 
-/// Locks for reading. No code panics while it holds the lock for writing.
+/// Locks for reading. A poisoned lock is used as it is, since no code panics while it holds the
+/// lock for writing.
 pub(crate) fn read<T>(lock: &RwLock<T>) -> std::sync::RwLockReadGuard<'_, T> {
     lock.read().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,9 @@
 //! The runtime of an entry host.
 //!
-//! One thread holds the control state and makes every decision ([`control`]); tokio's
-//! threads carry the traffic: callers and operators by `dropshot`, targets by `hyper-util`,
-//! peers and the platform by the crates for them. The two sides talk by channels.
+//! One thread owns the scheduler's state and makes all decisions ([`control`]). Tokio's threads
+//! handle the traffic: callers and operators with `dropshot`, targets with `hyper-util`, peers and
+//! the platform with the crates `camphorwalk_peer` and `camphorwalk_store`. The control thread and
+//! the traffic threads communicate through channels.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,37 +1,37 @@
-//! What a host counts and measures.
+//! The metrics of a host.
 //!
-//! Labels are tenants as declared, codes and parts: each a small, fixed set, so that the
-//! number of series is bounded by the configuration.
+//! Label values are declared tenants, request kinds, refusal codes and outcomes of attempts. Each
+//! is a small, fixed set, so the configuration bounds the number of series.
 
 use prometheus::{
     Encoder as _, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Bucket bounds of latencies, in seconds: from loopback calls to whole programs.
+/// Bucket bounds for latencies, in seconds: from calls over loopback to whole programs.
 const SECONDS: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0];
 
-/// The metrics of a host.
+/// The metrics of a host and the registry that holds them.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Time from a request's arrival to its final answer, in seconds, by tenant and kind.
+    /// Time from the arrival of a request to its final answer, in seconds, by tenant and kind.
     pub request_seconds: HistogramVec,
-    /// Time from a streamed call's arrival to its first part, in seconds, by tenant.
+    /// Time from the arrival of a streamed call to its first part, in seconds, by tenant.
     pub first_part_seconds: HistogramVec,
     /// Refusals and failures, by tenant and code.
     pub refusals: IntCounterVec,
-    /// Requests that are open now.
+    /// The number of requests that are open.
     pub open_requests: IntGauge,
     /// Events that the control thread has handled.
     pub events: IntCounter,
-    /// Attempts sent to targets, by how they ended.
+    /// Attempts sent to targets, by outcome.
     pub attempts: IntCounterVec,
 }
 
 impl Metrics {
-    /// Makes the metrics and registers them.
+    /// Creates and registers the metrics.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let histogram = |name, help, labels: &[&str]| {
@@ -86,15 +86,15 @@
         })
     }
 
-    /// Returns where other parts register theirs.
+    /// Returns the registry, in which other crates register their metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Returns all metrics in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut buf = Vec::new();
-        // Writing to memory fails only if a name is malformed, which registration refuses.
+        // Encoding into memory fails only for malformed names, which registration rejects.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
 
         String::from_utf8_lossy(&buf).into_owned()
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -23,12 +23,13 @@
 use crate::host::{Phase, Shared};
 use crate::responses::json;
 
-/// The largest body of an operator's request, in bytes: a configuration of hundreds of
-/// tenants is well below.
-const LARGEST_BODY: usize = 8 << 20;
+/// The largest body of an operator's request, in bytes. A configuration of hundreds of tenants is
+/// well below this.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// How long an operator's question may take: a publication waits for the platform.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the control thread may take to reply to an operator. Publishing a configuration waits
+/// for the platform.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Context = RequestContext<Arc<Shared>>;
 type Answer = Result<Response<Body>, HttpError>;
@@ -39,11 +40,11 @@
 }
 
 impl OperatorServer {
-    /// Starts to listen.
+    /// Binds the address and starts to serve operators.
     pub fn start(listen: SocketAddr, shared: Arc<Shared>) -> crate::Result<Self> {
         let config = ConfigDropshot {
             bind_address: listen,
-            default_request_body_max_bytes: LARGEST_BODY,
+            default_request_body_max_bytes: MAX_BODY_BYTES,
             ..ConfigDropshot::default()
         };
         let log = slog::Logger::root(slog::Discard, slog::o!());
@@ -55,7 +56,7 @@
         Ok(Self { server })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that was bound.
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
@@ -64,7 +65,7 @@
 fn description() -> ApiDescription<Arc<Shared>> {
     let mut description = ApiDescription::new();
 
-    register(&mut description).expect("the API's paths are distinct");
+    register(&mut description).expect("the endpoints have distinct paths");
 
     description
 }
@@ -76,7 +77,7 @@
     description()
         .openapi("camphorwalk operators", version)
         .json()
-        .expect("the description is a valid document")
+        .expect("the endpoints make a valid OpenAPI document")
 }
 
 fn register(
@@ -126,7 +127,7 @@
     version: u64,
 }
 
-/// Whether a host has a version in force.
+/// Whether one host has put a version in force, or a later one.
 #[derive(Serialize)]
 struct Confirmation {
     name: Box<str>,
@@ -159,27 +160,27 @@
     Ok(Response::builder()
         .header(header::CONTENT_TYPE, "text/plain; version=0.0.4")
         .body(text.into())
-        .expect("a fixed header makes an answer"))
+        .expect("a response with a fixed header is valid"))
 }
 
 /// Gets how the fleet looks from this host.
 #[endpoint { method = GET, path = "/v1/status" }]
 async fn fleet_status(cx: Context) -> Answer {
-    match ask(&cx, OperatorRequest::Status).await? {
+    match request_control(&cx, OperatorRequest::Status).await? {
         OperatorReply::Status(status) => Ok(json(StatusCode::OK, &status)),
-        _ => Err(unexpected()),
+        _ => Err(unexpected_reply()),
     }
 }
 
 /// Gets the configuration in force here.
 #[endpoint { method = GET, path = "/v1/config" }]
 async fn config_in_force(cx: Context) -> Answer {
-    match ask(&cx, OperatorRequest::Config).await? {
-        OperatorReply::Config(Some(config)) => Ok(json(StatusCode::OK, &current(&config))),
+    match request_control(&cx, OperatorRequest::Config).await? {
+        OperatorReply::Config(Some(config)) => Ok(json(StatusCode::OK, &config_json(&config))),
         OperatorReply::Config(None) => {
             Ok(json(StatusCode::OK, &serde_json::json!({ "version": 0, "config": null })))
         }
-        _ => Err(unexpected()),
+        _ => Err(unexpected_reply()),
     }
 }
 
@@ -190,19 +191,19 @@
     let body = body.into_inner();
     let config = match camphorwalk_declare::unbundle(body.config.to_string().as_bytes()) {
         Ok(config) => Box::new(config),
-        Err(faults) => return Ok(faulty(faults.as_slice())),
+        Err(faults) => return Ok(invalid_config(faults.as_slice())),
     };
-    if let OperatorReply::Config(Some(old)) = ask(&cx, OperatorRequest::Config).await? {
+    if let OperatorReply::Config(Some(old)) = request_control(&cx, OperatorRequest::Config).await? {
         let faults = camphorwalk_declare::check_change(&old, &config);
         if !faults.is_empty() {
-            return Ok(faulty(&faults));
+            return Ok(invalid_config(&faults));
         }
     }
 
     let base = ConfigVersion(body.base);
-    match ask(&cx, OperatorRequest::Publish { base, config }).await? {
-        OperatorReply::Published(answer) => Ok(published(&answer)),
-        _ => Err(unexpected()),
+    match request_control(&cx, OperatorRequest::Publish { base, config }).await? {
+        OperatorReply::Published(answer) => Ok(publish_response(&answer)),
+        _ => Err(unexpected_reply()),
     }
 }
 
@@ -211,12 +212,12 @@
 async fn config_confirmations(cx: Context, query: Query<VersionQuery>) -> Answer {
     let version = ConfigVersion(query.into_inner().version);
 
-    match ask(&cx, OperatorRequest::Status).await? {
+    match request_control(&cx, OperatorRequest::Status).await? {
         OperatorReply::Status(status) => {
-            let hosts = confirm(status, version);
+            let hosts = confirmations(status, version);
             Ok(json(StatusCode::OK, &serde_json::json!({ "hosts": hosts })))
         }
-        _ => Err(unexpected()),
+        _ => Err(unexpected_reply()),
     }
 }
 
@@ -225,7 +226,7 @@
 async fn withdraw_key(cx: Context, body: TypedBody<WithdrawBody>) -> Answer {
     let key = body.into_inner().key.into();
 
-    accepted(ask(&cx, OperatorRequest::Withdraw { key }).await?, "there is no such key")
+    accepted(request_control(&cx, OperatorRequest::Withdraw { key }).await?, "there is no such key")
 }
 
 /// Has a host leave.
@@ -238,7 +239,10 @@
         return accepted(OperatorReply::Accepted, "");
     }
 
-    accepted(ask(&cx, OperatorRequest::Drain { host }).await?, "there is no such host in reach")
+    accepted(
+        request_control(&cx, OperatorRequest::Drain { host }).await?,
+        "there is no such host in reach",
+    )
 }
 
 fn accepted(reply: OperatorReply, unknown: &str) -> Answer {
@@ -249,17 +253,17 @@
         OperatorReply::Unknown => {
             Ok(json(StatusCode::NOT_FOUND, &serde_json::json!({ "error": unknown })))
         }
-        _ => Err(unexpected()),
+        _ => Err(unexpected_reply()),
     }
 }
 
-fn published(answer: &Published) -> Response<Body> {
+fn publish_response(answer: &Published) -> Response<Body> {
     match answer {
         Published::Done(version) => {
             json(StatusCode::OK, &serde_json::json!({ "version": version }))
         }
         Published::Conflict(config) => {
-            let current = config.as_deref().map(current);
+            let current = config.as_deref().map(config_json);
             let error = "another change came first";
             json(StatusCode::CONFLICT, &serde_json::json!({ "error": error, "current": current }))
         }
@@ -274,17 +278,17 @@
     }
 }
 
-fn faulty(faults: &[camphorwalk_declare::Fault]) -> Response<Body> {
+fn invalid_config(faults: &[camphorwalk_declare::Fault]) -> Response<Body> {
     let error = "the configuration is refused";
 
     json(StatusCode::BAD_REQUEST, &serde_json::json!({ "error": error, "faults": faults }))
 }
 
-fn current(config: &Config) -> serde_json::Value {
+fn config_json(config: &Config) -> serde_json::Value {
     serde_json::json!({ "version": config.version, "config": config })
 }
 
-fn confirm(status: Status, version: ConfigVersion) -> Vec<Confirmation> {
+fn confirmations(status: Status, version: ConfigVersion) -> Vec<Confirmation> {
     let confirmation = |host: camphorwalk_policy::scheduler::HostStatus| Confirmation {
         confirmed: host.version >= version,
         name: host.name,
@@ -296,25 +300,32 @@
     status.hosts.into_iter().map(confirmation).collect()
 }
 
-/// Asks the control thread on behalf of an operator.
-async fn ask(cx: &Context, request: OperatorRequest) -> Result<OperatorReply, HttpError> {
+/// Sends an operator's request to the control thread and waits for its reply.
+async fn request_control(
+    cx: &Context,
+    request: OperatorRequest,
+) -> Result<OperatorReply, HttpError> {
     authorize(cx)?;
     let shared = cx.context();
-    let ask = OperatorId(shared.number());
+    let request_id = OperatorId(shared.next_request_number());
     let (tx, rx) = oneshot::channel();
-    shared.operators.lock().unwrap_or_else(PoisonError::into_inner).insert(ask, tx);
-    shared.control.send(Event::Operator { ask, request });
+    shared.operator_requests.lock().unwrap_or_else(PoisonError::into_inner).insert(request_id, tx);
+    shared.control.send(Event::Operator { ask: request_id, request });
 
-    match tokio::time::timeout(ANSWER_TIMEOUT, rx).await {
+    match tokio::time::timeout(REPLY_TIMEOUT, rx).await {
         Ok(Ok(reply)) => Ok(reply),
         _ => {
-            shared.operators.lock().unwrap_or_else(PoisonError::into_inner).remove(&ask);
-            Err(no_answer_in_time())
+            shared
+                .operator_requests
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .remove(&request_id);
+            Err(reply_timeout())
         }
     }
 }
 
-/// Checks the operators' key; health and metrics need none.
+/// Checks the operators' key. The endpoints for health and metrics do not call this.
 fn authorize(cx: &Context) -> Result<(), HttpError> {
     let given = cx
         .request
@@ -325,7 +336,7 @@
         .unwrap_or_default();
     let digest: [u8; 32] = Sha256::digest(given.as_bytes()).into();
 
-    // Digests are compared, in constant time: the time taken tells nothing of the key.
+    // Comparing digests in constant time reveals nothing about the key through timing.
     if bool::from(digest.ct_eq(&cx.context().operator_key)) {
         return Ok(());
     }
@@ -337,8 +348,9 @@
     ))
 }
 
-/// Says that it is not known whether the request took effect: 503 would say that it did not.
-fn no_answer_in_time() -> HttpError {
+/// Returns 504, which leaves open whether the request took effect. 503 would wrongly say that it
+/// did not.
+fn reply_timeout() -> HttpError {
     let message = "no answer in time; it may still take effect".to_owned();
 
     HttpError {
@@ -350,6 +362,6 @@
     }
 }
 
-fn unexpected() -> HttpError {
-    HttpError::for_internal_error("the control thread gave another kind of answer".into())
+fn unexpected_reply() -> HttpError {
+    HttpError::for_internal_error("the control thread sent a reply of the wrong kind".into())
 }
--- a/crates/node/src/responses.rs
+++ b/crates/node/src/responses.rs
@@ -1,16 +1,16 @@
-//! HTTP answers of both APIs.
+//! HTTP responses of the APIs for callers and operators.
 
 use dropshot::Body;
 use http::{Response, StatusCode, header};
 use serde::Serialize;
 
-/// Makes an answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json(status: StatusCode, body: &impl Serialize) -> Response<Body> {
-    let body = serde_json::to_vec(body).expect("an answer is plain data");
+    let body = serde_json::to_vec(body).expect("a response body serializes to JSON");
 
     Response::builder()
         .status(status)
         .header(header::CONTENT_TYPE, "application/json")
         .body(body.into())
-        .expect("a status and a fixed header make an answer")
+        .expect("a response with a valid status and a fixed header is valid")
 }
--- a/crates/node/src/secrets.rs
+++ b/crates/node/src/secrets.rs
@@ -1,4 +1,5 @@
-//! The secrets of a host, read from files of their own so that settings may be shown around.
+//! The secrets of a host. They are in files of their own, so that settings contain no secrets and
+//! can be shown to others.
 
 use std::fmt;
 use std::path::Path;
@@ -8,12 +9,12 @@
 use crate::errors::{Error, Result, unreadable};
 use crate::settings::{Settings, SettingsFault};
 
-/// What a host must keep to itself.
+/// The secrets that a host needs. `Debug` does not print them.
 #[derive(Clone)]
 pub struct Secrets {
     /// The secret that all hosts of the fleet share.
     pub fleet: [u8; 32],
-    /// The key that operators present.
+    /// The key that operators send with each request.
     pub operator_key: Box<str>,
 }
 
@@ -39,14 +40,14 @@
         }
     }
 
-    /// Returns the digest of the operators' key, which is all that is kept of it.
+    /// Returns the SHA-256 digest of the operators' key; the running host keeps only the digest.
     pub(crate) fn operator_key_digest(&self) -> [u8; 32] {
         Sha256::digest(self.operator_key.as_bytes()).into()
     }
 }
 
 impl fmt::Debug for Secrets {
-    // A secret in a log line would outlive its use.
+    // Secrets must not get into logs, which are kept long and read by many.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Secrets(..)")
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! A host's own settings: one JSON file.
+//! The settings of a host, read from one JSON file.
 
 mod reader;
 
@@ -12,13 +12,13 @@
 use self::reader::Reader;
 use crate::errors::{Error, Result, unreadable};
 
-/// The largest body of a request, if the settings do not say: 1 MiB.
+/// The default for the largest body of a request: 1 MiB.
 pub const DEFAULT_BODY_BYTES: usize = 1 << 20;
 
-/// The most requests that a host has open at a time, if the settings do not say.
+/// The default for how many requests a host may have open at a time.
 pub const DEFAULT_OPEN_REQUESTS: usize = 8_192;
 
-/// The threads for traffic, if the settings do not say.
+/// The default number of tokio threads for traffic.
 const DEFAULT_TRAFFIC_THREADS: usize = 2;
 
 /// The settings of a host.
@@ -26,61 +26,62 @@
 pub struct Settings {
     /// The host's name, unique in the fleet.
     pub name: Box<str>,
-    /// Its availability zone's name, as declared in `fleet.json`.
+    /// The name of the host's availability zone, as declared in `fleet.json`.
     pub zone: Box<str>,
-    /// Where callers reach it.
+    /// The listen address of the API for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// The listen address of the API for operators.
     pub operators: SocketAddr,
-    /// The file with the operators' key.
+    /// The path of the file with the operators' key.
     pub operator_key_file: PathBuf,
-    /// Where other hosts reach it.
+    /// The listen address for connections from peers.
     pub peers: SocketAddr,
-    /// The file with the fleet's secret: 64 hexadecimal digits.
+    /// The path of the file with the secret that all hosts of the fleet share: 64 hexadecimal
+    /// digits.
     pub fleet_secret_file: PathBuf,
-    /// The platform.
+    /// How the host connects to the platform.
     pub platform: PlatformSettings,
-    /// What it takes on at most.
+    /// Limits on requests of callers.
     pub limits: Limits,
-    /// The times it works with.
+    /// Intervals and timeouts of the scheduler.
     pub times: Times,
-    /// How long a host that is leaving goes on taking requests, so that the balancer in
-    /// front has heard of it.
+    /// How long a host that shuts down still accepts requests, so that the load balancer can notice
+    /// that the readiness check fails.
     pub drain_delay: Duration,
-    /// The threads for traffic, the control thread aside.
+    /// The number of tokio threads for traffic, not counting the control thread.
     pub traffic_threads: usize,
-    /// How it logs.
+    /// Format and level of the log.
     pub log: LogSettings,
 }
 
-/// How the platform is reached.
+/// Connection settings and rate limits for the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// The platform's address.
     pub address: SocketAddr,
-    /// How long one try may take.
+    /// The timeout of one attempt of a request.
     pub deadline: Duration,
-    /// This host's share of the platform's reads a second.
+    /// How many reads per second this host may make.
     pub reads_per_second: f64,
-    /// This host's share of the platform's writes a second.
+    /// How many writes per second this host may make.
     pub writes_per_second: f64,
 }
 
-/// What a host takes on at most.
+/// Limits on the requests that a host accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// The most requests that are open at a time.
+    /// How many requests may be open at a time.
     pub open_requests: usize,
 }
 
-/// How a host logs.
+/// Format and level of a host's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Whether each line is a JSON object.
+    /// Whether each log line is a JSON object instead of plain text.
     pub json: bool,
-    /// The least severity: `error`, `warn`, `info`, `debug` or `trace`.
+    /// The lowest severity that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: Box<str>,
 }
 
@@ -96,12 +97,12 @@
     }
 }
 
-/// A fault of the settings.
+/// A setting that is missing, unknown or has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Where, as a JSON path such as `platform.address`.
+    /// The path of the setting, such as `platform.address`.
     pub path: Box<str>,
-    /// What is wrong.
+    /// What is wrong, for a human reader.
     pub reason: Box<str>,
 }
 
@@ -114,7 +115,7 @@
 impl Settings {
     /// Reads the settings from a file.
     ///
-    /// Paths in it are taken from the folder that the file is in.
+    /// Relative paths in it are resolved against the folder of the settings file.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path).map_err(|source| unreadable(path, source))?;
         let mut settings = Self::parse(&text)?;
@@ -165,7 +166,7 @@
     let drain_delay = r.duration_or("drain_delay", Duration::from_secs(5));
     let traffic_threads = r.count_or("traffic_threads", DEFAULT_TRAFFIC_THREADS);
     if let (Some(Some(platform)), Some(times)) = (&platform, &times) {
-        check_share(&mut r, platform, times);
+        check_write_share(&mut r, platform, times);
     }
     r.finish();
 
@@ -195,17 +196,18 @@
     Some(PlatformSettings { address: address?, deadline, reads_per_second, writes_per_second })
 }
 
-/// What of a host's share of writes is left to the journal; the rest renews and publishes.
-const JOURNAL_SHARE: f64 = 0.9;
+/// The fraction of a host's platform writes that the journal may use. The rest is for renewing
+/// sessions and leases and for publishing configurations.
+const MAX_JOURNAL_FRACTION: f64 = 0.9;
 
-/// Checks that the journal alone cannot use up the host's share of the platform's writes.
+/// Checks that the journal alone cannot use up the writes per second that this host may make.
 ///
-/// It would then be refused what it needs to answer, and callers would be told that the
-/// platform is away while it is well.
-fn check_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &Times) {
+/// Otherwise the host would run into its own rate limit, and would report to callers that the
+/// platform is unavailable although it works.
+fn check_write_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &Times) {
     let writes = 1.0 / times.commit_interval.as_secs_f64();
 
-    if writes > platform.writes_per_second * JOURNAL_SHARE {
+    if writes > platform.writes_per_second * MAX_JOURNAL_FRACTION {
         let reason = format!(
             "it leads to {writes:.0} writes a second; platform.writes_per_second must be more \
              than a tenth above that"
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a JSON object field by field and collects the faults.
+//! Reads a JSON object field by field and collects all faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 
 /// A JSON object whose fields are being read.
 ///
-/// A fault does not end the reading, so that all are reported at once.
+/// Reading continues after a fault, so that all faults are reported at once.
 pub(super) struct Reader<'a> {
-    /// What the paths of this object's fields begin with.
+    /// The prefix of the paths of this object's fields, such as `platform.`.
     prefix: Box<str>,
-    /// The fields not read yet; those left at the end are unknown.
+    /// The fields that have not been read yet. Those left at the end are unknown settings.
     fields: Map<String, Value>,
     faults: &'a mut Vec<SettingsFault>,
 }
 
 impl<'a> Reader<'a> {
-    /// Begins to read a text that holds one object.
+    /// Parses a text that must hold one JSON object. Returns `None`, with a fault, if it does not.
     pub fn new(text: &str, faults: &'a mut Vec<SettingsFault>) -> Option<Self> {
         match serde_json::from_str(text) {
             Ok(Value::Object(fields)) => Some(Self { prefix: "".into(), fields, faults }),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Reports the fields that nobody asked for.
+    /// Reports a fault for each field that was not read.
     pub fn finish(mut self) {
         let unknown: Vec<_> = self.fields.keys().cloned().collect();
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Reads an object within this one; an absent one counts as empty.
+    /// Reads a nested object with `read`. A missing object is treated as an empty one.
     pub fn section<T>(
         &mut self,
         field: &str,
@@ -68,7 +68,7 @@
         Some(value)
     }
 
-    /// Reads a text that must be there and not empty.
+    /// Reads a required text, which must not be empty.
     pub fn text(&mut self, field: &str) -> Option<Box<str>> {
         match self.required(field)? {
             Value::String(text) if !text.is_empty() => Some(text.into()),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Reads an IP address with a port that must be there.
+    /// Reads a required IP address with a port.
     pub fn address(&mut self, field: &str) -> Option<SocketAddr> {
         let text = self.text(field)?;
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Reads a duration such as `"250ms"`, `"5s"` or `"2m"`.
+    /// Reads an optional duration such as `"250ms"`, `"5s"` or `"2m"`.
     pub fn duration_or(&mut self, field: &str, default: Duration) -> Duration {
         match self.fields.remove(field) {
             None => default,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Reads a whole number above zero.
+    /// Reads an optional whole number above zero.
     pub fn count_or(&mut self, field: &str, default: usize) -> usize {
         let Some(value) = self.fields.remove(field) else {
             return default;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Reads a number above zero.
+    /// Reads an optional number above zero.
     pub fn rate_or(&mut self, field: &str, default: f64) -> f64 {
         let Some(value) = self.fields.remove(field) else {
             return default;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Reads `true` or `false`.
+    /// Reads an optional `true` or `false`.
     pub fn flag_or(&mut self, field: &str, default: bool) -> bool {
         match self.fields.remove(field) {
             None => default,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Reads one of several texts.
+    /// Reads an optional text that must be one of `choices`.
     pub fn choice_or(&mut self, field: &str, choices: &[&str], default: &str) -> Box<str> {
         match self.fields.remove(field) {
             None => default.into(),
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Reports a fault that lies between settings.
+    /// Reports a fault that concerns the combination of several settings.
     pub fn report(&mut self, field: &str, reason: &str) {
         self.fault::<()>(field, reason);
     }
@@ -179,7 +179,7 @@
     }
 }
 
-/// Reads a duration with its unit; zero is none.
+/// Parses a duration with its unit. Returns `None` for zero or a malformed text.
 fn parse_duration(text: &str) -> Option<Duration> {
     let digits = text.find(|c: char| !c.is_ascii_digit())?;
     let number: u64 = text[..digits].parse().ok()?;
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -1,5 +1,5 @@
-//! Where answers and streamed text go: the open requests of this host's callers, and how
-//! much was streamed to those of other hosts.
+//! The open requests of this host's callers, with the channels that their streamed parts and final
+//! replies go through, and the number of parts sent to callers of other hosts.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -8,65 +8,66 @@
 use camphorwalk_core::ids::{RequestId, Ticket};
 use tokio::sync::{mpsc, oneshot};
 
-/// How many parts of a stream wait for a slow caller before the target is read no further.
+/// How many parts of a stream are buffered for a slow caller. When the buffer is full, a target
+/// whose attempt runs on this host is read no further; a part from another host is dropped.
 const STREAM_BUFFER: usize = 256;
 
 /// A part of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its place in the stream, from 0.
+    /// The part's position in the stream, from 0.
     pub number: u32,
-    /// The text.
+    /// The text of the part.
     pub text: String,
 }
 
-/// The final answer to a request.
+/// The final reply to a request.
 #[derive(Debug)]
-pub struct Final {
-    /// The answer.
+pub struct FinalReply {
+    /// The reply of the scheduler.
     pub reply: Reply,
-    /// How many parts were streamed before it.
+    /// How many parts were streamed before the reply.
     pub parts: u32,
 }
 
-/// The caller's end of an open request.
+/// Receives what arrives for an open request.
 #[derive(Debug)]
-pub struct OpenRequest {
-    /// Parts as they come.
+pub struct ReplyReceiver {
+    /// The streamed parts.
     pub parts: mpsc::Receiver<Part>,
-    /// The final answer.
-    pub answer: oneshot::Receiver<Final>,
+    /// The final reply.
+    pub reply: oneshot::Receiver<FinalReply>,
 }
 
-/// The answering end of an open request.
+/// Sends the parts and the final reply of an open request to its [`ReplyReceiver`].
 #[derive(Debug)]
-struct Answering {
+struct ReplySender {
     parts: mpsc::Sender<Part>,
-    answer: oneshot::Sender<Final>,
-    /// How many parts go before the answer.
-    expected: u32,
+    reply: oneshot::Sender<FinalReply>,
+    /// How many parts precede the final reply.
+    part_count: u32,
 }
 
-/// The open requests of this host.
+/// The open requests of this host and the part counts of streams to other hosts.
 #[derive(Debug, Default)]
 pub struct Streams {
-    open: Mutex<Map<RequestId, Answering>>,
-    /// Parts sent towards callers of other hosts.
+    open: Mutex<Map<RequestId, ReplySender>>,
+    /// The number of parts sent so far for each request of another host's caller.
     sent: Mutex<Map<Ticket, u32>>,
 }
 
 impl Streams {
-    /// Opens a request.
-    pub fn open(&self, request: RequestId) -> OpenRequest {
+    /// Opens a request and returns the receiver of its parts and reply.
+    pub fn open(&self, request: RequestId) -> ReplyReceiver {
         let (parts_tx, parts) = mpsc::channel(STREAM_BUFFER);
-        let (answer_tx, answer) = oneshot::channel();
-        let answering = Answering { parts: parts_tx, answer: answer_tx, expected: 0 };
-        lock(&self.open).insert(request, answering);
+        let (reply_tx, reply) = oneshot::channel();
+        let sender = ReplySender { parts: parts_tx, reply: reply_tx, part_count: 0 };
+        lock(&self.open).insert(request, sender);
 
-        OpenRequest { parts, answer }
+        ReplyReceiver { parts, reply }
     }
 
-    /// Closes a request that will not be answered: its caller is gone.
+    /// Closes a request whose caller has disconnected. It gets no reply.
     pub fn close(&self, request: RequestId) {
         lock(&self.open).remove(&request);
     }
@@ -76,40 +77,41 @@
         lock(&self.open).len()
     }
 
-    /// Returns where the parts of a request's stream go, if it is still open.
+    /// Returns the sender for the streamed parts of a request, if it is still open.
     pub fn parts(&self, request: RequestId) -> Option<mpsc::Sender<Part>> {
-        lock(&self.open).get(&request).map(|answering| answering.parts.clone())
+        lock(&self.open).get(&request).map(|sender| sender.parts.clone())
     }
 
-    /// Says how many parts go before the answer of a request.
-    pub fn expect(&self, request: RequestId, parts: u32) {
-        if let Some(answering) = lock(&self.open).get_mut(&request) {
-            answering.expected = parts;
+    /// Sets how many parts precede the final reply of a request.
+    pub fn set_part_count(&self, request: RequestId, parts: u32) {
+        if let Some(sender) = lock(&self.open).get_mut(&request) {
+            sender.part_count = parts;
         }
     }
 
-    /// Answers a request.
+    /// Sends the final reply of a request and closes the request.
     pub fn answer(&self, request: RequestId, reply: Reply) {
-        let answering = lock(&self.open).remove(&request);
+        let sender = lock(&self.open).remove(&request);
 
-        if let Some(answering) = answering {
-            // A caller that went away in this moment has no use for the answer.
-            let _ = answering.answer.send(Final { reply, parts: answering.expected });
+        if let Some(sender) = sender {
+            // Sending fails if the caller has just disconnected; the reply is then dropped.
+            let _ = sender.reply.send(FinalReply { reply, parts: sender.part_count });
         }
     }
 
-    /// Notes how many parts were streamed towards a caller of another host.
-    pub fn note_sent(&self, ticket: Ticket, parts: u32) {
-        lock(&self.sent).insert(ticket, parts);
+    /// Records how many parts were streamed so far to a caller of another host.
+    pub fn record_sent(&self, origin: Ticket, parts: u32) {
+        lock(&self.sent).insert(origin, parts);
     }
 
-    /// Takes the number of parts that were streamed towards a caller of another host.
-    pub fn take_sent(&self, ticket: Ticket) -> u32 {
-        lock(&self.sent).remove(&ticket).unwrap_or(0)
+    /// Removes and returns the number of parts that were streamed to a caller of another host; 0 if
+    /// none is recorded.
+    pub fn take_sent(&self, origin: Ticket) -> u32 {
+        lock(&self.sent).remove(&origin).unwrap_or(0)
     }
 }
 
-/// Locks a map. No code panics while it holds one, so a poisoned lock is still sound.
+/// Locks a map. A poisoned lock is used as it is, since no code panics while it holds the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -1,7 +1,7 @@
-//! Attempts at targets: model engines and plain services, by HTTP.
+//! Sends attempts to targets, which are model engines and services, over HTTP.
 //!
-//! A request to a target carries nothing of the caller's credentials: it is built here, from
-//! what the home decided, and never copied from what the caller sent.
+//! A request to a target never contains the caller's credentials: it is built from the dispatch of
+//! the program's home and never copied from the caller's request.
 
 mod engine;
 mod service;
@@ -25,31 +25,34 @@
 use hyper_util::rt::TokioExecutor;
 use tokio_util::sync::CancellationToken;
 
-/// How long a connection to a target may take to be made.
+/// How long connecting to a target may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a reading of a target's load or cache may take.
+/// How long one request for a target's load, events or held programs may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The most programs whose engines are remembered; what is forgotten is freed by the sweep.
-const MOST_SERVED: usize = 65_536;
+/// The maximum number of programs for which the engines that served them are recorded. When it is
+/// reached, all records are dropped; the scheduler's periodic comparison with the programs that
+/// engines hold then frees what is left.
+const MAX_SERVED_PROGRAMS: usize = 65_536;
 
-/// The largest answer of a target that is read, in bytes.
-const LARGEST_ANSWER: usize = 16 << 20;
+/// The largest answer that is accepted from a target, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Takes a part of a stream on towards its caller; returns whether it could.
+/// Forwards a numbered part of a stream to the request that it belongs to, and returns whether that
+/// succeeded.
 pub type SendPart = dyn Fn(Ticket, u32, String) -> BoxFuture<'static, bool> + Send + Sync;
 
-/// Where a target is.
+/// The kind and address of a target.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetAddress {
-    /// What it is.
+    /// Engine or service.
     pub kind: TargetKind,
-    /// Where it listens.
+    /// The address to connect to.
     pub address: SocketAddr,
 }
 
-/// Sends attempts to targets. Clones share everything.
+/// Sends attempts to targets. Clones share all state.
 #[derive(Clone)]
 pub struct Targets {
     shared: Arc<Shared>,
@@ -59,13 +62,13 @@
     client: Client<HttpConnector, Full<Bytes>>,
     addresses: RwLock<Map<TargetId, TargetAddress>>,
     running: Mutex<Map<AttemptId, CancellationToken>>,
-    /// The engines that may hold something for a program that was served from here.
+    /// For each program served by this host, the engines that may hold something for it.
     served: Mutex<Map<ProgramId, Set<TargetId>>>,
     send_part: Box<SendPart>,
 }
 
 impl Targets {
-    /// Makes a sender that knows of no target.
+    /// Creates a sender without targets. [`Targets::adopt`] adds them.
     pub fn new(send_part: Box<SendPart>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -83,7 +86,7 @@
         Self { shared: Arc::new(shared) }
     }
 
-    /// Takes over the targets of a configuration.
+    /// Replaces the known targets by those of a configuration.
     pub fn adopt(&self, config: &Config) {
         let address = |t: &Target| {
             (TargetId::from_name(&t.name), TargetAddress { kind: t.kind, address: t.address })
@@ -93,7 +96,7 @@
         *self.shared.addresses.write().unwrap_or_else(PoisonError::into_inner) = addresses;
     }
 
-    /// Runs an attempt to its end.
+    /// Sends an attempt and waits for its outcome.
     pub async fn run(&self, dispatch: Dispatch) -> AttemptEnd {
         let Some(target) = self.address(dispatch.target) else {
             let message = "it is not in the configuration of this host".into();
@@ -103,13 +106,13 @@
         lock(&self.shared.running).insert(dispatch.attempt, cancel.clone());
 
         let attempt = dispatch.attempt;
-        let end = self.run_until(target, dispatch, &cancel).await;
+        let outcome = self.run_cancellable(target, dispatch, &cancel).await;
         lock(&self.shared.running).remove(&attempt);
 
-        end
+        outcome
     }
 
-    async fn run_until(
+    async fn run_cancellable(
         &self,
         target: TargetAddress,
         dispatch: Dispatch,
@@ -117,21 +120,22 @@
     ) -> AttemptEnd {
         let timeout = dispatch.timeout;
         let streamed = AtomicBool::new(false);
-        let work = async {
+        let exchange = async {
             match &dispatch.work {
                 Work::Generate { prompt, max_tokens } => {
-                    self.note_served(dispatch.program, dispatch.target);
+                    self.record_served(dispatch.program, dispatch.target);
                     self.generate(target, &dispatch, prompt, *max_tokens, &streamed).await
                 }
                 Work::Operation { operation, key, input } => {
-                    self.operate(target, &dispatch, operation, key, input).await
+                    self.run_operation(target, &dispatch, operation, key, input).await
                 }
             }
         };
 
-        // Dropping the work closes its connection, which ends it at an engine.
+        // On cancellation or timeout the future is dropped, which closes the connection and so ends
+        // the attempt at an engine.
         tokio::select! {
-            end = work => end,
+            outcome = exchange => outcome,
             () = cancel.cancelled() => AttemptEnd::Cancelled,
             () = tokio::time::sleep(timeout) => AttemptEnd::Lost {
                 streamed: streamed.load(Ordering::Relaxed),
@@ -140,14 +144,14 @@
         }
     }
 
-    /// Cancels an attempt, if it still runs.
+    /// Cancels an attempt if it is still running.
     pub fn cancel(&self, attempt: AttemptId) {
         if let Some(cancel) = lock(&self.shared.running).get(&attempt) {
             cancel.cancel();
         }
     }
 
-    /// Has the engines that served a program free what they hold for it.
+    /// Orders all engines that served a program to free what they hold for it.
     pub async fn free(&self, program: ProgramId) {
         let served = lock(&self.shared.served).remove(&program).unwrap_or_default();
 
@@ -156,14 +160,15 @@
         }
     }
 
-    /// Has one engine free what it holds for a program.
+    /// Orders one engine to free what it holds for a program.
     pub async fn free_at(&self, target: TargetId, program: ProgramId) {
         if let Some(target) = self.address(target) {
-            self.order_free(target, program).await;
+            self.send_free_order(target, program).await;
         }
     }
 
-    /// Gets JSON from a target; `None` if it does not answer, or not with that.
+    /// Gets JSON from a target. Returns `None` if it does not answer in time or the answer does not
+    /// have the expected form.
     pub(crate) async fn get_json<T: serde::de::DeserializeOwned>(
         &self,
         target: TargetId,
@@ -171,13 +176,13 @@
     ) -> Option<T> {
         let target = self.address(target)?;
         let uri: Uri = format!("http://{}{path}", target.address).parse().ok()?;
-        let reading = async {
+        let request = async {
             let response = self.shared.client.get(uri).await.ok()?;
-            let body = Limited::new(response.into_body(), LARGEST_ANSWER).collect().await.ok()?;
+            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await.ok()?;
             serde_json::from_slice(&body.to_bytes()).ok()
         };
 
-        tokio::time::timeout(READ_TIMEOUT, reading).await.ok()?
+        tokio::time::timeout(READ_TIMEOUT, request).await.ok()?
     }
 
     fn address(&self, target: TargetId) -> Option<TargetAddress> {
@@ -186,32 +191,32 @@
         addresses.get(&target).copied()
     }
 
-    fn note_served(&self, program: ProgramId, target: TargetId) {
+    fn record_served(&self, program: ProgramId, target: TargetId) {
         let mut served = lock(&self.shared.served);
-        if served.len() >= MOST_SERVED {
+        if served.len() >= MAX_SERVED_PROGRAMS {
             served.clear();
         }
         served.entry(program).or_default().insert(target);
     }
 }
 
-/// Makes a request with a JSON body.
+/// Builds a POST request with a JSON body.
 fn post(target: TargetAddress, path: &str, body: Vec<u8>) -> Request<Full<Bytes>> {
     let uri: Uri = format!("http://{}{path}", target.address)
         .parse()
-        .expect("an address and a fixed path make a URI");
+        .expect("an address and a fixed path form a valid URI");
 
     Request::post(uri)
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(Bytes::from(body)))
-        .expect("a URI and a fixed header make a request")
+        .expect("a request with a valid URI and a fixed header is valid")
 }
 
-/// Returns what a failed sending means.
+/// Returns the outcome of an attempt whose request failed.
 ///
-/// Only a connection that was never made proves that nothing was sent. Anything later may
-/// have reached the target: told as "not sent" it could be run a second time.
-fn sending_failed(e: &hyper_util::client::legacy::Error) -> AttemptEnd {
+/// Only a failed connect proves that nothing was sent. After any later error the request may have
+/// reached the target; reporting it as not sent could run it a second time.
+fn send_failure(e: &hyper_util::client::legacy::Error) -> AttemptEnd {
     if e.is_connect() {
         return AttemptEnd::NotSent;
     }
--- a/crates/node/src/targets/engine.rs
+++ b/crates/node/src/targets/engine.rs
@@ -1,4 +1,4 @@
-//! Model turns at an engine.
+//! Runs model turns at engines.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::sse::{StreamEvent, StreamReader};
-use super::{LARGEST_ANSWER, TargetAddress, Targets, post, sending_failed};
+use super::{MAX_ANSWER_BYTES, TargetAddress, Targets, post, send_failure};
 
-/// A request to an engine.
+/// The body of a request to generate text.
 #[derive(Serialize)]
 struct Generate<'a> {
     attempt: String,
@@ -23,20 +23,20 @@
     stream: bool,
 }
 
-/// The end of an engine's answer.
+/// The last event of an engine's answer.
 #[derive(Deserialize)]
 struct Generated {
     output: serde_json::Value,
     usage: Usage,
 }
 
-/// A part of an engine's stream.
+/// An event with a part of the generated text.
 #[derive(Deserialize)]
 struct Text {
     text: String,
 }
 
-/// An order to free what is held for a program.
+/// The body of an order to free what an engine holds for a program.
 #[derive(Serialize)]
 struct FreeOrder {
     order: &'static str,
@@ -45,8 +45,8 @@
 }
 
 impl Targets {
-    /// Runs a model turn. The engine always streams, so that a broken answer is noticed
-    /// early; parts go on only if the caller asked for them.
+    /// Runs a model turn. The engine always streams, so that a broken connection is noticed early.
+    /// Parts are forwarded only if the caller asked for a stream.
     pub(super) async fn generate(
         &self,
         target: TargetAddress,
@@ -62,11 +62,11 @@
             max_tokens,
             stream: true,
         };
-        let body = serde_json::to_vec(&body).expect("a request is plain data");
+        let body = serde_json::to_vec(&body).expect("a request serializes to JSON");
 
         let response = match self.shared.client.request(post(target, "/v1/generate", body)).await {
             Ok(response) => response,
-            Err(e) => return sending_failed(&e),
+            Err(e) => return send_failure(&e),
         };
         if !response.status().is_success() {
             return AttemptEnd::Refused { message: response.status().to_string().into() };
@@ -96,44 +96,47 @@
             reader.push(data);
             while let Some(event) = reader.next_event() {
                 if event.name == "done" {
-                    return done(&event);
+                    return parse_done(&event);
                 }
-                let Some(ticket) = stream else {
+                let Some(origin) = stream else {
                     continue;
                 };
                 let Ok(Text { text }) = serde_json::from_str(&event.data) else {
                     return AttemptEnd::Failed { message: "a malformed part".into() };
                 };
                 streamed.store(true, Ordering::Relaxed);
-                if !(self.shared.send_part)(ticket, parts, text).await {
-                    // The caller's end counts the parts, so a lost one is noticed there.
-                    tracing::debug!("target: a part could not be passed on");
+                if !(self.shared.send_part)(origin, parts, text).await {
+                    // The host that writes the caller's stream counts the parts and ends the
+                    // stream with an error if one is missing.
+                    tracing::debug!("target: a streamed part could not be forwarded");
                 }
                 parts += 1;
             }
-            if reader.pending() > LARGEST_ANSWER {
+            if reader.buffered_bytes() > MAX_ANSWER_BYTES {
                 return AttemptEnd::Failed { message: "the answer is too large".into() };
             }
         }
 
-        // An answer without its end mark is not whole, however well it reads.
+        // Without the `done` event the answer is incomplete, even if the text looks complete.
         lost(parts)
     }
 
-    /// Has an engine free what it holds for a program.
-    pub(super) async fn order_free(&self, target: TargetAddress, program: ProgramId) {
+    /// Orders an engine to free what it holds for a program.
+    pub(super) async fn send_free_order(&self, target: TargetAddress, program: ProgramId) {
         let order = FreeOrder { order: "free", program, fence: 0 };
-        let body = serde_json::to_vec(&order).expect("an order is plain data");
+        let body = serde_json::to_vec(&order).expect("an order serializes to JSON");
 
         if let Err(e) = self.shared.client.request(post(target, "/v1/orders", body)).await {
-            tracing::warn!("target: order to free {program} not delivered: {e}");
+            tracing::warn!("target: the order to free program {program} was not delivered: {e}");
         }
     }
 }
 
-fn done(event: &StreamEvent) -> AttemptEnd {
+fn parse_done(event: &StreamEvent) -> AttemptEnd {
     match serde_json::from_str::<Generated>(&event.data) {
-        Ok(end) => AttemptEnd::Done { output: end.output.to_string().into(), usage: end.usage },
+        Ok(generated) => {
+            AttemptEnd::Done { output: generated.output.to_string().into(), usage: generated.usage }
+        }
         Err(_) => AttemptEnd::Failed { message: "a malformed end of the answer".into() },
     }
 }
--- a/crates/node/src/targets/service.rs
+++ b/crates/node/src/targets/service.rs
@@ -1,4 +1,4 @@
-//! Operations of a plain service.
+//! Runs operations at services.
 
 use camphorwalk_core::calls::Usage;
 use camphorwalk_core::ids::ProgramId;
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use super::{LARGEST_ANSWER, TargetAddress, Targets, post, sending_failed};
+use super::{MAX_ANSWER_BYTES, TargetAddress, Targets, post, send_failure};
 
-/// A request to a service.
+/// The body of a request to run an operation.
 #[derive(Serialize)]
 struct Run<'a> {
     operation: &'a str,
@@ -20,13 +20,13 @@
     input: &'a RawValue,
 }
 
-/// A service's answer.
+/// The body of an answer with status 2xx.
 #[derive(Deserialize)]
 struct Output {
     output: serde_json::Value,
 }
 
-/// A service's failure.
+/// The body of an answer with any other status.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct Failure {
@@ -35,8 +35,8 @@
 }
 
 impl Targets {
-    /// Runs an operation.
-    pub(super) async fn operate(
+    /// Runs an operation of a service.
+    pub(super) async fn run_operation(
         &self,
         target: TargetAddress,
         dispatch: &Dispatch,
@@ -49,14 +49,14 @@
         };
         let (program, call) = (dispatch.program, dispatch.number);
         let body = serde_json::to_vec(&Run { operation, key, program, call, input })
-            .expect("a request is plain data");
+            .expect("a request serializes to JSON");
 
         let response = match self.shared.client.request(post(target, "/v1/run", body)).await {
             Ok(response) => response,
-            Err(e) => return sending_failed(&e),
+            Err(e) => return send_failure(&e),
         };
         let status = response.status();
-        let body = Limited::new(response.into_body(), LARGEST_ANSWER);
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
         let Ok(body) = body.collect().await else {
             return AttemptEnd::Lost { streamed: false, crashed: true };
         };
@@ -75,7 +75,8 @@
         };
     }
 
-    // Only the service itself can say that it did not run the operation.
+    // Only a statement of the service itself proves that it did not run the operation; any other
+    // failure may have had an effect.
     let failure: Failure = serde_json::from_slice(body).unwrap_or_default();
     if status == StatusCode::SERVICE_UNAVAILABLE || failure.ran == Some(false) {
         return AttemptEnd::Refused { message: failure.error };
--- a/crates/node/src/targets/sse.rs
+++ b/crates/node/src/targets/sse.rs
@@ -1,32 +1,32 @@
-//! Reads server-sent events from the pieces of a body.
+//! Parses server-sent events from a body that arrives in chunks.
 
-/// An event of a stream.
+/// One server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct StreamEvent {
-    /// Its name; empty for a plain one.
+    /// The event's name; empty if it has none.
     pub name: String,
-    /// Its data.
+    /// The event's data lines, joined without a separator.
     pub data: String,
 }
 
-/// Gathers pieces and gives out whole events.
+/// Buffers chunks of a body and returns complete events.
 #[derive(Debug, Default)]
 pub(super) struct StreamReader {
     buf: Vec<u8>,
 }
 
 impl StreamReader {
-    /// Adds a piece of the body.
-    pub fn push(&mut self, piece: &[u8]) {
-        self.buf.extend_from_slice(piece);
+    /// Appends a chunk of the body.
+    pub fn push(&mut self, chunk: &[u8]) {
+        self.buf.extend_from_slice(chunk);
     }
 
-    /// Returns how many bytes wait for the end of their event.
-    pub fn pending(&self) -> usize {
+    /// Returns how many bytes are buffered because their event is not complete yet.
+    pub fn buffered_bytes(&self) -> usize {
         self.buf.len()
     }
 
-    /// Takes the next whole event out.
+    /// Removes the next complete event from the buffer and returns it.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.buf.windows(2).position(|pair| pair == b"\n\n")?;
         let block: Vec<u8> = self.buf.drain(..end + 2).collect();
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,5 +1,5 @@
-//! Watches the engines whose queue this host keeps: their load, what they dropped from their
-//! caches, and what they hold.
+//! Polls the engines whose queues are on this host for their load, the programs that they evicted
+//! from their caches, and the programs that they hold.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::host::Shared;
 use crate::targets::Targets;
 
-/// How often load and events are read.
-const LOAD_PERIOD: Duration = Duration::from_millis(500);
+/// How often the load and events of each engine are read.
+const POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// How many times load is read for each reading of what an engine holds.
-const LOADS_PER_HELD: u32 = 4;
+/// The list of programs that an engine holds is read once in this many rounds.
+const ROUNDS_PER_HELD_READ: u32 = 4;
 
-/// An engine's load.
+/// An engine's answer about its load.
 #[derive(Deserialize)]
 struct Load {
     running: u32,
@@ -29,7 +29,7 @@
     held_tokens: Tokens,
 }
 
-/// An engine's events.
+/// An engine's answer with the changes of its cache since an event number.
 #[derive(Deserialize)]
 struct Events {
     events: Vec<CacheEvent>,
@@ -43,53 +43,53 @@
     program: Box<str>,
 }
 
-/// What an engine holds.
+/// An engine's answer with the programs that it holds cache for.
 #[derive(Deserialize)]
 struct HeldList {
     programs: Vec<HeldProgram>,
 }
 
-/// A program that an engine holds something for.
+/// A program that an engine holds cache for.
 #[derive(Deserialize)]
 struct HeldProgram {
     program: Box<str>,
 }
 
-/// Watches the engines named last on `watched`, until the sender is gone.
+/// Polls the engines in the latest value of `watched`, until its sender is dropped.
 pub(crate) async fn run(
     shared: Arc<Shared>,
     targets: Targets,
     mut watched: watch::Receiver<Vec<TargetId>>,
 ) {
-    let mut seen = Map::<TargetId, u64>::default();
+    let mut last_events = Map::<TargetId, u64>::default();
     let mut round = 0;
 
     loop {
         let engines = watched.borrow_and_update().clone();
-        seen.retain(|target, _| engines.contains(target));
+        last_events.retain(|target, _| engines.contains(target));
 
-        let readings = engines.iter().map(|target| {
-            let after = seen.get(target).copied().unwrap_or(0);
-            read_engine(&shared, &targets, *target, after, round % LOADS_PER_HELD == 0)
+        let reads = engines.iter().map(|target| {
+            let after = last_events.get(target).copied().unwrap_or(0);
+            read_engine(&shared, &targets, *target, after, round % ROUNDS_PER_HELD_READ == 0)
         });
-        let last = futures::future::join_all(readings).await;
-        seen.extend(engines.iter().copied().zip(last));
+        let last = futures::future::join_all(reads).await;
+        last_events.extend(engines.iter().copied().zip(last));
 
         round = round.wrapping_add(1);
-        tokio::time::sleep(LOAD_PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
         if watched.has_changed().is_err() {
             return;
         }
     }
 }
 
-/// Reads one engine and returns the number of its last event seen.
+/// Polls one engine and returns the number of the last event that was read from it.
 async fn read_engine(
     shared: &Shared,
     targets: &Targets,
     target: TargetId,
     after: u64,
-    held: bool,
+    with_held: bool,
 ) -> u64 {
     if let Some(load) = targets.get_json::<Load>(target, "/v1/load").await {
         let Load { running, waiting, held_tokens } = load;
@@ -97,7 +97,7 @@
         shared.control.send(Event::Load { target, report });
     }
 
-    if held {
+    if with_held {
         read_held(shared, targets, target).await;
     }
 
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,12 +1,13 @@
-//! Settings: what is wrong is said, all at once, with its place.
+//! Faulty settings are rejected, with the path and reason of every fault at once.
 
 use camphorwalk_node::{Error, Settings};
 use serde_json::{Value, json};
 
-/// A change that makes good settings wrong.
+/// A change that makes valid settings faulty.
 type Change = fn(&mut Value);
 
-fn good() -> Value {
+/// Returns valid settings.
+fn valid() -> Value {
     json!({
         "name": "a1", "zone": "a",
         "callers": "127.0.0.1:0", "operators": "127.0.0.1:0", "peers": "127.0.0.1:0",
@@ -15,25 +16,25 @@
     })
 }
 
-/// Returns the faults of the good settings after a change, as lines.
+/// Applies a change to valid settings and returns the faults of the result, one line each.
 fn faults(change: impl FnOnce(&mut Value)) -> Vec<String> {
-    let mut settings = good();
+    let mut settings = valid();
     change(&mut settings);
 
     match Settings::parse(&settings.to_string()) {
         Ok(_) => Vec::new(),
         Err(Error::Settings(faults)) => faults.iter().map(ToString::to_string).collect(),
-        Err(e) => panic!("another kind of error: {e}"),
+        Err(e) => panic!("expected faults of settings, got: {e}"),
     }
 }
 
 #[test]
-fn good_settings_are_taken() {
+fn valid_settings_are_accepted() {
     assert_eq!(faults(|_| {}), Vec::<String>::new());
 }
 
 #[test]
-fn each_fault_has_its_place_and_reason() {
+fn each_fault_has_its_path_and_reason() {
     let cases: [(Change, &str); 9] = [
         (|s| s["name"] = json!(""), "name: it is empty"),
         (|s| s["zone"] = json!(7), "zone: a text is expected"),
@@ -65,10 +66,11 @@
     assert_eq!(found.len(), 4, "{found:?}");
 }
 
-/// A host would write its journal more often than its share of the platform allows, and be
-/// refused while the platform is well; callers would be told that it is away.
+/// With such a commit interval, the journal's writes would exceed the host's limit of writes per
+/// second. Writes would be refused by the host's own limiter, and callers would be told that the
+/// platform is unavailable although it works.
 #[test]
-fn a_commit_interval_beyond_the_share_is_a_fault() {
+fn a_commit_interval_that_exceeds_the_write_limit_is_a_fault() {
     let found = faults(|s| {
         s["times"] = json!({ "commit_interval": "10ms" });
         s["platform"]["writes_per_second"] = json!(50);
