--- a/crates/declare/examples/declare_cost.rs
+++ b/crates/declare/examples/declare_cost.rs
@@ -1,5 +1,5 @@
-//! Measures what a configuration of a size costs a host: bytes, and the time to write, read
-//! and check it. Prints one JSON object a line.
+//! Measures the size of bundles, and the time to write, read, check and compare them, for
+//! configurations of several sizes. Prints one JSON object per line.
 
 use std::path::Path;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 use camphorwalk_declare::{bundle, check, diff, load, unbundle};
 use serde_json::json;
 
-/// How often each step is repeated.
+/// How often each step is repeated to get its mean time.
 const REPEATS: u32 = 20;
 
 fn main() {
@@ -16,12 +16,12 @@
     let example = load(&folder).unwrap();
 
     for (tenants, targets) in [(8, 12), (80, 150), (310, 600), (620, 1200)] {
-        measure(&grown(&example, tenants, targets));
+        measure(&scaled(&example, tenants, targets));
     }
 }
 
-/// Makes a configuration of this size after an example.
-fn grown(example: &Config, tenants: usize, targets: usize) -> Config {
+/// Returns a configuration with this many tenants and targets, made from copies of an example's.
+fn scaled(example: &Config, tenants: usize, targets: usize) -> Config {
     let mut config = example.clone();
 
     config.targets = (0..targets)
@@ -44,7 +44,7 @@
     config
 }
 
-/// Measures one configuration.
+/// Measures one configuration and prints the result.
 fn measure(config: &Config) {
     assert!(check(config).is_empty());
     let bytes = bundle(config);
@@ -55,16 +55,16 @@
         "tenants": config.tenants.len(),
         "targets": config.targets.len(),
         "bundle_bytes": bytes.len(),
-        "bundle_ms": time(|| drop(bundle(config))),
-        "unbundle_and_check_ms": time(|| drop(unbundle(&bytes).unwrap())),
-        "check_ms": time(|| drop(check(config))),
-        "diff_ms": time(|| drop(diff(config, &changed))),
+        "bundle_ms": mean_ms(|| drop(bundle(config))),
+        "unbundle_and_check_ms": mean_ms(|| drop(unbundle(&bytes).unwrap())),
+        "check_ms": mean_ms(|| drop(check(config))),
+        "diff_ms": mean_ms(|| drop(diff(config, &changed))),
     });
     println!("{line}");
 }
 
 /// Returns the mean time of a step, in milliseconds.
-fn time(step: impl Fn()) -> f64 {
+fn mean_ms(step: impl Fn()) -> f64 {
     let started = Instant::now();
     for _ in 0..REPEATS {
         step();
--- a/crates/declare/src/changes.rs
+++ b/crates/declare/src/changes.rs
@@ -1,4 +1,4 @@
-//! What a change of configuration changes.
+//! Lists the differences between two configurations.
 
 use std::fmt;
 
@@ -12,23 +12,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum Change {
-    /// Something is new.
+    /// A value was added.
     Added {
-        /// Its JSON path; entries of lists go by their names.
+        /// The JSON path of the value. Entries of lists are identified by their names.
         path: Box<str>,
         /// The new value.
         new: Value,
     },
-    /// Something is gone.
+    /// A value was removed.
     Removed {
-        /// Its JSON path.
+        /// The JSON path of the value.
         path: Box<str>,
         /// The old value.
         old: Value,
     },
-    /// Something is another.
+    /// A value was replaced.
     Changed {
-        /// Its JSON path.
+        /// The JSON path of the value.
         path: Box<str>,
         /// The old value.
         old: Value,
@@ -58,10 +58,11 @@
     }
 }
 
-/// The fields that tell entries of lists apart, in the order in which they are tried.
-const NAMING_FIELDS: [&str; 3] = ["name", "id", "template"];
+/// The fields that identify the entries of a list. The first one that an entry has is used.
+const IDENTIFYING_FIELDS: [&str; 3] = ["name", "id", "template"];
 
-/// Returns what changes from `old` to `new`, sorted by path. Versions are passed over.
+/// Returns the changes from `old` to `new`, sorted by path. The configurations' versions are not
+/// compared.
 ///
 /// ```
 /// use camphorwalk_declare::{Change, diff, load};
@@ -82,9 +83,9 @@
     changes
 }
 
-/// Returns a configuration as a value without its version.
+/// Converts a configuration to a JSON value without its version.
 fn to_value(config: &Config) -> Value {
-    let mut value = serde_json::to_value(config).expect("a configuration is JSON");
+    let mut value = serde_json::to_value(config).expect("a configuration serializes to JSON");
     if let Value::Object(object) = &mut value {
         object.remove("version");
     }
@@ -92,7 +93,7 @@
     value
 }
 
-/// Compares two values at one path.
+/// Adds the differences between two values at the same path to `changes`.
 fn compare(path: &str, old: &Value, new: &Value, changes: &mut Vec<Change>) {
     match (old, new) {
         _ if old == new => {}
@@ -107,7 +108,7 @@
     }
 }
 
-/// Compares two objects field by field.
+/// Compares the fields of two objects.
 fn compare_fields(
     path: &str,
     old: &Map<String, Value>,
@@ -120,7 +121,7 @@
     compare_named(&old, &new, changes, |name| format!("{path}.{name}"));
 }
 
-/// Compares two lists entry by entry, each with the one of the same name.
+/// Compares two lists, matching their entries by name.
 fn compare_entries(
     path: &str,
     old: &[(&str, &Value)],
@@ -130,7 +131,7 @@
     compare_named(old, new, changes, |name| format!("{path}[{name:?}]"));
 }
 
-/// Compares named values.
+/// Compares two sets of named values; `path_of` returns the path of a name.
 fn compare_named(
     old: &[(&str, &Value)],
     new: &[(&str, &Value)],
@@ -158,9 +159,9 @@
     named.iter().find(|(other, _)| *other == name).map(|(_, value)| *value)
 }
 
-/// Returns the entries of a list by their names, if each has one.
+/// Returns the entries of a list with their names, or `None` if an entry has no name.
 fn by_name(items: &[Value]) -> Option<Vec<(&str, &Value)>> {
-    let name_of = |item: &Value| NAMING_FIELDS.iter().find(|f| item[**f].is_string()).copied();
+    let name_of = |item: &Value| IDENTIFYING_FIELDS.iter().find(|f| item[**f].is_string()).copied();
 
     items
         .iter()
@@ -168,7 +169,7 @@
         .collect()
 }
 
-/// Makes the change of a value.
+/// Returns the change of a value that was replaced.
 fn changed(path: &str, old: &Value, new: &Value) -> Change {
     Change::Changed { path: path.into(), old: old.clone(), new: new.clone() }
 }
--- a/crates/declare/src/checks.rs
+++ b/crates/declare/src/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of declarations against each other.
+//! Checks that declarations are valid and consistent with each other.
 
 mod fleet;
 mod names;
@@ -8,11 +8,11 @@
 
 use camphorwalk_core::config::Config;
 
+use crate::declarations::{Declarations, WHOLE_CONFIG};
 use crate::documents::fault;
 use crate::errors::{Fault, Faults};
-use crate::parts::{Parts, WHOLE};
 
-/// Returns all faults of a configuration, sorted; none if it may be adopted.
+/// Returns all faults of a configuration, sorted. A configuration without faults may be adopted.
 ///
 /// ```
 /// use camphorwalk_declare::{check, load};
@@ -24,26 +24,26 @@
 /// assert_eq!(&*check(&config)[0].path, "$.tenants[0].rate_per_second");
 /// ```
 pub fn check(config: &Config) -> Vec<Fault> {
-    Faults::of(check_parts(&Parts::of_config(config))).into_vec()
+    Faults::from_unsorted(check_declarations(&Declarations::from_config(config))).into_vec()
 }
 
-/// Returns the faults of all that could be read, in no order.
-pub(crate) fn check_parts(parts: &Parts) -> Vec<Fault> {
+/// Returns the faults of all declarations that could be read, unsorted.
+pub(crate) fn check_declarations(declarations: &Declarations) -> Vec<Fault> {
     let mut faults = Vec::new();
 
-    fleet::check(parts, &mut faults);
-    targets::check(parts, &mut faults);
-    templates::check(parts, &mut faults);
-    tenants::check(parts, &mut faults);
+    fleet::check(declarations, &mut faults);
+    targets::check(declarations, &mut faults);
+    templates::check(declarations, &mut faults);
+    tenants::check(declarations, &mut faults);
     faults
 }
 
-/// Returns the faults of a change from `old` to `new`: what is fixed for the life of a
-/// deployment.
+/// Returns the faults of a change from `old` to `new`: changes of values that must stay the same
+/// for the whole life of a deployment.
 ///
-/// With another number of partitions a program would have two homes while hosts adopt the
-/// change at different times; with another number of slices a tenant would be let in above
-/// its rate.
+/// Hosts adopt a change at different times. If the number of partitions changed, a program could
+/// have two homes in the meantime; if the number of slices changed, a tenant could be admitted
+/// above its rate.
 ///
 /// ```
 /// use camphorwalk_declare::{check_change, load};
@@ -64,5 +64,7 @@
     ];
 
     let changed = fixed.into_iter().filter(|(_, is_same)| !is_same);
-    changed.map(|(path, _)| fault(WHOLE, path, "is fixed for the life of a deployment")).collect()
+    changed
+        .map(|(path, _)| fault(WHOLE_CONFIG, path, "is fixed for the life of a deployment"))
+        .collect()
 }
--- a/crates/declare/src/errors.rs
+++ b/crates/declare/src/errors.rs
@@ -1,4 +1,4 @@
-//! What is wrong with declarations.
+//! Faults of declarations.
 
 use std::fmt;
 
@@ -7,9 +7,10 @@
 /// One fault in the declarations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fault {
-    /// The file within the folder, or `config` for a configuration that came as a whole.
+    /// The file's path within the folder, or `config` for a configuration that was not read from a
+    /// folder.
     pub file: Box<str>,
-    /// The JSON path in it, for example `$.targets[2].window`.
+    /// The JSON path within the file, for example `$.targets[2].window`.
     pub path: Box<str>,
     /// What is wrong, for a human reader.
     pub reason: Box<str>,
@@ -27,25 +28,25 @@
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// Makes the sorted whole of these faults, each once.
-    pub(crate) fn of(mut faults: Vec<Fault>) -> Self {
+    /// Sorts the faults and removes duplicates.
+    pub(crate) fn from_unsorted(mut faults: Vec<Fault>) -> Self {
         faults.sort();
         faults.dedup();
 
         Self(faults)
     }
 
-    /// Makes the faults of a whole that has just one.
-    pub(crate) fn one(file: &str, path: &str, reason: impl Into<Box<str>>) -> Self {
+    /// Returns a set with a single fault.
+    pub(crate) fn single(file: &str, path: &str, reason: impl Into<Box<str>>) -> Self {
         Self(vec![Fault { file: file.into(), path: path.into(), reason: reason.into() }])
     }
 
-    /// Returns the faults.
+    /// Returns the faults in sorted order.
     pub fn as_slice(&self) -> &[Fault] {
         &self.0
     }
 
-    /// Returns the faults as a vector.
+    /// Converts the set to a vector in sorted order.
     pub fn into_vec(self) -> Vec<Fault> {
         self.0
     }
@@ -64,5 +65,5 @@
 
 impl std::error::Error for Faults {}
 
-/// The result of reading declarations.
+/// The result of reading declarations; the error lists all faults.
 pub type Result<T> = std::result::Result<T, Faults>;
--- a/crates/declare/src/folder.rs
+++ b/crates/declare/src/folder.rs
@@ -1,4 +1,4 @@
-//! A deployment's folder.
+//! Reads the declarations of a deployment from its folder.
 
 use std::fs;
 use std::io::Read as _;
@@ -10,14 +10,14 @@
 use serde::de::DeserializeOwned;
 
 use crate::bundles::{MAX_BUNDLE_BYTES, bundle};
-use crate::checks::check_parts;
+use crate::checks::check_declarations;
+use crate::declarations::{Declarations, Located};
 use crate::documents::{Document, Placeholders, ROOT, fault};
 use crate::errors::{Fault, Faults, Result};
-use crate::parts::{Parts, Placed};
 use crate::schema;
 use crate::shapes::Shape;
 
-/// The largest file that is read, in bytes.
+/// The largest file of declarations that is accepted, in bytes.
 pub const MAX_FILE_BYTES: u64 = 512 * 1024;
 
 const FLEET_FILE: &str = "fleet.json";
@@ -25,13 +25,13 @@
 const TEMPLATES_FOLDER: &str = "templates";
 const TENANTS_FOLDER: &str = "tenants";
 
-/// The extension of declarations.
+/// The file extension of declarations.
 const EXTENSION: &str = "json";
 
-/// Reads a deployment's folder and checks it; on faults, returns all of them.
+/// Reads and checks a deployment's folder, and returns either the configuration or all faults.
 ///
-/// Templates and tenants come out in the order of their names, however the files are
-/// called, so that the same declarations always make the same bundle.
+/// Templates and tenants are sorted by name, independent of the file names, so that the same
+/// declarations always result in the same bundle.
 ///
 /// ```
 /// let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deployments/inkwick");
@@ -42,97 +42,102 @@
 /// assert_eq!(&*faults.as_slice()[0].file, "fleet.json");
 /// ```
 pub fn load(dir: &Path) -> Result<Config> {
-    let mut reader = Reader::new(dir);
+    let mut reader = FolderReader::new(dir);
     reader.read_fleet();
     reader.read_targets();
     reader.read_templates();
     reader.read_tenants();
-    reader.find_strays();
+    reader.find_unknown_files();
 
-    let Reader { mut parts, mut faults, placeholders, .. } = reader;
-    parts.templates.sort_by(|a, b| a.item.name.cmp(&b.item.name));
-    parts.tenants.sort_by(|a, b| a.item.name.cmp(&b.item.name));
-    let is_real = |fault: &Fault| !placeholders.iter().any(|p| p.cover(fault));
-    faults.extend(check_parts(&parts).into_iter().filter(is_real));
+    let FolderReader { mut declarations, mut faults, placeholders, .. } = reader;
+    declarations.templates.sort_by(|a, b| a.item.name.cmp(&b.item.name));
+    declarations.tenants.sort_by(|a, b| a.item.name.cmp(&b.item.name));
+    let is_genuine = |fault: &Fault| !placeholders.iter().any(|p| p.covers(fault));
+    faults.extend(check_declarations(&declarations).into_iter().filter(is_genuine));
 
-    match parts.fleet.take() {
-        Some(fleet) if faults.is_empty() => within_limit(Config {
+    match declarations.fleet.take() {
+        Some(fleet) if faults.is_empty() => check_size(Config {
             version: ConfigVersion::default(),
             fleet: fleet.item,
-            targets: items(parts.targets),
-            templates: items(parts.templates),
-            tenants: items(parts.tenants),
+            targets: into_items(declarations.targets),
+            templates: into_items(declarations.templates),
+            tenants: into_items(declarations.tenants),
         }),
-        _ => Err(Faults::of(faults)),
+        _ => Err(Faults::from_unsorted(faults)),
     }
 }
 
-/// Refuses a configuration that is too large to be published.
-fn within_limit(config: Config) -> Result<Config> {
+/// Rejects a configuration that is too large to be published.
+fn check_size(config: Config) -> Result<Config> {
     let size = bundle(&config).len();
 
     if size > MAX_BUNDLE_BYTES {
         let reason = format!("the whole takes {size} bytes, the most is {MAX_BUNDLE_BYTES}");
-        return Err(Faults::one(FLEET_FILE, ROOT, reason));
+        return Err(Faults::single(FLEET_FILE, ROOT, reason));
     }
     Ok(config)
 }
 
-/// Returns the things without their places.
-fn items<T>(placed: Vec<Placed<T>>) -> Vec<T> {
-    placed.into_iter().map(|placed| placed.item).collect()
+/// Returns the declarations without their locations.
+fn into_items<T>(located: Vec<Located<T>>) -> Vec<T> {
+    located.into_iter().map(|located| located.item).collect()
 }
 
-/// Reads the files of a folder.
-struct Reader<'a> {
-    /// The folder.
+/// Reads the files of a deployment's folder.
+struct FolderReader<'a> {
+    /// The deployment's folder.
     dir: &'a Path,
-    /// What could be read.
-    parts: Parts,
-    /// What is wrong.
+    /// The declarations that could be read.
+    declarations: Declarations,
+    /// The faults found so far.
     faults: Vec<Fault>,
-    /// Where placeholders stand, for each file that could be read.
+    /// The placeholders of each file that could be parsed.
     placeholders: Vec<Rc<Placeholders>>,
 }
 
-impl<'a> Reader<'a> {
-    /// Makes a reader that has read nothing yet.
+impl<'a> FolderReader<'a> {
+    /// Creates a reader for a folder, which reads nothing yet.
     fn new(dir: &'a Path) -> Self {
-        Self { dir, parts: Parts::default(), faults: Vec::new(), placeholders: Vec::new() }
+        Self {
+            dir,
+            declarations: Declarations::default(),
+            faults: Vec::new(),
+            placeholders: Vec::new(),
+        }
     }
 
     /// Reads `fleet.json`.
     fn read_fleet(&mut self) {
         let reading = self.read(FLEET_FILE, schema::FLEET);
-        self.parts.unread.zones |= reading.misses("$.zones");
-        self.parts.unread.classes |= reading.misses("$.classes");
+        self.declarations.unread_names.zones |= reading.is_unread("$.zones");
+        self.declarations.unread_names.classes |= reading.is_unread("$.classes");
 
-        self.parts.fleet = reading.item.map(|fleet| Placed::new(FLEET_FILE, ROOT, fleet));
+        self.declarations.fleet = reading.item.map(|fleet| Located::new(FLEET_FILE, ROOT, fleet));
     }
 
     /// Reads `targets.json`.
     fn read_targets(&mut self) {
         let reading = self.read::<TargetsFile>(TARGETS_FILE, schema::TARGETS);
-        self.parts.unread.pools |= reading.misses("$.targets");
+        self.declarations.unread_names.pools |= reading.is_unread("$.targets");
 
         let targets = reading.item.map(|file| file.targets).unwrap_or_default();
         for (index, target) in targets.into_iter().enumerate() {
             let path = format!("{ROOT}.targets[{index}]");
-            self.parts.targets.push(Placed::new(TARGETS_FILE, &path, target));
+            self.declarations.targets.push(Located::new(TARGETS_FILE, &path, target));
         }
     }
 
     /// Reads the files of `templates`.
     fn read_templates(&mut self) {
         let files = self.list(TEMPLATES_FOLDER);
-        self.parts.unread.templates |= files.is_none();
+        self.declarations.unread_names.templates |= files.is_none();
 
         for file in files.unwrap_or_default() {
             let reading = self.read(&file, schema::TEMPLATE);
-            self.parts.unread.templates |= reading.misses("$.name");
+            self.declarations.unread_names.templates |= reading.is_unread("$.name");
 
-            let template = reading.item.map(|template| Placed::new(&file, ROOT, template));
-            self.parts.templates.extend(template);
+            let template = reading.item.map(|template| Located::new(&file, ROOT, template));
+            self.declarations.templates.extend(template);
         }
     }
 
@@ -141,12 +146,12 @@
         for file in self.list(TENANTS_FOLDER).unwrap_or_default() {
             let reading = self.read(&file, schema::TENANT);
 
-            let tenant = reading.item.map(|tenant| Placed::new(&file, ROOT, tenant));
-            self.parts.tenants.extend(tenant);
+            let tenant = reading.item.map(|tenant| Located::new(&file, ROOT, tenant));
+            self.declarations.tenants.extend(tenant);
         }
     }
 
-    /// Turns a file into a type, noting all its faults.
+    /// Reads a file and converts it to a type. All its faults are added to `self.faults`.
     fn read<T: DeserializeOwned>(&mut self, file: &str, shape: Shape) -> FileReading<T> {
         let parsed = match read_file(&self.dir.join(file)) {
             Ok(bytes) => Document::parse(file, &bytes),
@@ -160,30 +165,31 @@
             }
         };
 
-        let reading = document.read(shape);
+        let reading = document.convert(shape);
         self.faults.extend(reading.faults);
         let placeholders = Rc::new(reading.placeholders);
         self.placeholders.push(Rc::clone(&placeholders));
         FileReading { item: reading.item, placeholders: Some(placeholders) }
     }
 
-    /// Lists the declarations in a folder, sorted; none if it cannot be listed.
+    /// Returns the sorted paths of the declarations in a subfolder, or `None`, with a fault, if it
+    /// cannot be listed.
     fn list(&mut self, folder: &str) -> Option<Vec<String>> {
-        let names = own_folder(&self.dir.join(folder))
+        let names = list_plain_folder(&self.dir.join(folder))
             .map_err(|reason| self.faults.push(fault(folder, ROOT, reason)))
             .ok()?;
 
-        let (files, strays): (Vec<_>, Vec<_>) = names.into_iter().partition(|n| is_json(n));
-        for stray in strays {
-            // A file that is passed over because of its name would be missed too late.
+        let (files, others): (Vec<_>, Vec<_>) = names.into_iter().partition(|n| is_json(n));
+        for other in others {
+            // If a misnamed file were skipped silently, its declaration would be missing unnoticed.
             let reason = "only files that end in .json belong here";
-            self.faults.push(fault(&format!("{folder}/{stray}"), ROOT, reason));
+            self.faults.push(fault(&format!("{folder}/{other}"), ROOT, reason));
         }
         Some(files.into_iter().map(|name| format!("{folder}/{name}")).collect())
     }
 
-    /// Finds JSON files in the folder itself that nothing reads.
-    fn find_strays(&mut self) {
+    /// Reports JSON files at the top level of the folder that are not read.
+    fn find_unknown_files(&mut self) {
         let names = entry_names(self.dir).unwrap_or_default();
 
         for name in names.iter().filter(|name| is_json(name)) {
@@ -198,35 +204,35 @@
     }
 }
 
-/// The content of `targets.json`.
+/// The type of the content of `targets.json`.
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TargetsFile {
-    /// The targets.
+    /// All targets of the deployment.
     targets: Vec<Target>,
 }
 
-/// What a file was read as.
+/// The result of reading a file and converting it to a type.
 struct FileReading<T> {
-    /// The type, if the file could be read.
+    /// The value, or `None` if the file could not be read or converted.
     item: Option<T>,
-    /// Where placeholders stand, if the file could be read.
+    /// The placeholders in the value, or `None` if the file could not be parsed.
     placeholders: Option<Rc<Placeholders>>,
 }
 
 impl<T> FileReading<T> {
-    /// Returns whether something at this path could not be read.
-    fn misses(&self, path: &str) -> bool {
-        self.item.is_none() || self.placeholders.as_ref().is_none_or(|p| p.touch(path))
+    /// Returns whether any value at, within or around this path could not be read.
+    fn is_unread(&self, path: &str) -> bool {
+        self.item.is_none() || self.placeholders.as_ref().is_none_or(|p| p.overlaps(path))
     }
 }
 
-/// Returns whether a file is a declaration by its name.
+/// Returns whether a file name has the extension of declarations.
 fn is_json(name: &str) -> bool {
     Path::new(name).extension().is_some_and(|extension| extension == EXTENSION)
 }
 
-/// Lists a folder's entries but hidden ones, sorted.
+/// Returns the sorted names of a folder's entries, without hidden ones.
 fn entry_names(dir: &Path) -> std::result::Result<Vec<String>, String> {
     let entries = fs::read_dir(dir).map_err(|error| format!("cannot be listed: {error}"))?;
     let mut names = Vec::new();
@@ -243,25 +249,27 @@
     Ok(names)
 }
 
-/// Lists the entries of a folder that is no link, for the same reason as with files.
-fn own_folder(dir: &Path) -> std::result::Result<Vec<String>, String> {
+/// Lists the entries of a folder that is not a symbolic link. Links are rejected for the same
+/// reason as in [`read_file`].
+fn list_plain_folder(dir: &Path) -> std::result::Result<Vec<String>, String> {
     match fs::symlink_metadata(dir) {
         Ok(metadata) if !metadata.is_dir() => Err("is not a plain folder".to_owned()),
         _ => entry_names(dir),
     }
 }
 
-/// Reads a file of at most [`MAX_FILE_BYTES`].
+/// Reads a regular file of at most [`MAX_FILE_BYTES`].
 fn read_file(path: &Path) -> std::result::Result<Vec<u8>, String> {
     let unreadable = |error| format!("cannot be read: {error}");
 
-    // What a link points at is not under version control with the folder.
+    // The target of a symbolic link is not under version control with the folder, so it could
+    // change without a change of the folder.
     let metadata = fs::symlink_metadata(path).map_err(unreadable)?;
     if !metadata.is_file() {
         return Err("is not a plain file".to_owned());
     }
 
-    // The file may grow while it is read, so the limit holds for what is read.
+    // The file may grow while it is read, so the limit applies to the bytes actually read.
     let file = fs::File::open(path).map_err(unreadable)?;
     let mut bytes = Vec::new();
     file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(unreadable)?;
--- a/crates/declare/src/lib.rs
+++ b/crates/declare/src/lib.rs
@@ -1,6 +1,6 @@
-//! Declarations: read from a folder, checked, compared and bundled.
+//! Reads, checks, compares and bundles the declarations of a deployment.
 //!
-//! A deployment is a folder that is kept in version control:
+//! A deployment is declared in a folder under version control:
 //!
 //! ```text
 //! fleet.json          zones, classes, partitions
@@ -9,9 +9,9 @@
 //! tenants/*.json      one tenant each
 //! ```
 //!
-//! [`load`] reads it and finds all faults at once; [`check`] does the same for a
-//! configuration that came by another way. [`bundle`] gives the bytes that are published,
-//! [`diff`] what a change of configuration changes.
+//! [`load`] reads the folder and reports all faults at once. [`check`] checks a configuration that
+//! did not come from a folder. [`bundle`] returns the bytes that are published, and [`diff`] lists
+//! the differences between two configurations.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
@@ -19,10 +19,10 @@
 mod bundles;
 mod changes;
 mod checks;
+mod declarations;
 mod documents;
 mod errors;
 mod folder;
-mod parts;
 mod schema;
 mod shapes;
 mod values;
--- a/crates/declare/src/schema.rs
+++ b/crates/declare/src/schema.rs
@@ -1,18 +1,19 @@
-//! The shapes of the declared things, field by field as in `camphorwalk_core::config`.
+//! The JSON shapes of all declarations. They must list the same fields as the types in
+//! `camphorwalk_core::config`.
 
-use crate::shapes::Shape::{self, Address, Bool, List, Number, Object, OneOf, Text, Whole};
+use crate::shapes::Shape::{self, Address, Bool, List, Number, Object, OneOf, Text, Unsigned};
 use crate::shapes::{Field, optional, required};
 
-const U8: Shape = Whole(u8::MAX as u64);
-const U16: Shape = Whole(u16::MAX as u64);
-const U32: Shape = Whole(u32::MAX as u64);
-const U64: Shape = Whole(u64::MAX);
+const U8: Shape = Unsigned(u8::MAX as u64);
+const U16: Shape = Unsigned(u16::MAX as u64);
+const U32: Shape = Unsigned(u32::MAX as u64);
+const U64: Shape = Unsigned(u64::MAX);
 
 const ZONE: Shape = Object(&[required("name", Text), required("region", Text)]);
 
 const CLASS: Shape = Object(&[required("name", Text), required("rank", U8)]);
 
-/// The content of `fleet.json`.
+/// The shape of `fleet.json`.
 pub(crate) const FLEET: Shape = Object(&[
     required("name", Text),
     required("zones", List(&ZONE)),
@@ -21,7 +22,7 @@
     optional("slices", U16),
 ]);
 
-/// One entry of `targets.json`.
+/// The shape of one entry of `targets.json`.
 pub(crate) const TARGET: Shape = Object(&[
     required("name", Text),
     required("pool", Text),
@@ -34,7 +35,7 @@
     optional("leaving", Bool),
 ]);
 
-/// The content of `targets.json`.
+/// The shape of `targets.json`.
 pub(crate) const TARGETS: Shape = Object(&[required("targets", List(&TARGET))]);
 
 const TEMPLATE_TARGET: Shape = Object(&[
@@ -44,7 +45,7 @@
     optional("idempotent", Bool),
 ]);
 
-/// The content of a file in `templates`.
+/// The shape of a file in `templates`.
 pub(crate) const TEMPLATE: Shape = Object(&[
     required("name", Text),
     required("targets", List(&TEMPLATE_TARGET)),
@@ -59,7 +60,7 @@
 
 const KEY: Shape = Object(&[required("id", Text), required("sha256", Text)]);
 
-/// The content of a file in `tenants`.
+/// The shape of a file in `tenants`.
 pub(crate) const TENANT: Shape = Object(TENANT_FIELDS);
 
 const TENANT_FIELDS: &[Field] = &[
@@ -73,7 +74,7 @@
     optional("serve_when_cut_off", Bool),
 ];
 
-/// A whole configuration.
+/// The shape of a whole configuration, as in a bundle.
 pub(crate) const CONFIG: Shape = Object(&[
     optional("version", U64),
     required("fleet", FLEET),
--- a/crates/declare/src/shapes.rs
+++ b/crates/declare/src/shapes.rs
@@ -1,78 +1,78 @@
-//! What JSON values may look like, and a walk that finds and mends all faults of one.
+//! Describes the expected shape of JSON values, and finds and repairs all faults of a value.
 //!
-//! `serde` stops at its first error; operators want all of them. The walk goes first, and
-//! `serde` has the last word on what the walk lets pass.
+//! `serde` stops at the first error, but operators should get all faults at once. So a value is
+//! checked and repaired here first; `serde` then converts it and may still reject it.
 
 use serde_json::{Map, Value};
 
-/// What a value may be.
+/// The expected shape of a value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Shape {
-    /// Any text.
+    /// A string with any content.
     Text,
-    /// One of these texts.
+    /// A string that is one of these.
     OneOf(&'static [&'static str]),
-    /// An IP address and port.
+    /// A string with an IP address and port.
     Address,
-    /// True or false.
+    /// `true` or `false`.
     Bool,
-    /// A number.
+    /// Any number.
     Number,
     /// A whole number from 0 to this.
-    Whole(u64),
+    Unsigned(u64),
     /// An object with these fields.
     Object(&'static [Field]),
-    /// A list of such values.
+    /// A list whose entries have this shape.
     List(&'static Shape),
 }
 
-/// A field of an object.
+/// An expected field of an object.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Field {
-    /// Its name.
+    /// The field's name.
     pub(crate) name: &'static str,
-    /// Whether it must be there.
+    /// Whether the field must be present.
     pub(crate) required: bool,
-    /// What its value may be.
+    /// The shape of the field's value.
     pub(crate) shape: Shape,
 }
 
-/// Makes a field that must be there.
+/// Describes a required field.
 pub(crate) const fn required(name: &'static str, shape: Shape) -> Field {
     Field { name, required: true, shape }
 }
 
-/// Makes a field that may be left out.
+/// Describes an optional field.
 pub(crate) const fn optional(name: &'static str, shape: Shape) -> Field {
     Field { name, required: false, shape }
 }
 
-/// All faults of a value.
+/// The faults and repairs of a value.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
-    /// Where, and what.
+    /// The path and reason of each fault.
     pub(crate) faults: Vec<(String, String)>,
-    /// Where placeholders stand now.
+    /// The paths of values that were replaced by placeholders.
     pub(crate) placeholders: Vec<String>,
 }
 
 impl Findings {
-    /// Finds all faults of `value` at `path`, and mends it: unknown fields go, and what is
-    /// missing or of another kind becomes a placeholder. So the rest of it can be read, and
-    /// one fault does not hide the next.
-    pub(crate) fn walk(&mut self, shape: Shape, value: &mut Value, path: &str) {
+    /// Finds all faults of `value` at `path` and repairs them: unknown fields are removed, and
+    /// values that are missing or have the wrong shape become placeholders. The rest can then be
+    /// converted and checked, so that one fault does not hide another.
+    pub(crate) fn check_and_repair(&mut self, shape: Shape, value: &mut Value, path: &str) {
         match (shape, &mut *value) {
             (Shape::Object(fields), Value::Object(object)) => {
-                self.walk_object(fields, object, path);
+                self.check_object(fields, object, path);
             }
             (Shape::List(item), Value::Array(items)) => {
                 for (index, value) in items.iter_mut().enumerate() {
-                    self.walk(*item, value, &format!("{path}[{index}]"));
+                    self.check_and_repair(*item, value, &format!("{path}[{index}]"));
                 }
             }
             _ => {
                 if let Some(expected) = mismatch(shape, value) {
-                    let reason = format!("expected {expected}, found {}", show(value));
+                    let reason = format!("expected {expected}, found {}", describe(value));
                     self.faults.push((path.to_owned(), reason));
                     self.placeholders.push(path.to_owned());
                     *value = placeholder(shape);
@@ -81,15 +81,15 @@
         }
     }
 
-    /// Finds all faults of an object.
-    fn walk_object(&mut self, fields: &[Field], object: &mut Map<String, Value>, path: &str) {
+    /// Finds and repairs all faults of an object.
+    fn check_object(&mut self, fields: &[Field], object: &mut Map<String, Value>, path: &str) {
         for field in fields {
-            let below = format!("{path}.{}", field.name);
+            let path_of_field = format!("{path}.{}", field.name);
             if let Some(value) = object.get_mut(field.name) {
-                self.walk(field.shape, value, &below);
+                self.check_and_repair(field.shape, value, &path_of_field);
             } else if field.required {
                 self.faults.push((path.to_owned(), format!("missing field `{}`", field.name)));
-                self.placeholders.push(below);
+                self.placeholders.push(path_of_field);
                 object.insert(field.name.to_owned(), placeholder(field.shape));
             }
         }
@@ -104,14 +104,14 @@
     }
 }
 
-/// Returns the simplest value of a shape.
+/// Returns a simple value that has the given shape.
 fn placeholder(shape: Shape) -> Value {
     match shape {
         Shape::Text => Value::from(""),
         Shape::OneOf(texts) => Value::from(texts[0]),
         Shape::Address => Value::from("0.0.0.0:0"),
         Shape::Bool => Value::from(false),
-        Shape::Number | Shape::Whole(_) => Value::from(0),
+        Shape::Number | Shape::Unsigned(_) => Value::from(0),
         Shape::List(_) => Value::Array(Vec::new()),
         Shape::Object(fields) => {
             let required = fields.iter().filter(|field| field.required);
@@ -120,7 +120,7 @@
     }
 }
 
-/// Returns what was expected, if the value is something else.
+/// Returns a description of the expected shape if the value does not have it.
 fn mismatch(shape: Shape, value: &Value) -> Option<String> {
     let (fits, expected) = match shape {
         Shape::Text => (value.is_string(), "a text".to_owned()),
@@ -134,9 +134,9 @@
         }
         Shape::Bool => (value.is_boolean(), "true or false".to_owned()),
         Shape::Number => (value.is_number(), "a number".to_owned()),
-        Shape::Whole(most) => {
-            let fits = value.as_u64().is_some_and(|number| number <= most);
-            (fits, format!("a whole number from 0 to {most}"))
+        Shape::Unsigned(max) => {
+            let fits = value.as_u64().is_some_and(|number| number <= max);
+            (fits, format!("a whole number from 0 to {max}"))
         }
         Shape::Object(_) => (false, "an object".to_owned()),
         Shape::List(_) => (false, "a list".to_owned()),
@@ -145,26 +145,28 @@
     (!fits).then_some(expected)
 }
 
-/// The longest text that a fault repeats, in characters.
-const SHOWN_CHARS: usize = 60;
+/// How many characters of a name or value a fault shows at most.
+const MAX_SHOWN_CHARS: usize = 60;
 
 /// Returns the JSON path of a field of the object at `path`.
 pub(crate) fn field_path(path: &str, name: &str) -> String {
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-');
 
-    // Any other name is quoted: a line break in it would look like a fault of its own.
-    if !name.is_empty() && name.len() <= SHOWN_CHARS && name.bytes().all(is_plain) {
+    // Other names are quoted, since a line break in one would look like the start of another fault.
+    if !name.is_empty() && name.len() <= MAX_SHOWN_CHARS && name.bytes().all(is_plain) {
         return format!("{path}.{name}");
     }
-    format!("{path}[{:?}]", name.chars().take(SHOWN_CHARS).collect::<String>())
+    format!("{path}[{:?}]", name.chars().take(MAX_SHOWN_CHARS).collect::<String>())
 }
 
-/// Returns a value as a fault shows it.
-fn show(value: &Value) -> String {
+/// Describes a value for a fault.
+fn describe(value: &Value) -> String {
     match value {
         Value::Object(_) => "an object".to_owned(),
         Value::Array(_) => "a list".to_owned(),
-        Value::String(text) => format!("{:?}", text.chars().take(SHOWN_CHARS).collect::<String>()),
+        Value::String(text) => {
+            format!("{:?}", text.chars().take(MAX_SHOWN_CHARS).collect::<String>())
+        }
         other => other.to_string(),
     }
 }
--- a/crates/declare/src/values.rs
+++ b/crates/declare/src/values.rs
@@ -1,4 +1,4 @@
-//! JSON values, with the fields that stand twice.
+//! Parses JSON values and reports duplicate fields.
 
 use std::fmt;
 
@@ -8,28 +8,29 @@
 use crate::documents::ROOT;
 use crate::shapes::field_path;
 
-/// Parses JSON; returns the value and the path of each field that stands twice.
+/// Parses JSON and returns the value and the paths of duplicate fields.
 ///
-/// `serde_json` alone lets the last of two win without a word, and a reader of the file
-/// may well take the first for the one in force.
+/// `serde_json` by itself silently takes the last of two fields with the same name, while a person
+/// who reads the file may assume that the first one applies.
 pub(crate) fn parse(bytes: &[u8]) -> serde_json::Result<(Value, Vec<String>)> {
-    let mut twice = Vec::new();
+    let mut duplicates = Vec::new();
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
 
-    let value = Reader { path: ROOT, twice: &mut twice }.deserialize(&mut deserializer)?;
+    let value =
+        ValueSeed { path: ROOT, duplicates: &mut duplicates }.deserialize(&mut deserializer)?;
     deserializer.end()?;
-    Ok((value, twice))
+    Ok((value, duplicates))
 }
 
-/// Reads the value at one path.
-struct Reader<'a> {
-    /// The path.
+/// Deserializes the value at one path and collects the duplicate fields within it.
+struct ValueSeed<'a> {
+    /// The JSON path of the value.
     path: &'a str,
-    /// The paths of the fields that stand twice.
-    twice: &'a mut Vec<String>,
+    /// The paths of duplicate fields found so far.
+    duplicates: &'a mut Vec<String>,
 }
 
-impl<'de> DeserializeSeed<'de> for Reader<'_> {
+impl<'de> DeserializeSeed<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, d: D) -> Result<Value, D::Error> {
@@ -37,7 +38,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Reader<'_> {
+impl<'de> Visitor<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -73,8 +74,8 @@
 
         loop {
             let path = format!("{}[{}]", self.path, items.len());
-            let reader = Reader { path: &path, twice: self.twice };
-            match seq.next_element_seed(reader)? {
+            let seed = ValueSeed { path: &path, duplicates: self.duplicates };
+            match seq.next_element_seed(seed)? {
                 Some(item) => items.push(item),
                 None => return Ok(Value::Array(items)),
             }
@@ -86,9 +87,10 @@
 
         while let Some(name) = map.next_key::<String>()? {
             let path = field_path(self.path, &name);
-            let value = map.next_value_seed(Reader { path: &path, twice: self.twice })?;
+            let value =
+                map.next_value_seed(ValueSeed { path: &path, duplicates: self.duplicates })?;
             if object.insert(name, value).is_some() {
-                self.twice.push(path);
+                self.duplicates.push(path);
             }
         }
         Ok(Value::Object(object))
--- a/crates/declare/tests/changes.rs
+++ b/crates/declare/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What a change of configuration changes.
+//! Differences between configurations, as operators see them before they apply a change.
 
 mod fixtures;
 
@@ -8,13 +8,13 @@
 use fixtures::config;
 use insta::assert_snapshot;
 
-/// Returns the changes from one configuration to another, one a line.
+/// Returns the changes from one configuration to another, one per line.
 fn changes(old: &Config, new: &Config) -> String {
     diff(old, new).iter().map(|change| format!("{change}\n")).collect()
 }
 
 #[test]
-fn entries_go_by_their_names() {
+fn entries_of_lists_are_matched_by_name() {
     let old = config("inkwick");
     let mut new = old.clone();
     new.targets.remove(0);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn order_and_version_are_no_changes() {
+fn order_and_version_are_not_compared() {
     let old = config("inzira");
     let mut new = old.clone();
     new.targets.reverse();
--- a/crates/declare/tests/examples.rs
+++ b/crates/declare/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example deployments: without fault, and of the sizes that the users gave.
+//! The example deployments have no faults and keep the sizes and properties that their users need.
 
 mod fixtures;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn inkwick_has_its_sizes() {
+fn inkwick_has_the_given_sizes() {
     let config = config("inkwick");
 
     assert_eq!(config.fleet.zones.len(), 3);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn inzira_has_its_sizes() {
+fn inzira_has_the_given_sizes() {
     let config = config("inzira");
 
     assert_eq!(config.fleet.zones.len(), 4);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn arrivals_are_answered_first() {
+fn class_arrival_has_the_first_rank() {
     let config = config("inkwick");
 
     let arrival = config.fleet.classes.iter().find(|class| &*class.name == "arrival").unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn example_keys_are_as_the_page_says() {
+fn example_keys_are_as_documented() {
     for name in ["inkwick", "inzira"] {
         for tenant in config(name).tenants {
             let secret = format!("{name}-{}-key", tenant.name);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn bundles_come_back_exactly() {
+fn bundles_round_trip_exactly() {
     for name in ["inkwick", "inzira"] {
         let config = config(name);
 
--- a/crates/declare/tests/faults.rs
+++ b/crates/declare/tests/faults.rs
@@ -1,9 +1,9 @@
-//! Broken copies of the Inkwick example, and what is said of them.
+//! Faults reported for copies of the Inkwick example that were made invalid.
 
 mod fixtures;
 
 use camphorwalk_declare::{MAX_FILE_BYTES, check, load, unbundle};
-use fixtures::{config, copy};
+use fixtures::{config, copy_inkwick};
 use insta::assert_snapshot;
 use serde_json::json;
 
@@ -12,8 +12,8 @@
 const TEMPLATE: &str = "templates/brief-assistant.json";
 
 #[test]
-fn all_faults_of_a_tenant_are_told_at_once() {
-    let copy = copy();
+fn all_faults_of_a_tenant_are_reported_at_once() {
+    let copy = copy_inkwick();
     copy.set(TENANT, "/rate_per_second", 0);
     copy.set(TENANT, "/burst", 0);
     copy.set(TENANT, "/budget_tokens", 0);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn rates_that_are_none() {
+fn invalid_rates() {
     let mut config = config("inkwick");
     let rates = [-1.0, f64::NAN, f64::INFINITY, 1e9, 1e-6];
     for (tenant, rate) in config.tenants.iter_mut().zip(rates) {
@@ -58,10 +58,11 @@
     "#);
 }
 
-// One secret for two tenants would let a request run for another tenant than its caller's.
+// If two tenants' keys had the same secret, a request could run for a tenant other than its
+// caller's.
 #[test]
-fn keys_that_stand_twice() {
-    let copy = copy();
+fn duplicate_keys() {
+    let copy = copy_inkwick();
     let first = config("inkwick").tenants[0].keys[0].clone();
     copy.set(TENANT, "/keys", json!([first, { "id": "x", "sha256": first.sha256 }]));
 
@@ -74,7 +75,7 @@
 
 #[test]
 fn faults_of_the_fleet() {
-    let copy = copy();
+    let copy = copy_inkwick();
     copy.set("fleet.json", "/partitions", 0);
     copy.set("fleet.json", "/slices", 70_000);
     copy.set("fleet.json", "/zones/1/name", "midlands-a");
@@ -96,7 +97,7 @@
 
 #[test]
 fn faults_of_targets() {
-    let copy = copy();
+    let copy = copy_inkwick();
     copy.set("targets.json", "/targets/0/window", 0);
     copy.set("targets.json", "/targets/1/zone", "nowhere");
     copy.set("targets.json", "/targets/2/cache_tokens", 0);
@@ -125,7 +126,7 @@
 
 #[test]
 fn a_pool_of_two_kinds() {
-    let copy = copy();
+    let copy = copy_inkwick();
     copy.set("targets.json", "/targets/9/pool", "sketch-model");
 
     assert_snapshot!(copy.faults(), @"targets.json: $.targets[9].kind: the pool `sketch-model` has targets of another kind");
@@ -133,7 +134,7 @@
 
 #[test]
 fn faults_of_a_template() {
-    let copy = copy();
+    let copy = copy_inkwick();
     copy.set(TEMPLATE, "/targets/0/operation", "generate");
     copy.remove(TEMPLATE, "/targets/1/operation");
     copy.set(TEMPLATE, "/targets/2/pool", "no-such-pool");
@@ -157,11 +158,11 @@
     "#);
 }
 
-// One template lets a deposit be taken again after a failure, the other does not: the
-// operation cannot be both.
+// One template allows the operation that takes a deposit to be repeated after a failure, the other
+// forbids it. If both were accepted, a deposit could be taken twice.
 #[test]
 fn an_operation_that_is_idempotent_in_one_template_only() {
-    let copy = copy();
+    let copy = copy_inkwick();
     copy.set("templates/gig-planner.json", "/targets/4/idempotent", true);
 
     assert_snapshot!(copy.faults(), @"templates/gig-planner.json: $.targets[4].idempotent: the operation `take-deposit` is declared otherwise elsewhere");
@@ -169,7 +170,7 @@
 
 #[test]
 fn files_that_cannot_be_read() {
-    let copy = copy();
+    let copy = copy_inkwick();
     copy.write(TENANT, "{\n  \"name\": \"floor-artists\",\n  oops\n}");
     copy.write(OTHER_TENANT, vec![b' '; MAX_FILE_BYTES as usize + 1]);
     copy.write("tenants/notes.txt", "a note");
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn a_folder_that_is_none() {
+fn an_empty_folder() {
     let empty = tempfile::tempdir().unwrap();
 
     assert_snapshot!(load(empty.path()).unwrap_err(), @r#"
@@ -202,21 +203,22 @@
     "#);
 }
 
-// The last of two fields would win without a word; a reader may take the first for it.
+// Without this fault the last of two fields would silently apply, while a reader of the file may
+// assume that the first one does.
 #[test]
-fn a_field_that_stands_twice() {
-    let copy = copy();
+fn a_duplicate_field() {
+    let copy = copy_inkwick();
     let text = std::fs::read_to_string(copy.file(OTHER_TENANT)).unwrap();
     copy.write(OTHER_TENANT, text.replace("\"burst\"", "\"rate_per_second\": 400, \"burst\""));
 
     assert_snapshot!(copy.faults(), @"tenants/meriden-house.json: $.rate_per_second: stands twice");
 }
 
-// What a link points at is not under version control with the folder, and may change
-// without a change to it.
+// The target of a symbolic link is not under version control with the folder, so declarations could
+// change without a change of the folder.
 #[test]
-fn a_folder_that_is_a_link() {
-    let copy = copy();
+fn a_folder_that_is_a_symbolic_link() {
+    let copy = copy_inkwick();
     let elsewhere = copy.file("elsewhere");
     std::fs::rename(copy.file("templates"), &elsewhere).unwrap();
     std::os::unix::fs::symlink(elsewhere, copy.file("templates")).unwrap();
@@ -225,8 +227,8 @@
 }
 
 #[test]
-fn two_files_with_one_name() {
-    let copy = copy();
+fn two_files_that_declare_the_same_name() {
+    let copy = copy_inkwick();
     std::fs::copy(copy.file(TENANT), copy.file("tenants/zz-copy.json")).unwrap();
 
     assert_snapshot!(copy.faults(), @r#"
@@ -236,10 +238,11 @@
     "#);
 }
 
-// A file that cannot be read must not make its readers' references look wrong.
+// References from other files to names declared in an unreadable file must not be reported as
+// unknown.
 #[test]
-fn a_fault_in_one_file_makes_none_in_others() {
-    let copy = copy();
+fn a_fault_in_one_file_causes_none_in_others() {
+    let copy = copy_inkwick();
     copy.write(TEMPLATE, "");
     copy.remove("targets.json", "/targets");
     copy.remove("fleet.json", "/classes");
@@ -252,7 +255,7 @@
 }
 
 #[test]
-fn bundles_that_are_refused() {
+fn bundles_that_are_rejected() {
     let mut wrong = serde_json::to_value(config("inkwick")).unwrap();
     wrong["tenants"][0]["burst"] = json!(0);
     let well_formed = wrong.to_string();
