--- a/crates/node/src/targets/service.rs
+++ b/crates/node/src/targets/service.rs
@@ -75,8 +75,8 @@
         };
     }
 
-    // Only a statement of the service itself proves that it did not run the operation; any other
-    // failure may have had an effect.
+    // Only the service itself can say that it did not run the operation, by status 503 or
+    // `ran: false`. After any other failure the operation may have run.
     let failure: Failure = serde_json::from_slice(body).unwrap_or_default();
     if status == StatusCode::SERVICE_UNAVAILABLE || failure.ran == Some(false) {
         return AttemptEnd::Refused { message: failure.error };
