--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -1,4 +1,4 @@
-//! Newer manifests that other hosts have.
+//! Transfers of newer manifests between hosts.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,64 +15,64 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::asks::{self, Ask, Reply};
 use crate::clock;
 use crate::host::Shared;
+use crate::queries::{self, Query, QueryReply};
 
-/// How often a pending request is checked.
-const QUESTION_PERIOD: Duration = Duration::from_millis(100);
+/// How often a pending query is checked.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// The state of manifest transfers to and from this host.
 #[derive(Default)]
 pub(crate) struct Manifests {
-    /// Whether a newer one is waited for, or requested from another host.
+    /// Whether this host is waiting for a newer manifest, or has requested one from another host.
     is_fetching: Cell<bool>,
-    /// When a part of one last came from the store, or one was read and the next asked for.
+    /// When a part of a manifest was last received from the store, or the processing of one ended.
     last_progress: Cell<Option<Instant>>,
     /// Transfers to other hosts.
     transfers: RefCell<Transfers>,
-    /// Hosts that refused to send theirs are not asked for a while.
+    /// Hosts that recently refused to send their manifest and are not asked for a while.
     backoff: RefCell<Backoff>,
 }
 
 impl Manifests {
-    /// Notes that a transfer from the store makes progress.
-    pub(crate) fn note_progress(&self) {
+    /// Records that a transfer from the store makes progress.
+    pub(crate) fn record_progress(&self) {
         self.last_progress.set(Some(clock::now()));
     }
 
-    /// Takes in which version another host told that it has.
-    fn told(&self, host: HostId, version: u64) {
+    /// Records the manifest version that another host has reported.
+    fn record_reported(&self, host: HostId, version: u64) {
         self.transfers.borrow_mut().acknowledge(host, version);
     }
 
     /// Returns whether a host may be asked for its manifest.
     fn may_ask(&self, host: HostId) -> bool {
-        self.backoff.borrow().may_ask(clock::now(), host)
+        self.backoff.borrow().may_request(clock::now(), host)
     }
 }
 
-/// Takes in that another host has a manifest of this version. If it is newer than the one in force
-/// and the store does not bring it, it is asked for.
+/// Handles the manifest version that another host has reported. If it is newer than the one in
+/// force and does not arrive from the store, it is requested from a host.
 ///
-/// The store turns some hosts away while it answers others. If all of these sent their manifest
-/// unasked, a host that is turned away would get it from each of them, again with each of their
-/// news, until its link is full. So it asks one of them at a time.
-pub(crate) fn heard_version(shared: &Rc<Shared>, from: HostId, version: u64) {
-    shared.manifests.told(from, version);
+/// The store may refuse some hosts while it answers others. If all of the others sent their
+/// manifest unasked, a refused host would receive it from each of them with each status update,
+/// until its link is saturated. So the host requests it, from one host at a time.
+pub(crate) fn handle_reported_version(shared: &Rc<Shared>, from: HostId, version: u64) {
+    shared.manifests.record_reported(from, version);
     if version <= shared.manifest_version() || shared.manifests.is_fetching.replace(true) {
         return;
     }
 
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
-        seek(&shared, version).await;
+        fetch_newer(&shared, version).await;
         shared.manifests.is_fetching.set(false);
     });
 }
 
-/// Waits for a newer manifest, and asks one host for it if the store does not bring it.
-async fn seek(shared: &Shared, version: u64) {
+/// Waits for a newer manifest, and requests it from a host if it does not arrive from the store.
+async fn fetch_newer(shared: &Shared, version: u64) {
     let announced_at = clock::now();
 
     loop {
@@ -80,47 +80,50 @@
             version,
             in_force: shared.manifest_version(),
             announced_at,
-            store_answers: shared.store.answers(),
+            store_answers: shared.store.is_available(),
             last_progress: shared.manifests.last_progress.get(),
         };
         match next_fetch_step(clock::now(), &newer) {
             FetchStep::Nothing => return,
             FetchStep::Wait(pause) => sleep(pause).await,
-            FetchStep::AskPeer => return ask_peer(shared, version).await,
+            FetchStep::AskPeer => return request_from_peer(shared, version).await,
         }
     }
 }
 
-/// Asks a host for its manifest. Without one the next news lead to a new question.
-async fn ask_peer(shared: &Shared, version: u64) {
+/// Requests the manifest from a host. If it does not arrive, the next status update starts another
+/// query.
+async fn request_from_peer(shared: &Shared, version: u64) {
     let own = shared.manifest_version();
     let may_ask = |host: &HostId| shared.manifests.may_ask(*host);
-    let Some(host) = shared.fleet.manifest_peer(own, may_ask) else { return };
-    let asked = clock::now();
+    let Some(host) = shared.fleet.live_peer_with_manifest(own, may_ask) else { return };
+    let requested_at = clock::now();
 
-    // The manifest itself comes before the reply.
+    // The manifest itself arrives before the reply.
     let reply = tokio::select! {
-        reply = asks::ask_on(shared, host, &Ask::Manifest) => reply,
-        () = no_answer(shared, host, asked) => None,
+        reply = queries::send_until_dropped(shared, host, &Query::Manifest) => reply,
+        () = until_no_reply_expected(shared, host, requested_at) => None,
     };
     let now = clock::now();
-    let took = now.since(asked);
-    if matches!(reply, Some(Reply::Refused)) {
+    let took = now.since(requested_at);
+    if matches!(reply, Some(QueryReply::Refused)) {
         shared.manifests.backoff.borrow_mut().record_refusal(now, host);
     }
-    info!(host = host.0, own, version, ?reply, ?took, "manifest: asked for at another host");
+    info!(host = host.0, own, version, ?reply, ?took, "manifest: requested from another host");
 }
 
-/// Waits until no answer can be expected to a question.
-async fn no_answer(shared: &Shared, host: HostId, asked: Instant) {
-    while check_pending(clock::now(), asked, shared.fleet.heard_at(host)) == PendingRequest::Wait {
-        sleep(QUESTION_PERIOD).await;
+/// Waits until a query can no longer be expected to get a reply.
+async fn until_no_reply_expected(shared: &Shared, host: HostId, requested_at: Instant) {
+    while check_pending(clock::now(), requested_at, shared.fleet.last_status_at(host))
+        == PendingRequest::Wait
+    {
+        sleep(CHECK_PERIOD).await;
     }
 }
 
-/// Sends the manifest in force to another host that asked for it, unless enough copies are under
-/// way.
-pub(crate) fn tell(shared: &Shared, to: HostId) -> Reply {
+/// Sends the manifest in force to another host that requested it, unless too many transfers are in
+/// progress.
+pub(crate) fn handle_query(shared: &Shared, to: HostId) -> QueryReply {
     let version = shared.manifest_version();
     let decision = shared.manifests.transfers.borrow_mut().request(clock::now(), to, version);
     let sent = decision == Decision::Send && send(shared, to);
@@ -128,8 +131,8 @@
     let outcome = if sent { "sent" } else { "refused" };
     shared.metrics.manifest_copies.with_label_values(&[outcome]).inc();
     let under_way = shared.manifests.transfers.borrow().len();
-    info!(host = to.0, version, ?decision, sent, under_way, "manifest: another host asked for it");
-    if sent { Reply::Done } else { Reply::Refused }
+    info!(host = to.0, version, ?decision, sent, under_way, "manifest: requested by another host");
+    if sent { QueryReply::Done } else { QueryReply::Refused }
 }
 
 fn send(shared: &Shared, to: HostId) -> bool {
--- /dev/null
+++ b/crates/entry/src/unary.rs
@@ -0,0 +1,144 @@
+//! Forwards calls whose answer is received completely before it is passed to the caller.
+
+use std::time::Duration;
+
+use camphorwalk_adapter::head;
+use camphorwalk_core::entry::RetryPolicy;
+use camphorwalk_policy::entry::placement::Outcome;
+use http::{Response, StatusCode};
+use http_body_util::{BodyExt as _, Limited};
+use tracing::info;
+
+use crate::answer::{Answer, AnswerBody, Refusal};
+use crate::call::{Call, TargetAnswer};
+use crate::forward::{self, CallAttempt, SendOutcome, Started};
+use crate::{clock, places};
+
+/// To how many targets a call is sent, as long as each of them has certainly not run it.
+const MAX_OFFERS: u32 = 4;
+
+/// An idempotent call is sent to another target if the answer's head takes longer than this many
+/// times the latency objective of the route. This is far beyond the longest regular work of such a
+/// call, and a fraction of the time that callers wait.
+const HEAD_TIMEOUT_OBJECTIVES: u32 = 3;
+
+/// The least time to wait for an answer's head before the call is sent to another target.
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// The maximum size of an answer's body.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+
+/// Retry-After of a call that all targets refused: about the duration of one call.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(120);
+
+/// Sends a call to targets until one of them answers.
+pub(crate) async fn forward(call: &Call) -> Result<Answer, Refusal> {
+    let may_repeat = call.route().retry_policy == RetryPolicy::Idempotent;
+    let mut placement = call.placement_request();
+    let mut offers = 0;
+    let mut runs = 0;
+
+    loop {
+        let place = places::take(&call.shared, &call.service, &placement, call.urgency()).await;
+        let place = place.map_err(|refusal| call.adjust_refusal(refusal))?;
+        let key = place.key;
+        let may_try_another = may_repeat && runs + 1 < call.route().max_targets;
+        let attempt = CallAttempt {
+            call,
+            body: call.body.clone(),
+            last_event: None,
+            head_timeout: head_timeout(call, may_try_another),
+        };
+
+        let (reason, may_have_run) = match forward::send(&attempt, place).await {
+            SendOutcome::Started(started) => match receive(call, *started, offers + 1).await {
+                Ok(answer) => return Ok(answer),
+                Err(reason) => (reason, true),
+            },
+            SendOutcome::NotRun(reason) => (reason, false),
+            SendOutcome::Unknown { reason, .. } => (reason, true),
+        };
+        offers += 1;
+        runs += u32::from(may_have_run);
+        placement.avoid.push(key);
+        info!(
+            request = %call.head.request_id, offers, runs, may_have_run, reason,
+            "call: no answer from target"
+        );
+
+        if may_have_run && !may_try_another {
+            return Err(Refusal::answer_lost(reason));
+        }
+        if offers >= MAX_OFFERS {
+            return Err(
+                call.adjust_refusal(Refusal::retry_later("all targets refused", FULL_RETRY_AFTER))
+            );
+        }
+        call.shared.metrics.resends.with_label_values(&[reason]).inc();
+    }
+}
+
+/// Returns how long to wait for an answer's head.
+fn head_timeout(call: &Call, may_try_another: bool) -> Duration {
+    let left = clock::until(call.deadline);
+
+    match may_try_another {
+        true => left
+            .min((call.route().latency_objective * HEAD_TIMEOUT_OBJECTIVES).max(MIN_HEAD_TIMEOUT)),
+        false => left,
+    }
+}
+
+/// Receives the whole answer, and returns it if it is valid.
+async fn receive(call: &Call, started: Started, offers: u32) -> Result<Answer, &'static str> {
+    let Started { response, head, connection, place } = started;
+    let (parts, body) = response.into_parts();
+    let key = place.key;
+
+    let body = match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
+        Ok(body) => body.to_bytes(),
+        Err(_) => {
+            place.end(Outcome::Failed);
+            return Err("the answer broke off");
+        }
+    };
+    if let Some(reason) = rejection_reason(parts.status, &head) {
+        place.end(Outcome::Failed);
+        return Err(reason);
+    }
+
+    let (target, load) = place.target();
+    let status = parts.status;
+    call.log_answer(&TargetAnswer { target: &target, load, status, offers, events: None });
+    place.complete();
+    forward::put_back(&call.shared, key, connection, &head);
+
+    let mut answer = Response::new(AnswerBody::Whole(Some(body)));
+    *answer.status_mut() = parts.status;
+    *answer.headers_mut() = head::write_answer(&parts.headers);
+    Ok(answer)
+}
+
+/// Returns why an answer must not be passed to the caller, if so.
+///
+/// A successful answer must be signed. Some statuses promise that the call has not run. They are
+/// only passed on if the target made that promise explicitly in the head, which was handled before.
+pub(crate) fn rejection_reason(
+    status: StatusCode,
+    head: &head::AnswerHead,
+) -> Option<&'static str> {
+    let promises = matches!(
+        status,
+        StatusCode::REQUEST_TIMEOUT
+            | StatusCode::MISDIRECTED_REQUEST
+            | StatusCode::TOO_MANY_REQUESTS
+            | StatusCode::SERVICE_UNAVAILABLE
+    );
+
+    match () {
+        () if head.has_content_encoding => Some("the answer has a content encoding"),
+        () if status.is_success() && !head.signed => Some("the answer is not signed"),
+        () if promises => Some("the target promised what it cannot"),
+        () => None,
+    }
+}
--- a/crates/node/src/callers/answers.rs
+++ b/crates/node/src/callers/answers.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use camphorwalk_core::calls::{CallOutcome, Called, Code, Refusal, Reply, Usage};
+use camphorwalk_core::calls::{CallOutcome, Code, CompletedCall, Refusal, Reply, Usage};
 use dropshot::{Body, ErrorStatusCode, HttpError, HttpResponseError};
 use http::{Response, StatusCode, header};
 use schemars::JsonSchema;
@@ -134,7 +134,7 @@
     serde_json::to_string(&called_body(called)).expect("a response body serializes to JSON")
 }
 
-fn called_body(called: &Called) -> CalledBody<'_> {
+fn called_body(called: &CompletedCall) -> CalledBody<'_> {
     CalledBody {
         call: called.call,
         output: raw_json(&called.output),
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply};
 use dropshot::Body;
 use http::{Response, StatusCode, header};
 use http_body_util::StreamBody;
@@ -170,5 +170,5 @@
 /// Returns the refusal for a request whose reply channel closed without a reply.
 pub fn reply_lost() -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, "the answer is lost; ask for the outcome")
-        .ran(Ran::Maybe)
+        .ran(Executed::Maybe)
 }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use camphorwalk_core::hash::Map;
-use camphorwalk_core::ids::{HostId, RequestId, Ticket};
+use camphorwalk_core::ids::{HostId, RequestId, RequestOrigin};
 use camphorwalk_core::messages::forward::Chunk;
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_peer::{Inbound, PeerOptions, Peers, Secret};
-use camphorwalk_policy::configs::OperatorId;
+use camphorwalk_policy::configs::OperatorRequestId;
 use camphorwalk_policy::scheduler::{Action, Event, OperatorReply, SchedulerOptions};
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 use camphorwalk_store::{Client, ClientOptions};
 use rand::RngCore as _;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -108,7 +108,7 @@
         // The peer listener starts first, because its address is published with the host's session.
         let (inbound_tx, inbound) = mpsc::channel(INBOUND_BUFFER);
         let options = PeerOptions::new(
-            settings.peers,
+            settings.peers_address,
             &settings.name,
             &settings.zone,
             session,
@@ -143,8 +143,8 @@
         let executor = ActionExecutor { shared: shared.clone(), peers, platform, targets, watched };
         tokio::spawn(executor.run(actions));
 
-        let callers = CallerServer::start(settings.callers, shared.clone())?;
-        let operators = OperatorServer::start(settings.operators, shared.clone())?;
+        let callers = CallerServer::start(settings.callers_address, shared.clone())?;
+        let operators = OperatorServer::start(settings.operators_address, shared.clone())?;
 
         Ok(Self { shared, callers, operators, peer_address, drain_delay: settings.drain_delay })
     }
@@ -180,7 +180,7 @@
         self.shared.begin_leaving();
         tokio::time::sleep(self.drain_delay).await;
         self.shared.control.send(Event::Drain);
-        self.reached(Phase::Left).await;
+        self.wait_for_phase(Phase::Left).await;
 
         // Requests forwarded to programs' homes on other hosts may still be open.
         while self.shared.streams.count() > 0 {
@@ -209,7 +209,7 @@
         match action {
             Action::Answer { request, reply } => self.shared.streams.answer(request, *reply),
             Action::Send { to, message } => self.send(to, message),
-            Action::Address { host, address } => self.peers.set_address(host, address),
+            Action::SetPeerAddress { host, address } => self.peers.set_address(host, address),
             Action::Platform { op, request } => {
                 let (platform, control) = (self.platform.clone(), self.shared.control.clone());
                 tokio::spawn(async move {
@@ -219,15 +219,15 @@
             }
             Action::Dispatch(dispatch) => self.dispatch(*dispatch),
             Action::Cancel(attempt) => self.targets.cancel(attempt),
-            Action::Free(program) => {
+            Action::FreeProgram(program) => {
                 let targets = self.targets.clone();
                 tokio::spawn(async move { targets.free(program).await });
             }
-            Action::FreeAt { target, program } => {
+            Action::FreeProgramAt { target, program } => {
                 let targets = self.targets.clone();
                 tokio::spawn(async move { targets.free_at(target, program).await });
             }
-            Action::Watch(engines) => {
+            Action::WatchEngines(engines) => {
                 self.watched.send_replace(engines);
             }
             Action::Adopted(config) => self.adopt(&config),
@@ -254,11 +254,11 @@
         }
 
         if !self.peers.send(to, message.clone()) {
-            self.shared.control.send(Event::Unsent { to, message });
+            self.shared.control.send(Event::SendFailed { to, message });
         }
     }
 
-    fn dispatch(&self, dispatch: camphorwalk_policy::wire::Dispatch) {
+    fn dispatch(&self, dispatch: camphorwalk_policy::shared_types::Dispatch) {
         let (attempt, stream) = (dispatch.attempt, dispatch.stream);
         let (targets, shared) = (self.targets.clone(), self.shared.clone());
 
@@ -328,11 +328,11 @@
             Inbound::Up { name, zone, .. } => {
                 tracing::info!("peer: {name} of zone {zone} is connected");
             }
-            Inbound::Down { host } | Inbound::Broken { host } => {
+            Inbound::Down { host } | Inbound::ConnectionLost { host } => {
                 shared.control.send(Event::PeerDown(host));
             }
-            Inbound::Unsent { to, message } => {
-                shared.control.send(Event::Unsent { to, message });
+            Inbound::SendFailed { to, message } => {
+                shared.control.send(Event::SendFailed { to, message });
             }
         }
     }
@@ -409,9 +409,9 @@
 
 fn platform_client(settings: &Settings, seed: u64, metrics: &Metrics) -> Result<Client> {
     let mut options = ClientOptions::new(settings.platform.address, &settings.zone);
-    options.deadline = settings.platform.deadline;
-    options.share.reads_per_second = settings.platform.reads_per_second;
-    options.share.writes_per_second = settings.platform.writes_per_second;
+    options.deadline = settings.platform.request_timeout;
+    options.quota.reads_per_second = settings.platform.reads_per_second;
+    options.quota.writes_per_second = settings.platform.writes_per_second;
     options.seed = seed;
 
     let client = Client::new(options)?;
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -6,7 +6,7 @@
 
 use camphorwalk_core::config::Config;
 use camphorwalk_core::units::ConfigVersion;
-use camphorwalk_policy::configs::{OperatorId, Published};
+use camphorwalk_policy::configs::{OperatorRequestId, Published};
 use camphorwalk_policy::scheduler::{Event, OperatorReply, OperatorRequest, Status};
 use dropshot::{
     ApiDescription, ApiDescriptionRegisterError, Body, ConfigDropshot, ErrorStatusCode, HttpError,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use camphorwalk_policy::scheduler::Times;
+use camphorwalk_policy::scheduler::SchedulerTimes;
 
 use self::reader::Reader;
 use crate::errors::{Error, Result, unreadable};
@@ -173,10 +173,10 @@
     Some(Settings {
         name: name?,
         zone: zone?,
-        callers: callers?,
-        operators: operators?,
+        callers_address: callers?,
+        operators_address: operators?,
         operator_key_file: PathBuf::from(&*operator_key_file?),
-        peers: peers?,
+        peers_address: peers?,
         fleet_secret_file: PathBuf::from(&*fleet_secret_file?),
         platform: platform??,
         limits: limits?,
@@ -189,11 +189,16 @@
 
 fn read_platform(r: &mut Reader<'_>) -> Option<PlatformSettings> {
     let address = r.address("address");
-    let deadline = r.duration_or("deadline", Duration::from_secs(1));
+    let request_timeout = r.duration_or("deadline", Duration::from_secs(1));
     let reads_per_second = r.rate_or("reads_per_second", 100.0);
     let writes_per_second = r.rate_or("writes_per_second", 40.0);
 
-    Some(PlatformSettings { address: address?, deadline, reads_per_second, writes_per_second })
+    Some(PlatformSettings {
+        address: address?,
+        request_timeout,
+        reads_per_second,
+        writes_per_second,
+    })
 }
 
 /// The fraction of a host's platform writes that the journal may use. The rest is for renewing
@@ -223,10 +228,10 @@
     }
 }
 
-fn read_times(r: &mut Reader<'_>) -> Times {
-    let default = Times::default();
+fn read_times(r: &mut Reader<'_>) -> SchedulerTimes {
+    let default = SchedulerTimes::default();
 
-    Times {
+    SchedulerTimes {
         session_lifetime: r.duration_or("session_lifetime", default.session_lifetime),
         session_renewal: r.duration_or("session_renewal", default.session_renewal),
         lease_poll: r.duration_or("lease_poll", default.lease_poll),
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::calls::Reply;
 use camphorwalk_core::hash::Map;
-use camphorwalk_core::ids::{RequestId, Ticket};
+use camphorwalk_core::ids::{RequestId, RequestOrigin};
 use tokio::sync::{mpsc, oneshot};
 
 /// How many parts of a stream are buffered for a slow caller. When the buffer is full, a target
--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -15,8 +15,8 @@
 use bytes::Bytes;
 use camphorwalk_core::config::{Config, Target, TargetKind};
 use camphorwalk_core::hash::{Map, Set};
-use camphorwalk_core::ids::{AttemptId, ProgramId, TargetId, Ticket};
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
+use camphorwalk_core::ids::{AttemptId, ProgramId, RequestOrigin, TargetId};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, Dispatch};
 use futures::future::BoxFuture;
 use http::{Request, Uri};
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -100,7 +100,7 @@
     pub async fn run(&self, dispatch: Dispatch) -> AttemptEnd {
         let Some(target) = self.address(dispatch.target) else {
             let message = "it is not in the configuration of this host".into();
-            return AttemptEnd::Refused { message };
+            return AttemptOutcome::Refused { message };
         };
         let cancel = CancellationToken::new();
         lock(&self.shared.running).insert(dispatch.attempt, cancel.clone());
@@ -117,7 +117,7 @@
         target: TargetAddress,
         dispatch: Dispatch,
         cancel: &CancellationToken,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let timeout = dispatch.timeout;
         let streamed = AtomicBool::new(false);
         let exchange = async {
@@ -218,10 +218,10 @@
 /// reached the target; reporting it as not sent could run it a second time.
 fn send_failure(e: &hyper_util::client::legacy::Error) -> AttemptEnd {
     if e.is_connect() {
-        return AttemptEnd::NotSent;
+        return AttemptOutcome::NotSent;
     }
 
-    AttemptEnd::Lost { streamed: false, crashed: true }
+    AttemptOutcome::Lost { streamed: false, crashed: true }
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/policy/src/configs.rs
+++ b/crates/policy/src/configs.rs
@@ -45,7 +45,7 @@
 
 /// An operator's question, by a number that the answer carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct OperatorId(pub u64);
+pub struct OperatorRequestId(pub u64);
 
 /// Something that happened, as far as the configuration minds.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
     /// An operator publishes a configuration that was made from version `base`.
     Publish {
         /// The question.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// The version that the operator read; 0 for the first.
         base: ConfigVersion,
         /// The new configuration.
@@ -83,7 +83,7 @@
 
 /// What to do next for the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ConfigNext {
+pub enum ConfigAction {
     /// Run an operation on the platform.
     Platform {
         /// The number to answer with.
@@ -98,7 +98,7 @@
     /// The answer to an operator who publishes.
     Published {
         /// The question.
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         /// The answer.
         answer: Published,
     },
@@ -152,7 +152,7 @@
 /// A publication under way.
 #[derive(Clone, Debug)]
 struct Publication {
-    ask: OperatorId,
+    request_id: OperatorRequestId,
     base: ConfigVersion,
     config: Arc<Config>,
     object: Box<[u8]>,
@@ -242,7 +242,7 @@
     }
 
     /// Takes in an event and appends what to do next to `out`.
-    pub fn step(&mut self, now: Instant, event: ConfigEvent, out: &mut Vec<ConfigNext>) {
+    pub fn step(&mut self, now: Instant, event: ConfigEvent, out: &mut Vec<ConfigAction>) {
         match event {
             ConfigEvent::Platform { op, reply } => self.on_platform(op, reply, out),
             ConfigEvent::Heard(pointer) => self.on_pointer(pointer, out),
@@ -251,7 +251,9 @@
                 keys.into_iter().for_each(|key| self.add_withdrawn(key, false, out));
             }
             ConfigEvent::Withdraw { key } => self.add_withdrawn(key, true, out),
-            ConfigEvent::Publish { ask, base, config } => self.publish(ask, base, *config, out),
+            ConfigEvent::Publish { request_id, base, config } => {
+                self.publish(request_id, base, *config, out)
+            }
             ConfigEvent::Wake => {}
         }
 
@@ -266,14 +268,14 @@
         Some(self.next_poll)
     }
 
-    fn start(&mut self, pending: Pending, request: PlatformOp, out: &mut Vec<ConfigNext>) {
+    fn start(&mut self, pending: Pending, request: PlatformOp, out: &mut Vec<ConfigAction>) {
         self.next_op += 1;
         let op = ConfigOp(self.next_op);
         self.pending.push((op, pending));
-        out.push(ConfigNext::Platform { op, request });
+        out.push(ConfigAction::Platform { op, request });
     }
 
-    fn poll(&mut self, out: &mut Vec<ConfigNext>) {
+    fn poll(&mut self, out: &mut Vec<ConfigAction>) {
         // A poll that is still under way when the next is due goes on alone.
         if !self.pending.iter().any(|(_, p)| matches!(p, Pending::Pointer)) {
             self.start(Pending::Pointer, read_pointer(), out);
@@ -297,7 +299,7 @@
         }
     }
 
-    fn on_platform(&mut self, op: ConfigOp, reply: PlatformReply, out: &mut Vec<ConfigNext>) {
+    fn on_platform(&mut self, op: ConfigOp, reply: PlatformReply, out: &mut Vec<ConfigAction>) {
         let Some(index) = self.pending.iter().position(|(waiting, _)| *waiting == op) else {
             return;
         };
@@ -321,7 +323,7 @@
         }
     }
 
-    fn on_pointer(&mut self, pointer: Pointer, out: &mut Vec<ConfigNext>) {
+    fn on_pointer(&mut self, pointer: Pointer, out: &mut Vec<ConfigAction>) {
         let newer = self.pointer.as_ref().is_none_or(|mine| pointer.version > mine.version);
         let fetching = |p: &Pending| matches!(p, Pending::Object(of) if *of == pointer);
 
@@ -332,7 +334,7 @@
     }
 
     /// Adopts a configuration if it is newer and sound.
-    fn on_bytes(&mut self, bytes: Box<[u8]>, out: &mut Vec<ConfigNext>) {
+    fn on_bytes(&mut self, bytes: Box<[u8]>, out: &mut Vec<ConfigAction>) {
         // One that this host cannot read is left alone: it goes on with what it has, and
         // `status` shows that it is behind.
         let Ok(config) = (self.options.read)(&bytes) else {
@@ -350,10 +352,10 @@
         self.pointer = Some(pointer);
         self.bytes = bytes;
         self.current = Some(config.clone());
-        out.push(ConfigNext::Adopted(config));
+        out.push(ConfigAction::Adopted(config));
     }
 
-    fn on_tombstones(&mut self, rows: &[Row], out: &mut Vec<ConfigNext>) {
+    fn on_tombstones(&mut self, rows: &[Row], out: &mut Vec<ConfigAction>) {
         let keys = rows.iter().filter_map(|row| u64::from_str_radix(&row.key.key, 16).ok());
 
         for key in keys.map(KeyId) {
@@ -362,7 +364,7 @@
         }
     }
 
-    fn add_withdrawn(&mut self, key: KeyId, store: bool, out: &mut Vec<ConfigNext>) {
+    fn add_withdrawn(&mut self, key: KeyId, store: bool, out: &mut Vec<ConfigAction>) {
         if !self.withdrawn.insert(key) {
             return;
         }
@@ -371,19 +373,19 @@
             self.unstored.push(key);
             self.start(Pending::Store(key), store_tombstone(key), out);
         }
-        out.push(ConfigNext::KeyWithdrawn(key));
+        out.push(ConfigAction::KeyWithdrawn(key));
     }
 
     fn publish(
         &mut self,
-        ask: OperatorId,
+        request_id: OperatorRequestId,
         base: ConfigVersion,
         mut config: Config,
-        out: &mut Vec<ConfigNext>,
+        out: &mut Vec<ConfigAction>,
     ) {
         config.version = ConfigVersion(base.0 + 1);
         let object = (self.options.write)(&config);
-        let publication = Publication { ask, base, config: Arc::new(config), object };
+        let publication = Publication { request_id, base, config: Arc::new(config), object };
         let request = PlatformOp::PutObject(publication.object.clone());
 
         self.start(Pending::Publish(Box::new(publication), PublishStep::Object), request, out);
@@ -394,9 +396,9 @@
         publication: Box<Publication>,
         step: PublishStep,
         reply: PlatformReply,
-        out: &mut Vec<ConfigNext>,
+        out: &mut Vec<ConfigAction>,
     ) {
-        let ask = publication.ask;
+        let request_id = publication.request_id;
         let answer = match (step, reply) {
             (PublishStep::Object, PlatformReply::Stored(_)) => {
                 let pending = Pending::Publish(publication, PublishStep::Read);
@@ -438,7 +440,7 @@
             _ => Published::Unavailable,
         };
 
-        out.push(ConfigNext::Published { ask, answer });
+        out.push(ConfigAction::Published { request_id, answer });
     }
 }
 
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -5,9 +5,9 @@
 //! elsewhere is refused. (Each child having a reservation of its own was weighed: it needs
 //! a size that nobody knows beforehand, and an idle child would hold tokens back.)
 
-use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
+use camphorwalk_core::calls::{Code, Executed, OpenRequest, Opened, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
-use camphorwalk_core::ids::{ClassId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::ids::{ClassId, ProgramId, RequestOrigin, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 
@@ -35,7 +35,7 @@
     pub(super) fn open(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: OpenRequest,
     ) {
@@ -53,7 +53,7 @@
     fn reopen(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         open: &OpenRequest,
         known: ProgramKey,
@@ -173,7 +173,7 @@
     }
 
     /// Journals an opening.
-    fn start_opening(&mut self, cx: &mut Cx<'_>, ticket: Ticket, entry: OpenedEntry) {
+    fn start_opening(&mut self, cx: &mut Cx<'_>, ticket: RequestOrigin, entry: OpenedEntry) {
         let key = self.insert_program(cx, &entry);
         let program = &mut self.programs[key];
         program.state = ProgramState::Opening;
@@ -296,7 +296,7 @@
         let after = self.journal.retry_after();
 
         // Not "not run": the program may be there, and a repeat finds it.
-        let mut refusal = answers::platform_away(after).ran(Ran::Maybe);
+        let mut refusal = answers::platform_away(after).ran(Executed::Maybe);
         refusal.code = Code::OutcomeUnknown;
 
         for ticket in tickets {
