--- a/crates/node/src/callers/answers.rs
+++ b/crates/node/src/callers/answers.rs
@@ -130,7 +130,7 @@
 }
 
 /// Returns the JSON body for a call that succeeded.
-pub fn called_json(called: &Called) -> String {
+pub fn called_json(called: &CompletedCall) -> String {
     serde_json::to_string(&called_body(called)).expect("a response body serializes to JSON")
 }
 
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -158,7 +158,7 @@
             Code::OutcomeUnknown,
             "a part of the stream was lost; ask for the outcome",
         )
-        .ran(Ran::Yes),
+        .ran(Executed::Yes),
         Some(FinalReply { reply: Reply::Refused(refusal), .. }) => refusal,
         Some(_) | None => reply_lost(),
     };
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -66,7 +66,7 @@
     /// The current phase; tasks can wait for a change.
     pub phase: watch::Sender<Phase>,
     /// Requests of operators that wait for the control thread's reply.
-    pub operator_requests: Mutex<Map<OperatorId, oneshot::Sender<OperatorReply>>>,
+    pub operator_requests: Mutex<Map<OperatorRequestId, oneshot::Sender<OperatorReply>>>,
     /// The next number for a request of a caller or an operator.
     pub counter: std::sync::atomic::AtomicU64,
 }
@@ -165,7 +165,7 @@
     }
 
     /// Waits until the host has reached a phase or a later one.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         let mut rx = self.shared.phase.subscribe();
 
         // The sender lives in `self.shared`, so waiting cannot fail.
@@ -235,10 +235,10 @@
                 tracing::info!("config: key {key} withdrawn");
                 write(&self.shared.keys).withdraw(key);
             }
-            Action::OperatorAnswer { ask: request_id, reply } => {
+            Action::OperatorAnswer { request_id, reply } => {
                 self.answer_operator(request_id, *reply);
             }
-            Action::Left => {
+            Action::ShutdownReady => {
                 tracing::info!("host: all partitions and places are handed over");
                 self.shared.phase.send_replace(Phase::Left);
             }
@@ -249,7 +249,7 @@
         // The control thread does not see streamed parts, so their number is filled in here. An
         // answer that is sent again already has it, and `take_sent` then returns 0.
         if let Some(Body::Answer(answer)) = &mut message.body {
-            let origin = Ticket { entry: to, request: RequestId(answer.request) };
+            let origin = RequestOrigin { entry: to, request: RequestId(answer.request) };
             answer.chunks = answer.chunks.max(self.shared.streams.take_sent(origin));
         }
 
@@ -268,11 +268,11 @@
             let in_force = read(&shared.keys).is_in_force(dispatch.key);
             let outcome = if in_force { targets.run(dispatch).await } else { key_withdrawn() };
             // There may be no answer after a cancelled attempt, so its part count is removed here.
-            if let (AttemptEnd::Cancelled, Some(origin)) = (&outcome, stream) {
+            if let (AttemptOutcome::Cancelled, Some(origin)) = (&outcome, stream) {
                 shared.streams.take_sent(origin);
             }
             shared.metrics.attempts.with_label_values(&[outcome_label(&outcome)]).inc();
-            shared.control.send(Event::Ended { attempt, end: outcome });
+            shared.control.send(Event::AttemptEnded { attempt, outcome });
         });
     }
 
@@ -289,7 +289,7 @@
         });
     }
 
-    fn answer_operator(&self, request_id: OperatorId, reply: OperatorReply) {
+    fn answer_operator(&self, request_id: OperatorRequestId, reply: OperatorReply) {
         let waiting = self
             .shared
             .operator_requests
@@ -351,7 +351,7 @@
 async fn poll_hosts(shared: Arc<Shared>, platform: Client) {
     loop {
         match platform.hosts().await {
-            Ok(hosts) => shared.control.send(Event::Hosts(hosts)),
+            Ok(hosts) => shared.control.send(Event::HostList(hosts)),
             Err(e) => tracing::debug!("platform: the list of hosts could not be read: {e}"),
         }
         tokio::time::sleep(HOST_LIST_PERIOD).await;
@@ -429,18 +429,18 @@
 }
 
 /// Returns the outcome of an attempt that was not sent because its key had been withdrawn.
-fn key_withdrawn() -> AttemptEnd {
-    AttemptEnd::Refused { message: "its key was withdrawn".into() }
+fn key_withdrawn() -> AttemptOutcome {
+    AttemptOutcome::Refused { message: "its key was withdrawn".into() }
 }
 
-fn outcome_label(outcome: &AttemptEnd) -> &'static str {
+fn outcome_label(outcome: &AttemptOutcome) -> &'static str {
     match outcome {
-        AttemptEnd::Done { .. } => "done",
-        AttemptEnd::NotSent => "not_sent",
-        AttemptEnd::Refused { .. } => "refused",
-        AttemptEnd::Failed { .. } => "failed",
-        AttemptEnd::Lost { .. } => "lost",
-        AttemptEnd::Cancelled => "cancelled",
+        AttemptOutcome::Done { .. } => "done",
+        AttemptOutcome::NotSent => "not_sent",
+        AttemptOutcome::Refused { .. } => "refused",
+        AttemptOutcome::Failed { .. } => "failed",
+        AttemptOutcome::Lost { .. } => "lost",
+        AttemptOutcome::Cancelled => "cancelled",
     }
 }
 
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -307,10 +307,10 @@
 ) -> Result<OperatorReply, HttpError> {
     authorize(cx)?;
     let shared = cx.context();
-    let request_id = OperatorId(shared.next_request_number());
+    let request_id = OperatorRequestId(shared.next_request_number());
     let (tx, rx) = oneshot::channel();
     shared.operator_requests.lock().unwrap_or_else(PoisonError::into_inner).insert(request_id, tx);
-    shared.control.send(Event::Operator { ask: request_id, request });
+    shared.control.send(Event::Operator { request_id, request });
 
     match tokio::time::timeout(REPLY_TIMEOUT, rx).await {
         Ok(Ok(reply)) => Ok(reply),
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -29,13 +29,13 @@
     /// The name of the host's availability zone, as declared in `fleet.json`.
     pub zone: Box<str>,
     /// The listen address of the API for callers.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// The listen address of the API for operators.
-    pub operators: SocketAddr,
+    pub operators_address: SocketAddr,
     /// The path of the file with the operators' key.
     pub operator_key_file: PathBuf,
     /// The listen address for connections from peers.
-    pub peers: SocketAddr,
+    pub peers_address: SocketAddr,
     /// The path of the file with the secret that all hosts of the fleet share: 64 hexadecimal
     /// digits.
     pub fleet_secret_file: PathBuf,
@@ -44,7 +44,7 @@
     /// Limits on requests of callers.
     pub limits: Limits,
     /// Intervals and timeouts of the scheduler.
-    pub times: Times,
+    pub times: SchedulerTimes,
     /// How long a host that shuts down still accepts requests, so that the load balancer can notice
     /// that the readiness check fails.
     pub drain_delay: Duration,
@@ -60,7 +60,7 @@
     /// The platform's address.
     pub address: SocketAddr,
     /// The timeout of one attempt of a request.
-    pub deadline: Duration,
+    pub request_timeout: Duration,
     /// How many reads per second this host may make.
     pub reads_per_second: f64,
     /// How many writes per second this host may make.
@@ -209,7 +209,7 @@
 ///
 /// Otherwise the host would run into its own rate limit, and would report to callers that the
 /// platform is unavailable although it works.
-fn check_write_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &Times) {
+fn check_write_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &SchedulerTimes) {
     let writes = 1.0 / times.commit_interval.as_secs_f64();
 
     if writes > platform.writes_per_second * MAX_JOURNAL_FRACTION {
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -53,7 +53,7 @@
 pub struct Streams {
     open: Mutex<Map<RequestId, ReplySender>>,
     /// The number of parts sent so far for each request of another host's caller.
-    sent: Mutex<Map<Ticket, u32>>,
+    sent: Mutex<Map<RequestOrigin, u32>>,
 }
 
 impl Streams {
@@ -100,13 +100,13 @@
     }
 
     /// Records how many parts were streamed so far to a caller of another host.
-    pub fn record_sent(&self, origin: Ticket, parts: u32) {
+    pub fn record_sent(&self, origin: RequestOrigin, parts: u32) {
         lock(&self.sent).insert(origin, parts);
     }
 
     /// Removes and returns the number of parts that were streamed to a caller of another host; 0 if
     /// none is recorded.
-    pub fn take_sent(&self, origin: Ticket) -> u32 {
+    pub fn take_sent(&self, origin: RequestOrigin) -> u32 {
         lock(&self.sent).remove(&origin).unwrap_or(0)
     }
 }
--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -41,7 +41,7 @@
 
 /// Forwards a numbered part of a stream to the request that it belongs to, and returns whether that
 /// succeeded.
-pub type SendPart = dyn Fn(Ticket, u32, String) -> BoxFuture<'static, bool> + Send + Sync;
+pub type SendPart = dyn Fn(RequestOrigin, u32, String) -> BoxFuture<'static, bool> + Send + Sync;
 
 /// The kind and address of a target.
 #[derive(Clone, Copy, Debug)]
@@ -97,7 +97,7 @@
     }
 
     /// Sends an attempt and waits for its outcome.
-    pub async fn run(&self, dispatch: Dispatch) -> AttemptEnd {
+    pub async fn run(&self, dispatch: Dispatch) -> AttemptOutcome {
         let Some(target) = self.address(dispatch.target) else {
             let message = "it is not in the configuration of this host".into();
             return AttemptOutcome::Refused { message };
@@ -121,12 +121,12 @@
         let timeout = dispatch.timeout;
         let streamed = AtomicBool::new(false);
         let exchange = async {
-            match &dispatch.work {
-                Work::Generate { prompt, max_tokens } => {
+            match &dispatch.payload {
+                AttemptPayload::Generate { prompt, max_tokens } => {
                     self.record_served(dispatch.program, dispatch.target);
                     self.generate(target, &dispatch, prompt, *max_tokens, &streamed).await
                 }
-                Work::Operation { operation, key, input } => {
+                AttemptPayload::Operation { operation, key, input } => {
                     self.run_operation(target, &dispatch, operation, key, input).await
                 }
             }
@@ -136,8 +136,8 @@
         // the attempt at an engine.
         tokio::select! {
             outcome = exchange => outcome,
-            () = cancel.cancelled() => AttemptEnd::Cancelled,
-            () = tokio::time::sleep(timeout) => AttemptEnd::Lost {
+            () = cancel.cancelled() => AttemptOutcome::Cancelled,
+            () = tokio::time::sleep(timeout) => AttemptOutcome::Lost {
                 streamed: streamed.load(Ordering::Relaxed),
                 crashed: false,
             },
@@ -216,7 +216,7 @@
 ///
 /// Only a failed connect proves that nothing was sent. After any later error the request may have
 /// reached the target; reporting it as not sent could run it a second time.
-fn send_failure(e: &hyper_util::client::legacy::Error) -> AttemptEnd {
+fn send_failure(e: &hyper_util::client::legacy::Error) -> AttemptOutcome {
     if e.is_connect() {
         return AttemptOutcome::NotSent;
     }
--- a/crates/node/src/targets/engine.rs
+++ b/crates/node/src/targets/engine.rs
@@ -113,7 +113,7 @@
                 parts += 1;
             }
             if reader.buffered_bytes() > MAX_ANSWER_BYTES {
-                return AttemptEnd::Failed { message: "the answer is too large".into() };
+                return AttemptOutcome::Failed { message: "the answer is too large".into() };
             }
         }
 
@@ -132,11 +132,12 @@
     }
 }
 
-fn parse_done(event: &StreamEvent) -> AttemptEnd {
+fn parse_done(event: &StreamEvent) -> AttemptOutcome {
     match serde_json::from_str::<Generated>(&event.data) {
-        Ok(generated) => {
-            AttemptEnd::Done { output: generated.output.to_string().into(), usage: generated.usage }
-        }
-        Err(_) => AttemptEnd::Failed { message: "a malformed end of the answer".into() },
+        Ok(generated) => AttemptOutcome::Done {
+            output: generated.output.to_string().into(),
+            usage: generated.usage,
+        },
+        Err(_) => AttemptOutcome::Failed { message: "a malformed end of the answer".into() },
     }
 }
