--- a/crates/camphorwalk/src/arguments.rs
+++ b/crates/camphorwalk/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of the programs.
+//! Parses the command lines of both programs.
 
 use std::net::SocketAddr;
 use std::process;
@@ -9,8 +9,10 @@
 use crate::exit::Exit;
 use crate::output;
 
-/// Reads the command line. Prints help and ends with 0 if asked; on a usage error, prints it
-/// and ends with 2, where `argh` alone would end with 1, as a refusal does.
+/// Parses the command line of this process.
+///
+/// On `--help`, prints the help text and exits with 0. On a usage error, prints the error and
+/// exits with 2. `argh` alone would exit with 1, which here means that a request was refused.
 pub fn from_env<T: TopLevelCommand>() -> T {
     let words: Vec<String> =
         std::env::args_os().map(|word| word.to_string_lossy().into_owned()).collect();
@@ -25,7 +27,8 @@
     })
 }
 
-/// Reads a command line, or returns what to print and how to end.
+/// Parses a command line. If the process should exit instead of running a command, returns the
+/// text to print and the exit code.
 ///
 /// ```
 /// use argh::FromArgs;
@@ -55,7 +58,7 @@
     })
 }
 
-/// Reads a duration with its unit, for options.
+/// Parses the value of a duration option: a whole number with the unit `ms` or `s`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -73,8 +76,8 @@
     parsed.ok_or_else(|| "expected a duration such as 250ms or 10s".to_owned())
 }
 
-/// Reads where a host listens, for options: an IP address and port, with or without `http://`
-/// as hosts print it.
+/// Parses the value of an address option: an IP address and port. A leading `http://` and a
+/// trailing slash are ignored, so that an address can be copied from the output of a host.
 ///
 /// ```
 /// use camphorwalk::arguments::address;
--- a/crates/camphorwalk/src/bin/camphorwalk.rs
+++ b/crates/camphorwalk/src/bin/camphorwalk.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/crates/camphorwalk/src/bin/camphorwalkd.rs
+++ b/crates/camphorwalk/src/bin/camphorwalkd.rs
@@ -1,4 +1,4 @@
-//! An entry host.
+//! The daemon that runs an entry host.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -54,7 +54,7 @@
     Ok((settings, secrets))
 }
 
-/// Prints each fault on a line of its own.
+/// Prints an error to standard error. Each fault of the settings goes on its own line.
 fn report(e: &Error) {
     match e {
         Error::Settings(faults) => faults.iter().for_each(|fault| eprintln!("settings: {fault}")),
@@ -90,10 +90,10 @@
     announce(&name, &host)?;
 
     tokio::select! {
-        _ = terminate.recv() => tracing::info!("host: asked to leave"),
-        _ = interrupt.recv() => tracing::info!("host: interrupted, leaves"),
+        _ = terminate.recv() => tracing::info!("host: received SIGTERM, shutting down"),
+        _ = interrupt.recv() => tracing::info!("host: received SIGINT, shutting down"),
         () = host.reached(camphorwalk::node::host::Phase::Leaving) => {
-            tracing::info!("host: an operator has it leave");
+            tracing::info!("host: drained by an operator, shutting down");
         }
     }
     host.drain().await;
--- a/crates/camphorwalk/src/client.rs
+++ b/crates/camphorwalk/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the commands: JSON in, JSON out.
+//! A small HTTP client for the commands, with JSON bodies.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,30 +12,31 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
 
-/// How long one request may take.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// The time limit of one request, including its response body.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The most tries of a request that is refused with a time to come back.
-const MOST_TRIES: u32 = 40;
+/// The maximum number of attempts of [`Client::call`] while the answers ask for a retry.
+const MAX_ATTEMPTS: u32 = 40;
 
-/// An HTTP client with a key.
+/// An HTTP client that authenticates with a key.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: HyperClient<HttpConnector, Full<Bytes>>,
     key: Box<str>,
 }
 
-/// An answer.
+/// A response of a host.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its body; a body that is not JSON stands here as a text.
+    /// The body. A body that is not valid JSON is stored as a JSON string.
     pub body: Value,
 }
 
 impl Answer {
-    /// Returns when to come back with the same idempotency key, if that can help.
+    /// Returns the delay after which the request may be retried with the same idempotency key, if
+    /// the host asks for a retry.
     pub fn retry_after(&self) -> Option<Duration> {
         let millis = self.body["error"]["retry_after_ms"].as_u64()?;
 
@@ -44,14 +45,14 @@
 }
 
 impl Client {
-    /// Makes a client that presents this key.
+    /// Creates a client that sends this key as a bearer token.
     pub fn new(key: &str) -> Self {
         let http = HyperClient::builder(TokioExecutor::new()).build_http();
 
         Self { http, key: key.into() }
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     pub async fn send(
         &self,
         method: Method,
@@ -79,21 +80,21 @@
             let body = serde_json::from_slice(&bytes).unwrap_or_else(|_| text());
             Ok(Answer { status, body })
         };
-        tokio::time::timeout(TIMEOUT, answer).await.context("no answer in time")?
+        tokio::time::timeout(REQUEST_TIMEOUT, answer).await.context("no answer in time")?
     }
 
-    /// Gets a path.
+    /// Sends a GET request.
     pub async fn get(&self, host: SocketAddr, path: &str) -> Result<Answer> {
         self.send(Method::GET, host, path, None, None).await
     }
 
-    /// Posts a body.
+    /// Sends a POST request without an idempotency key.
     pub async fn post(&self, host: SocketAddr, path: &str, body: &Value) -> Result<Answer> {
         self.send(Method::POST, host, path, None, Some(body)).await
     }
 
-    /// Posts a body as a caller does: with an idempotency key, and again when told to come
-    /// back. The key makes that safe, also where the first request may have run.
+    /// Sends a POST request with an idempotency key, and retries it when the host asks for that.
+    /// The key makes retries safe even if an earlier attempt may have run.
     pub async fn call(
         &self,
         host: SocketAddr,
@@ -101,13 +102,13 @@
         key: &str,
         body: &Value,
     ) -> Result<Answer> {
-        let mut tries = 0;
+        let mut attempts = 0;
 
         loop {
-            tries += 1;
+            attempts += 1;
             let answer = self.send(Method::POST, host, path, Some(key), Some(body)).await?;
             match answer.retry_after() {
-                Some(after) if tries < MOST_TRIES => tokio::time::sleep(after).await,
+                Some(after) if attempts < MAX_ATTEMPTS => tokio::time::sleep(after).await,
                 _ => return Ok(answer),
             }
         }
--- a/crates/camphorwalk/src/commands.rs
+++ b/crates/camphorwalk/src/commands.rs
@@ -16,10 +16,11 @@
 use crate::operator::Error;
 use crate::output;
 
-/// Prints why an operator's command failed, and returns how it ends.
-fn fail(command: &str, error: &Error, json: bool) -> Exit {
+/// Prints the error of a failed command, as JSON on standard output or as text on standard
+/// error, and returns the exit code for it.
+fn report_error(command: &str, error: &Error, json: bool) -> Exit {
     if json {
-        output::line(describe(error));
+        output::line(error_to_json(error));
     } else {
         if let Error::Faults(faults) = error {
             check::print_faults(faults, false);
@@ -30,8 +31,9 @@
     error.exit()
 }
 
-/// Returns an error as JSON.
-fn describe(error: &Error) -> Value {
+/// Converts an error to JSON. Includes the faults of the declarations, or the configuration in
+/// force after a conflict.
+fn error_to_json(error: &Error) -> Value {
     let text = error.to_string();
 
     match error {
--- a/crates/camphorwalk/src/commands/apply.rs
+++ b/crates/camphorwalk/src/commands/apply.rs
@@ -14,14 +14,14 @@
 use tokio::time::{Instant, sleep};
 
 use super::diff::load_folder;
-use super::fail;
+use super::report_error;
 use crate::arguments::{address, duration};
 use crate::exit::Exit;
 use crate::operator::{Confirmation, Error, InForce, Operator, Result};
 use crate::output;
 
-/// How often hosts are asked whether they have the version in force.
-const POLL: Duration = Duration::from_millis(200);
+/// The interval at which a host is polled for the configuration in force and for confirmations.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Publishes a deployment's folder, and prints which hosts confirmed it and which
 /// availability zones no host confirmed it in. Exit codes: 0 accepted, 1 refused (faults, or
@@ -62,14 +62,14 @@
     json: bool,
 }
 
-/// What came of a publication.
+/// The result of an accepted publication.
 #[derive(Debug, Serialize)]
 struct Applied {
     /// The version in force.
     version: ConfigVersion,
-    /// What it changed.
+    /// The changes relative to the previous version.
     changes: Vec<Change>,
-    /// Which hosts were asked, and what they have in force.
+    /// The configuration version of each host.
     hosts: Vec<Confirmation>,
     /// The availability zones in which no host confirmed the version.
     unconfirmed_zones: Vec<Box<str>>,
@@ -89,7 +89,7 @@
         if let Error::Conflict(in_force) = &error {
             self.print_conflict(in_force);
         }
-        fail("apply", &error, self.json)
+        report_error("apply", &error, self.json)
     }
 
     /// Publishes the folder and waits for confirmations.
@@ -112,51 +112,54 @@
         Ok(Applied { version, changes, hosts, unconfirmed_zones })
     }
 
-    /// Publishes; where the answer is lost, looks whether it took effect.
+    /// Publishes the configuration. If the response is lost, polls the configuration in force to
+    /// find out whether the publication took effect.
     async fn publish(
         &self,
         operator: &Operator,
         base: ConfigVersion,
         config: &Config,
     ) -> Result<ConfigVersion> {
-        let unknown = match operator.publish(base, config).await {
+        let reason = match operator.publish(base, config).await {
             Err(Error::Unknown(reason)) => reason,
-            known => return known,
+            result => return result,
         };
 
-        // Publishing again could undo what another operator did since. Reading cannot.
-        let until = Instant::now() + self.wait;
-        while Instant::now() < until {
+        // Publishing again could undo a change that another operator has made in the meantime.
+        // Reading has no such risk.
+        let deadline = Instant::now() + self.wait;
+        while Instant::now() < deadline {
             match operator.config().await {
                 Ok(in_force) if in_force.version > base && is_same(&in_force, config) => {
                     return Ok(in_force.version);
                 }
-                _ => sleep(POLL).await,
+                _ => sleep(POLL_INTERVAL).await,
             }
         }
-        Err(Error::Unknown(unknown))
+        Err(Error::Unknown(reason))
     }
 
-    /// Waits until all hosts in reach confirmed a version, or the time is over.
+    /// Waits until all reachable hosts have confirmed a version, or until `self.wait` has passed.
+    /// Returns the last known versions of all hosts.
     async fn confirmations(
         &self,
         operator: &Operator,
         version: ConfigVersion,
     ) -> Vec<Confirmation> {
-        let until = Instant::now() + self.wait;
+        let deadline = Instant::now() + self.wait;
 
         loop {
             let hosts = operator.confirmations(version).await.unwrap_or_default();
             let is_confirmed = |host: &Confirmation| !host.reachable || host.version >= version;
-            let is_over = Instant::now() >= until;
-            if is_over || (!hosts.is_empty() && hosts.iter().all(is_confirmed)) {
+            let timed_out = Instant::now() >= deadline;
+            if timed_out || (!hosts.is_empty() && hosts.iter().all(is_confirmed)) {
                 return hosts;
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Prints what came of it.
+    /// Prints the result.
     fn print(&self, applied: &Applied) {
         if self.json {
             return output::line(json!(applied));
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Prints what the other change says.
+    /// Prints how the version in force differs from the folder.
     fn print_conflict(&self, in_force: &InForce) {
         let (Ok(config), false) = (load_folder(&self.dir), self.json) else { return };
 
@@ -188,7 +191,8 @@
     }
 }
 
-/// Returns what a folder changes, if the change may be made.
+/// Returns the changes from the configuration in force to the folder's. Fails if one of them is
+/// not allowed.
 fn changes(in_force: &InForce, config: &Config) -> Result<Vec<Change>> {
     let Some(old) = &in_force.config else { return Ok(Vec::new()) };
     let faults = check_change(old, config);
@@ -196,7 +200,7 @@
     if faults.is_empty() { Ok(diff(old, config)) } else { Err(Error::Faults(faults)) }
 }
 
-/// Returns whether a configuration is the one in force.
+/// Returns whether a configuration equals the one in force.
 fn is_same(in_force: &InForce, config: &Config) -> bool {
     in_force.config.as_ref().is_some_and(|current| diff(current, config).is_empty())
 }
@@ -207,8 +211,8 @@
     hosts: &[Confirmation],
     version: ConfigVersion,
 ) -> Vec<Box<str>> {
-    let has_it = hosts.iter().filter(|host| host.version >= version);
-    let confirmed: BTreeSet<_> = has_it.map(|host| &host.zone).collect();
+    let up_to_date = hosts.iter().filter(|host| host.version >= version);
+    let confirmed: BTreeSet<_> = up_to_date.map(|host| &host.zone).collect();
     let zones = config.fleet.zones.iter().map(|zone| &zone.name);
 
     zones.filter(|zone| !confirmed.contains(zone)).cloned().collect()
--- a/crates/camphorwalk/src/commands/bench.rs
+++ b/crates/camphorwalk/src/commands/bench.rs
@@ -120,8 +120,8 @@
     json: bool,
 }
 
-/// The most calls of one measurement of the path: bounds the load.
-const MOST_CALLS: u32 = 20_000;
+/// The maximum number of counted calls per kind in the path measurement. It bounds the load.
+const MAX_CALLS: u32 = 20_000;
 
 impl Bench {
     /// Runs the command.
@@ -181,7 +181,7 @@
 
 impl Path {
     async fn run(self) -> Exit {
-        if self.calls > MOST_CALLS {
+        if self.calls > MAX_CALLS {
             return usage("--calls: at most 20000");
         }
 
@@ -221,11 +221,11 @@
     Exit::Usage
 }
 
-/// Prints a report: JSON on one line, or spread for a reader.
+/// Prints a report as JSON: on one line with `json`, otherwise indented.
 fn print(report: &impl Serialize, json: bool) -> Exit {
     let text =
         if json { serde_json::to_string(report) } else { serde_json::to_string_pretty(report) };
-    println!("{}", text.expect("a report is plain data"));
+    println!("{}", text.expect("a report can be written as JSON"));
 
     Exit::Done
 }
--- a/crates/camphorwalk/src/commands/check.rs
+++ b/crates/camphorwalk/src/commands/check.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Prints faults, one a line or as JSON.
+/// Prints faults, one per line or as a JSON object.
 pub(crate) fn print_faults(faults: &[Fault], json: bool) {
     if json {
         return output::line(json!({ "faults": faults }));
--- a/crates/camphorwalk/src/commands/diff.rs
+++ b/crates/camphorwalk/src/commands/diff.rs
@@ -8,7 +8,7 @@
 use camphorwalk_declare::{Change, diff, load};
 use serde_json::json;
 
-use super::fail;
+use super::report_error;
 use crate::arguments::address;
 use crate::exit::Exit;
 use crate::operator::{Error, Operator, Result};
@@ -62,18 +62,18 @@
                 print_changes(&changes, self.json);
                 Exit::Done
             }
-            Err(error) => fail("diff", &error, self.json),
+            Err(error) => report_error("diff", &error, self.json),
         }
     }
 
-    /// Compares with another folder.
+    /// Compares the folder with an older one.
     fn against_folder(&self, old: &Path) -> Result<Vec<Change>> {
         let old = load_folder(old)?;
 
         Ok(diff(&old, &load_folder(&self.dir)?))
     }
 
-    /// Compares with what is in force.
+    /// Compares the folder with the configuration in force at a host.
     async fn against_host(&self, host: SocketAddr, key: &Path) -> Result<Vec<Change>> {
         let new = load_folder(&self.dir)?;
         let in_force = Operator::new(host, key)?.config().await?;
@@ -85,12 +85,12 @@
     }
 }
 
-/// Reads a folder.
+/// Reads and checks the declarations in a folder.
 pub(crate) fn load_folder(dir: &Path) -> Result<Config> {
     load(dir).map_err(|faults| Error::Faults(faults.into_vec()))
 }
 
-/// Prints changes, one a line or as JSON.
+/// Prints changes, one per line or as a JSON object.
 fn print_changes(changes: &[Change], json: bool) {
     if json {
         return output::line(json!({ "changes": changes }));
--- a/crates/camphorwalk/src/commands/drain.rs
+++ b/crates/camphorwalk/src/commands/drain.rs
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use serde_json::json;
 
-use super::fail;
+use super::report_error;
 use crate::arguments::address;
 use crate::exit::Exit;
 use crate::operator::{Operator, Result};
@@ -42,7 +42,7 @@
     /// Runs the command.
     pub async fn run(&self) -> Exit {
         if let Err(error) = self.drain().await {
-            return fail("drain", &error, self.json);
+            return report_error("drain", &error, self.json);
         }
 
         if self.json {
@@ -53,7 +53,7 @@
         Exit::Done
     }
 
-    /// Has the host leave.
+    /// Asks the host to shut down.
     async fn drain(&self) -> Result<()> {
         Operator::new(self.host, &self.operator_key_file)?.drain(&self.leaving).await
     }
--- a/crates/camphorwalk/src/commands/explain.rs
+++ b/crates/camphorwalk/src/commands/explain.rs
@@ -8,8 +8,8 @@
 use crate::exit::Exit;
 use crate::output;
 
-/// The fields by which a line belongs to a call or a program.
-const NAMES: [&str; 3] = ["request", "program", "previous"];
+/// The fields of a log line that are compared with the requested id.
+const ID_FIELDS: [&str; 3] = ["request", "program", "previous"];
 
 /// Prints what hosts logged of a request or a program, in the order of time. Files are the hosts'
 /// standard output; what stands before the JSON of a line is kept, and lines that are not JSON
@@ -30,7 +30,7 @@
     files: Vec<PathBuf>,
 }
 
-/// A line of a log.
+/// A log line and its time.
 struct Line {
     timestamp: Box<str>,
     text: Box<str>,
@@ -65,15 +65,15 @@
     let bytes = std::fs::read(file)?;
     let text = String::from_utf8_lossy(&bytes);
 
-    Ok(text.lines().filter_map(|line| belongs(line, id)).collect())
+    Ok(text.lines().filter_map(|line| parse_if_matching(line, id)).collect())
 }
 
-/// Returns a line if it is about a request or program with this id.
-fn belongs(line: &str, id: &str) -> Option<Line> {
+/// Returns the line if one of its id fields has this id. Text before the JSON object is kept.
+fn parse_if_matching(line: &str, id: &str) -> Option<Line> {
     let json: Value = serde_json::from_str(&line[line.find('{')?..]).ok()?;
-    let is_named = NAMES.iter().any(|name| json[name].as_str() == Some(id));
+    let matches = ID_FIELDS.iter().any(|name| json[name].as_str() == Some(id));
 
-    is_named.then(|| Line {
+    matches.then(|| Line {
         timestamp: json["timestamp"].as_str().unwrap_or_default().into(),
         text: line.into(),
     })
--- a/crates/camphorwalk/src/commands/status.rs
+++ b/crates/camphorwalk/src/commands/status.rs
@@ -7,7 +7,7 @@
 use camphorwalk_policy::scheduler::{HostStatus, Status as FleetStatus};
 use serde_json::json;
 
-use super::fail;
+use super::report_error;
 use crate::arguments::address;
 use crate::exit::Exit;
 use crate::operator::{Operator, Result};
@@ -42,19 +42,19 @@
         match self.status().await {
             Ok(status) if self.json => output::line(json!(status)),
             Ok(status) => print(&status),
-            Err(error) => return fail("status", &error, self.json),
+            Err(error) => return report_error("status", &error, self.json),
         }
 
         Exit::Done
     }
 
-    /// Gets the fleet's status.
+    /// Fetches the status of the fleet.
     async fn status(&self) -> Result<FleetStatus> {
         Operator::new(self.host, &self.operator_key_file)?.status().await
     }
 }
 
-/// Prints the status for a human reader.
+/// Prints the status as text.
 fn print(status: &FleetStatus) {
     output::line(format!("as {} sees it:", status.host));
     output::line(format!("configuration version {}", status.version.0));
@@ -67,7 +67,7 @@
     }
 }
 
-/// Prints one host.
+/// Prints the status of one host on one line.
 fn print_host(host: &HostStatus) {
     let reach = if host.reachable { "in reach" } else { "out of reach" };
     let leaving = if host.leaving { ", leaving" } else { "" };
--- a/crates/camphorwalk/src/commands/withdraw.rs
+++ b/crates/camphorwalk/src/commands/withdraw.rs
@@ -6,7 +6,7 @@
 use argh::FromArgs;
 use serde_json::json;
 
-use super::fail;
+use super::report_error;
 use crate::arguments::address;
 use crate::exit::Exit;
 use crate::operator::{Operator, Result};
@@ -44,7 +44,7 @@
     /// Runs the command.
     pub async fn run(&self) -> Exit {
         if let Err(error) = self.withdraw().await {
-            return fail("withdraw", &error, self.json);
+            return report_error("withdraw", &error, self.json);
         }
 
         if self.json {
@@ -55,7 +55,7 @@
         Exit::Done
     }
 
-    /// Withdraws the key.
+    /// Sends the withdrawal to the host.
     async fn withdraw(&self) -> Result<()> {
         Operator::new(self.host, &self.operator_key_file)?.withdraw(&self.key).await
     }
--- a/crates/camphorwalk/src/demo/fleet.rs
+++ b/crates/camphorwalk/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of the demo.
+//! The fleet of the demo: all servers in one process, on free ports of loopback.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -21,31 +21,31 @@
 /// The key that operators present in the demo.
 const OPERATOR_KEY: &str = "demo-operator-key";
 
-/// The hosts, each with its availability zone.
+/// The names of the hosts, each with its availability zone.
 const HOSTS: [(&str, &str); 3] = [("a1", "a"), ("a2", "a"), ("b1", "b")];
 
-/// The tenants, by name; each presents the key `demo-NAME-key`.
+/// The names of the tenants. The callers of tenant NAME use the key `demo-NAME-key`.
 const TENANTS: [&str; 2] = ["easel", "ramp"];
 
-/// The template of the demo's programs.
+/// The name of the template of the demo's programs.
 pub const TEMPLATE: &str = "assistant";
 
-/// The operation that may not be repeated.
-pub const ONCE: &str = "take-deposit";
+/// An operation that is declared as not idempotent, so it must not be sent twice.
+pub const NON_IDEMPOTENT_OPERATION: &str = "take-deposit";
 
-/// Everything that the demo runs.
+/// All servers that the demo runs. They stop when this is dropped.
 pub struct Fleet {
     platform: Platform,
     /// The engines, one in each zone.
     pub engines: Vec<Engine>,
-    /// The service whose ledger shows what ran.
+    /// The service. Its ledger lists each operation that it ran.
     pub service: Service,
     /// The hosts.
     pub hosts: Vec<Host>,
 }
 
 impl Fleet {
-    /// Starts everything and publishes the configuration.
+    /// Starts all servers, publishes the configuration and waits until all hosts serve.
     pub async fn start() -> Result<Self> {
         let platform = Platform::start(any_port(), PlatformOptions::default()).await?;
         let mut engines = Vec::new();
@@ -58,7 +58,7 @@
         for (name, zone) in HOSTS {
             hosts.push(Host::start(settings(name, zone, platform.address()), secrets()).await?);
         }
-        list_hosts(&platform, &hosts);
+        set_host_list(&platform, &hosts);
 
         let fleet = Self { platform, engines, service, hosts };
         fleet.publish().await?;
@@ -69,7 +69,7 @@
         Ok(fleet)
     }
 
-    /// Returns the key of a tenant's callers.
+    /// Returns the API key of a tenant's callers.
     pub fn key(tenant: &str) -> String {
         format!("demo-{tenant}-key")
     }
@@ -79,7 +79,7 @@
         TENANTS[0]
     }
 
-    /// Returns where everything listens, as one JSON object.
+    /// Returns the addresses of all servers and the keys of operators and tenants as a JSON object.
     pub fn addresses(&self) -> Value {
         let url = |address: SocketAddr| format!("http://{address}");
         let callers: Vec<_> = self.hosts.iter().map(|h| url(h.caller_address())).collect();
@@ -93,7 +93,7 @@
             "operators": operators,
             "operator_key": OPERATOR_KEY,
             "tenants": tenants,
-            "services": [{ "name": "deposit", "operation": ONCE, "ledger": ledger }],
+            "services": [{ "name": "deposit", "operation": NON_IDEMPOTENT_OPERATION, "ledger": ledger }],
             "template": TEMPLATE,
             "platform": url(self.platform.address()),
         })
@@ -144,7 +144,7 @@
         "targets": [
             { "name": "model", "pool": "model", "idempotent": true },
             { "name": "look-up", "pool": "payments", "operation": "look-up", "idempotent": true },
-            { "name": "deposit", "pool": "payments", "operation": ONCE, "idempotent": false },
+            { "name": "deposit", "pool": "payments", "operation": NON_IDEMPOTENT_OPERATION, "idempotent": false },
         ],
         "max_calls": 50,
         "max_depth": 2,
@@ -194,8 +194,9 @@
     Secrets { fleet: [7; 32], operator_key: OPERATOR_KEY.into() }
 }
 
-/// Has the platform list the hosts, which is its business and not theirs.
-fn list_hosts(platform: &Platform, hosts: &[Host]) {
+/// Sets the host list of the platform stand-in. Hosts do not register themselves: the users'
+/// platform keeps the list.
+fn set_host_list(platform: &Platform, hosts: &[Host]) {
     let listing = |((name, zone), host): (&(&str, &str), &Host)| HostListing {
         name: (*name).into(),
         zone: (*zone).into(),
--- a/crates/camphorwalk/src/demo/story.rs
+++ b/crates/camphorwalk/src/demo/walkthrough.rs
@@ -1,4 +1,4 @@
-//! What the demo does and checks.
+//! The steps of the demo: calls through different hosts, with a check of each result.
 
 use std::time::Duration;
 
@@ -6,14 +6,15 @@
 use http::Method;
 use serde_json::{Value, json};
 
-use super::fleet::{Fleet, ONCE, TEMPLATE};
+use super::fleet::{Fleet, NON_IDEMPOTENT_OPERATION, TEMPLATE};
 use crate::client::{Answer, Client};
 
-/// How often, and how many times, the engines are asked whether they hold nothing.
+/// The interval between checks whether the engines' caches are empty, and the maximum number of
+/// checks.
 const EMPTY_CHECK: (Duration, u32) = (Duration::from_millis(50), 100);
 
-/// Runs one program through different hosts and checks each answer.
-pub async fn tell(fleet: &Fleet) -> Result<()> {
+/// Runs one program through different hosts and checks each response and side effect.
+pub async fn run(fleet: &Fleet) -> Result<()> {
     let caller = Client::new(&Fleet::key(fleet.tenant()));
     let [a1, a2, b1] = [0, 1, 2].map(|i| fleet.hosts[i].caller_address());
 
@@ -34,16 +35,21 @@
     println!("  a2 streams a model turn in {parts} parts; stored: {}", end["stored"]);
 
     let body = json!({ "after": 1, "target": "look-up", "input": { "artist": "Ada" } });
-    let looked = caller.call(b1, &calls, "look-1", &body).await?;
-    ensure!(looked.body["call"] == 2, "the tool call did not run: {}", looked.body);
-    println!("  b1 runs a tool call: {}", looked.body["output"]);
+    let look_up = caller.call(b1, &calls, "look-1", &body).await?;
+    ensure!(look_up.body["call"] == 2, "the tool call did not run: {}", look_up.body);
+    println!("  b1 runs a tool call: {}", look_up.body["output"]);
 
     let body = json!({ "after": 2, "target": "deposit", "input": { "pounds": 50 } });
     let first = caller.call(b1, &calls, "deposit-1", &body).await?;
     ensure!(first.body["call"] == 3, "the deposit was not taken: {}", first.body);
-    let again = caller.call(a1, &calls, "deposit-1", &body).await?;
-    ensure!(again.body == first.body, "the repeat got another answer: {}", again.body);
-    let runs = fleet.service.runs().iter().filter(|run| &*run.operation == ONCE).count();
+    let repeated = caller.call(a1, &calls, "deposit-1", &body).await?;
+    ensure!(repeated.body == first.body, "the repeat got another answer: {}", repeated.body);
+    let runs = fleet
+        .service
+        .runs()
+        .iter()
+        .filter(|run| &*run.operation == NON_IDEMPOTENT_OPERATION)
+        .count();
     ensure!(runs == 1, "the ledger shows {runs} deposits");
     println!("  b1 takes a deposit, a1 gets it repeated: the ledger shows {runs} run");
 
@@ -54,7 +60,7 @@
 
     let ended = caller.send(Method::DELETE, b1, &path, None, None).await?;
     ensure!(ended.status == 200, "the program was not ended: {}", ended.body);
-    engines_are_empty(fleet).await?;
+    wait_until_engines_empty(fleet).await?;
     println!("  b1 ends the program; the engines hold nothing");
 
     let seen = fleet.service.requests();
@@ -65,7 +71,8 @@
     Ok(())
 }
 
-/// Counts the parts of a stream and returns what its last event holds.
+/// Returns the number of token events in a stream, and the data of its `done` event (null if there
+/// is none).
 fn read_events(answer: &Answer) -> (usize, Value) {
     let text = answer.body.as_str().unwrap_or_default();
     let blocks: Vec<_> = text.split("\n\n").filter(|block| !block.is_empty()).collect();
@@ -79,15 +86,16 @@
     (blocks.len().saturating_sub(1), end)
 }
 
-async fn engines_are_empty(fleet: &Fleet) -> Result<()> {
-    let (pause, times) = EMPTY_CHECK;
+/// Waits until the engines hold no prefix; ending a program frees them asynchronously.
+async fn wait_until_engines_empty(fleet: &Fleet) -> Result<()> {
+    let (interval, attempts) = EMPTY_CHECK;
     let held = || fleet.engines.iter().map(|engine| engine.held().len()).sum::<usize>();
 
-    for _ in 0..times {
+    for _ in 0..attempts {
         if held() == 0 {
             return Ok(());
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
     }
 
     anyhow::bail!("the engines still hold {} prefixes", held())
--- a/crates/camphorwalk/src/exit.rs
+++ b/crates/camphorwalk/src/exit.rs
@@ -1,22 +1,23 @@
-//! How the programs end.
+//! Exit codes of the programs.
 
 use std::process::ExitCode;
 
-/// How a command ended, as its exit code says.
+/// The outcome of a command, reported as its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The command succeeded.
     Done,
-    /// It was refused, or found faults.
+    /// The request was refused, or the checked input has faults.
     Refused,
-    /// It was called wrongly.
+    /// The command line is invalid, or the operators' key file cannot be read.
     Usage,
-    /// What it needs could not be reached.
+    /// The host or a service that it depends on could not be reached, or the outcome of a change
+    /// is unknown.
     Unreachable,
 }
 
 impl Exit {
-    /// Returns the exit code.
+    /// Returns the exit code as a number.
     ///
     /// ```
     /// use camphorwalk::exit::Exit;
--- a/crates/camphorwalk/src/lib.rs
+++ b/crates/camphorwalk/src/lib.rs
@@ -1,5 +1,6 @@
-//! The front door of camphorwalk: re-exports its crates, and holds what the two programs
-//! `camphorwalkd` (an entry host) and `camphorwalk` (the operators' command) are made of.
+//! The main crate of camphorwalk. It re-exports the other crates and contains the code of its two
+//! programs: `camphorwalkd`, which runs an entry host, and `camphorwalk`, the command-line tool
+//! for operators.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/camphorwalk/src/logs.rs
+++ b/crates/camphorwalk/src/logs.rs
@@ -1,20 +1,21 @@
-//! Logs of the programs.
+//! Sets up logging for the programs.
 
 use std::io::IsTerminal as _;
 
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// The most lines that wait to be written; further ones are dropped, so that a reader that
-/// never reads cannot stall a host.
-const MOST_WAITING_LINES: usize = 8_192;
+/// The maximum number of log lines that wait to be written. Further lines are dropped, so that a
+/// stalled reader of standard output cannot block a host.
+const MAX_QUEUED_LINES: usize = 8_192;
 
-/// Starts to log JSON lines to standard output without ever waiting for its reader. Lines are
-/// written until the guard is dropped.
+/// Starts logging JSON lines to standard output from a background thread, which never blocks the
+/// caller. Dropping the guard writes the pending lines and stops the thread. `level` is the
+/// filter, unless the variable `RUST_LOG` is set.
 pub fn start_on_stdout(level: &str) -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(MOST_WAITING_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .finish(std::io::stdout());
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new(level));
 
@@ -29,7 +30,7 @@
     guard
 }
 
-/// Starts to log to standard error; `level` is the least severity, and the variable `RUST_LOG` goes before it.
+/// Starts logging to standard error. `level` is the filter, unless the variable `RUST_LOG` is set.
 pub fn start(json: bool, level: &str) {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new(level));
     let logs = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
--- a/crates/camphorwalk/src/measure/control.rs
+++ b/crates/camphorwalk/src/measure/control.rs
@@ -1,5 +1,5 @@
-//! What control costs each host: messages, bytes, platform operations and processor time, as
-//! slopes over hosts, tenants and calls.
+//! Measures what the control plane costs each host: messages, bytes, platform operations and
+//! processor time. Runs with different numbers of hosts, tenants and calls show how the costs grow.
 
 use std::time::Duration;
 
@@ -8,36 +8,37 @@
 use camphorwalk_policy::scheduler::Times;
 use serde::Serialize;
 
-use super::declared;
 use super::driver::{Counts, Driver};
+use super::fleet_config;
 
-/// How long a fleet settles before anything is counted, in virtual time.
-const SETTLE: Duration = Duration::from_secs(15);
+/// The virtual time before counting starts, in which leases, gossip and slices reach a steady
+/// state.
+const SETTLE_TIME: Duration = Duration::from_secs(15);
 
-/// How often a load generator looks for answers and sends.
+/// The interval at which the load generator collects answers and sends calls.
 const TICK: Duration = Duration::from_millis(20);
 
-/// What to measure.
+/// The parameters of a measurement.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ControlOptions {
-    /// Hosts.
+    /// The number of hosts.
     pub hosts: usize,
-    /// Tenants.
+    /// The number of tenants.
     pub tenants: usize,
-    /// Calls a second, over all hosts.
+    /// Calls per second, over all hosts.
     pub calls_per_second: u32,
-    /// Programs under way.
+    /// The number of open programs.
     pub programs: usize,
-    /// Virtual seconds that are counted.
+    /// The measured time in virtual seconds.
     pub seconds: u64,
-    /// How many times longer than by default the periods of renewal, polls and gossip are.
+    /// The factor by which the default periods of renewals, polls and gossip are multiplied.
     pub stretch: u32,
 }
 
-/// What one host did in each second.
+/// The averages per host and second of virtual time, unless a field says otherwise.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ControlReport {
-    /// What was measured.
+    /// The parameters of the measurement.
     pub options: ControlOptions,
     /// Events handled.
     pub events: f64,
@@ -49,48 +50,52 @@
     pub reads: f64,
     /// Platform writes.
     pub writes: f64,
-    /// Share of a core spent in the control state, in percent.
+    /// The share of one core that the scheduler used, in percent.
     pub core_percent: f64,
-    /// Events that the control state handles in a second of its own time.
+    /// Events that the scheduler handles per second of processor time.
     pub events_per_busy_second: f64,
-    /// How many of the other hosts a host counts as alive, in percent: all of them are.
+    /// The share of the other hosts that a host considers live at the end, averaged over all hosts,
+    /// in percent. All hosts run, so anything below 100 is an error of failure detection.
     pub alive_percent: f64,
-    /// Calls that were answered with their output.
+    /// The total number of calls that were answered with their output.
     pub served: u64,
-    /// Calls that were refused or failed.
+    /// The total number of calls that were refused or failed.
     pub refused: u64,
 }
 
-/// A program of the load.
-struct Load {
+/// An open program that makes calls.
+struct LoadProgram {
     program: ProgramId,
     tenant: usize,
+    /// The number of its last completed call.
     head: u32,
-    waiting: Option<RequestId>,
+    /// Its call that has not been answered yet.
+    pending: Option<RequestId>,
 }
 
-/// Runs a fleet in virtual time and counts.
+/// Simulates a fleet in virtual time and returns its costs.
 pub fn measure(options: ControlOptions) -> ControlReport {
     let partitions = 64.max((options.hosts * 3) as u16);
-    let config = declared::config(options.tenants, partitions);
-    let mut driver = Driver::start(options.hosts, stretched(options.stretch), &config);
-    driver.run(SETTLE * options.stretch);
+    let config = fleet_config::config(options.tenants, partitions);
+    let mut driver = Driver::start(options.hosts, stretched_times(options.stretch), &config);
+    driver.run(SETTLE_TIME * options.stretch);
 
-    let mut load = open_programs(&mut driver, options);
+    let mut programs = open_programs(&mut driver, options);
     driver.take_counts();
     let (mut served, mut refused) = (0, 0);
     let ticks = Duration::from_secs(options.seconds).as_micros() / TICK.as_micros();
-    let mut owed = 0.0;
-    let mut turn = 0;
+    // Calls due by now but not sent yet; a fraction carries over to the next tick.
+    let mut due = 0.0;
+    let mut sent = 0;
     for _ in 0..ticks {
-        for program in &mut load {
+        for program in &mut programs {
             take_answer(&mut driver, program, &mut served, &mut refused);
         }
-        owed += f64::from(options.calls_per_second) * TICK.as_secs_f64();
-        while owed >= 1.0 {
-            owed -= 1.0;
-            turn += 1;
-            send(&mut driver, &mut load, options.hosts, turn);
+        due += f64::from(options.calls_per_second) * TICK.as_secs_f64();
+        while due >= 1.0 {
+            due -= 1.0;
+            sent += 1;
+            send(&mut driver, &mut programs, options.hosts, sent);
         }
         driver.run(TICK);
     }
@@ -102,57 +107,67 @@
     }
 }
 
-fn stretched(by: u32) -> Times {
+/// Returns the default times with the periods of renewals, polls and gossip multiplied.
+fn stretched_times(factor: u32) -> Times {
     let times = Times::default();
 
     Times {
-        session_lifetime: times.session_lifetime * by,
-        session_renewal: times.session_renewal * by,
-        lease_poll: times.lease_poll * by,
-        config_poll: times.config_poll * by,
-        gossip_period: times.gossip_period * by,
-        suspect_after: times.suspect_after * by,
+        session_lifetime: times.session_lifetime * factor,
+        session_renewal: times.session_renewal * factor,
+        lease_poll: times.lease_poll * factor,
+        config_poll: times.config_poll * factor,
+        gossip_period: times.gossip_period * factor,
+        suspect_after: times.suspect_after * factor,
         ..times
     }
 }
 
-fn open_programs(driver: &mut Driver, options: ControlOptions) -> Vec<Load> {
-    let asked: Vec<_> = (0..options.programs)
+/// Opens the programs of the load, spread over hosts and tenants. Those that are not opened within
+/// 3 virtual seconds are left out.
+fn open_programs(driver: &mut Driver, options: ControlOptions) -> Vec<LoadProgram> {
+    let requests: Vec<_> = (0..options.programs)
         .map(|i| (i % options.tenants, driver.open(i % options.hosts, i % options.tenants)))
         .collect();
     driver.run(Duration::from_secs(3));
 
-    asked
+    requests
         .into_iter()
         .filter_map(|(tenant, request)| match driver.take_answer(request) {
             Some(Reply::Opened(opened)) => {
-                Some(Load { program: opened.program, tenant, head: 0, waiting: None })
+                Some(LoadProgram { program: opened.program, tenant, head: 0, pending: None })
             }
             _ => None,
         })
         .collect()
 }
 
-fn take_answer(driver: &mut Driver, load: &mut Load, served: &mut u64, refused: &mut u64) {
-    let Some(answer) = load.waiting.and_then(|request| driver.take_answer(request)) else {
+/// Counts the answer to a program's pending call, if it has arrived.
+fn take_answer(
+    driver: &mut Driver,
+    program: &mut LoadProgram,
+    served: &mut u64,
+    refused: &mut u64,
+) {
+    let Some(answer) = program.pending.and_then(|request| driver.take_answer(request)) else {
         return;
     };
 
-    load.waiting = None;
+    program.pending = None;
     match answer {
         Reply::Called(called) => {
-            load.head = called.call;
+            program.head = called.call;
             *served += 1;
         }
         _ => *refused += 1,
     }
 }
 
-/// Sends the next call of the next program that waits for nothing, through any host.
-fn send(driver: &mut Driver, load: &mut [Load], hosts: usize, turn: usize) {
-    let count = load.len();
-    let free = (0..count).map(|i| (turn + i) % count).find(|i| load[*i].waiting.is_none());
-    let Some(program) = free.map(|i| &mut load[i]) else {
+/// Sends the next call of the next program without a pending call. `number` is the number of the
+/// call in the whole load; it selects the program and the host in turn.
+fn send(driver: &mut Driver, programs: &mut [LoadProgram], hosts: usize, number: usize) {
+    let count = programs.len();
+    let idle = (0..count).map(|i| (number + i) % count).find(|i| programs[*i].pending.is_none());
+    let Some(program) = idle.map(|i| &mut programs[i]) else {
         return;
     };
 
@@ -167,20 +182,21 @@
         tail: None,
         body: [0; 32],
     };
-    program.waiting = Some(driver.request(turn % hosts, program.tenant, Request::Call(call)));
+    program.pending = Some(driver.request(number % hosts, program.tenant, Request::Call(call)));
 }
 
+/// Converts totals over all hosts to averages per host and second.
 fn report(options: ControlOptions, counts: Counts, served: u64, refused: u64) -> ControlReport {
     let host_seconds = options.hosts as f64 * options.seconds as f64;
-    let each = |count: u64| count as f64 / host_seconds;
+    let average = |count: u64| count as f64 / host_seconds;
 
     ControlReport {
         options,
-        events: each(counts.events),
-        messages: each(counts.messages),
-        bytes: each(counts.message_bytes),
-        reads: each(counts.reads),
-        writes: each(counts.writes),
+        events: average(counts.events),
+        messages: average(counts.messages),
+        bytes: average(counts.message_bytes),
+        reads: average(counts.reads),
+        writes: average(counts.writes),
         core_percent: counts.busy.as_secs_f64() / host_seconds * 100.0,
         events_per_busy_second: counts.events as f64 / counts.busy.as_secs_f64().max(1e-9),
         alive_percent: 100.0,
--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -1,6 +1,6 @@
-//! Drives the control state of some hosts in virtual time, with small fakes at its
-//! interfaces: a platform that is well, targets that answer after a fixed time, messages that
-//! take a fixed time. It counts what each host does.
+//! Simulates the schedulers of several hosts in virtual time. Their surroundings are replaced by
+//! small fakes: a platform that never fails, and targets and messages with fixed latencies. The
+//! driver counts the work that the hosts do.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant as Clock};
@@ -20,27 +20,27 @@
 use camphorwalk_standin::Store;
 use prost::Message as _;
 
-use super::declared::zone_of;
+use super::fleet_config::zone_of;
 
-/// How long a message between hosts takes.
-const MESSAGE_TIME: Duration = Duration::from_millis(1);
+/// The latency of a message between hosts.
+const MESSAGE_LATENCY: Duration = Duration::from_millis(1);
 
-/// How long the platform takes.
-const PLATFORM_TIME: Duration = Duration::from_millis(5);
+/// The latency of a platform operation.
+const PLATFORM_LATENCY: Duration = Duration::from_millis(5);
 
-/// How long a target takes.
-const TARGET_TIME: Duration = Duration::from_millis(100);
+/// The time that a target takes to answer a call.
+const TARGET_LATENCY: Duration = Duration::from_millis(100);
 
-/// What all hosts together did.
+/// Totals over all hosts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Events handled.
+    /// Events that the schedulers handled.
     pub events: u64,
-    /// Time spent in handling them.
+    /// Real time spent in handling them.
     pub busy: Duration,
     /// Messages sent to other hosts.
     pub messages: u64,
-    /// Bytes of these messages.
+    /// The encoded size of these messages in bytes.
     pub message_bytes: u64,
     /// Platform reads, scans and object reads.
     pub reads: u64,
@@ -48,28 +48,31 @@
     pub writes: u64,
 }
 
-/// Some hosts in virtual time.
+/// The simulated hosts and their surroundings.
 pub struct Driver {
     hosts: Vec<Scheduler>,
     by_id: Map<HostId, usize>,
     store: Store,
-    /// Whether the platform keeps what journals hold.
-    keeps_journals: bool,
+    /// Whether the platform stores journals and objects, or discards their contents.
+    stores_journals: bool,
     now: Instant,
-    /// What happens next, by time and then by order of its making.
-    agenda: BTreeMap<(Instant, u64), (usize, Event)>,
-    /// When each host wants to be woken.
-    wakes: Vec<Instant>,
-    next_number: u64,
-    /// What was done since the last [`Driver::take_counts`].
+    /// The pending events with the host that each is for. The key orders them by time, and events
+    /// of the same time by when they were scheduled.
+    event_queue: BTreeMap<(Instant, u64), (usize, Event)>,
+    /// The time at which each host wants to be woken, by host.
+    wake_times: Vec<Instant>,
+    /// The last number given to an event or a request.
+    last_number: u64,
+    /// The work done since the last [`Driver::take_counts`].
     counts: Counts,
-    /// The answers to callers, by request.
+    /// The answers to callers that have not been taken yet, by request.
     answers: Map<RequestId, Reply>,
+    /// A buffer that is reused for the actions of each step.
     actions: Vec<Action>,
 }
 
 impl Driver {
-    /// Starts hosts and publishes a configuration; returns once all hosts have it in force.
+    /// Starts hosts, publishes a configuration and simulates until all hosts have it in force.
     pub fn start(hosts: usize, times: Times, config: &Config) -> Self {
         let listings: Vec<_> = (0..hosts).map(listing).collect();
         let mut driver = Self {
@@ -80,22 +83,22 @@
                 .map(|(i, l)| (HostId::from_name(&l.name), i))
                 .collect(),
             store: Store::default(),
-            keeps_journals: true,
+            stores_journals: true,
             now: Instant::from_millis(1),
-            agenda: BTreeMap::new(),
-            wakes: vec![Instant::default(); hosts],
-            next_number: 0,
+            event_queue: BTreeMap::new(),
+            wake_times: vec![Instant::default(); hosts],
+            last_number: 0,
             counts: Counts::default(),
             answers: Map::default(),
             actions: Vec::new(),
         };
 
         for host in 0..hosts {
-            driver.add(Duration::ZERO, host, Event::Hosts(listings.clone()));
+            driver.schedule(Duration::ZERO, host, Event::Hosts(listings.clone()));
         }
         let request =
             OperatorRequest::Publish { base: ConfigVersion(0), config: Box::new(config.clone()) };
-        driver.add(Duration::ZERO, 0, Event::Operator { ask: OperatorId(0), request });
+        driver.schedule(Duration::ZERO, 0, Event::Operator { ask: OperatorId(0), request });
         while !driver.hosts.iter().all(Scheduler::is_ready) {
             driver.run(Duration::from_millis(100));
         }
@@ -103,7 +106,7 @@
         driver
     }
 
-    /// Lets time pass.
+    /// Simulates this much virtual time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
 
@@ -114,23 +117,23 @@
         self.now = end;
     }
 
-    /// Returns what was done since the last time, and starts anew.
+    /// Returns the counts since the last call, and resets them.
     pub fn take_counts(&mut self) -> Counts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Sends a caller's request to a host and returns its number.
+    /// Sends a caller's request to a host and returns its id.
     pub fn request(&mut self, host: usize, tenant: usize, body: Request) -> RequestId {
-        self.next_number += 1;
-        let request = RequestId(self.next_number);
-        let tenant = TenantId::from_name(&super::declared::tenant_name(tenant));
+        self.last_number += 1;
+        let request = RequestId(self.last_number);
+        let tenant = TenantId::from_name(&super::fleet_config::tenant_name(tenant));
         let event = Event::Request { request, tenant, key: KeyId(1), body };
-        self.add(Duration::ZERO, host, event);
+        self.schedule(Duration::ZERO, host, event);
 
         request
     }
 
-    /// Opens a program at a host.
+    /// Sends a request to open a program to a host and returns its id.
     pub fn open(&mut self, host: usize, tenant: usize) -> RequestId {
         let open = OpenRequest {
             program: ProgramId(0),
@@ -143,7 +146,8 @@
         self.request(host, tenant, Request::Open(open))
     }
 
-    /// Returns how many of the other hosts a host counts as alive, in percent.
+    /// Returns the share of the other hosts that a host considers live, averaged over all hosts, in
+    /// percent.
     pub fn alive_percent(&self) -> f64 {
         let pairs = self.hosts.len() * (self.hosts.len() - 1);
         let alive: usize = self.hosts.iter().map(|host| host.board().alive.len()).sum();
@@ -151,24 +155,25 @@
         if pairs == 0 { 100.0 } else { alive as f64 / pairs as f64 * 100.0 }
     }
 
-    /// Takes the answer to a request, if it is there.
+    /// Removes and returns the answer to a request, if it has arrived.
     pub fn take_answer(&mut self, request: RequestId) -> Option<Reply> {
         self.answers.remove(&request)
     }
 
-    /// Has the platform keep nothing of journals and objects from now on, so that the memory
-    /// of this process is that of the hosts. A home reads its journal only when it begins.
-    pub fn keep_no_journals(&mut self) {
-        self.keeps_journals = false;
+    /// Makes the platform discard the contents of journals and objects from now on, so that the
+    /// memory of this process is that of the hosts. Hosts do not miss the contents, since a home
+    /// reads its journal only when it takes over a partition.
+    pub fn discard_journals(&mut self) {
+        self.stores_journals = false;
     }
 
-    /// Runs an operation on the platform.
+    /// Runs an operation on the platform and returns its reply.
     fn run_on_platform(&mut self, request: PlatformOp) -> PlatformReply {
         match request {
-            PlatformOp::PutObject(content) if !self.keeps_journals => {
+            PlatformOp::PutObject(content) if !self.stores_journals => {
                 PlatformReply::Stored(ObjectName::of(&content))
             }
-            PlatformOp::Commit(mut transaction) if !self.keeps_journals => {
+            PlatformOp::Commit(mut transaction) if !self.stores_journals => {
                 let journal = |w: &&mut Write| &*w.key.table == "journal" && w.value.is_some();
                 transaction
                     .writes
@@ -181,17 +186,18 @@
         }
     }
 
+    /// Removes and returns the next event or wake-up up to `end`, with its time and host.
     fn next_before(&mut self, end: Instant) -> Option<(Instant, usize, Event)> {
-        let wake = self.wakes.iter().copied().enumerate().min_by_key(|(_, at)| *at);
-        let (host, wake) = wake.expect("there is a host");
+        let wake = self.wake_times.iter().copied().enumerate().min_by_key(|(_, at)| *at);
+        let (host, wake) = wake.expect("there is at least one host");
         let wake = wake.max(self.now);
 
-        match self.agenda.first_key_value() {
+        match self.event_queue.first_key_value() {
             Some(((at, _), _)) if *at <= wake => {
                 if *at > end {
                     return None;
                 }
-                let ((at, _), (host, event)) = self.agenda.pop_first()?;
+                let ((at, _), (host, event)) = self.event_queue.pop_first()?;
                 Some((at, host, event))
             }
             _ if wake <= end => Some((wake, host, Event::Wake)),
@@ -199,21 +205,24 @@
         }
     }
 
+    /// Passes an event to a host and performs the resulting actions.
     fn step(&mut self, host: usize, event: Event) {
-        let began = Clock::now();
+        let started_at = Clock::now();
         let mut actions = std::mem::take(&mut self.actions);
         self.hosts[host].step(self.now, event, &mut actions);
-        self.counts.busy += began.elapsed();
+        self.counts.busy += started_at.elapsed();
         self.counts.events += 1;
 
-        self.wakes[host] = self.hosts[host].wake_at().max(self.now + Duration::from_micros(1));
+        // A wake-up in the future keeps the simulation from looping at one point in time.
+        self.wake_times[host] = self.hosts[host].wake_at().max(self.now + Duration::from_micros(1));
         for action in actions.drain(..) {
-            self.carry_out(host, action);
+            self.perform(host, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, host: usize, action: Action) {
+    /// Performs an action of a host. Its effects are scheduled as later events.
+    fn perform(&mut self, host: usize, action: Action) {
         match action {
             Action::Answer { request, reply } => {
                 self.answers.insert(request, *reply);
@@ -223,7 +232,7 @@
                 self.counts.message_bytes += message.encoded_len() as u64;
                 let from = HostId::from_name(&listing(host).name);
                 if let Some(receiver) = self.by_id.get(&to).copied() {
-                    self.add(MESSAGE_TIME, receiver, Event::Peer { from, message });
+                    self.schedule(MESSAGE_LATENCY, receiver, Event::Peer { from, message });
                 }
             }
             Action::Platform { op, request } => {
@@ -232,12 +241,16 @@
                     _ => self.counts.reads += 1,
                 }
                 let reply = self.run_on_platform(request);
-                self.add(PLATFORM_TIME, host, Event::Platform { op, reply });
+                self.schedule(PLATFORM_LATENCY, host, Event::Platform { op, reply });
             }
             Action::Dispatch(dispatch) => {
                 let usage = Usage { output_tokens: Tokens(8), ..Usage::default() };
                 let end = AttemptEnd::Done { output: "\"some words of an answer\"".into(), usage };
-                self.add(TARGET_TIME, host, Event::Ended { attempt: dispatch.attempt, end });
+                self.schedule(
+                    TARGET_LATENCY,
+                    host,
+                    Event::Ended { attempt: dispatch.attempt, end },
+                );
             }
             Action::Cancel(_)
             | Action::Address { .. }
@@ -251,12 +264,14 @@
         }
     }
 
-    fn add(&mut self, after: Duration, host: usize, event: Event) {
-        self.next_number += 1;
-        self.agenda.insert((self.now + after, self.next_number), (host, event));
+    /// Schedules an event for a host.
+    fn schedule(&mut self, after: Duration, host: usize, event: Event) {
+        self.last_number += 1;
+        self.event_queue.insert((self.now + after, self.last_number), (host, event));
     }
 }
 
+/// Returns the entry of a host in the platform's host list.
 fn listing(host: usize) -> HostListing {
     let port = 10_000 + host as u16;
 
--- a/crates/camphorwalk/src/measure/declared.rs
+++ b/crates/camphorwalk/src/measure/fleet_config.rs
@@ -1,22 +1,23 @@
-//! The configuration that measurements run with.
+//! The configuration of the simulated fleet that measurements run with.
 
 use camphorwalk_core::config::Config;
 use serde_json::json;
 
-/// The availability zones.
+/// The number of availability zones.
 pub const ZONES: usize = 4;
 
-/// Returns the name of the zone of a host.
+/// Returns the name of a host's zone. Hosts are spread evenly over the zones.
 pub fn zone_of(host: usize) -> String {
     format!("z{}", host % ZONES)
 }
 
-/// Returns the name of a tenant.
+/// Returns the name of the tenant with this index.
 pub fn tenant_name(tenant: usize) -> String {
     format!("t{tenant}")
 }
 
-/// Returns a configuration with this many tenants and partitions.
+/// Returns a configuration with this many tenants and partitions. Rates, budgets and windows are
+/// set so high that they never limit the load.
 pub fn config(tenants: usize, partitions: u16) -> Config {
     let zone = |z: usize| json!({ "name": zone_of(z), "region": "r" });
     let engine = |z: usize| {
@@ -47,5 +48,5 @@
         "tenants": (0..tenants).map(tenant).collect::<Vec<_>>(),
     });
 
-    serde_json::from_value(config).expect("the configuration is well formed")
+    serde_json::from_value(config).expect("the configuration matches its schema")
 }
--- a/crates/camphorwalk/src/measure/memory.rs
+++ b/crates/camphorwalk/src/measure/memory.rs
@@ -1,4 +1,4 @@
-//! Memory for each open program at its home.
+//! Measures the memory that each open program takes at its home, the host that holds its state.
 
 use std::time::Duration;
 
@@ -6,50 +6,51 @@
 use camphorwalk_policy::scheduler::Times;
 use serde::Serialize;
 
-use super::declared;
 use super::driver::Driver;
+use super::fleet_config;
 use super::resident::resident_bytes;
 
-/// How many programs are opened between two times that the answers are taken.
-const AT_A_TIME: usize = 500;
+/// The number of requests that are sent before their answers are collected.
+const BATCH_SIZE: usize = 500;
 
-/// What programs take.
+/// The memory that open programs take.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct MemoryReport {
-    /// Programs that are open.
+    /// The number of open programs.
     pub programs: usize,
-    /// Calls that each of them made.
+    /// The number of calls that each program made.
     pub calls: u32,
-    /// Bytes of input in each call.
+    /// The input size of each call, in bytes.
     pub input_bytes: usize,
-    /// Resident bytes for each program.
+    /// The resident memory per program, in bytes.
     pub bytes_per_program: u64,
 }
 
-/// Opens programs at one host, has each make some calls, and looks at the memory.
+/// Opens programs at one host, makes calls in each of them, and measures how much the resident
+/// memory of this process grows.
 ///
-/// The fake platform keeps nothing of it, so what the process grows by is the host's.
+/// The simulated platform discards journals and objects, so the growth is the memory of the host.
 pub fn measure(programs: usize, calls: u32, input_bytes: usize) -> MemoryReport {
-    let mut driver = Driver::start(1, Times::default(), &declared::config(1, 64));
+    let mut driver = Driver::start(1, Times::default(), &fleet_config::config(1, 64));
     driver.run(Duration::from_secs(5));
-    driver.keep_no_journals();
+    driver.discard_journals();
     let before = resident_bytes();
     let input: String = "x".repeat(input_bytes);
 
     let mut opened = Vec::with_capacity(programs);
     while opened.len() < programs {
-        let count = AT_A_TIME.min(programs - opened.len());
-        let asked: Vec<_> = (0..count).map(|_| driver.open(0, 0)).collect();
+        let count = BATCH_SIZE.min(programs - opened.len());
+        let requests: Vec<_> = (0..count).map(|_| driver.open(0, 0)).collect();
         driver.run(Duration::from_secs(1));
-        for request in asked {
+        for request in requests {
             if let Some(Reply::Opened(program)) = driver.take_answer(request) {
                 opened.push(program.program);
             }
         }
     }
     for number in 0..calls {
-        for chunk in opened.chunks(AT_A_TIME) {
-            let ask = |program: &_| {
+        for chunk in opened.chunks(BATCH_SIZE) {
+            let call_request = |program: &_| {
                 let call = CallRequest {
                     program: *program,
                     key: format!("call-{number}").into(),
@@ -63,10 +64,10 @@
                 };
                 Request::Call(call)
             };
-            let asked: Vec<_> =
-                chunk.iter().map(|program| driver.request(0, 0, ask(program))).collect();
+            let requests: Vec<_> =
+                chunk.iter().map(|program| driver.request(0, 0, call_request(program))).collect();
             driver.run(Duration::from_secs(1));
-            asked.into_iter().for_each(|request| drop(driver.take_answer(request)));
+            requests.into_iter().for_each(|request| drop(driver.take_answer(request)));
         }
     }
 
--- a/crates/camphorwalk/src/measure/resident.rs
+++ b/crates/camphorwalk/src/measure/resident.rs
@@ -1,6 +1,6 @@
-//! The memory that this process has resident.
+//! Reads the resident memory of this process.
 
-/// Returns the resident memory in bytes, or 0 where the system does not tell.
+/// Returns the resident memory in bytes, or 0 if the system has no `/proc/self/status`.
 pub fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let kilobytes = status
--- a/crates/camphorwalk/src/operator.rs
+++ b/crates/camphorwalk/src/operator.rs
@@ -1,4 +1,4 @@
-//! A host's operator API, as the commands use it.
+//! A client of the operator API of hosts, used by the commands.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -18,26 +18,26 @@
 use crate::client::{Answer, Client};
 use crate::exit::Exit;
 
-/// Why an operator's command did not do what was asked.
+/// Errors of the operators' commands.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The file with the operators' key cannot be read.
+    /// The file with the operators' key could not be read.
     #[error("cannot read the operators' key: {0}")]
     KeyFile(#[source] std::io::Error),
-    /// The declarations have faults.
+    /// The declarations are invalid.
     #[error("the declarations have {} faults", .0.len())]
     Faults(Vec<Fault>),
-    /// The host refused.
+    /// The host refused the request.
     #[error("refused: {0}")]
     Refused(Box<str>),
-    /// Another change came first.
+    /// The configuration in force is not the version that the change is based on.
     #[error("another change came first: version {} is in force", .0.version.0)]
     Conflict(Box<InForce>),
-    /// The host, or what it needs, could not be reached; nothing was done.
+    /// The host, or the platform that it depends on, could not be reached. Nothing was changed.
     #[error("could not reach: {0}")]
     Unreachable(Box<str>),
-    /// Whether it was done is not known.
+    /// The request may or may not have taken effect.
     #[error("not known whether it was done: {0}")]
     Unknown(Box<str>),
 }
@@ -46,7 +46,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Returns how the command ends.
+    /// Returns the exit code for this error.
     pub const fn exit(&self) -> Exit {
         match self {
             Self::KeyFile(_) => Exit::Usage,
@@ -56,146 +56,150 @@
     }
 }
 
-/// The configuration in force at a host.
+/// The configuration that a host has in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Its version; 0 if there is none yet.
+    /// The version, or 0 if no configuration has been published yet.
     pub version: ConfigVersion,
-    /// The configuration.
+    /// The configuration, if one has been published.
     pub config: Option<Config>,
 }
 
-/// Whether a host has a version in force.
+/// The configuration version of one host, as seen by the host that was asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Confirmation {
     /// The host's name.
     pub name: Box<str>,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: Box<str>,
-    /// The version that it was last heard to have in force.
+    /// The version that the host last reported to have in force.
     pub version: ConfigVersion,
-    /// Whether it was heard of lately.
+    /// Whether a heartbeat of the host arrived recently.
     pub reachable: bool,
 }
 
-/// The answer to a publication.
+/// The response to a published configuration.
 #[derive(Deserialize)]
 struct PublishedBody {
     version: ConfigVersion,
 }
 
-/// The answer to a publication that came too late.
+/// The response to a publication whose base version is not in force.
 #[derive(Deserialize)]
 struct ConflictBody {
     current: Option<InForce>,
 }
 
-/// The answer to a publication with faults.
+/// The response to a publication of an invalid configuration.
 #[derive(Deserialize)]
 struct FaultsBody {
     faults: Vec<Fault>,
 }
 
-/// The answer about confirmations.
+/// The response to a query for confirmations.
 #[derive(Deserialize)]
 struct ConfirmationsBody {
     hosts: Vec<Confirmation>,
 }
 
-/// A host's operator API.
+/// A client of the operator API of one host.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// Where it listens.
+    /// The address of the operator API.
     host: SocketAddr,
-    /// The client, with the operators' key.
+    /// The HTTP client, which sends the operators' key.
     client: Client,
 }
 
 impl Operator {
-    /// Makes the client of a host's operator API with the key in this file.
+    /// Creates a client for the operator API at `host`, with the key stored in `key_file`.
     pub fn new(host: SocketAddr, key_file: &Path) -> Result<Self> {
         let key = fs::read_to_string(key_file).map_err(Error::KeyFile)?;
 
         Ok(Self { host, client: Client::new(key.trim()) })
     }
 
-    /// Gets the configuration in force.
+    /// Fetches the configuration in force.
     pub async fn config(&self) -> Result<InForce> {
-        read(self.get("/v1/config").await?)
+        parse_response(self.get("/v1/config").await?)
     }
 
-    /// Publishes a configuration in place of version `base`.
+    /// Publishes a configuration that replaces version `base`, and returns its version. Fails with
+    /// [`Error::Conflict`] if another version is in force.
     pub async fn publish(&self, base: ConfigVersion, config: &Config) -> Result<ConfigVersion> {
         let body = json!({ "base": base, "config": config });
         let answer = self.post("/v1/config", &body).await?;
 
         match answer.status {
             StatusCode::CONFLICT => {
-                let conflict: ConflictBody = read_body(answer)?;
+                let conflict: ConflictBody = parse_body(answer)?;
                 Err(Error::Conflict(Box::new(conflict.current.unwrap_or_default())))
             }
             StatusCode::BAD_REQUEST if answer.body["faults"].is_array() => {
-                let refused: FaultsBody = read_body(answer)?;
+                let refused: FaultsBody = parse_body(answer)?;
                 Err(Error::Faults(refused.faults))
             }
-            _ => read(answer).map(|published: PublishedBody| published.version),
+            _ => parse_response(answer).map(|published: PublishedBody| published.version),
         }
     }
 
-    /// Gets which hosts have a version in force.
+    /// Fetches the configuration version of each host, to see which ones confirmed `version`.
     pub async fn confirmations(&self, version: ConfigVersion) -> Result<Vec<Confirmation>> {
         let path = format!("/v1/config/confirmations?version={}", version.0);
-        let body: ConfirmationsBody = read(self.get(&path).await?)?;
+        let body: ConfirmationsBody = parse_response(self.get(&path).await?)?;
 
         Ok(body.hosts)
     }
 
-    /// Withdraws a key.
+    /// Withdraws a caller's key permanently.
     pub async fn withdraw(&self, key: &str) -> Result<()> {
-        read::<Value>(self.post("/v1/keys/withdraw", &json!({ "key": key })).await?).map(drop)
+        parse_response::<Value>(self.post("/v1/keys/withdraw", &json!({ "key": key })).await?)
+            .map(drop)
     }
 
-    /// Has a host leave.
+    /// Asks a host to shut down gracefully.
     pub async fn drain(&self, host: &str) -> Result<()> {
-        read::<Value>(self.post("/v1/drain", &json!({ "host": host })).await?).map(drop)
+        parse_response::<Value>(self.post("/v1/drain", &json!({ "host": host })).await?).map(drop)
     }
 
-    /// Gets how the fleet looks from the host.
+    /// Fetches the status of the fleet as the host sees it.
     pub async fn status(&self) -> Result<Status> {
-        read(self.get("/v1/status").await?)
+        parse_response(self.get("/v1/status").await?)
     }
 
-    /// Asks without changing anything.
+    /// Sends a GET request. It changes nothing, so every failure to reach the host is
+    /// [`Error::Unreachable`].
     async fn get(&self, path: &str) -> Result<Answer> {
-        let sent = self.client.get(self.host, path).await;
+        let response = self.client.get(self.host, path).await;
 
-        sent.map_err(|error| Error::Unreachable(self.explain(&error)))
+        response.map_err(|error| Error::Unreachable(self.describe_error(&error)))
     }
 
-    /// Asks for a change.
+    /// Sends a request that changes something.
     async fn post(&self, path: &str, body: &Value) -> Result<Answer> {
-        let sent = self.client.post(self.host, path, body).await;
+        let response = self.client.post(self.host, path, body).await;
 
-        // Once connected, the request may have been sent, and silence tells nothing.
-        sent.map_err(|error| match error.downcast_ref::<HttpError>() {
-            Some(http) if http.is_connect() => Error::Unreachable(self.explain(&error)),
-            _ => Error::Unknown(self.explain(&error)),
+        // Once connected, the request may have been sent, so a missing response does not tell
+        // whether the change was made.
+        response.map_err(|error| match error.downcast_ref::<HttpError>() {
+            Some(http) if http.is_connect() => Error::Unreachable(self.describe_error(&error)),
+            _ => Error::Unknown(self.describe_error(&error)),
         })
     }
 
-    /// Returns an error of the connection as a text.
-    fn explain(&self, error: &anyhow::Error) -> Box<str> {
+    /// Returns the text of a connection error, with the address of the host.
+    fn describe_error(&self, error: &anyhow::Error) -> Box<str> {
         format!("{}: {error:#}", self.host).into()
     }
 }
 
-/// Reads the body of a good answer, or turns a bad one into an error.
-fn read<T: DeserializeOwned>(answer: Answer) -> Result<T> {
+/// Parses the body of a successful response, or converts an error status into an error.
+fn parse_response<T: DeserializeOwned>(answer: Answer) -> Result<T> {
     if answer.status.is_success() {
-        return read_body(answer);
+        return parse_body(answer);
     }
 
-    let message = message(&answer);
+    let message = error_message(&answer);
     Err(match answer.status {
         StatusCode::SERVICE_UNAVAILABLE => Error::Unreachable(message),
         StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Error::Unknown(message),
@@ -203,17 +207,17 @@
     })
 }
 
-/// Reads the body of an answer.
-fn read_body<T: DeserializeOwned>(answer: Answer) -> Result<T> {
+/// Parses the body of a response.
+fn parse_body<T: DeserializeOwned>(answer: Answer) -> Result<T> {
     serde_json::from_value(answer.body)
         .map_err(|error| Error::Unknown(format!("the answer cannot be read: {error}").into()))
 }
 
-/// Returns what a bad answer says.
-fn message(answer: &Answer) -> Box<str> {
-    let said = answer.body["error"].as_str().or(answer.body["message"].as_str());
+/// Returns the error message in the body of a response, or its status if there is none.
+fn error_message(answer: &Answer) -> Box<str> {
+    let text = answer.body["error"].as_str().or(answer.body["message"].as_str());
 
-    match said {
+    match text {
         Some(text) => text.into(),
         None => format!("status {}", answer.status).into(),
     }
--- a/crates/camphorwalk/src/output.rs
+++ b/crates/camphorwalk/src/output.rs
@@ -1,12 +1,12 @@
-//! Lines on standard output.
+//! Writes lines to standard output.
 
 use std::fmt::Display;
 use std::io::Write as _;
 
-/// Prints a line.
+/// Prints a line to standard output and ignores write errors.
 ///
-/// `println!` panics when the reader is gone, as `head` is after its last line; nobody is
-/// left then to miss the rest.
+/// `println!` would panic when the reader has closed the pipe, as `head` does after its last
+/// line. Nobody reads the remaining output in that case, so dropping it is harmless.
 pub fn line(text: impl Display) {
     let _ = writeln!(std::io::stdout().lock(), "{text}");
 }
--- a/crates/camphorwalk/src/platform_host.rs
+++ b/crates/camphorwalk/src/platform_host.rs
@@ -1,4 +1,4 @@
-//! An entry host on the users' platform: from its settings file to its end.
+//! Runs an entry host on the users' platform, with the settings file that the platform writes.
 
 use std::path::{Path, PathBuf};
 
@@ -13,7 +13,7 @@
 use crate::exit::Exit;
 use crate::logs;
 
-/// Runs a host, or only checks its settings.
+/// Runs a host until it is asked to stop. With `check`, only validates its settings file.
 pub fn main(check: bool) -> Exit {
     let Some(path) = settings::path() else {
         eprintln!("camphorwalkd: neither --settings nor the platform's settings file is given");
@@ -70,7 +70,7 @@
             _ = interrupt.recv() => break,
             _ = hangup.recv() => match load(&path) {
                 Ok(settings) => host.on_settings_reloaded(&settings),
-                Err(e) => warn!("host: settings not understood, goes on with the old ones: {e:#}"),
+                Err(e) => warn!("host: settings are invalid, keeping the previous ones: {e:#}"),
             },
         }
     }
