--- a/crates/camphorwalk/tests/bad_input.rs
+++ b/crates/camphorwalk/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input: each gets its status and code, says truly that nothing ran, and the host goes
-//! on serving.
+//! Invalid requests must get the right status and error code and be reported as not run, and the
+//! host must continue to serve.
 
 mod support;
 
@@ -8,9 +8,9 @@
 use serde_json::{Value, json};
 use support::{Fleet, call_body, caller};
 
-/// The caller sends what is malformed, too large, without a good key, to another tenant's
-/// program, or under a key that came before with another body. Each is refused on its own, in
-/// any order; afterwards a good call of the same program is served as if nothing had been.
+/// Callers send requests that are malformed, too large, without a valid API key, for another
+/// tenant's program, out of order, or with an idempotency key that was used with another body. Each
+/// must be refused without an effect on the program, so that a valid call is served afterwards.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn each_is_refused_and_the_host_goes_on() {
     let fleet = Fleet::start(&["a1", "b1"]).await;
@@ -57,10 +57,11 @@
     assert_eq!(cases[11].0.body["error"]["head"], 1, "{}", cases[11].0.body);
     let after = fleet.call(0, &program, "two", 1, "deposit").await;
     assert_eq!(after.body["call"], 2, "{}", after.body);
-    assert_eq!(fleet.runs("one").await, 1);
+    assert_eq!(fleet.run_count("one").await, 1);
 }
 
-/// A body that is no JSON at all, which the client of the other cases cannot send.
+/// A body that is not valid JSON must be refused as not run. The test writes to a socket directly,
+/// since the client sends only valid JSON.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn malformed_json_is_refused() {
     use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -78,6 +79,7 @@
     assert!(text.contains("\"ran\":\"no\""), "{text}");
 }
 
+/// Checks the status and error code of an answer, and that it reports the request as not run.
 fn assert_refused(case: usize, answer: &Answer, status: u16, code: &str) {
     let error = &answer.body["error"];
 
--- a/crates/camphorwalk/tests/faults.rs
+++ b/crates/camphorwalk/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of real processes: kill -9, SIGSTOP and SIGCONT, SIGTERM, and a platform that is
-//! away or drops its answers.
+//! Faults of separate processes: SIGKILL, SIGSTOP and SIGCONT, SIGTERM, and a platform that is
+//! unavailable or whose answers are lost.
 
 mod support;
 
@@ -9,20 +9,22 @@
 use http::Method;
 use rustix::process::Signal;
 use serde_json::json;
-use support::{Fleet, Process, call_body, caller, operator, until};
+use support::{Fleet, Process, call_body, caller, operator, wait_until};
 
-/// How long the service takes for an operation, where a test must act while one runs.
-const SLOW_MS: u64 = 1_500;
+/// The duration of an operation of the slow service. It is long enough for a test to act while the
+/// operation runs.
+const SERVICE_DELAY_MS: u64 = 1_500;
 
-async fn slow_service(fleet: &Fleet) {
+/// Makes the service take [`SERVICE_DELAY_MS`] for each operation.
+async fn make_service_slow(fleet: &Fleet) {
     let service = fleet.service.address("address");
-    let body = json!({ "mode": "slow", "delay_ms": SLOW_MS });
+    let body = json!({ "mode": "slow", "delay_ms": SERVICE_DELAY_MS });
     let answer = operator().post(service, "/control/mode", &body).await.unwrap();
 
     assert!(answer.status.is_success(), "{}", answer.body);
 }
 
-/// Makes a call without coming back when told to.
+/// Calls the deposit operation once, without retries.
 async fn call_once(fleet: &Fleet, host: usize, program: &str, key: &str, after: u32) -> Answer {
     let path = format!("{program}/calls");
     let body = call_body(after, "deposit");
@@ -31,33 +33,33 @@
     client.send(Method::POST, fleet.callers(host), &path, Some(key), Some(&body)).await.unwrap()
 }
 
-/// Opens a program whose home is this host, and returns its path.
-async fn open_at(fleet: &Fleet, home: usize) -> String {
+/// Opens programs until one has this host as its home, and returns the path of that one.
+async fn open_with_home(fleet: &Fleet, home: usize) -> String {
     for i in 0.. {
         let program = fleet.open(home, &format!("open-{i}")).await;
         if fleet.home_of(&program, home).await == Some(home) {
             return program;
         }
     }
-    unreachable!("some program gets its home there")
+    unreachable!("the loop has no end")
 }
 
-/// The caller's deposit runs at the service when the program's home is killed. Through
-/// another host the caller repeats it, again and again, until a new home has read the journal:
-/// that one finds the intent without an outcome and says that it may have run. It is never
-/// run a second time, because an intent is durable before anything is sent.
+/// The home of a program is killed while a deposit runs at the service. The caller retries the
+/// deposit through another host until a new home has read the journal. The new home finds an intent
+/// without an outcome, so it must answer that the deposit may have run. It must not run the deposit
+/// again; this holds because the intent is stored before the operation is sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_home_killed_between_send_and_outcome() {
     let mut fleet = Fleet::start(&["a1", "a2", "b1"]).await;
-    slow_service(&fleet).await;
-    let program = open_at(&fleet, 0).await;
+    make_service_slow(&fleet).await;
+    let program = open_with_home(&fleet, 0).await;
 
     let first = call_once(&fleet, 1, &program, "deposit-1", 0);
-    let kill = async {
-        until("the service got it", async || sent(&fleet).await > 0).await;
+    let deposit_sent = async {
+        wait_until("the service got it", async || count_sent_deposits(&fleet).await > 0).await;
     };
     let (first, ()) = tokio::join!(first, async {
-        kill.await;
+        deposit_sent.await;
         fleet.hosts[0].signal(Signal::KILL);
     });
     fleet.hosts[0].kill();
@@ -68,30 +70,31 @@
     assert_eq!(repeat.body["error"]["code"], "outcome_unknown", "{}", repeat.body);
     assert_eq!(repeat.body["error"]["ran"], "maybe", "{}", repeat.body);
     assert_eq!(next.body["call"], 2, "{}", next.body);
-    assert_eq!(fleet.runs("deposit-1").await, 1);
-    assert_eq!(fleet.runs("deposit-2").await, 1);
+    assert_eq!(fleet.run_count("deposit-1").await, 1);
+    assert_eq!(fleet.run_count("deposit-2").await, 1);
 }
 
-async fn sent(fleet: &Fleet) -> usize {
+/// Returns the number of deposits that the service has received.
+async fn count_sent_deposits(fleet: &Fleet) -> usize {
     let service = fleet.service.address("address");
     let answer = operator().get(service, "/control/requests").await.unwrap();
 
     answer.body.to_string().matches("take-deposit").count()
 }
 
-/// The home is frozen while the caller's deposit runs, and its lease goes to another host.
-/// The caller repeats the deposit there; then the frozen home wakes up and goes on as if
-/// nothing had been. The journal's epoch keeps it from writing, and the intent that both have
-/// read keeps either from sending again.
+/// The home is stopped while a deposit runs, and its lease passes to another host. The caller
+/// retries the deposit there. Then the old home resumes and does not know that it lost the lease.
+/// The journal's epoch rejects its writes, and neither home may send the deposit again, because
+/// both know its intent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_home_frozen_past_its_lease() {
     let fleet = Fleet::start(&["a1", "a2", "b1"]).await;
-    slow_service(&fleet).await;
-    let program = open_at(&fleet, 0).await;
+    make_service_slow(&fleet).await;
+    let program = open_with_home(&fleet, 0).await;
 
     let first = call_once(&fleet, 1, &program, "deposit-1", 0);
     let (first, repeat) = tokio::join!(first, async {
-        until("the service got it", async || sent(&fleet).await > 0).await;
+        wait_until("the service got it", async || count_sent_deposits(&fleet).await > 0).await;
         fleet.hosts[0].signal(Signal::STOP);
         let repeat = fleet.call(2, &program, "deposit-1", 0, "deposit").await;
         fleet.hosts[0].signal(Signal::CONT);
@@ -102,23 +105,24 @@
     assert_ne!(first.body["error"]["ran"], "no", "{}", first.body);
     assert_eq!(repeat.body["error"]["ran"], "maybe", "{}", repeat.body);
     assert_ne!(late.body["error"]["ran"], "no", "{}", late.body);
-    assert_eq!(fleet.runs("deposit-1").await, 1);
+    assert_eq!(fleet.run_count("deposit-1").await, 1);
 }
 
-/// With the platform away, a deposit cannot be made durable: the caller is told at once that
-/// it did not run and when to come back. A model turn goes on, says that it is not stored and
-/// hands out its sealed tail. When the platform is back, both go on from there.
+/// While the platform is unavailable, the intent of a deposit cannot be stored, so the deposit must
+/// be refused at once as not run, with a time for a retry. A model turn still runs: its answer is
+/// marked as not stored and carries a sealed tail. After the outage, the next call of the program
+/// presents that tail and succeeds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_platform_is_away() {
     let fleet = Fleet::start(&["a1", "b1"]).await;
-    let program = open_at(&fleet, 0).await;
+    let program = open_with_home(&fleet, 0).await;
 
-    fleet.platform_mode("refuse").await;
+    fleet.set_platform_mode("refuse").await;
     let refused = call_once(&fleet, 0, &program, "deposit-1", 0).await;
     let turn = fleet.call(1, &program, "turn-1", 0, "model").await;
     let path = format!("{program}/history");
     let history = caller(0).get(fleet.callers(1), &path).await.unwrap();
-    fleet.platform_mode("ok").await;
+    fleet.set_platform_mode("ok").await;
     let mut body = call_body(1, "deposit");
     body["tail"] = turn.body["tail"].clone();
     let path = format!("{program}/calls");
@@ -131,22 +135,22 @@
     assert!(turn.body["tail"].is_string(), "{}", turn.body);
     assert_eq!(history.body["calls"][0]["stored"], false, "{}", history.body);
     assert_eq!(after.body["call"], 2, "{}", after.body);
-    assert_eq!(fleet.runs("deposit-1").await, 0);
-    assert_eq!(fleet.runs("deposit-2").await, 1);
+    assert_eq!(fleet.run_count("deposit-1").await, 0);
+    assert_eq!(fleet.run_count("deposit-2").await, 1);
 }
 
-/// A turn was answered while the platform was away, and its home dies before it could store
-/// it. The caller hands the sealed tail to another host: the new home checks it and takes the
-/// turn over, so the only copy was not the dead host's memory.
+/// A turn is answered while the platform is unavailable, and its home is killed before it can store
+/// the turn. The caller sends the sealed tail with its next call through another host. The new home
+/// must verify the tail and restore the turn from it, so the turn is not lost with the old home.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_home_dies_during_an_outage() {
     let mut fleet = Fleet::start(&["a1", "a2", "b1"]).await;
-    let program = open_at(&fleet, 0).await;
+    let program = open_with_home(&fleet, 0).await;
 
-    fleet.platform_mode("refuse").await;
+    fleet.set_platform_mode("refuse").await;
     let turn = fleet.call(1, &program, "turn-1", 0, "model").await;
     fleet.hosts[0].kill();
-    fleet.platform_mode("ok").await;
+    fleet.set_platform_mode("ok").await;
     let mut body = call_body(1, "deposit");
     body["tail"] = turn.body["tail"].clone();
     let path = format!("{program}/calls");
@@ -159,52 +163,52 @@
     assert_eq!(history.body["calls"][0]["output"], turn.body["output"], "{}", history.body);
 }
 
-/// The platform takes the intent in but its answer is lost. The home sends the same
-/// transaction again, which shows that the first one took effect; the deposit runs once.
+/// The platform stores an intent, but its answer is lost. The home sends the same transaction again
+/// and finds that the first one took effect. The deposit must run exactly once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_answer_to_an_intent_is_lost() {
     let fleet = Fleet::start(&["a1", "b1"]).await;
-    let program = open_at(&fleet, 0).await;
+    let program = open_with_home(&fleet, 0).await;
 
-    fleet.platform_mode("drop_answers").await;
+    fleet.set_platform_mode("drop_answers").await;
     let first = call_once(&fleet, 1, &program, "deposit-1", 0).await;
-    fleet.platform_mode("ok").await;
+    fleet.set_platform_mode("ok").await;
     let repeat = fleet.call(0, &program, "deposit-1", 0, "deposit").await;
 
     assert_eq!(repeat.body["call"], 1, "{} then {}", first.body, repeat.body);
-    assert_eq!(fleet.runs("deposit-1").await, 1);
+    assert_eq!(fleet.run_count("deposit-1").await, 1);
 }
 
-/// The home that sent a program's turns to an engine is killed, and the program is ended at
-/// its new home, which does not know where those turns ran. The engine's memory is freed all
-/// the same: the host that watches the engine compares what it holds with what is open.
+/// The home that sent a program's turn to an engine is killed. The program is then ended at a new
+/// home, which does not know which engine ran the turn. The engine's cache must be freed
+/// nevertheless: the host that watches the engine compares its cache with the open programs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn engines_are_freed_after_their_home_died() {
     let mut fleet = Fleet::start(&["a1", "a2", "b1"]).await;
-    let program = open_at(&fleet, 0).await;
+    let program = open_with_home(&fleet, 0).await;
     let turn = fleet.call(1, &program, "turn-1", 0, "model").await;
-    let held = fleet.held().await;
+    let held = fleet.held_prefixes().await;
 
     fleet.hosts[0].kill();
-    until("the program is ended", async || {
+    wait_until("the program is ended", async || {
         let client = caller(0);
         let ended = client.send(Method::DELETE, fleet.callers(1), &program, None, None).await;
         ended.is_ok_and(|answer| answer.status == 200)
     })
     .await;
-    until("the engines hold nothing", async || fleet.held().await == 0).await;
+    wait_until("the engines hold nothing", async || fleet.held_prefixes().await == 0).await;
 
     assert_eq!(turn.body["call"], 1, "{}", turn.body);
     assert_eq!(held, 1);
 }
 
-/// An engine's process is gone and its port refuses connections at once, so it always looks
-/// idle. Callers go on with turn after turn: the queue leaves it alone after the first refused
-/// connection, instead of sending each call there first until no retry is left.
+/// An engine's process has ended and its port refuses connections at once, so the engine always
+/// looks idle. The queue must avoid it after the first refused connection. Otherwise it would send
+/// each call there first, and calls would fail once their retries are used up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_that_refuses_connections_is_left_alone() {
     let mut fleet = Fleet::start(&["a1", "b1"]).await;
-    let program = open_at(&fleet, 0).await;
+    let program = open_with_home(&fleet, 0).await;
     let path = format!("{program}/calls");
     fleet.engines[0].kill();
 
@@ -221,14 +225,14 @@
     assert_eq!(served, 25);
 }
 
-/// A host gets SIGTERM while it serves a stream and a deposit. Neither is cut: both callers
-/// get their whole answers, the host hands its leases back and ends by itself, and another
-/// host goes on with the program at once.
+/// A host receives SIGTERM while it serves a stream and a deposit. Both callers must get their
+/// complete answers, the host must return its leases and exit, and another host must serve the
+/// next call of the program.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_host_leaves_under_load() {
     let mut fleet = Fleet::start_with(&["a1", "b1"], &["--token-interval-ms", "60"]).await;
-    slow_service(&fleet).await;
-    let (streamed, paid) = (open_at(&fleet, 0).await, fleet.open(0, "another").await);
+    make_service_slow(&fleet).await;
+    let (streamed, paid) = (open_with_home(&fleet, 0).await, fleet.open(0, "another").await);
 
     let mut body = call_body(0, "model");
     body["stream"] = json!(true);
@@ -237,32 +241,33 @@
     let stream = client.call(fleet.callers(0), &path, "turn-1", &body);
     let deposit = fleet.call(0, &paid, "deposit-1", 0, "deposit");
     let (stream, deposit, ()) = tokio::join!(stream, deposit, async {
-        until("the service got it", async || sent(&fleet).await > 0).await;
+        wait_until("the service got it", async || count_sent_deposits(&fleet).await > 0).await;
         fleet.hosts[0].signal(Signal::TERM);
     });
-    let ended_well = fleet.hosts[0].ended_well();
+    let succeeded = fleet.hosts[0].wait_for_success();
     let next = fleet.call(1, &streamed, "turn-2", 1, "model").await;
 
     let text = stream.unwrap().body.to_string();
     assert!(text.contains("event: done"), "{text}");
     assert_eq!(deposit.body["call"], 1, "{}", deposit.body);
-    assert!(ended_well);
+    assert!(succeeded);
     assert_eq!(next.body["call"], 2, "{}", next.body);
-    assert_eq!(fleet.runs("deposit-1").await, 1);
+    assert_eq!(fleet.run_count("deposit-1").await, 1);
 }
 
-/// A key is withdrawn at one host while its caller goes on through another. Within seconds no
-/// host takes it any more, although the platform is away: the hosts tell each other.
+/// A key is withdrawn at one host during an outage of the platform, while its caller uses another
+/// host. All hosts must refuse the key within seconds, because hosts report withdrawals to each
+/// other directly.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_key_is_withdrawn_with_the_platform_away() {
     let fleet = Fleet::start(&["a1", "b1"]).await;
     let program = fleet.open(0, "open-1").await;
 
-    fleet.platform_mode("refuse").await;
+    fleet.set_platform_mode("refuse").await;
     let body = json!({ "key": "red-1" });
     let path = "/v1/keys/withdraw";
     let accepted = operator().post(fleet.hosts[0].address("operators"), path, &body).await.unwrap();
-    until("the other host refuses the key", async || {
+    wait_until("the other host refuses the key", async || {
         caller(0).get(fleet.callers(1), &program).await.unwrap().status == 401
     })
     .await;
@@ -273,8 +278,9 @@
     assert_eq!(caller(0).get(fleet.callers(0), &program).await.unwrap().status, 401);
 }
 
-/// Two operators publish from the same version. One wins; the other is told of a conflict and
-/// shown what is in force. A host that was killed meanwhile and starts anew has the winner's.
+/// Two operators publish changes of the same version at the same time. One must succeed, and the
+/// other must get a conflict. A host that is killed and restarted afterwards must have the
+/// successful change in force.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn operators_race() {
     let mut fleet = Fleet::start(&["a1", "b1"]).await;
@@ -291,7 +297,7 @@
         tokio::join!(publish(&fleet.hosts[0], &configs[0]), publish(&fleet.hosts[1], &configs[1]));
     fleet.hosts[1].kill();
     fleet.hosts[1] = fleet.start_host("b1", "b");
-    fleet.list_hosts().await;
+    fleet.set_host_list().await;
     fleet.wait_ready(1).await;
     let seen = operator().get(fleet.hosts[1].address("operators"), "/v1/config").await.unwrap();
 
@@ -303,12 +309,12 @@
     assert_eq!(seen.body["config"]["tenants"][0]["burst"], configs[winner]["tenants"][0]["burst"]);
 }
 
-/// The caller of a stream goes away in the middle. The engine's work is cancelled instead of
-/// running to its end for nobody.
+/// The caller closes its connection in the middle of a stream. The request at the engine must be
+/// cancelled, so that the engine does not finish work that nobody reads.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_caller_goes_away() {
     let fleet = Fleet::start_with(&["a1", "b1"], &["--token-interval-ms", "300"]).await;
-    let program = open_at(&fleet, 0).await;
+    let program = open_with_home(&fleet, 0).await;
     let mut body = call_body(0, "model");
     body["stream"] = json!(true);
     let path = format!("{program}/calls");
@@ -316,12 +322,13 @@
     let client = caller(0);
     let call = client.send(Method::POST, fleet.callers(1), &path, Some("turn-1"), Some(&body));
     let gone = tokio::time::timeout(Duration::from_millis(700), call).await;
-    until("no engine runs anything", async || running(&fleet).await == 0).await;
+    wait_until("no engine runs anything", async || count_running_requests(&fleet).await == 0).await;
 
     assert!(gone.is_err(), "the stream ended before its caller went away");
 }
 
-async fn running(fleet: &Fleet) -> u64 {
+/// Returns the number of requests that run at all engines.
+async fn count_running_requests(fleet: &Fleet) -> u64 {
     let mut count = 0;
     for engine in &fleet.engines {
         let load = operator().get(engine.address("address"), "/v1/load").await.unwrap().body;
--- a/crates/camphorwalk/tests/lost_answers.rs
+++ b/crates/camphorwalk/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk apply` where the host's answers are lost.
+//! `camphorwalk apply` when the host's answer to the publication is lost.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,8 @@
 use camphorwalk_declare::load;
 use serde_json::{Value, json};
 
-/// A host that gives these answers, one a connection, and tells the requests' first lines.
+/// Starts a fake host that sends these answers, one per connection. Returns its address and the
+/// request lines that it receives.
 fn fake_host(answers: Vec<(u16, Value)>) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -31,7 +32,7 @@
     (address, rx)
 }
 
-/// Reads a request with its body.
+/// Reads a request including its body.
 fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut buf = [0; 4096];
@@ -50,7 +51,8 @@
     }
 }
 
-/// Applies the Inkwick example at a host, waiting so long; returns the exit code and the JSON output.
+/// Applies the Inkwick example at a host with this `--wait`. Returns the exit code and the JSON
+/// output.
 fn apply(host: SocketAddr, wait: &str) -> (i32, Value) {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("key"), "k").unwrap();
@@ -71,7 +73,7 @@
     folder.to_str().unwrap().to_owned()
 }
 
-/// Returns the example as a host has it in force.
+/// Returns the response of a host that has the example in force with this version and burst.
 fn in_force(version: u64, burst: u32) -> Value {
     let mut config = load(example().as_ref()).unwrap();
     config.version = ConfigVersion(version);
@@ -80,9 +82,9 @@
     json!({ "version": version, "config": config })
 }
 
-// The host publishes the change, but its answer to the operator is lost. Publishing again
-// could undo what another operator did since; the command reads instead, finds its own
-// change in force, and says so.
+// The host publishes the change, but the answer is lost. Publishing again could undo a change that
+// another operator has made in the meantime, so the command must read the configuration in force
+// instead, find its own change and report success.
 #[test]
 fn a_change_that_took_effect_is_found() {
     let burst = load(example().as_ref()).unwrap().tenants[0].burst;
@@ -106,8 +108,8 @@
     assert_eq!(posts, 1);
 }
 
-// The answer is lost and the change does not show up. It may still take effect, so the
-// command says neither that it was published nor that it was not.
+// The answer is lost and the change is not in force within the wait time. It may still take effect
+// later, so the command must report the outcome as unknown.
 #[test]
 fn a_change_that_is_not_found_is_unknown() {
     let lost = json!({ "message": "no answer in time" });
--- a/crates/camphorwalk/tests/offline_commands.rs
+++ b/crates/camphorwalk/tests/offline_commands.rs
@@ -1,31 +1,31 @@
-//! Commands that need no fleet, and how commands end that are called wrongly.
+//! Commands that need no fleet, and the exit codes of commands that fail before they reach one.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
 use serde_json::Value;
 
-/// Runs the operators' command.
+/// Runs the `camphorwalk` command.
 fn run(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_camphorwalk")).args(args).output().unwrap()
 }
 
-/// Returns the exit code and the standard output of a run.
-fn ended(args: &[&str]) -> (i32, String) {
+/// Runs the command and returns its exit code and standard output.
+fn run_to_exit(args: &[&str]) -> (i32, String) {
     let output = run(args);
 
     (output.status.code().unwrap(), String::from_utf8(output.stdout).unwrap())
 }
 
-/// Returns the folder of an example.
+/// Returns the folder of an example deployment.
 fn example(name: &str) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deployments").join(name);
 
     folder.to_str().unwrap().to_owned()
 }
 
-/// Copies the Inkwick example with another text in one file.
-fn broken(folder: &Path, file: &str, from: &str, to: &str) -> String {
+/// Copies the Inkwick example into a folder and replaces a text in one file. Returns the folder.
+fn modified_example(folder: &Path, file: &str, from: &str, to: &str) -> String {
     let copy_all = |from: PathBuf, to: PathBuf| {
         std::fs::create_dir_all(&to).unwrap();
         for entry in std::fs::read_dir(from).unwrap().map(Result::unwrap) {
@@ -48,17 +48,22 @@
 #[test]
 fn check_passes_the_examples() {
     for name in ["inkwick", "inzira"] {
-        assert_eq!(ended(&["check", &example(name)]), (0, "no faults\n".to_owned()));
+        assert_eq!(run_to_exit(&["check", &example(name)]), (0, "no faults\n".to_owned()));
     }
 }
 
 #[test]
 fn check_tells_file_path_and_reason() {
     let folder = tempfile::tempdir().unwrap();
-    let dir = broken(folder.path(), "tenants/floor-artists.json", "\"burst\": 24", "\"burst\": 0");
+    let dir = modified_example(
+        folder.path(),
+        "tenants/floor-artists.json",
+        "\"burst\": 24",
+        "\"burst\": 0",
+    );
 
-    let (code, text) = ended(&["check", &dir]);
-    let (json_code, json) = ended(&["check", &dir, "--json"]);
+    let (code, text) = run_to_exit(&["check", &dir]);
+    let (json_code, json) = run_to_exit(&["check", &dir, "--json"]);
 
     assert_eq!((code, json_code), (1, 1));
     assert_eq!(text, "tenants/floor-artists.json: $.burst: must be at least 1\n");
@@ -71,9 +76,14 @@
 #[test]
 fn diff_of_two_folders() {
     let folder = tempfile::tempdir().unwrap();
-    let dir = broken(folder.path(), "tenants/floor-artists.json", "\"burst\": 24", "\"burst\": 30");
+    let dir = modified_example(
+        folder.path(),
+        "tenants/floor-artists.json",
+        "\"burst\": 24",
+        "\"burst\": 30",
+    );
 
-    let (code, text) = ended(&["diff", &dir, "--against", &example("inkwick")]);
+    let (code, text) = run_to_exit(&["diff", &dir, "--against", &example("inkwick")]);
 
     assert_eq!((code, &*text), (0, "~ $.tenants[\"floor-artists\"].burst: 24 -> 30\n"));
 }
@@ -99,7 +109,7 @@
 #[test]
 fn help_has_examples_and_ends_with_zero() {
     for command in ["apply", "check", "diff", "drain", "status", "withdraw"] {
-        let (code, text) = ended(&[command, "--help"]);
+        let (code, text) = run_to_exit(&[command, "--help"]);
 
         assert_eq!(code, 0, "{command}");
         assert!(text.contains("Examples:"), "{command}: {text}");
@@ -134,8 +144,8 @@
 
 #[test]
 fn explain_puts_a_requests_lines_of_several_hosts_in_order() {
-    // A turn is refused at one host and held by another; the logs have lines of other calls, and
-    // some that are not JSON or are cut off.
+    // Two hosts have logged lines about the same request. The logs also contain lines about other
+    // requests, lines that are not JSON, and a truncated line.
     let folder = tempfile::tempdir().unwrap();
     let file = |name: &str, lines: &[&str]| {
         let path = folder.path().join(name);
@@ -159,9 +169,9 @@
         ],
     );
 
-    let (code, text) = ended(&["explain", "r-1", &a, &b]);
-    let (nothing, _) = ended(&["explain", "r-9", &a, &b]);
-    let (missing, _) = ended(&["explain", "r-1", "no-such-file"]);
+    let (code, text) = run_to_exit(&["explain", "r-1", &a, &b]);
+    let (nothing, _) = run_to_exit(&["explain", "r-9", &a, &b]);
+    let (missing, _) = run_to_exit(&["explain", "r-1", "no-such-file"]);
 
     assert_eq!((code, nothing, missing), (0, 1, 1));
     let seconds: Vec<_> = text.lines().map(|line| line.find("00:00:0").unwrap()).collect();
--- a/crates/camphorwalk/tests/soak/callers.rs
+++ b/crates/camphorwalk/tests/soak/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: programs of kept turns, loops that spend a budget, and calls that may run once.
+//! The load of the soak: programs with stored turns, programs that use up a token budget, and calls
+//! that must run at most once.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -8,91 +9,101 @@
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
 
-use crate::ledger::{Answered, BUDGET, Ledger, MOST};
+use crate::ledger::{AnsweredTurn, BUDGET, Ledger, MAX_TURN_TOKENS};
 use crate::support::caller::{Call, CallResult};
 use crate::support::target::EVENTS_PER_STREAM;
 
-/// What all callers share.
+/// The state that all caller tasks share.
 #[derive(Clone)]
 pub struct Callers {
+    /// The callers' addresses of all hosts.
     pub hosts: Rc<Vec<SocketAddr>>,
+    /// What callers sent and received.
     pub ledger: Rc<RefCell<Ledger>>,
-    /// Set when callers are to stop.
+    /// Set to make the tasks stop.
     pub stop: Rc<std::cell::Cell<bool>>,
 }
 
-/// The pause of a caller between two calls.
+/// The pause of a caller task between two calls.
 const PAUSE: Duration = Duration::from_millis(15);
 
-/// The longest that a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(6);
+/// How long a caller waits for a complete answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// After so many turns a program begins anew.
-const TURNS: usize = 6;
+/// The number of turns after which a task starts a new program.
+const TURNS_PER_PROGRAM: usize = 6;
 
 impl Callers {
-    /// Starts callers of all kinds.
+    /// Starts `each` caller tasks of every kind.
     pub fn start(&self, seed: u64, each: u64) -> Vec<tokio::task::JoinHandle<()>> {
         let mut tasks = Vec::new();
 
         for i in 0..each {
             let rng = |kind: u64| StdRng::seed_from_u64(seed * 1_000 + kind * 100 + i);
-            tasks.push(tokio::task::spawn_local(self.clone().programs(rng(1), format!("p{i}"))));
-            tasks.push(tokio::task::spawn_local(self.clone().loops(rng(2), format!("l{i}"))));
-            tasks.push(tokio::task::spawn_local(self.clone().deposits(rng(3), format!("d{i}"))));
+            tasks.push(tokio::task::spawn_local(
+                self.clone().run_conversations(rng(1), format!("p{i}")),
+            ));
+            tasks.push(tokio::task::spawn_local(self.clone().run_budgets(rng(2), format!("l{i}"))));
+            tasks
+                .push(tokio::task::spawn_local(self.clone().run_deposits(rng(3), format!("d{i}"))));
         }
         tasks
     }
 
-    /// Programs of kept turns, each of which continues an earlier one.
-    async fn programs(self, mut rng: StdRng, name: String) {
+    /// Sends programs with stored turns. Each turn continues a random earlier turn of its program.
+    async fn run_conversations(self, mut rng: StdRng, name: String) {
         for program in 0.. {
-            let mut said = Vec::<Answered>::new();
-            for turn in 0..TURNS {
+            let mut answered = Vec::<AnsweredTurn>::new();
+            for turn in 0..TURNS_PER_PROGRAM {
                 if self.stop.get() {
                     return;
                 }
                 let id = format!("{name}-{program}-{turn}");
-                let previous = match said.len() {
+                let previous = match answered.len() {
                     0 => None,
-                    count => Some(said[rng.random_range(0..count)].clone()),
+                    count => Some(answered[rng.random_range(0..count)].clone()),
                 };
-                self.turn(&mut rng, &id, previous, &mut said).await;
+                self.send_turn(&mut rng, &id, previous, &mut answered).await;
                 tokio::time::sleep(PAUSE).await;
             }
         }
     }
 
-    async fn turn(
+    /// Sends one stored turn, and records it if it was answered completely.
+    async fn send_turn(
         &self,
         rng: &mut StdRng,
         id: &str,
-        previous: Option<Answered>,
-        said: &mut Vec<Answered>,
+        previous: Option<AnsweredTurn>,
+        answered: &mut Vec<AnsweredTurn>,
     ) {
         let input = format!("<{id}>");
-        let before = previous.as_ref().map_or("", |turn| &turn.said);
-        let prompt = format!("{before}{input}");
+        let transcript = previous.as_ref().map_or("", |turn| &turn.transcript);
+        let prompt = format!("{transcript}{input}");
         self.ledger.borrow_mut().prompts.insert(id.into(), prompt.clone());
         let call = Call::new("/kept/")
             .with_request_id(id)
             .with_previous_turn(previous.as_ref().map_or("", |turn| &turn.id))
             .body(input);
 
-        let Some(got) = self.send(rng, id, &call).await else { return };
-        if [404, 410].contains(&got.status) {
-            self.fault(format!("{id} was told {} of {previous:?}", got.status));
+        let Some(result) = self.send(rng, id, &call).await else { return };
+        if [404, 410].contains(&result.status) {
+            self.record_fault(format!(
+                "{id} got status {} for previous turn {previous:?}",
+                result.status
+            ));
         }
-        if got.is_served() {
+        if result.is_served() {
             let lines: String = (1..=EVENTS_PER_STREAM).map(|i| format!("word-{i}\n")).collect();
-            let turn = Answered { id: id.into(), said: prompt + &lines };
+            let turn = AnsweredTurn { id: id.into(), transcript: prompt + &lines };
             self.ledger.borrow_mut().answered.push(turn.clone());
-            said.push(turn);
+            answered.push(turn);
         }
     }
 
-    /// Programs that send turns until their budget is spent, and go on after that.
-    async fn loops(self, mut rng: StdRng, name: String) {
+    /// Sends programs whose turns use up their token budget, and continues past that point. Counts
+    /// the events that callers receive.
+    async fn run_budgets(self, mut rng: StdRng, name: String) {
         for program in 0.. {
             let program = format!("{name}-{program}");
             for turn in 0..25 {
@@ -100,10 +111,13 @@
                     return;
                 }
                 let id = format!("{program}-{turn}");
-                let call =
-                    Call::new("/stream/").with_request_id(&id).with_program(&program, BUDGET, MOST);
-                if let Some(got) = self.send(&mut rng, &id, &call).await {
-                    let events = got.text().matches("id:").count() as u64;
+                let call = Call::new("/stream/").with_request_id(&id).with_program(
+                    &program,
+                    BUDGET,
+                    MAX_TURN_TOKENS,
+                );
+                if let Some(result) = self.send(&mut rng, &id, &call).await {
+                    let events = result.text().matches("id:").count() as u64;
                     *self.ledger.borrow_mut().events.entry(program.clone()).or_default() += events;
                 }
                 tokio::time::sleep(PAUSE).await;
@@ -111,8 +125,8 @@
         }
     }
 
-    /// Calls that may run once.
-    async fn deposits(self, mut rng: StdRng, name: String) {
+    /// Sends calls that must run at most once.
+    async fn run_deposits(self, mut rng: StdRng, name: String) {
         for i in 0.. {
             if self.stop.get() {
                 return;
@@ -124,37 +138,43 @@
         }
     }
 
-    /// Sends a call to any host; `None` if no answer came.
+    /// Sends a call to a random host and records and checks the answer. Returns `None` if there was
+    /// no complete answer.
     async fn send(&self, rng: &mut StdRng, id: &str, call: &Call) -> Option<CallResult> {
         let host = self.hosts[rng.random_range(0..self.hosts.len())];
-        let got = tokio::time::timeout(PATIENCE, call.try_send(host)).await.ok().flatten();
+        let result = tokio::time::timeout(ANSWER_TIMEOUT, call.try_send(host)).await.ok().flatten();
         let mut ledger = self.ledger.borrow_mut();
 
-        match &got {
-            Some(got) if got.is_served() => ledger.served += 1,
+        match &result {
+            Some(result) if result.is_served() => ledger.served += 1,
             _ => ledger.failed += 1,
         }
-        let got = got?;
-        if [408, 421, 429, 503].contains(&got.status) {
-            ledger.refused.push((id.into(), got.status));
+        let result = result?;
+        if [408, 421, 429, 503].contains(&result.status) {
+            ledger.refused.push((id.into(), result.status));
         }
-        if got.is_served() {
-            check_whole(id, &got, &mut ledger);
+        if result.is_served() {
+            check_complete(id, &result, &mut ledger);
         }
-        Some(got)
+        Some(result)
     }
 
-    fn fault(&self, text: String) {
+    fn record_fault(&self, text: String) {
         self.ledger.borrow_mut().faults.push(text);
     }
 }
 
-/// A success must bear its target's signature, be to this call, and have all of its events.
-fn check_whole(id: &str, got: &CallResult, ledger: &mut Ledger) {
-    if !got.is_signed() || got.request_id() != Some(id) {
-        ledger.faults.push(format!("{id} got an answer that is not its own: {:?}", got.headers));
+/// Checks that a successful answer has the target's signature, belongs to this call, and contains
+/// all events if it is a stream.
+fn check_complete(id: &str, result: &CallResult, ledger: &mut Ledger) {
+    if !result.is_signed() || result.request_id() != Some(id) {
+        ledger.faults.push(format!(
+            "{id} got an answer without a signature or to another call: {:?}",
+            result.headers
+        ));
     }
-    let events: Vec<_> = got.text().lines().filter_map(|line| line.strip_prefix("id: ")).collect();
+    let events: Vec<_> =
+        result.text().lines().filter_map(|line| line.strip_prefix("id: ")).collect();
     let all: Vec<_> = (1..=EVENTS_PER_STREAM).map(|i| i.to_string()).collect();
     if !events.is_empty() && events != all {
         ledger.faults.push(format!("{id} got events {events:?}"));
--- a/crates/camphorwalk/tests/soak/faults.rs
+++ b/crates/camphorwalk/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside the processes, in series that overlap.
+//! Injects random, overlapping faults from outside the host processes.
 
 use std::time::Duration;
 
@@ -7,79 +7,81 @@
 use rustix::process::Signal;
 
 use crate::fleet::Fleet;
-use crate::proxy::Harm;
+use crate::proxy::LinkFault;
 use crate::support::default_routes;
 use crate::support::store::Mode;
 use crate::support::target::Behavior;
 
-/// What is harmed now, and until when, in steps.
+/// The faults that are active.
 #[derive(Default)]
-pub struct Harmed {
-    /// What ends at which step.
-    ends: Vec<(u32, End)>,
-    /// The version of the manifest in force.
+pub struct FaultInjector {
+    /// The pending recoveries, each with the step at which it is due.
+    recoveries: Vec<(u32, Recovery)>,
+    /// The number of manifests that were published after the first one.
     version: u64,
 }
 
-/// What ends a fault.
+/// An action that ends a fault. Hosts are numbered by index, and targets by the index of their
+/// proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    Store,
+enum Recovery {
+    RestoreStore,
     StartHost(usize),
-    WakeHost(usize),
-    HealStoreWay(usize),
-    HealPeerWay(usize),
-    HealTargetWay(usize),
-    SoundTarget(usize),
-    HealZone(&'static str),
+    ResumeHost(usize),
+    RestoreStoreLink(usize),
+    RestorePeerLink(usize),
+    RestoreTargetLink(usize),
+    RestoreTarget(usize),
+    RejoinZone(&'static str),
 }
 
-/// The time of a step.
+/// The duration of a step.
 pub const STEP: Duration = Duration::from_millis(100);
 
-impl Harmed {
-    /// Lets a step pass: faults end, and new ones begin now and then.
+impl FaultInjector {
+    /// Runs one step: ends the faults that are due, and starts a new one with a chance of 1 in 4.
     pub fn step(&mut self, now: u32, rng: &mut StdRng, fleet: &mut Fleet) {
-        fleet.start_those_that_ended();
-        let (due, left) = self.ends.drain(..).partition(|(at, _)| *at <= now);
-        self.ends = left;
-        for (_, end) in due {
-            finish(end, fleet);
+        fleet.restart_ended_hosts();
+        let (due, pending) = self.recoveries.drain(..).partition(|(at, _)| *at <= now);
+        self.recoveries = pending;
+        for (_, recovery) in due {
+            recover(recovery, fleet);
         }
 
         if rng.random_bool(0.25) {
             let until = now + rng.random_range(3..25);
-            if let Some(end) = self.begin(rng, fleet) {
-                self.ends.push((until, end));
+            if let Some(recovery) = self.start_random(rng, fleet) {
+                self.recoveries.push((until, recovery));
             }
         }
     }
 
-    /// Ends all faults.
-    pub fn heal(&mut self, fleet: &mut Fleet) {
-        for (_, end) in std::mem::take(&mut self.ends) {
-            finish(end, fleet);
+    /// Ends all faults at once.
+    pub fn recover_all(&mut self, fleet: &mut Fleet) {
+        for (_, recovery) in std::mem::take(&mut self.recoveries) {
+            recover(recovery, fleet);
         }
         for i in 0..fleet.hosts.len() {
             fleet.hosts[i].signal(Signal::CONT);
         }
     }
 
-    fn begin(&mut self, rng: &mut StdRng, fleet: &mut Fleet) -> Option<End> {
+    /// Starts a random fault. Returns the action that ends it, or `None` if there is nothing to end.
+    fn start_random(&mut self, rng: &mut StdRng, fleet: &mut Fleet) -> Option<Recovery> {
         let host = rng.random_range(0..fleet.hosts.len());
-        let way = rng.random_range(0..fleet.to_targets.len());
-        let harm = match rng.random_range(0..4) {
-            0 => Harm::Delay(Duration::from_millis(rng.random_range(20..200))),
-            1 => Harm::Silent,
-            2 => Harm::OneWay,
-            _ => Harm::Reset,
+        let target_index = rng.random_range(0..fleet.target_proxies.len());
+        let fault = match rng.random_range(0..4) {
+            0 => LinkFault::Delay(Duration::from_millis(rng.random_range(20..200))),
+            1 => LinkFault::Stall,
+            2 => LinkFault::StallReplies,
+            _ => LinkFault::Reset,
         };
 
         match rng.random_range(0..11) {
             0 => self.kill(host, fleet),
             1 => {
                 fleet.hosts[host].signal(Signal::STOP);
-                Some(End::WakeHost(host))
+                Some(Recovery::ResumeHost(host))
             }
             2 => {
                 fleet.hosts[host].signal(Signal::TERM);
@@ -92,29 +94,30 @@
             4 => {
                 let modes = [Mode::Unavailable, Mode::DropAnswers];
                 fleet.store.set_mode(modes[rng.random_range(0..modes.len())]);
-                Some(End::Store)
+                Some(Recovery::RestoreStore)
             }
             5 => {
-                fleet.hosts[host].to_store.set(harm);
-                Some(End::HealStoreWay(host))
+                fleet.hosts[host].store_proxy.set(fault);
+                Some(Recovery::RestoreStoreLink(host))
             }
             6 => {
-                fleet.hosts[host].from_peers.set(harm);
-                Some(End::HealPeerWay(host))
+                fleet.hosts[host].peer_proxy.set(fault);
+                Some(Recovery::RestorePeerLink(host))
             }
             7 => {
-                fleet.to_targets[way].set(harm);
-                Some(End::HealTargetWay(way))
+                fleet.target_proxies[target_index].set(fault);
+                Some(Recovery::RestoreTargetLink(target_index))
             }
             8 => {
-                let manners = [
+                let behaviors = [
                     Behavior::Full,
                     Behavior::DropConnection,
                     Behavior::WrongRequestId,
                     Behavior::TruncateStream,
                 ];
-                target(fleet, way).set_behavior(manners[rng.random_range(0..manners.len())]);
-                Some(End::SoundTarget(way))
+                target(fleet, target_index)
+                    .set_behavior(behaviors[rng.random_range(0..behaviors.len())]);
+                Some(Recovery::RestoreTarget(target_index))
             }
             9 => {
                 self.version += 1;
@@ -123,49 +126,55 @@
             }
             _ => {
                 let zone = fleet.hosts[host].zone;
-                set_zone(fleet, zone, Harm::Silent);
-                Some(End::HealZone(zone))
+                set_zone_links(fleet, zone, LinkFault::Stall);
+                Some(Recovery::RejoinZone(zone))
             }
         }
     }
 
-    /// Kills a host, unless one is down: turns that the store could not take are held by three
-    /// hosts, and the loss of two of them at a time is borne.
-    fn kill(&self, host: usize, fleet: &mut Fleet) -> Option<End> {
-        if self.ends.iter().any(|(_, end)| matches!(end, End::StartHost(_))) {
+    /// Kills a host, unless another killed host is still down. Turns that the store could not take
+    /// are held by three hosts, and at most two of these may be lost at the same time.
+    fn kill(&self, host: usize, fleet: &mut Fleet) -> Option<Recovery> {
+        if self.recoveries.iter().any(|(_, recovery)| matches!(recovery, Recovery::StartHost(_))) {
             return None;
         }
 
         fleet.hosts[host].kill();
-        Some(End::StartHost(host))
+        Some(Recovery::StartHost(host))
     }
 }
 
-/// Returns a target by the number of its proxy.
-fn target(fleet: &Fleet, way: usize) -> &crate::support::target::Target {
-    match way.checked_sub(fleet.engines.len()) {
-        None => &fleet.engines[way],
+/// Returns a target by the index of its proxy.
+fn target(fleet: &Fleet, target_index: usize) -> &crate::support::target::Target {
+    match target_index.checked_sub(fleet.engines.len()) {
+        None => &fleet.engines[target_index],
         Some(desk) => &fleet.desks[desk],
     }
 }
 
-/// Harms all ways of a zone's hosts to the store and from other hosts.
-fn set_zone(fleet: &Fleet, zone: &str, harm: Harm) {
+/// Sets the fault of all connections between a zone's hosts and the store, and of those that other
+/// hosts open to them.
+fn set_zone_links(fleet: &Fleet, zone: &str, fault: LinkFault) {
     for host in fleet.hosts.iter().filter(|host| host.zone == zone) {
-        host.to_store.set(harm);
-        host.from_peers.set(harm);
+        host.store_proxy.set(fault);
+        host.peer_proxy.set(fault);
     }
 }
 
-fn finish(end: End, fleet: &mut Fleet) {
-    match end {
-        End::Store => fleet.store.set_mode(Mode::Normal),
-        End::StartHost(host) => fleet.start_host(host, false),
-        End::WakeHost(host) => fleet.hosts[host].signal(Signal::CONT),
-        End::HealStoreWay(host) => fleet.hosts[host].to_store.set(Harm::None),
-        End::HealPeerWay(host) => fleet.hosts[host].from_peers.set(Harm::None),
-        End::HealTargetWay(way) => fleet.to_targets[way].set(Harm::None),
-        End::SoundTarget(way) => target(fleet, way).set_behavior(Behavior::Normal),
-        End::HealZone(zone) => set_zone(fleet, zone, Harm::None),
+/// Ends a fault.
+fn recover(recovery: Recovery, fleet: &mut Fleet) {
+    match recovery {
+        Recovery::RestoreStore => fleet.store.set_mode(Mode::Normal),
+        Recovery::StartHost(host) => fleet.start_host(host, false),
+        Recovery::ResumeHost(host) => fleet.hosts[host].signal(Signal::CONT),
+        Recovery::RestoreStoreLink(host) => fleet.hosts[host].store_proxy.set(LinkFault::None),
+        Recovery::RestorePeerLink(host) => fleet.hosts[host].peer_proxy.set(LinkFault::None),
+        Recovery::RestoreTargetLink(target_index) => {
+            fleet.target_proxies[target_index].set(LinkFault::None)
+        }
+        Recovery::RestoreTarget(target_index) => {
+            target(fleet, target_index).set_behavior(Behavior::Normal)
+        }
+        Recovery::RejoinZone(zone) => set_zone_links(fleet, zone, LinkFault::None),
     }
 }
--- a/crates/camphorwalk/tests/soak/fleet.rs
+++ b/crates/camphorwalk/tests/soak/fleet.rs
@@ -1,4 +1,5 @@
-//! Hosts as processes of their own, before stand-ins of store and targets, with proxies between.
+//! A deployment of host processes, with test doubles of the store and the targets. Connections to
+//! the store, to the targets and between hosts go through proxies that can inject faults.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::{Child, Command, Stdio};
@@ -14,37 +15,40 @@
     HostPorts, SETTINGS_VARIABLE, TEST_TIMEOUT, caller, default_routes, settings_text,
 };
 
-/// The zones, with the hosts of each.
+/// The zones, with the number of hosts in each.
 const ZONES: [(&str, usize); 3] = [("a", 2), ("b", 2), ("c", 2)];
 
-/// How many targets there are of each service, spread over the zones.
-const TARGETS: usize = 3;
+/// The number of targets of each service, spread over the zones.
+const TARGETS_PER_SERVICE: usize = 3;
 
-/// The ports that each host has on an address of its own.
+/// The ports of each host. All hosts use the same ports, each on its own loopback address.
 const CALLERS_PORT: u16 = 7001;
 const READY_PORT: u16 = 7002;
 const PEERS_PORT: u16 = 7003;
 const METRICS_PORT: u16 = 7004;
 
-/// A host.
+/// A host and its process.
 pub struct Host {
+    /// The name of the host.
     pub name: String,
+    /// Its availability zone.
     pub zone: &'static str,
     ip: IpAddr,
-    /// Between it and the store.
-    pub to_store: Proxy,
-    /// Between the other hosts and it.
-    pub from_peers: Proxy,
+    /// The proxy for its connections to the store.
+    pub store_proxy: Proxy,
+    /// The proxy for connections from other hosts.
+    pub peer_proxy: Proxy,
+    /// The running process, or `None` while the host is down.
     process: Option<Child>,
 }
 
 impl Host {
-    /// Returns where callers reach it.
+    /// Returns its address for callers.
     pub fn callers(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CALLERS_PORT)
     }
 
-    /// Returns whether it says that it is ready.
+    /// Returns whether its readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
         let ready = SocketAddr::new(self.ip, READY_PORT);
 
@@ -54,15 +58,15 @@
         }
     }
 
-    /// Sends a signal, if its process runs.
+    /// Sends a signal to its process, if there is one.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.process {
-            // It may have ended by itself; whoever waits for it finds out.
+            // The process may have ended by itself. `has_ended` detects that.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// Kills its process.
+    /// Kills its process and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.process.take() {
             let _ = child.kill();
@@ -70,9 +74,11 @@
         }
     }
 
-    /// Returns whether its process has ended by itself; one that was killed has not.
+    /// Returns whether its process has ended by itself, for example after SIGTERM.
     fn has_ended(&mut self) -> bool {
-        let ended = |child: &mut Child| child.try_wait().expect("it can be asked").is_some();
+        let ended = |child: &mut Child| {
+            child.try_wait().expect("the status of the process is readable").is_some()
+        };
 
         self.process.as_mut().is_some_and(ended)
     }
@@ -84,15 +90,20 @@
     }
 }
 
-/// All of a deployment.
+/// A running deployment.
 pub struct Fleet {
+    /// Holds the settings files and logs of the hosts.
     folder: TempDir,
+    /// The test double of the store.
     pub store: Store,
+    /// The hosts.
     pub hosts: Vec<Host>,
+    /// The targets of the service `engines`.
     pub engines: Vec<Target>,
+    /// The targets of the service `desk`.
     pub desks: Vec<Target>,
-    /// Before the targets, engines first.
-    pub to_targets: Vec<Proxy>,
+    /// The proxies of all targets, engines first.
+    pub target_proxies: Vec<Proxy>,
 }
 
 impl Fleet {
@@ -101,21 +112,21 @@
         let store = Store::start().await;
         store.put_manifest(1, &default_routes());
         let mut fleet = Self {
-            folder: tempfile::tempdir().expect("a folder can be made"),
+            folder: tempfile::tempdir().expect("the temporary folder is created"),
             store,
             hosts: Vec::new(),
             engines: Vec::new(),
             desks: Vec::new(),
-            to_targets: Vec::new(),
+            target_proxies: Vec::new(),
         };
 
         for service in ["engines", "desk"] {
-            for i in 0..TARGETS {
+            for i in 0..TARGETS_PER_SERVICE {
                 let target = Target::start(&format!("{service}-{i}")).await;
                 let proxy = Proxy::start(target.address).await;
                 let zone = ZONES[i % ZONES.len()].0;
                 fleet.store.put_target_at(&target, proxy.address, service, zone);
-                fleet.to_targets.push(proxy);
+                fleet.target_proxies.push(proxy);
                 match service {
                     "engines" => fleet.engines.push(target),
                     _ => fleet.desks.push(target),
@@ -135,23 +146,24 @@
         fleet
     }
 
+    /// Adds a host with its proxies, without starting its process.
     async fn add_host(&mut self, zone: &'static str, i: usize) {
-        let ip = own_ip(self.hosts.len());
+        let ip = host_ip(self.hosts.len());
         let peers = SocketAddr::new(ip, PEERS_PORT);
-        let from_peers = Proxy::start(peers).await;
-        self.store.set_address_alias(peers, from_peers.address);
+        let peer_proxy = Proxy::start(peers).await;
+        self.store.set_address_alias(peers, peer_proxy.address);
 
         self.hosts.push(Host {
             name: format!("host-{zone}-{i}"),
             zone,
             ip,
-            to_store: Proxy::start(self.store.address).await,
-            from_peers,
+            store_proxy: Proxy::start(self.store.address).await,
+            peer_proxy,
             process: None,
         });
     }
 
-    /// Starts the process of a host that has none.
+    /// Starts the process of a host that is down.
     pub fn start_host(&mut self, i: usize, is_first_start: bool) {
         let host = &mut self.hosts[i];
         let path = self.folder.path().join(&host.name);
@@ -162,15 +174,15 @@
             peers: PEERS_PORT,
             metrics: METRICS_PORT,
         };
-        let store = host.to_store.address;
+        let store = host.store_proxy.address;
         let settings = settings_text(&host.name, host.zone, ports, store, is_first_start);
-        std::fs::write(&path, settings).expect("the folder takes files");
+        std::fs::write(&path, settings).expect("the settings file is written");
 
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(path.with_extension("log"))
-            .expect("the folder takes files");
+            .expect("the log file is opened");
         let child = Command::new(env!("CARGO_BIN_EXE_camphorwalkd"))
             .env(SETTINGS_VARIABLE, &path)
             .stdout(Stdio::from(log))
@@ -180,22 +192,23 @@
         host.process = Some(child);
     }
 
-    /// Waits until all hosts say that they are ready. One that ends meanwhile, since it was asked
-    /// to leave, is started again.
+    /// Waits until all hosts are ready and have exchanged status updates. A host that ends in the
+    /// meantime, because it was asked to shut down, is started again.
     pub async fn wait_ready(&mut self) {
-        let all_ready = async {
-            while !self.are_ready().await {
-                self.start_those_that_ended();
+        let ready = async {
+            while !self.all_ready().await {
+                self.restart_ended_hosts();
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(TEST_TIMEOUT, all_ready).await.expect("all hosts are ready again");
+        tokio::time::timeout(TEST_TIMEOUT, ready).await.expect("all hosts are ready again");
 
-        // They hear each other.
+        // Wait until each host has received status updates from all others.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
     }
 
-    async fn are_ready(&self) -> bool {
+    /// Returns whether all hosts are ready.
+    async fn all_ready(&self) -> bool {
         for host in &self.hosts {
             if !host.is_ready().await {
                 return false;
@@ -205,8 +218,8 @@
         true
     }
 
-    /// Starts hosts whose processes have ended, as the platform does.
-    pub fn start_those_that_ended(&mut self) {
+    /// Restarts hosts whose processes have ended, as the users' platform does.
+    pub fn restart_ended_hosts(&mut self) {
         for i in 0..self.hosts.len() {
             if self.hosts[i].has_ended() {
                 self.hosts[i].kill();
@@ -215,7 +228,7 @@
         }
     }
 
-    /// Keeps the logs of all hosts for whoever looks into a failure; returns where they are.
+    /// Keeps the folder with the logs of all hosts, to examine a failure. Returns its path.
     pub fn keep_logs(self) -> std::path::PathBuf {
         let Self { folder, .. } = self;
 
@@ -223,8 +236,9 @@
     }
 }
 
-/// Returns an address of the loopback range that no other test process uses at this time.
-fn own_ip(host: usize) -> IpAddr {
+/// Returns the loopback address of a host. It is derived from the process id, so that test
+/// processes that run at the same time do not share addresses.
+fn host_ip(host: usize) -> IpAddr {
     let process = std::process::id();
     let parts = [1 + process / 250 % 250, 1 + process % 250, 10 + host as u32];
     let [second, third, fourth] = parts.map(|part| u8::try_from(part).unwrap_or(1));
--- a/crates/camphorwalk/tests/soak/ledger.rs
+++ b/crates/camphorwalk/tests/soak/ledger.rs
@@ -1,85 +1,98 @@
-//! What callers were told and what targets ran, and the promises that must hold between the two.
+//! Records what callers sent and received, and checks it against what targets ran.
 
 use std::collections::HashMap;
 
 use crate::support::target::Run;
 
-/// A turn that was answered whole.
+/// A turn whose answer arrived completely.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct AnsweredTurn {
+    /// The request id of the turn.
     pub id: String,
-    /// All that was said up to its end: what a turn that continues it must begin with.
-    pub said: String,
+    /// The conversation up to and including this turn. The prompt of a turn that continues it must
+    /// begin with this.
+    pub transcript: String,
 }
 
-/// What one run of the soak came to.
+/// The record of one run of the soak.
 #[derive(Default)]
 pub struct Ledger {
-    /// Requests that were told that they have not run.
+    /// Requests refused with a status that guarantees that they did not run.
     pub refused: Vec<(String, u16)>,
-    /// Kept turns that were answered whole.
-    pub answered: Vec<Answered>,
-    /// The prompt that each turn's targets must have read.
+    /// Stored turns that were answered completely.
+    pub answered: Vec<AnsweredTurn>,
+    /// The prompt that targets must receive for each turn, by request id.
     pub prompts: HashMap<String, String>,
-    /// Events that callers got of each program with a budget.
+    /// The number of events that callers received for each program with a budget.
     pub events: HashMap<String, u64>,
-    /// What was wrong with an answer by itself.
+    /// Violations that were found in single answers.
     pub faults: Vec<String>,
+    /// The number of calls that were answered successfully.
     pub served: usize,
+    /// The number of calls that were refused, failed or got no complete answer.
     pub failed: usize,
 }
 
-/// The tokens of an event, the budget and the most of one turn, as the callers declare them.
+/// The number of tokens that a target reports for each event.
 pub const TOKENS_PER_EVENT: u64 = 10;
+
+/// The token budget that callers declare for a program.
 pub const BUDGET: u64 = 400;
-pub const MOST: u64 = 60;
+
+/// The maximum number of tokens that callers declare for one turn.
+pub const MAX_TURN_TOKENS: u64 = 60;
 
 impl Ledger {
-    /// Returns every promise that was broken, given what all targets ran.
-    pub fn broken_promises(&self, runs: &[Run]) -> Vec<String> {
+    /// Returns a description of each violated guarantee, given the runs of all targets.
+    pub fn violations(&self, runs: &[Run]) -> Vec<String> {
         let mut by_id: HashMap<&str, Vec<&Run>> = HashMap::new();
         for run in runs {
             by_id.entry(run.request_id().unwrap_or("none")).or_default().push(run);
         }
 
-        let mut broken = self.faults.clone();
-        broken.extend(self.refused_that_ran(&by_id));
-        broken.extend(repeated(&by_id));
-        broken.extend(self.wrong_prompts(&by_id));
-        broken.extend(self.overspent());
-        broken
+        let mut violations = self.faults.clone();
+        violations.extend(self.refused_that_ran(&by_id));
+        violations.extend(repeated(&by_id));
+        violations.extend(self.wrong_prompts(&by_id));
+        violations.extend(self.overspent());
+        violations
     }
 
+    /// Finds requests that ran although callers were told that they had not.
     fn refused_that_ran(&self, by_id: &HashMap<&str, Vec<&Run>>) -> Vec<String> {
         let ran = self.refused.iter().filter(|(id, _)| by_id.contains_key(id.as_str()));
 
-        ran.map(|(id, status)| format!("{id} was told {status}, not run, and ran")).collect()
+        ran.map(|(id, status)| format!("{id} was refused with {status} but ran")).collect()
     }
 
+    /// Finds runs whose prompt was not the transcript of their conversation plus their input.
     fn wrong_prompts(&self, by_id: &HashMap<&str, Vec<&Run>>) -> Vec<String> {
         let mut wrong = Vec::new();
         for (id, prompt) in &self.prompts {
             let runs = by_id.get(id.as_str()).into_iter().flatten();
             for run in runs.filter(|run| run.body != prompt.as_bytes()) {
-                wrong.push(format!("{id} read {:?}, not {prompt:?}", run.body));
+                wrong.push(format!("{id} ran with prompt {:?}, expected {prompt:?}", run.body));
             }
         }
 
         wrong
     }
 
+    /// Finds programs that received more tokens than their budget plus one turn, which may already
+    /// be in progress when the budget runs out.
     fn overspent(&self) -> Vec<String> {
-        let most = BUDGET + MOST;
-        let over = self.events.iter().filter(|(_, events)| **events * TOKENS_PER_EVENT > most);
+        let limit = BUDGET + MAX_TURN_TOKENS;
+        let over = self.events.iter().filter(|(_, events)| **events * TOKENS_PER_EVENT > limit);
 
         over.map(|(program, events)| format!("{program} got {events} events")).collect()
     }
 }
 
-/// Calls that may run once and ran again, and such as no caller sent.
+/// Finds calls that must run at most once and ran more often. Runs without a request id count as
+/// one call, so more than one of them is reported too.
 fn repeated(by_id: &HashMap<&str, Vec<&Run>>) -> Vec<String> {
-    let once = |run: &&&Run| run.path.starts_with("/once") || run.path.starts_with("/kept");
-    let counts = by_id.iter().map(|(id, runs)| (id, runs.iter().filter(once).count()));
+    let runs_once = |run: &&&Run| run.path.starts_with("/once") || run.path.starts_with("/kept");
+    let counts = by_id.iter().map(|(id, runs)| (id, runs.iter().filter(runs_once).count()));
 
     counts.filter(|(_, count)| *count > 1).map(|(id, n)| format!("{id} ran {n} times")).collect()
 }
--- a/crates/camphorwalk/tests/soak/proxy.rs
+++ b/crates/camphorwalk/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms the connections that go through it.
+//! A TCP proxy on loopback that injects network faults.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,95 +10,106 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What a proxy does with what it gets.
+/// What a proxy does with the bytes that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// It passes it on.
+pub enum LinkFault {
+    /// Forwards them.
     None,
-    /// It passes it on after a while.
+    /// Forwards each chunk after a delay.
     Delay(Duration),
-    /// It passes nothing on, in both ways, and says nothing.
-    Silent,
-    /// It passes on what comes from the connecting side only.
-    OneWay,
-    /// It breaks all connections, and each new one at once.
+    /// Holds the bytes of both directions back and keeps connections open, like a network partition.
+    Stall,
+    /// Forwards bytes from the connecting side and holds the replies back.
+    StallReplies,
+    /// Closes all connections, and each new one at once.
     Reset,
 }
 
-/// How often a held connection looks whether the harm is over.
-const LOOK: Duration = Duration::from_millis(20);
+/// The interval at which a stalled connection checks whether the fault has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A proxy before one address.
+/// A proxy for one address.
 pub struct Proxy {
+    /// The address that it listens at.
     pub address: SocketAddr,
-    harm: Rc<Cell<Harm>>,
-    /// Counts up when all connections are to break.
-    breaks: watch::Sender<u32>,
+    fault: Rc<Cell<LinkFault>>,
+    /// Changes when all open connections must be closed.
+    resets: watch::Sender<u32>,
 }
 
 impl Proxy {
-    /// Starts a proxy before `to`, on a free port of `ip`.
+    /// Starts a proxy for `to` on a free port of 127.0.0.1.
     pub async fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let harm = Rc::new(Cell::new(Harm::None));
-        let (breaks, broken) = watch::channel(0);
+        let fault = Rc::new(Cell::new(LinkFault::None));
+        let (resets, reset) = watch::channel(0);
 
-        let shared = Rc::clone(&harm);
+        let shared = Rc::clone(&fault);
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if shared.get() != Harm::Reset {
-                    tokio::task::spawn_local(join(stream, to, Rc::clone(&shared), broken.clone()));
+                if shared.get() != LinkFault::Reset {
+                    tokio::task::spawn_local(forward_connection(
+                        stream,
+                        to,
+                        Rc::clone(&shared),
+                        reset.clone(),
+                    ));
                 }
             }
         });
 
-        Self { address, harm, breaks }
+        Self { address, fault, resets }
     }
 
-    /// Sets what it does from now on, also with open connections.
-    pub fn set(&self, harm: Harm) {
-        self.harm.set(harm);
-        if harm == Harm::Reset {
-            self.breaks.send_modify(|count| *count += 1);
+    /// Sets the fault from now on, also for open connections.
+    pub fn set(&self, fault: LinkFault) {
+        self.fault.set(fault);
+        if fault == LinkFault::Reset {
+            self.resets.send_modify(|count| *count += 1);
         }
     }
 }
 
-async fn join(
-    near: TcpStream,
+/// Connects to the target and forwards bytes in both directions until one side closes or the
+/// connection is reset.
+async fn forward_connection(
+    client: TcpStream,
     to: SocketAddr,
-    harm: Rc<Cell<Harm>>,
-    mut broken: watch::Receiver<u32>,
+    fault: Rc<Cell<LinkFault>>,
+    mut reset: watch::Receiver<u32>,
 ) {
-    broken.mark_unchanged();
-    let Ok(far) = TcpStream::connect(to).await else { return };
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
+    reset.mark_unchanged();
+    let Ok(server) = TcpStream::connect(to).await else { return };
+    let (client_in, client_out) = client.into_split();
+    let (server_in, server_out) = server.into_split();
 
     tokio::select! {
-        _ = broken.changed() => {}
-        () = pump(near_in, far_out, Rc::clone(&harm), false) => {}
-        () = pump(far_in, near_out, harm, true) => {}
+        _ = reset.changed() => {}
+        () = forward_bytes(client_in, server_out, Rc::clone(&fault), false) => {}
+        () = forward_bytes(server_in, client_out, fault, true) => {}
     }
 }
 
-/// Passes bytes on until one side closes.
-async fn pump(
+/// Forwards bytes of one direction until either side closes. `is_return` is set for the direction
+/// back to the connecting side.
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    harm: Rc<Cell<Harm>>,
+    fault: Rc<Cell<LinkFault>>,
     is_return: bool,
 ) {
     let mut buf = vec![0; 16_384];
 
     loop {
         let Ok(count @ 1..) = from.read(&mut buf).await else { return };
-        if let Harm::Delay(time) = harm.get() {
+        if let LinkFault::Delay(time) = fault.get() {
             tokio::time::sleep(time).await;
         }
-        while matches!(harm.get(), Harm::Silent) || (is_return && harm.get() == Harm::OneWay) {
-            tokio::time::sleep(LOOK).await;
+        while matches!(fault.get(), LinkFault::Stall)
+            || (is_return && fault.get() == LinkFault::StallReplies)
+        {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         if to.write_all(&buf[..count]).await.is_err() {
             return;
