--- a/crates/camphorwalk/src/commands/apply.rs
+++ b/crates/camphorwalk/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk apply`.
+//! `camphorwalk apply`: publishes a folder of declarations and waits until hosts confirm it.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
 }
 
 impl Apply {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub async fn run(&self) -> Exit {
         let error = match self.apply().await {
             Ok(applied) => {
--- a/crates/camphorwalk/src/commands/bench.rs
+++ b/crates/camphorwalk/src/commands/bench.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk bench`.
+//! `camphorwalk bench`: runs a benchmark.
 
 use std::path::PathBuf;
 
@@ -124,7 +124,7 @@
 const MAX_CALLS: u32 = 20_000;
 
 impl Bench {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub async fn run(self) -> Exit {
         match self.what {
             What::Queues(queues) => queues.run(),
--- a/crates/camphorwalk/src/commands/check.rs
+++ b/crates/camphorwalk/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk check`.
+//! `camphorwalk check`: validates a folder of declarations.
 
 use std::path::PathBuf;
 
@@ -28,7 +28,7 @@
 }
 
 impl Check {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub fn run(&self) -> Exit {
         let faults = match load(&self.dir) {
             Ok(_) => Vec::new(),
--- a/crates/camphorwalk/src/commands/demo.rs
+++ b/crates/camphorwalk/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk demo`.
+//! `camphorwalk demo`: runs the demo.
 
 use argh::FromArgs;
 
@@ -22,7 +22,7 @@
 }
 
 impl Demo {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub async fn run(self) -> Exit {
         let end = if self.serve { serve().await } else { run().await };
 
--- a/crates/camphorwalk/src/commands/diff.rs
+++ b/crates/camphorwalk/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk diff`.
+//! `camphorwalk diff`: compares a folder of declarations with another one or with a host.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -46,7 +46,7 @@
 }
 
 impl Diff {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub async fn run(&self) -> Exit {
         let compared = match (&self.against, self.host, &self.operator_key_file) {
             (Some(old), None, None) => self.against_folder(old),
--- a/crates/camphorwalk/src/commands/drain.rs
+++ b/crates/camphorwalk/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk drain`.
+//! `camphorwalk drain`: shuts down a host gracefully.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -39,7 +39,7 @@
 }
 
 impl Drain {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub async fn run(&self) -> Exit {
         if let Err(error) = self.drain().await {
             return report_error("drain", &error, self.json);
--- a/crates/camphorwalk/src/commands/explain.rs
+++ b/crates/camphorwalk/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk explain`.
+//! `camphorwalk explain`: finds the log lines of a request or program.
 
 use std::path::{Path, PathBuf};
 
@@ -37,7 +37,7 @@
 }
 
 impl Explain {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub fn run(&self) -> Exit {
         if self.files.is_empty() {
             eprintln!("explain: name the hosts' logs");
--- a/crates/camphorwalk/src/commands/status.rs
+++ b/crates/camphorwalk/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk status`.
+//! `camphorwalk status`: prints the status of the fleet.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -37,7 +37,7 @@
 }
 
 impl Status {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub async fn run(&self) -> Exit {
         match self.status().await {
             Ok(status) if self.json => output::line(json!(status)),
--- a/crates/camphorwalk/src/commands/withdraw.rs
+++ b/crates/camphorwalk/src/commands/withdraw.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk withdraw`.
+//! `camphorwalk withdraw`: withdraws a caller's key.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -41,7 +41,7 @@
 }
 
 impl Withdraw {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub async fn run(&self) -> Exit {
         if let Err(error) = self.withdraw().await {
             return report_error("withdraw", &error, self.json);
--- a/crates/camphorwalk/src/demo/fleet.rs
+++ b/crates/camphorwalk/src/demo/fleet.rs
@@ -18,7 +18,7 @@
 
 use crate::client::Client;
 
-/// The key that operators present in the demo.
+/// The API key of operators in the demo.
 const OPERATOR_KEY: &str = "demo-operator-key";
 
 /// The names of the hosts, each with its availability zone.
@@ -31,7 +31,7 @@
 pub const TEMPLATE: &str = "assistant";
 
 /// An operation that is declared as not idempotent, so it must not be sent twice.
-pub const NON_IDEMPOTENT_OPERATION: &str = "take-deposit";
+pub const DEPOSIT_OPERATION: &str = "take-deposit";
 
 /// All servers that the demo runs. They stop when this is dropped.
 pub struct Fleet {
@@ -74,7 +74,7 @@
         format!("demo-{tenant}-key")
     }
 
-    /// Returns the name of the first tenant.
+    /// Returns the name of the tenant whose key the demo's caller uses.
     pub fn tenant(&self) -> &'static str {
         TENANTS[0]
     }
@@ -93,7 +93,7 @@
             "operators": operators,
             "operator_key": OPERATOR_KEY,
             "tenants": tenants,
-            "services": [{ "name": "deposit", "operation": NON_IDEMPOTENT_OPERATION, "ledger": ledger }],
+            "services": [{ "name": "deposit", "operation": DEPOSIT_OPERATION, "ledger": ledger }],
             "template": TEMPLATE,
             "platform": url(self.platform.address()),
         })
@@ -144,7 +144,8 @@
         "targets": [
             { "name": "model", "pool": "model", "idempotent": true },
             { "name": "look-up", "pool": "payments", "operation": "look-up", "idempotent": true },
-            { "name": "deposit", "pool": "payments", "operation": NON_IDEMPOTENT_OPERATION, "idempotent": false },
+            { "name": "deposit", "pool": "payments", "operation": DEPOSIT_OPERATION,
+                "idempotent": false },
         ],
         "max_calls": 50,
         "max_depth": 2,
--- a/crates/camphorwalk/src/demo/walkthrough.rs
+++ b/crates/camphorwalk/src/demo/walkthrough.rs
@@ -6,7 +6,7 @@
 use http::Method;
 use serde_json::{Value, json};
 
-use super::fleet::{Fleet, NON_IDEMPOTENT_OPERATION, TEMPLATE};
+use super::fleet::{DEPOSIT_OPERATION, Fleet, TEMPLATE};
 use crate::client::{Answer, Client};
 
 /// The interval between checks whether the engines' caches are empty, and the maximum number of
@@ -44,12 +44,8 @@
     ensure!(first.body["call"] == 3, "the deposit was not taken: {}", first.body);
     let repeated = caller.call(a1, &calls, "deposit-1", &body).await?;
     ensure!(repeated.body == first.body, "the repeat got another answer: {}", repeated.body);
-    let runs = fleet
-        .service
-        .runs()
-        .iter()
-        .filter(|run| &*run.operation == NON_IDEMPOTENT_OPERATION)
-        .count();
+    let runs =
+        fleet.service.runs().iter().filter(|run| &*run.operation == DEPOSIT_OPERATION).count();
     ensure!(runs == 1, "the ledger shows {runs} deposits");
     println!("  b1 takes a deposit, a1 gets it repeated: the ledger shows {runs} run");
 
--- a/crates/camphorwalk/src/measure/control.rs
+++ b/crates/camphorwalk/src/measure/control.rs
@@ -40,15 +40,15 @@
 pub struct ControlReport {
     /// The parameters of the measurement.
     pub options: ControlOptions,
-    /// Events handled.
+    /// Events that the scheduler handled.
     pub events: f64,
-    /// Messages sent.
+    /// Messages sent to other hosts.
     pub messages: f64,
-    /// Bytes of these messages.
+    /// The encoded size of these messages in bytes.
     pub bytes: f64,
-    /// Platform reads.
+    /// Platform reads, scans and object reads.
     pub reads: f64,
-    /// Platform writes.
+    /// Platform transactions and object writes.
     pub writes: f64,
     /// The share of one core that the scheduler used, in percent.
     pub core_percent: f64,
--- a/crates/camphorwalk/src/measure/path.rs
+++ b/crates/camphorwalk/src/measure/path.rs
@@ -46,7 +46,7 @@
     pub one_hop: PathTimes,
 }
 
-/// Measures all three kinds of calls in the demo's fleet, one call at a time with a pause after each.
+/// Measures all three kinds of calls in the demo's fleet, one call at a time with pauses between.
 pub async fn measure(calls: u32) -> Result<PathReport> {
     let fleet = Fleet::start().await?;
     let caller = Client::new(&Fleet::key(fleet.tenant()));
--- a/crates/camphorwalk/src/operator.rs
+++ b/crates/camphorwalk/src/operator.rs
@@ -42,7 +42,7 @@
     Unknown(Box<str>),
 }
 
-/// The result of an operator's command.
+/// The result of a request to the operator API, or of a whole command.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
--- a/crates/camphorwalk/tests/soak/faults.rs
+++ b/crates/camphorwalk/tests/soak/faults.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Starts a random fault. Returns the action that ends it, or `None` if there is nothing to end.
+    /// Starts a random fault. Returns the action that ends it, or `None` if none is needed.
     fn start_random(&mut self, rng: &mut StdRng, fleet: &mut Fleet) -> Option<Recovery> {
         let host = rng.random_range(0..fleet.hosts.len());
         let target_index = rng.random_range(0..fleet.target_proxies.len());
--- a/crates/camphorwalk/tests/soak/proxy.rs
+++ b/crates/camphorwalk/tests/soak/proxy.rs
@@ -17,7 +17,8 @@
     None,
     /// Forwards each chunk after a delay.
     Delay(Duration),
-    /// Holds the bytes of both directions back and keeps connections open, like a network partition.
+    /// Holds back the bytes of both directions but keeps connections open, like a network
+    /// partition.
     Stall,
     /// Forwards bytes from the connecting side and holds the replies back.
     StallReplies,
--- a/crates/camphorwalk/tests/support/mod.rs
+++ b/crates/camphorwalk/tests/support/mod.rs
@@ -264,7 +264,7 @@
         format!("/v1/programs/{}", answer.body["program"].as_str().expect("a program"))
     }
 
-    /// Makes a call in a program of the first tenant, and retries it while the answer asks for that.
+    /// Makes a call in a program of the first tenant. Retries it while the answer asks for that.
     pub async fn call(
         &self,
         host: usize,
--- a/crates/standin/src/bin/camphorwalk-standin.rs
+++ b/crates/standin/src/bin/camphorwalk-standin.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in in its own process.
 
 use argh::FromArgs;
 use camphorwalk_standin::program::{Args, Command, run};
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine stand-in: continuous batching, a bounded prefix cache, streams, cancelling,
-//! late events and lagging load.
+//! The engine stand-in: simulates continuous batching, a bounded prefix cache, streams and
+//! cancellation, and reports cache events and its load with a delay.
 
 mod cache;
 mod events;
@@ -17,35 +17,38 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
 
-pub use cache::{Cache, CacheChange, Held, tokens_of};
+pub use cache::{Cache, CacheChange, Held, count_tokens};
 pub use events::{Event, EventKind, Load};
 
 use crate::requests::{RequestLog, SeenRequest};
-use crate::server::{Answer, Server, Stopper, empty, fault, json, parse};
+use crate::server::{
+    Answer, Server, Stopper, empty_response, error_response, json_response, parse_json,
+};
 use events::{EventLog, LoadLog};
 
-/// What an engine stand-in starts with.
+/// The options of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// The most requests that run at once; more wait.
+    /// The maximum number of requests that run at the same time. Further requests wait.
     pub batch: usize,
-    /// The most tokens that stay in the prefix cache.
+    /// The capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// The time between two tokens of an output.
+    /// The time between two output tokens.
     pub token_interval: Duration,
-    /// How many tokens of a prompt that are not cached are read a second; 0 for at once.
+    /// The number of uncached prompt tokens that are processed per second. With 0, prompts take no
+    /// time.
     pub prefill_tokens_per_second: u64,
-    /// How late load is told.
+    /// The delay after which a change of the load is visible to clients.
     pub load_lag: Duration,
-    /// How late a change of the cache is told.
+    /// The delay after which a cache event is visible to clients.
     pub event_delay: Duration,
-    /// Every event whose number is a multiple of this is lost; none if zero.
+    /// Events whose number is a multiple of this are lost. With 0, no events are lost.
     pub event_loss: u64,
-    /// Whether an order with an old fence is refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fencing: bool,
-    /// A text that brings the engine down when it runs a prompt with it.
+    /// A text that crashes the engine when it runs a prompt that contains the text.
     pub crash_mark: Option<Box<str>>,
-    /// What outputs are drawn from, besides the prompt.
+    /// The seed of the generated outputs, which also depend on the program and the prompt.
     pub seed: u64,
 }
 
@@ -66,47 +69,47 @@
     }
 }
 
-/// An engine stand-in that runs in this process.
+/// An engine stand-in that runs in this process. It stops when it is dropped.
 #[derive(Debug)]
 pub struct Engine {
-    /// Its listener.
+    /// The HTTP server.
     server: Server,
-    /// What it holds.
+    /// The state, which its request handlers share.
     state: Shared,
 }
 
-/// The state as handlers share it.
+/// The state as request handlers share it.
 pub(crate) type Shared = Arc<Mutex<State>>;
 
-/// What an engine stand-in holds.
+/// The state of an engine stand-in.
 #[derive(Debug)]
 pub(crate) struct State {
-    /// How it behaves.
+    /// The options that it was started with.
     options: EngineOptions,
-    /// Ends the server.
+    /// Stops the server.
     stopper: Stopper,
-    /// The places in the batch, given in the order of asking.
+    /// The slots of the batch. They are assigned in the order of arrival.
     batch: Arc<Semaphore>,
-    /// Requests in the batch.
+    /// The number of requests in the batch.
     running: u32,
-    /// Requests that wait for the batch.
+    /// The number of requests that wait for a slot in the batch.
     waiting: u32,
-    /// How to cancel each request.
+    /// The cancellation signal of each request, by attempt.
     attempts: Map<Box<str>, Arc<Notify>>,
     /// The prefix cache.
     cache: Cache,
-    /// The changes of the cache, told late.
+    /// The cache events, visible with a delay.
     events: EventLog,
-    /// The load, told late.
+    /// The load, visible with a delay.
     loads: LoadLog,
-    /// What orders have set.
+    /// The state that orders have set.
     orders: orders::Orders,
-    /// What it was sent.
+    /// The received POST requests of the API.
     requests: RequestLog,
 }
 
 impl State {
-    /// Makes the state of an engine that has just started.
+    /// Creates the initial state.
     fn new(options: EngineOptions, stopper: Stopper) -> Self {
         let load = Load { cache_tokens: options.cache_tokens, ..Load::default() };
 
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Returns the load now.
+    /// Returns the current load.
     fn load(&self) -> Load {
         Load {
             running: self.running,
@@ -135,13 +138,13 @@
         }
     }
 
-    /// Notes the load, to be told later.
+    /// Records the current load. Clients see it with a delay.
     fn record_load(&mut self) {
         let load = self.load();
         self.loads.record(Instant::now(), load);
     }
 
-    /// Notes changes of the cache, to be told later.
+    /// Records changes of the cache and the resulting load. Clients see them with a delay.
     fn record_changes(&mut self, changes: Vec<CacheChange>) {
         self.events.record(Instant::now(), changes);
         self.record_load();
@@ -149,7 +152,7 @@
 }
 
 impl Engine {
-    /// Starts an engine stand-in; port 0 takes any free port.
+    /// Starts an engine stand-in. Port 0 selects a free port.
     pub async fn start(listen: SocketAddr, options: EngineOptions) -> anyhow::Result<Self> {
         let stopper = Stopper::new();
         let state = Arc::new(Mutex::new(State::new(options, stopper.clone())));
@@ -164,97 +167,102 @@
         Ok(Self { server, state })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Closes the listener and all connections, as a crash does. The cache is lost with it.
+    /// Closes the listener and all connections, as a crash does. A new engine starts with an empty
+    /// cache.
     pub async fn stop(&self) {
         self.server.stop().await;
     }
 
-    /// Returns when the engine has crashed or was stopped.
-    pub async fn closed(&self) {
-        self.server.closed().await;
+    /// Waits until the engine has crashed or was stopped.
+    pub async fn wait_closed(&self) {
+        self.server.wait_closed().await;
     }
 
-    /// Returns the load as it is now, without the lag.
+    /// Returns the current load, without the delay that clients see.
     pub fn load(&self) -> Load {
         lock(&self.state).load()
     }
 
-    /// Returns what the cache holds now.
+    /// Returns the prefixes that the cache holds.
     pub fn held(&self) -> Vec<Held> {
         lock(&self.state).cache.held()
     }
 
-    /// Returns what it was sent, oldest first.
+    /// Returns the recorded requests, oldest first.
     pub fn requests(&self) -> Vec<SeenRequest> {
         lock(&self.state).requests.to_vec()
     }
 }
 
-/// Locks the state; a handler that panicked leaves it usable for a fake.
+/// Locks the state. A lock that a panicked handler has poisoned is used as it is, which is good
+/// enough for a stand-in.
 pub(crate) fn lock(state: &Shared) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Answers a request.
+/// Handles a request.
 async fn handle(state: Shared, req: Request<Bytes>) -> Answer {
     let path = req.uri().path();
 
-    // Polling would push out the requests that tests look for.
+    // GET requests are not recorded: hosts poll often, and the log is bounded, so polls would
+    // displace the requests that tests look for.
     if req.method() == Method::POST && path.starts_with("/v1/") {
         lock(&state).requests.record(&req);
     }
 
     match (req.method(), path) {
-        (&Method::POST, "/v1/generate") => match parse(req.body()) {
+        (&Method::POST, "/v1/generate") => match parse_json(req.body()) {
             Ok(generate) => generate::generate(state, generate).await,
             Err(refusal) => refusal,
         },
-        (&Method::POST, "/v1/cancel") => match parse(req.body()) {
+        (&Method::POST, "/v1/cancel") => match parse_json(req.body()) {
             Ok(cancel) => cancel_attempt(&state, &cancel),
             Err(refusal) => refusal,
         },
-        (&Method::POST, "/v1/orders") => match parse(req.body()) {
-            Ok(order) => orders::obey(&state, order),
+        (&Method::POST, "/v1/orders") => match parse_json(req.body()) {
+            Ok(order) => orders::execute(&state, order),
             Err(refusal) => refusal,
         },
         (&Method::GET, "/v1/load") => {
-            let load = lock(&state).loads.shown(Instant::now());
-            json(StatusCode::OK, &load)
+            let load = lock(&state).loads.visible(Instant::now());
+            json_response(StatusCode::OK, &load)
         }
         (&Method::GET, "/v1/held") => {
             let programs = lock(&state).cache.held();
-            json(StatusCode::OK, &HeldAnswer { programs })
+            json_response(StatusCode::OK, &HeldAnswer { programs })
         }
         (&Method::GET, "/v1/events") => list_events(&state, req.uri().query()),
-        (&Method::GET, "/control/requests") => json(StatusCode::OK, &lock(&state).requests),
+        (&Method::GET, "/control/requests") => {
+            json_response(StatusCode::OK, &lock(&state).requests)
+        }
         (&Method::POST, "/control/crash") => {
             lock(&state).stopper.stop();
-            empty(StatusCode::NO_CONTENT)
+            empty_response(StatusCode::NO_CONTENT)
         }
-        _ => fault(StatusCode::NOT_FOUND, "no such call"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such call"),
     }
 }
 
 /// A request to cancel an attempt.
 #[derive(Debug, Deserialize)]
 struct CancelRequest {
-    /// The attempt.
+    /// The id of the attempt.
     attempt: Box<str>,
 }
 
-/// The answer to cancelling.
+/// The response to a cancellation.
 #[derive(Debug, Serialize)]
 struct CancelAnswer {
-    /// Whether the attempt was there to be cancelled.
+    /// Whether the attempt was waiting or running.
     cancelled: bool,
 }
 
-/// Cancels an attempt.
+/// Cancels an attempt that waits or runs.
 fn cancel_attempt(state: &Shared, req: &CancelRequest) -> Answer {
     let attempt = lock(state).attempts.remove(&req.attempt);
     let cancelled = attempt.is_some();
@@ -263,32 +271,32 @@
         attempt.notify_one();
     }
 
-    json(StatusCode::OK, &CancelAnswer { cancelled })
+    json_response(StatusCode::OK, &CancelAnswer { cancelled })
 }
 
-/// What the cache holds, as answered.
+/// The response with the contents of the cache.
 #[derive(Debug, Serialize)]
 struct HeldAnswer {
-    /// The programs.
+    /// The prefix held for each program.
     programs: Vec<Held>,
 }
 
-/// Events as answered.
+/// The response with cache events.
 #[derive(Debug, Serialize)]
 struct EventsAnswer {
     /// The events.
     events: Vec<Event>,
 }
 
-/// Lists the events after the number in the query.
+/// Returns the visible events with a number above the one in the query.
 fn list_events(state: &Shared, query: Option<&str>) -> Answer {
     let number = query.unwrap_or("after=0").strip_prefix("after=").map(str::parse);
 
     match number {
         Some(Ok(number)) => {
             let events = lock(state).events.after(Instant::now(), number);
-            json(StatusCode::OK, &EventsAnswer { events })
+            json_response(StatusCode::OK, &EventsAnswer { events })
         }
-        _ => fault(StatusCode::BAD_REQUEST, "the query is after=NUMBER"),
+        _ => error_response(StatusCode::BAD_REQUEST, "the query is after=NUMBER"),
     }
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,92 +1,92 @@
-//! The prefix cache of the engine stand-in: bounded, by program, least recently used out
-//! first. No I/O.
+//! The prefix cache of the engine stand-in. It holds one prefix per program, and evicts the least
+//! recently used program when it is full. Performs no I/O.
 
 use camphorwalk_core::hash::{Map, stable_hash};
 use serde::{Deserialize, Serialize};
 
-/// The bytes of text that make a token.
+/// The number of bytes that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Returns the tokens of a text.
+/// Returns the number of tokens of a text.
 ///
 /// ```
-/// use camphorwalk_standin::engine::tokens_of;
-/// assert_eq!(tokens_of("a doorway"), 3);
+/// use camphorwalk_standin::engine::count_tokens;
+/// assert_eq!(count_tokens("a doorway"), 3);
 /// ```
-pub fn tokens_of(text: &str) -> u64 {
+pub fn count_tokens(text: &str) -> u64 {
     (text.len() as u64).div_ceil(BYTES_PER_TOKEN)
 }
 
-/// The prefix that a cache holds of a program.
+/// The prefix that a cache holds for a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The program.
     pub program: Box<str>,
-    /// The tokens of the prefix.
+    /// The length of the prefix in tokens.
     pub tokens: u64,
 }
 
-/// A change of what a cache holds.
+/// A change of the contents of a cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// It holds this much of a program now.
+    /// The cache now holds this prefix of a program.
     Held(Held),
-    /// It holds nothing of a program any more; this much went.
+    /// The program was evicted. Contains the prefix that was held until then.
     Evicted(Held),
 }
 
-/// One part of a prompt, as the cache knows it.
+/// One part of a prompt. The cache stores a hash instead of the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Part {
-    /// The hash of its text.
+    /// The hash of the text.
     hash: u64,
-    /// Its tokens.
+    /// The length of the text in tokens.
     tokens: u64,
 }
 
-/// What the cache holds of one program.
+/// The cache entry of one program.
 #[derive(Debug, Default)]
 struct Entry {
-    /// The leading parts of its prompt.
+    /// The parts of the latest prompt.
     parts: Vec<Part>,
-    /// The tokens of these parts.
+    /// The length of these parts in tokens.
     tokens: u64,
-    /// The requests that run on it; while there are any, it stays.
+    /// The number of running requests of the program. The entry is not evicted while there are any.
     running: u32,
-    /// When it was used last, counted in uses.
+    /// The value of [`Cache::uses`] when the entry was last used.
     last_use: u64,
 }
 
 /// A bounded prefix cache.
 #[derive(Debug)]
 pub struct Cache {
-    /// The most tokens that stay once their requests have ended.
+    /// The maximum number of tokens. Running requests may exceed it.
     capacity: u64,
-    /// What it holds, by program.
+    /// The entries, by program.
     entries: Map<Box<str>, Entry>,
-    /// The tokens held, over all programs.
+    /// The number of tokens held for all programs.
     tokens: u64,
-    /// The number of uses so far.
+    /// The number of requests that have begun.
     uses: u64,
 }
 
 impl Cache {
-    /// Makes an empty cache for this many tokens.
+    /// Creates an empty cache with a capacity in tokens.
     pub fn new(capacity: u64) -> Self {
         Self { capacity, entries: Map::default(), tokens: 0, uses: 0 }
     }
 
-    /// Returns the most tokens that stay once their requests have ended.
+    /// Returns the capacity in tokens.
     pub fn capacity(&self) -> u64 {
         self.capacity
     }
 
-    /// Returns the tokens held now.
+    /// Returns the number of tokens held.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Returns what is held, by program.
+    /// Returns the prefixes held, sorted by program.
     pub fn held(&self) -> Vec<Held> {
         let mut held: Vec<_> = self
             .entries
@@ -98,11 +98,11 @@
         held
     }
 
-    /// Begins a request: returns the tokens of its prompt that were there already, and what
-    /// changed.
+    /// Begins a request. Returns the number of tokens of its prompt that were cached already, and
+    /// the changes of the cache.
     ///
-    /// The whole prompt is held from now on, at least until [`Cache::end`]. While requests
-    /// run, the cache may hold more than its capacity.
+    /// The complete prompt is held at least until [`Cache::end`]. While requests run, the cache may
+    /// hold more than its capacity.
     ///
     /// ```
     /// use camphorwalk_standin::engine::Cache;
@@ -114,13 +114,13 @@
     pub fn begin(&mut self, program: &str, prompt: &[Box<str>]) -> (u64, Vec<CacheChange>) {
         let parts: Vec<_> = prompt
             .iter()
-            .map(|text| Part { hash: stable_hash(&[text.as_bytes()]), tokens: tokens_of(text) })
+            .map(|text| Part { hash: stable_hash(&[text.as_bytes()]), tokens: count_tokens(text) })
             .collect();
         self.uses += 1;
 
         let entry = self.entries.entry(program.into()).or_default();
-        let same = entry.parts.iter().zip(&parts).take_while(|(old, new)| old == new);
-        let cached = same.map(|(_, part)| part.tokens).sum();
+        let cached_parts = entry.parts.iter().zip(&parts).take_while(|(old, new)| old == new);
+        let cached = cached_parts.map(|(_, part)| part.tokens).sum();
         self.tokens -= entry.tokens;
         entry.tokens = parts.iter().map(|part| part.tokens).sum();
         entry.parts = parts;
@@ -130,21 +130,22 @@
 
         let held = Held { program: program.into(), tokens: entry.tokens };
         let mut changes = vec![CacheChange::Held(held)];
-        changes.extend(self.shrink());
+        changes.extend(self.evict_to_capacity());
 
         (cached, changes)
     }
 
-    /// Ends a request, whole or cancelled; returns what changed.
+    /// Ends a request, whether it completed or was cancelled. Returns the changes of the cache.
     pub fn end(&mut self, program: &str) -> Vec<CacheChange> {
         if let Some(entry) = self.entries.get_mut(program) {
             entry.running = entry.running.saturating_sub(1);
         }
 
-        self.shrink()
+        self.evict_to_capacity()
     }
 
-    /// Frees what is held of a program; returns none if a request runs on it.
+    /// Removes a program from the cache and returns the changes. Returns `None` and removes nothing
+    /// while a request of the program runs.
     pub fn free(&mut self, program: &str) -> Option<Vec<CacheChange>> {
         match self.entries.get(program) {
             Some(entry) if entry.running > 0 => None,
@@ -153,15 +154,16 @@
         }
     }
 
-    /// Frees all on which no request runs, as a change of the model does.
+    /// Removes all programs without running requests, as loading another model does.
     pub fn clear(&mut self) -> Vec<CacheChange> {
         let held = self.held();
 
         held.iter().filter_map(|held| self.free(&held.program)).flatten().collect()
     }
 
-    /// Evicts least recently used programs until the rest fits or is in use.
-    fn shrink(&mut self) -> Vec<CacheChange> {
+    /// Evicts the least recently used programs until the cache fits its capacity or all remaining
+    /// programs have running requests.
+    fn evict_to_capacity(&mut self) -> Vec<CacheChange> {
         let mut changes = Vec::new();
 
         while self.tokens > self.capacity {
@@ -177,7 +179,7 @@
         changes
     }
 
-    /// Evicts a program.
+    /// Evicts a program, if it is held.
     fn evict(&mut self, program: &str) -> Option<CacheChange> {
         let entry = self.entries.remove(program)?;
         self.tokens -= entry.tokens;
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -1,5 +1,5 @@
-//! What an engine stand-in tells of itself late: its load and the changes of its cache.
-//! No I/O.
+//! Logs of the engine stand-in's cache events and load, which clients see with a delay. Performs no
+//! I/O.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,52 +9,52 @@
 
 use super::cache::CacheChange;
 
-/// The most events that are kept; older ones are forgotten.
+/// The maximum number of stored events. The oldest ones are dropped first.
 const MAX_EVENTS: usize = 4096;
 
-/// What an event tells.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
-    /// This much of a program is held now.
+    /// The cache now holds a prefix of the program.
     Held,
-    /// Nothing of a program is held any more; this much went.
+    /// The program was evicted.
     Evicted,
 }
 
-/// A change of the cache, as told.
+/// A change of the cache, as reported to clients.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Its number; the first is 1. A gap in the numbers shows that events were lost.
+    /// The number of the event, starting at 1. A gap in the numbers means that events were lost.
     pub number: u64,
-    /// What it tells.
+    /// The kind of change.
     pub kind: EventKind,
     /// The program.
     pub program: Box<str>,
-    /// The tokens.
+    /// The length of the held or evicted prefix in tokens.
     pub tokens: u64,
 }
 
-/// The changes of the cache, told late and with gaps.
+/// The cache events, which become visible with a delay. Some are lost on purpose.
 #[derive(Debug)]
 pub(crate) struct EventLog {
-    /// How long after it happened an event shows.
+    /// The delay after which an event is visible.
     delay: Duration,
-    /// Every event whose number is a multiple of this is lost; none if zero.
+    /// Events whose number is a multiple of this are lost. With 0, no events are lost.
     loss: u64,
     /// The number of the last event.
     last: u64,
-    /// The events with the time from which each shows.
+    /// The events, each with the time from which it is visible.
     events: VecDeque<(Instant, Event)>,
 }
 
 impl EventLog {
-    /// Makes an empty log.
+    /// Creates an empty log.
     pub(crate) fn new(delay: Duration, loss: u64) -> Self {
         Self { delay, loss, last: 0, events: VecDeque::new() }
     }
 
-    /// Adds changes of the cache that happen now.
+    /// Adds changes of the cache that happened at `now`.
     pub(crate) fn record(&mut self, now: Instant, changes: Vec<CacheChange>) {
         for change in changes {
             self.last += 1;
@@ -71,15 +71,15 @@
         }
     }
 
-    /// Returns the events after this number that show now.
+    /// Returns the events with a number above `number` that are visible at `now`.
     pub(crate) fn after(&self, now: Instant, number: u64) -> Vec<Event> {
-        let shown = self.events.iter().take_while(|(from, _)| *from <= now);
+        let visible = self.events.iter().take_while(|(from, _)| *from <= now);
 
-        shown.filter(|(_, event)| event.number > number).map(|(_, event)| event.clone()).collect()
+        visible.filter(|(_, event)| event.number > number).map(|(_, event)| event.clone()).collect()
     }
 }
 
-/// Makes the event of a change.
+/// Creates the event of a change.
 fn event(number: u64, change: CacheChange) -> Event {
     let (kind, held) = match change {
         CacheChange::Held(held) => (EventKind::Held, held),
@@ -89,49 +89,50 @@
     Event { number, kind, program: held.program, tokens: held.tokens }
 }
 
-/// The load of an engine.
+/// The load of an engine at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests in the batch.
+    /// The number of requests in the batch.
     pub running: u32,
-    /// Requests that wait for the batch.
+    /// The number of requests that wait for a slot in the batch.
     pub waiting: u32,
-    /// Tokens in the cache.
+    /// The number of tokens in the cache.
     pub held_tokens: u64,
-    /// The most tokens that stay in the cache.
+    /// The capacity of the cache in tokens.
     pub cache_tokens: u64,
 }
 
-/// The load of an engine over time, told with a lag.
+/// The load of an engine over time, which becomes visible with a lag.
 #[derive(Debug)]
 pub(crate) struct LoadLog {
-    /// The lag.
+    /// The time after which a load is visible.
     lag: Duration,
-    /// The loads with the time from which each shows, in that order; never empty.
+    /// The loads, each with the time from which it is visible, in the order of that time. Never
+    /// empty.
     loads: VecDeque<(Instant, Load)>,
 }
 
 impl LoadLog {
-    /// Makes a log in which `load` shows at once.
+    /// Creates a log in which `load` is visible at once.
     pub(crate) fn new(now: Instant, lag: Duration, load: Load) -> Self {
         Self { lag, loads: VecDeque::from([(now, load)]) }
     }
 
-    /// Adds the load that holds from now on.
+    /// Adds the load from `now` on.
     pub(crate) fn record(&mut self, now: Instant, load: Load) {
-        self.forget(now);
+        self.drop_replaced(now);
         self.loads.push_back((now + self.lag, load));
     }
 
-    /// Returns the load that shows now.
-    pub(crate) fn shown(&mut self, now: Instant) -> Load {
-        self.forget(now);
+    /// Returns the load that is visible at `now`.
+    pub(crate) fn visible(&mut self, now: Instant) -> Load {
+        self.drop_replaced(now);
 
         self.loads.front().map(|(_, load)| *load).unwrap_or_default()
     }
 
-    /// Forgets the loads that a later one has replaced.
-    fn forget(&mut self, now: Instant) {
+    /// Drops loads that have been replaced by a later visible one.
+    fn drop_replaced(&mut self, now: Instant) {
         while self.loads.get(1).is_some_and(|(from, _)| *from <= now) {
             self.loads.pop_front();
         }
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -1,5 +1,5 @@
-//! How the engine stand-in runs a request: waits for the batch, reads the prompt, then
-//! generates one token after the other.
+//! Runs a request of the engine stand-in: waits for a slot in the batch, processes the prompt, then
+//! generates one token after another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tokio::time::Instant;
 
-use super::cache::tokens_of;
+use super::cache::count_tokens;
 use super::{Shared, lock};
-use crate::server::{Answer, fault, json};
+use crate::server::{Answer, error_response, json_response};
 
-/// The texts that outputs are made of; each is one token long.
+/// The words that outputs are made of. Each is one token long.
 const WORDS: [&str; 16] = [
     "ash ", "elm ", "fir ", "oak ", "yew ", "bay ", "box ", "fig ", "hop ", "ivy ", "nut ", "pea ",
     "rye ", "sap ", "bud ", "pod ",
@@ -28,55 +28,55 @@
 /// A request to generate.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct GenerateRequest {
-    /// The attempt, by which it can be cancelled.
+    /// The id of the attempt, by which it can be cancelled.
     attempt: Box<str>,
-    /// The program, by which its prefix is cached.
+    /// The program, whose prefix is cached.
     program: Box<str>,
     /// The parts of the prompt.
     prompt: Vec<Box<str>>,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     max_tokens: u32,
     /// Whether each token is sent as it is generated.
     #[serde(default)]
     stream: bool,
 }
 
-/// A token, as streamed.
+/// A token event of a stream.
 #[derive(Debug, Serialize)]
 struct Token {
-    /// Its text.
+    /// The text of the token.
     text: &'static str,
 }
 
-/// The end of an answer.
+/// The response, or the last event of a stream.
 #[derive(Debug, Serialize)]
 struct Done {
-    /// All that was generated.
+    /// The complete output.
     output: String,
-    /// The tokens it took.
+    /// The token counts.
     usage: Usage,
 }
 
-/// The tokens that a request took.
+/// The token counts of a request.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Usage {
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     prompt_tokens: u64,
-    /// Tokens of the prompt that were in the cache.
+    /// The number of prompt tokens that were in the cache.
     cached_tokens: u64,
-    /// Tokens generated.
+    /// The number of generated tokens.
     output_tokens: u64,
 }
 
-/// A step of an answer.
+/// A step of a generated answer.
 enum Step {
-    /// A token.
+    /// A token was generated.
     Token(&'static str),
-    /// The end. An answer that is cut short has none.
+    /// The answer is complete. A cancelled request never gets here.
     Done(Done),
 }
 
-/// Answers a request to generate.
+/// Handles a request to generate.
 pub(crate) async fn generate(state: Shared, req: GenerateRequest) -> Answer {
     let stream = req.stream;
     let steps = run(state, req);
@@ -89,14 +89,14 @@
 
     while let Some(step) = steps.next().await {
         if let Step::Done(done) = step {
-            return json(StatusCode::OK, &done);
+            return json_response(StatusCode::OK, &done);
         }
     }
 
-    fault(StatusCode::CONFLICT, "cancelled")
+    error_response(StatusCode::CONFLICT, "cancelled")
 }
 
-/// Makes the answer that streams these steps as server-sent events.
+/// Creates a response that streams these steps as server-sent events.
 fn events(steps: impl Stream<Item = Step> + Send + 'static) -> Answer {
     let frames = steps.map(|step| Ok(Frame::data(event(&step))));
     let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
@@ -106,7 +106,7 @@
     Answer::Reply(Box::new(response))
 }
 
-/// Writes a step as a server-sent event.
+/// Formats a step as a server-sent event.
 fn event(step: &Step) -> Bytes {
     let text = match step {
         Step::Token(text) => format!("data: {}\n\n", to_json(&Token { text })),
@@ -116,41 +116,42 @@
     text.into()
 }
 
-/// Writes a value as JSON text; the types of this module cannot fail to be written.
+/// Converts a value to JSON text. This cannot fail for the types of this module.
 fn to_json<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// Runs a request. Dropping the stream, as a closed connection does, cancels it.
+/// Runs a request. Dropping the stream cancels it, which happens when the connection closes.
 fn run(state: Shared, req: GenerateRequest) -> impl Stream<Item = Step> + Send + 'static {
-    // Made here and not in the stream, so that the request counts as waiting at once.
-    let mut slot = Slot::enter(state, &req);
+    // Created outside of the stream, so that the request counts as waiting before the stream is
+    // first polled.
+    let mut request = ActiveRequest::enter(state, &req);
 
     stream! {
-        if !slot.admit().await {
+        if !request.admit().await {
             return;
         }
 
-        if slot.crashes(&req.prompt) {
-            slot.crash().await;
+        if request.crashes(&req.prompt) {
+            request.crash().await;
         }
 
-        let cached_tokens = slot.begin(&req.prompt);
-        let prompt_tokens = req.prompt.iter().map(|part| tokens_of(part)).sum();
-        let mut clock = Instant::now() + slot.prefill(prompt_tokens - cached_tokens);
+        let cached_tokens = request.begin(&req.prompt);
+        let prompt_tokens = req.prompt.iter().map(|part| count_tokens(part)).sum();
+        let mut next_at = Instant::now() + request.prefill_time(prompt_tokens - cached_tokens);
 
-        if !slot.sleep_until(clock).await {
+        if !request.sleep_until(next_at).await {
             return;
         }
 
-        let words = slot.words(&req);
-        let interval = lock(&slot.state).options.token_interval;
+        let words = request.words(&req);
+        let interval = lock(&request.state).options.token_interval;
         let mut output = String::new();
 
         for word in &words {
-            clock += interval;
+            next_at += interval;
 
-            if !slot.sleep_until(clock).await {
+            if !request.sleep_until(next_at).await {
                 return;
             }
 
@@ -159,29 +160,30 @@
         }
 
         let output_tokens = words.len() as u64;
-        drop(slot);
+        drop(request);
         yield Step::Done(Done { output, usage: Usage { prompt_tokens, cached_tokens, output_tokens } });
     }
 }
 
-/// A request's place in the engine, given back when dropped.
-struct Slot {
-    /// The engine.
+/// A request that waits or runs in the engine. Dropping it ends the request and frees its slot in
+/// the batch.
+struct ActiveRequest {
+    /// The state of the engine.
     state: Shared,
-    /// The attempt.
+    /// The id of the attempt.
     attempt: Box<str>,
     /// The program.
     program: Box<str>,
-    /// Told when the attempt is cancelled.
+    /// Notified when the attempt is cancelled.
     cancelled: Arc<Notify>,
-    /// The place in the batch, once admitted.
+    /// The slot in the batch, once the request is admitted.
     permit: Option<OwnedSemaphorePermit>,
-    /// Whether the cache was told that the request runs.
-    begun: bool,
+    /// Whether the request has begun in the cache, so that it must be ended there.
+    in_cache: bool,
 }
 
-impl Slot {
-    /// Takes a request in; it waits from now on.
+impl ActiveRequest {
+    /// Registers a request as waiting.
     fn enter(state: Shared, req: &GenerateRequest) -> Self {
         let cancelled = Arc::new(Notify::new());
 
@@ -198,11 +200,11 @@
             program: req.program.clone(),
             cancelled,
             permit: None,
-            begun: false,
+            in_cache: false,
         }
     }
 
-    /// Waits for a place in the batch; returns false if cancelled.
+    /// Waits for a slot in the batch. Returns false if the request was cancelled.
     async fn admit(&mut self) -> bool {
         let batch = Arc::clone(&lock(&self.state).batch);
 
@@ -222,7 +224,7 @@
         true
     }
 
-    /// Tells whether this prompt brings the engine down.
+    /// Returns whether this prompt crashes the engine.
     fn crashes(&self, prompt: &[Box<str>]) -> bool {
         let engine = lock(&self.state);
         let mark = engine.options.crash_mark.as_deref();
@@ -230,31 +232,32 @@
         mark.is_some_and(|mark| prompt.iter().any(|part| part.contains(mark)))
     }
 
-    /// Brings the engine down; never returns.
+    /// Crashes the engine. Never returns: stopping the server aborts this task.
     async fn crash(&self) {
         lock(&self.state).stopper.stop();
         std::future::pending().await
     }
 
-    /// Tells the cache that the request runs; returns the tokens that were there already.
+    /// Begins the request in the cache. Returns the number of prompt tokens that were already
+    /// cached.
     fn begin(&mut self, prompt: &[Box<str>]) -> u64 {
         let mut engine = lock(&self.state);
         let (cached, changes) = engine.cache.begin(&self.program, prompt);
         engine.record_changes(changes);
-        self.begun = true;
+        self.in_cache = true;
 
         cached
     }
 
-    /// Returns how long it takes to read this many tokens of a prompt.
-    fn prefill(&self, tokens: u64) -> Duration {
+    /// Returns the time to process this many prompt tokens.
+    fn prefill_time(&self, tokens: u64) -> Duration {
         match lock(&self.state).options.prefill_tokens_per_second {
             0 => Duration::ZERO,
             rate => Duration::from_micros(tokens.saturating_mul(1_000_000) / rate),
         }
     }
 
-    /// Sleeps; returns false if cancelled.
+    /// Sleeps. Returns false if the request was cancelled in the meantime.
     async fn sleep_until(&self, until: Instant) -> bool {
         tokio::select! {
             biased;
@@ -263,29 +266,29 @@
         }
     }
 
-    /// Returns the output: the same for the same seed and prompt, at least half as long as
-    /// the request allows.
+    /// Returns the words of the output. They depend only on the seed, the program, the prompt and
+    /// `max_tokens`. The output is at least half as long as the request allows.
     fn words(&self, req: &GenerateRequest) -> Vec<&'static str> {
         let seed = lock(&self.state).options.seed.to_be_bytes();
         let mut parts: Vec<&[u8]> = vec![&seed, req.program.as_bytes()];
         parts.extend(req.prompt.iter().map(|part| part.as_bytes()));
         let hash = stable_hash(&parts);
 
-        let longest = u64::from(req.max_tokens.max(1));
-        let count = longest - hash % longest.div_ceil(2);
+        let max_words = u64::from(req.max_tokens.max(1));
+        let count = max_words - hash % max_words.div_ceil(2);
 
         (0..count).map(|i| word(hash, i)).collect()
     }
 }
 
-/// Returns the word at this place of the output with this hash.
-fn word(hash: u64, place: u64) -> &'static str {
-    let draw = stable_hash(&[&hash.to_be_bytes(), &place.to_be_bytes()]);
+/// Returns the word at this index of the output with this hash.
+fn word(hash: u64, index: u64) -> &'static str {
+    let draw = stable_hash(&[&hash.to_be_bytes(), &index.to_be_bytes()]);
 
     WORDS[draw as usize % WORDS.len()]
 }
 
-impl Drop for Slot {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         let mut engine = lock(&self.state);
 
@@ -295,12 +298,13 @@
             engine.waiting -= 1;
         }
 
-        // A later request may have come with the same attempt; its entry stays.
+        // The entry may belong to a later request with the same attempt id, which must stay
+        // cancellable.
         if engine.attempts.get(&self.attempt).is_some_and(|own| Arc::ptr_eq(own, &self.cancelled)) {
             engine.attempts.remove(&self.attempt);
         }
 
-        if self.begun {
+        if self.in_cache {
             let changes = engine.cache.end(&self.program);
             engine.record_changes(changes);
         }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,62 +1,62 @@
-//! The orders that an engine stand-in takes, and their fencing.
+//! Orders that control an engine stand-in, and the fencing of outdated ones.
 
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
 
 use super::{Shared, lock};
-use crate::server::{Answer, fault, json};
+use crate::server::{Answer, error_response, json_response};
 
-/// An order.
+/// A request that carries an order.
 #[derive(Debug, Deserialize)]
 pub(crate) struct OrderRequest {
-    /// What to do.
+    /// The kind of order.
     order: OrderKind,
-    /// The program to free.
+    /// The program to free, for [`OrderKind::Free`].
     program: Option<Box<str>>,
-    /// The model to load.
+    /// The model to load, for [`OrderKind::Load`].
     model: Option<Box<str>>,
-    /// The role to take.
+    /// The role to take, for [`OrderKind::Role`].
     role: Option<Box<str>>,
-    /// The fencing number of the sender's lease.
+    /// The fencing number of the sender's lease, which grows with each new holder.
     fence: u64,
 }
 
-/// What an order asks for.
+/// The kind of an order.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum OrderKind {
-    /// Free what the cache holds of a program.
+    /// Removes a program's prefix from the cache.
     Free,
-    /// Load a model; that empties the cache.
+    /// Loads a model, which empties the cache.
     Load,
-    /// Take a role.
+    /// Takes a role.
     Role,
 }
 
-/// What orders have set.
+/// The state that orders have set.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
-    /// The highest fencing number seen.
+    /// The highest fencing number among the orders so far.
     fence: u64,
-    /// The model.
+    /// The loaded model.
     model: Option<Box<str>>,
-    /// The role.
+    /// The current role.
     role: Option<Box<str>>,
 }
 
-/// The answer to an order.
+/// The response to an order.
 #[derive(Debug, Serialize)]
 struct OrderAnswer {
-    /// Whether things stand as ordered.
+    /// Whether the order was carried out. If not, the sender must repeat it.
     done: bool,
 }
 
-/// Obeys an order, or refuses it for its fence.
-pub(crate) fn obey(state: &Shared, order: OrderRequest) -> Answer {
+/// Carries out an order, unless its fencing number is outdated.
+pub(crate) fn execute(state: &Shared, order: OrderRequest) -> Answer {
     let mut engine = lock(state);
 
     if engine.options.checks_fencing && order.fence < engine.orders.fence {
-        return fault(StatusCode::CONFLICT, "the fence is old");
+        return error_response(StatusCode::CONFLICT, "the fence is old");
     }
 
     engine.orders.fence = engine.orders.fence.max(order.fence);
@@ -74,12 +74,12 @@
             engine.orders.role = Some(role);
             Some(Vec::new())
         }
-        _ => return fault(StatusCode::BAD_REQUEST, "the order lacks its object"),
+        _ => return error_response(StatusCode::BAD_REQUEST, "the order lacks its object"),
     };
 
-    // A program that a request runs on stays; its order has to be repeated.
+    // A program is not freed while a request runs on it. The order must be repeated later.
     let done = changes.is_some();
     engine.record_changes(changes.unwrap_or_default());
 
-    json(StatusCode::OK, &OrderAnswer { done })
+    json_response(StatusCode::OK, &OrderAnswer { done })
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,8 @@
-//! Small fakes of what camphorwalk meets: the platform, model engines and plain services.
+//! Stand-ins for the systems that camphorwalk depends on: the platform, model engines and plain
+//! services.
 //!
-//! They are test side only. `docs/STANDINS.md` gives the calls that each one answers.
+//! They are used only by tests, the demo and measurements. `docs/STANDINS.md` describes their HTTP
+//! APIs.
 
 #![warn(rust_2018_idioms)]
 #![forbid(unsafe_code)]
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform stand-in: rows with versions, objects, and the lagging list of hosts.
+//! The platform stand-in: a store of versioned rows and objects, and a list of hosts that becomes
+//! visible with a lag.
 
 mod modes;
 mod store;
@@ -14,67 +15,70 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 use tokio::time::Instant;
 
-use crate::server::{Answer, Server, Stopper, empty, fault, json, parse, raw};
+use crate::server::{
+    Answer, Server, Stopper, empty_response, error_response, json_response, parse_json,
+    raw_response,
+};
 use modes::Modes;
 pub use modes::{Mode, ModeSetting};
 pub use store::Store;
 
-/// The header in which a client names its availability zone.
+/// The request header with the availability zone of the client.
 pub const ZONE_HEADER: &str = "x-zone";
 
-/// What a platform stand-in starts with.
+/// The options of a platform stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformOptions {
-    /// The hosts it lists from the start.
+    /// The initial list of hosts.
     pub hosts: Vec<HostListing>,
 }
 
-/// What a platform stand-in was asked since its start.
+/// Counters of the requests since the start of a platform stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Transactions run, committed or not.
+    /// Transactions, whether they committed or conflicted.
     pub transactions: u64,
     /// Rows written or deleted by committed transactions.
     pub rows_written: u64,
-    /// Reads of rows by key.
+    /// Read requests by key.
     pub reads: u64,
-    /// Scans.
+    /// Scan requests.
     pub scans: u64,
-    /// Objects put.
+    /// Requests to put an object.
     pub object_puts: u64,
-    /// Objects asked for.
+    /// Requests to get an object.
     pub object_gets: u64,
     /// Requests refused with 503.
     pub refused: u64,
 }
 
-/// A platform stand-in that runs in this process.
+/// A platform stand-in that runs in this process. It stops when it is dropped.
 #[derive(Debug)]
 pub struct Platform {
-    /// Its listener.
+    /// The HTTP server.
     server: Server,
-    /// What it holds.
+    /// The state, which its request handlers share.
     state: Shared,
 }
 
-/// The state as handlers share it.
+/// The state as request handlers share it.
 type Shared = Arc<Mutex<State>>;
 
-/// What a platform stand-in holds.
+/// The state of a platform stand-in.
 #[derive(Debug, Default)]
 struct State {
-    /// The rows and objects.
+    /// The stored rows and objects.
     store: Store,
-    /// The lists of hosts, each with the time from which it shows, in that order.
+    /// The lists of hosts, each with the time from which it is visible, in the order of that time.
     hosts: Vec<(Instant, Vec<HostListing>)>,
-    /// How requests are treated.
+    /// How requests are handled.
     modes: Modes,
-    /// What it was asked.
+    /// The request counters.
     stats: Stats,
 }
 
 impl Platform {
-    /// Starts a platform stand-in; port 0 takes any free port.
+    /// Starts a platform stand-in. Port 0 selects a free port.
     pub async fn start(listen: SocketAddr, options: PlatformOptions) -> anyhow::Result<Self> {
         let mut state = State::default();
         state.hosts.push((Instant::now(), options.hosts));
@@ -90,44 +94,46 @@
         Ok(Self { server, state })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Closes the listener and all connections. The rows are lost with it.
+    /// Closes the listener and all connections. A new platform starts without the rows of this one.
     pub async fn stop(&self) {
         self.server.stop().await;
     }
 
-    /// Returns when the listener is closed.
-    pub async fn closed(&self) {
-        self.server.closed().await;
+    /// Waits until the listener and all connections are closed.
+    pub async fn wait_closed(&self) {
+        self.server.wait_closed().await;
     }
 
-    /// Sets how requests are treated from now on.
+    /// Sets how requests are handled from now on.
     pub fn set_mode(&self, setting: ModeSetting) {
         lock(&self.state).modes.set(setting);
     }
 
-    /// Sets the true list of hosts, which shows after `lag`.
+    /// Sets the list of hosts, which becomes visible to clients after `lag`.
     pub fn set_hosts(&self, hosts: Vec<HostListing>, lag: Duration) {
         lock(&self.state).set_hosts(hosts, lag);
     }
 
-    /// Returns what it was asked since its start.
+    /// Returns the request counters since the start.
     pub fn stats(&self) -> Stats {
         lock(&self.state).stats
     }
 
-    /// Puts `content` under a name that need not be its hash, as a faulty store would.
+    /// Stores an object without checking that its name is the hash of its content. Simulates a
+    /// faulty store.
     pub fn corrupt_object(&self, name: ObjectName, content: impl Into<Bytes>) {
         lock(&self.state).store.corrupt_object(name, content.into());
     }
 }
 
 impl State {
-    /// Sets the list of hosts that shows after `lag`.
+    /// Sets the list of hosts that becomes visible after `lag`. It replaces lists that would become
+    /// visible later than that.
     fn set_hosts(&mut self, hosts: Vec<HostListing>, lag: Duration) {
         let shown_from = Instant::now() + lag;
 
@@ -135,7 +141,7 @@
         self.hosts.push((shown_from, hosts));
     }
 
-    /// Returns the list of hosts that shows now.
+    /// Returns the list of hosts that is visible now, and drops older ones.
     fn hosts(&mut self) -> &[HostListing] {
         let now = Instant::now();
         let shown = self.hosts.iter().rposition(|(from, _)| *from <= now).unwrap_or(0);
@@ -145,12 +151,13 @@
     }
 }
 
-/// Locks the state; a handler that panicked leaves it usable for a fake.
+/// Locks the state. A lock that a panicked handler has poisoned is used as it is, which is good
+/// enough for a stand-in.
 fn lock(state: &Shared) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Answers a request, in the mode that holds for it.
+/// Handles a request in the mode of the client's zone. Control requests are not subject to modes.
 async fn handle(state: Shared, req: Request<Bytes>) -> Answer {
     if req.uri().path().starts_with("/control/") {
         return control(&state, &req);
@@ -163,57 +170,58 @@
         Mode::Ok => serve(&state, req),
         Mode::Refuse => {
             lock(&state).stats.refused += 1;
-            fault(StatusCode::SERVICE_UNAVAILABLE, "refusing")
+            error_response(StatusCode::SERVICE_UNAVAILABLE, "refusing")
         }
         Mode::Slow { delay } => serve_late(state, req, delay).await,
         Mode::DropAnswers => {
             serve(&state, req);
-            Answer::Broken
+            Answer::CloseConnection
         }
         Mode::Hang => std::future::pending().await,
     }
 }
 
-/// Runs a request after `delay`, also if its sender has gone by then.
+/// Handles a request after `delay`, even if the client has disconnected by then.
 async fn serve_late(state: Shared, req: Request<Bytes>, delay: Duration) -> Answer {
     let run = tokio::spawn(async move {
         tokio::time::sleep(delay).await;
         serve(&state, req)
     });
 
-    run.await.unwrap_or(Answer::Broken)
+    run.await.unwrap_or(Answer::CloseConnection)
 }
 
-/// Runs a request.
+/// Handles a request normally.
 fn serve(state: &Shared, req: Request<Bytes>) -> Answer {
     let (parts, body) = req.into_parts();
     let path = parts.uri.path();
 
     let answer = match (&parts.method, path) {
-        (&Method::POST, "/v1/tx") => parse(&body).map(|tx| commit(state, tx)),
-        (&Method::POST, "/v1/read") => parse(&body).map(|read| read_rows(state, read)),
-        (&Method::POST, "/v1/scan") => parse(&body).map(|scan| scan_rows(state, &scan)),
+        (&Method::POST, "/v1/tx") => parse_json(&body).map(|tx| commit(state, tx)),
+        (&Method::POST, "/v1/read") => parse_json(&body).map(|read| read_rows(state, read)),
+        (&Method::POST, "/v1/scan") => parse_json(&body).map(|scan| scan_rows(state, &scan)),
         (&Method::GET, "/v1/hosts") => Ok(list_hosts(state)),
         (method, path) => match path.strip_prefix("/v1/objects/") {
             Some(name) => Ok(object(state, method, ObjectName(name.into()), body)),
-            None => Ok(fault(StatusCode::NOT_FOUND, "no such call")),
+            None => Ok(error_response(StatusCode::NOT_FOUND, "no such call")),
         },
     };
 
     answer.unwrap_or_else(|refusal| refusal)
 }
 
-/// The answer to a transaction.
+/// The response to a transaction.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum CommitAnswer {
-    /// It took effect with this version.
+    /// The transaction took effect and wrote its rows with this version.
     Committed(RowVersion),
-    /// These checked rows stand differently.
+    /// Nothing was written, because checked rows have other versions. Contains those of these rows
+    /// that exist.
     Conflict(Vec<Row>),
 }
 
-/// Runs a transaction.
+/// Handles a transaction.
 fn commit(state: &Shared, tx: Transaction) -> Answer {
     let mut state = lock(state);
     let rows = tx.writes.len() as u64;
@@ -222,59 +230,59 @@
     match state.store.commit(tx) {
         Ok(version) => {
             state.stats.rows_written += rows;
-            json(StatusCode::OK, &CommitAnswer::Committed(version))
+            json_response(StatusCode::OK, &CommitAnswer::Committed(version))
         }
-        Err(rows) => json(StatusCode::CONFLICT, &CommitAnswer::Conflict(rows)),
+        Err(rows) => json_response(StatusCode::CONFLICT, &CommitAnswer::Conflict(rows)),
     }
 }
 
-/// A read of rows by key.
+/// A request to read rows by key.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ReadRequest {
-    /// The rows.
+    /// The keys of the rows.
     keys: Vec<RowKey>,
 }
 
-/// Rows as answered.
+/// The response to a read or scan.
 #[derive(Debug, Serialize)]
 struct RowsAnswer {
     /// The rows, in key order.
     rows: Vec<Row>,
 }
 
-/// Reads rows by key.
+/// Handles a read by key.
 fn read_rows(state: &Shared, req: ReadRequest) -> Answer {
     let mut state = lock(state);
     state.stats.reads += 1;
 
-    json(StatusCode::OK, &RowsAnswer { rows: state.store.read(&req.keys) })
+    json_response(StatusCode::OK, &RowsAnswer { rows: state.store.read(&req.keys) })
 }
 
-/// A scan of a table.
+/// A request to scan a table.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ScanRequest {
     /// The table.
     table: Box<str>,
-    /// What keys begin with.
+    /// The prefix of the keys.
     prefix: Box<str>,
-    /// The last key already seen, or empty.
+    /// The key after which the scan starts, or empty to start at the first key.
     after: Box<str>,
-    /// The most rows to return.
+    /// The maximum number of rows to return.
     limit: u32,
 }
 
-/// Scans a table.
+/// Handles a scan.
 fn scan_rows(state: &Shared, req: &ScanRequest) -> Answer {
     let mut state = lock(state);
     state.stats.scans += 1;
     let rows = state.store.scan(&req.table, &req.prefix, &req.after, req.limit as usize);
 
-    json(StatusCode::OK, &RowsAnswer { rows })
+    json_response(StatusCode::OK, &RowsAnswer { rows })
 }
 
-/// Puts or gets an object.
+/// Handles a request to put or get an object.
 fn object(state: &Shared, method: &Method, name: ObjectName, content: Bytes) -> Answer {
     let mut state = lock(state);
 
@@ -283,61 +291,61 @@
             state.stats.object_puts += 1;
 
             if state.store.put_object(name, content) {
-                empty(StatusCode::NO_CONTENT)
+                empty_response(StatusCode::NO_CONTENT)
             } else {
-                fault(StatusCode::BAD_REQUEST, "the name is not the content's hash")
+                error_response(StatusCode::BAD_REQUEST, "the name is not the content's hash")
             }
         }
         Method::GET => {
             state.stats.object_gets += 1;
 
             match state.store.get_object(&name) {
-                Some(content) => raw(content),
-                None => fault(StatusCode::NOT_FOUND, "no such object"),
+                Some(content) => raw_response(content),
+                None => error_response(StatusCode::NOT_FOUND, "no such object"),
             }
         }
-        _ => fault(StatusCode::METHOD_NOT_ALLOWED, "an object is put or got"),
+        _ => error_response(StatusCode::METHOD_NOT_ALLOWED, "an object is put or got"),
     }
 }
 
-/// The list of hosts as answered.
+/// The response with the list of hosts.
 #[derive(Debug, Serialize)]
 struct HostsAnswer<'a> {
-    /// The hosts.
+    /// The visible hosts.
     hosts: &'a [HostListing],
 }
 
-/// Lists the hosts.
+/// Returns the visible list of hosts.
 fn list_hosts(state: &Shared) -> Answer {
-    json(StatusCode::OK, &HostsAnswer { hosts: lock(state).hosts() })
+    json_response(StatusCode::OK, &HostsAnswer { hosts: lock(state).hosts() })
 }
 
-/// A change of the true list of hosts.
+/// A request to change the list of hosts.
 #[serde_as]
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct HostsSetting {
-    /// The true list.
+    /// The new list.
     hosts: Vec<HostListing>,
-    /// How long until it shows.
+    /// The time until it becomes visible.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "lag_ms", default)]
     lag: Duration,
 }
 
-/// Answers a call that steers the stand-in.
+/// Handles a control request, by which tests configure the stand-in.
 fn control(state: &Shared, req: &Request<Bytes>) -> Answer {
-    let done = || empty(StatusCode::NO_CONTENT);
+    let done = || empty_response(StatusCode::NO_CONTENT);
 
     let answer = match (req.method(), req.uri().path()) {
         (&Method::POST, "/control/mode") => {
-            parse(req.body()).map(|setting| lock(state).modes.set(setting)).map(|()| done())
+            parse_json(req.body()).map(|setting| lock(state).modes.set(setting)).map(|()| done())
         }
-        (&Method::POST, "/control/hosts") => parse(req.body())
+        (&Method::POST, "/control/hosts") => parse_json(req.body())
             .map(|setting: HostsSetting| lock(state).set_hosts(setting.hosts, setting.lag))
             .map(|()| done()),
-        (&Method::GET, "/control/stats") => Ok(json(StatusCode::OK, &lock(state).stats)),
-        _ => Ok(fault(StatusCode::NOT_FOUND, "no such call")),
+        (&Method::GET, "/control/stats") => Ok(json_response(StatusCode::OK, &lock(state).stats)),
+        _ => Ok(error_response(StatusCode::NOT_FOUND, "no such call")),
     };
 
     answer.unwrap_or_else(|refusal| refusal)
--- a/crates/standin/src/platform/modes.rs
+++ b/crates/standin/src/platform/modes.rs
@@ -1,4 +1,4 @@
-//! How the platform stand-in treats requests, for all or for one availability zone.
+//! How the platform stand-in handles requests, set for all availability zones or for single ones.
 
 use std::time::Duration;
 
@@ -6,105 +6,106 @@
 use serde::Deserialize;
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// How requests are treated.
+/// How requests are handled.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(tag = "mode", rename_all = "snake_case")]
 pub enum Mode {
-    /// They are answered.
+    /// Requests are answered normally.
     #[default]
     Ok,
-    /// They are refused with 503 at once, and nothing is done.
+    /// Requests are refused with 503 at once and have no effect.
     Refuse,
-    /// They take effect and are answered after a delay; they take effect also if the
-    /// client has gone by then.
+    /// Requests take effect and are answered after a delay. They take effect even if the client
+    /// disconnects in the meantime.
     Slow {
-        /// The delay.
+        /// The time before the request takes effect.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         #[serde(rename = "delay_ms")]
         delay: Duration,
     },
-    /// They take effect; then the connection is closed without an answer.
+    /// Requests take effect, and then the connection is closed without an answer.
     DropAnswers,
-    /// They do nothing and are never answered.
+    /// Requests have no effect and are never answered.
     Hang,
 }
 
-/// A change of mode.
+/// A request to change the mode.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct ModeSetting {
     /// The new mode.
     #[serde(flatten)]
     pub mode: Mode,
-    /// The availability zone it holds for; if none, it holds for all and replaces what was
-    /// set for single ones.
+    /// The availability zone that it applies to. If absent, it applies to all zones, and the modes
+    /// of single zones are removed.
     #[serde(default)]
     pub zone: Option<Box<str>>,
-    /// For how many requests it holds, after which it is as before; if none, for good.
+    /// The number of requests that it applies to, after which the previous mode applies again. If
+    /// absent, it applies until the next change.
     #[serde(default)]
     pub times: Option<u32>,
 }
 
 impl ModeSetting {
-    /// Makes the change to this mode for all requests.
+    /// Creates a change to this mode for all zones.
     pub fn all(mode: Mode) -> Self {
         Self { mode, zone: None, times: None }
     }
 
-    /// Makes the change to this mode for the requests of one availability zone.
+    /// Creates a change to this mode for the requests of one availability zone.
     pub fn zone(mode: Mode, zone: &str) -> Self {
         Self { zone: Some(zone.into()), ..Self::all(mode) }
     }
 
-    /// Returns this change limited to the next requests.
+    /// Limits the change to this number of requests.
     pub fn times(mut self, times: u32) -> Self {
         self.times = Some(times);
         self
     }
 }
 
-/// The mode that holds, and one that holds before it.
+/// The current mode, and a temporary one that takes precedence.
 #[derive(Clone, Copy, Debug, Default)]
 struct Current {
-    /// The mode that holds for good.
-    lasting: Mode,
-    /// The mode that holds for the next requests.
-    passing: Mode,
-    /// For how many requests the passing mode still holds.
-    left: u32,
+    /// The mode that applies once the temporary one has been used up.
+    permanent: Mode,
+    /// The mode of the next `remaining` requests.
+    temporary: Mode,
+    /// The number of requests that the temporary mode still applies to.
+    remaining: u32,
 }
 
 impl Current {
-    /// Makes a change.
+    /// Changes the mode. `times` limits the change to a number of requests.
     fn set(&mut self, mode: Mode, times: Option<u32>) {
         match times {
-            Some(times) => (self.passing, self.left) = (mode, times),
-            None => (self.lasting, self.left) = (mode, 0),
+            Some(times) => (self.temporary, self.remaining) = (mode, times),
+            None => (self.permanent, self.remaining) = (mode, 0),
         }
     }
 
-    /// Returns the mode for the next request.
+    /// Returns the mode of the next request, and counts the request.
     fn next(&mut self) -> Mode {
-        if self.left == 0 {
-            return self.lasting;
+        if self.remaining == 0 {
+            return self.permanent;
         }
 
-        self.left -= 1;
-        self.passing
+        self.remaining -= 1;
+        self.temporary
     }
 }
 
-/// The modes that hold.
+/// The modes of all zones.
 #[derive(Debug, Default)]
 pub(crate) struct Modes {
-    /// The mode for all availability zones that have none of their own.
+    /// The mode of zones without an entry in `zones`.
     all: Current,
-    /// The modes of single availability zones.
+    /// The modes that were set for single zones.
     zones: Map<Box<str>, Current>,
 }
 
 impl Modes {
-    /// Makes a change.
+    /// Applies a change.
     pub(crate) fn set(&mut self, setting: ModeSetting) {
         let current = match setting.zone {
             Some(zone) => self.zones.entry(zone).or_insert(self.all),
@@ -117,7 +118,7 @@
         current.set(setting.mode, setting.times);
     }
 
-    /// Returns the mode for the next request from `zone`.
+    /// Returns the mode of the next request from `zone`, and counts the request.
     pub(crate) fn next(&mut self, zone: &str) -> Mode {
         self.zones.get_mut(zone).unwrap_or(&mut self.all).next()
     }
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The rows and objects of the platform stand-in; no I/O.
+//! The in-memory store of the platform stand-in. Performs no I/O.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,19 +9,19 @@
     ObjectName, PlatformOp, PlatformReply, Row, RowKey, RowVersion, Transaction,
 };
 
-/// Rows with versions, and objects by the hash of their content.
+/// Versioned rows, and objects that are named by the hash of their content.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// The rows with the version and the content of each.
+    /// The version and value of each row.
     rows: BTreeMap<RowKey, (RowVersion, Box<str>)>,
     /// The number of the last commit, over all tables.
     last_commit: u64,
-    /// The objects.
+    /// The contents of the objects, by name.
     objects: Map<ObjectName, Bytes>,
 }
 
 impl Store {
-    /// Runs an operation, as a platform that is well and at hand does.
+    /// Runs an operation as a platform without faults would.
     ///
     /// ```
     /// use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowKey};
@@ -39,7 +39,7 @@
             PlatformOp::Scan { table, prefix, after, limit } => {
                 PlatformReply::Rows(self.scan(&table, &prefix, &after, limit as usize))
             }
-            // Its hosts poll; nothing of the product's own protocol asks for changes.
+            // The stand-in does not support change feeds. Hosts that use it poll instead.
             PlatformOp::Snapshot { .. } | PlatformOp::Changes { .. } => PlatformReply::Unavailable,
             PlatformOp::PutObject(content) => {
                 let name = ObjectName::of(&content);
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Runs a transaction, or returns the checked rows that stand differently and are there.
+    /// Runs a transaction. If a check fails, changes nothing and returns those of the rows with
+    /// failed checks that exist.
     pub fn commit(&mut self, tx: Transaction) -> Result<RowVersion, Vec<Row>> {
         let failed: Vec<_> =
             tx.checks.iter().filter(|check| self.version(&check.key) != check.version).collect();
@@ -61,8 +62,8 @@
             return Err(failed.into_iter().filter_map(|check| self.get(&check.key)).collect());
         }
 
-        // Counting over all tables keeps a version from being used twice for one key,
-        // also after the row was deleted.
+        // One counter for all tables ensures that a key never gets the same version twice, even if
+        // its row is deleted and created again.
         self.last_commit += 1;
         let version = RowVersion(self.last_commit);
 
@@ -80,7 +81,7 @@
         Ok(version)
     }
 
-    /// Returns those of the rows that are there, in key order.
+    /// Returns those of the rows that exist, in key order.
     pub fn read(&self, keys: &[RowKey]) -> Vec<Row> {
         let mut keys: Vec<_> = keys.iter().collect();
         keys.sort();
@@ -89,7 +90,8 @@
         keys.into_iter().filter_map(|key| self.get(key)).collect()
     }
 
-    /// Returns the rows of `table` whose keys begin with `prefix` and come after `after`.
+    /// Returns the first `limit` rows of `table` whose keys begin with `prefix` and come after
+    /// `after`, in key order.
     pub fn scan(&self, table: &str, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let start = if after >= prefix && !after.is_empty() {
             Bound::Excluded(RowKey::new(table, after))
@@ -109,7 +111,8 @@
             .collect()
     }
 
-    /// Stores an object; returns false if the name is not the hash of the content.
+    /// Stores an object. If the name is not the hash of the content, stores nothing and returns
+    /// false.
     pub fn put_object(&mut self, name: ObjectName, content: Bytes) -> bool {
         if ObjectName::of(&content) != name {
             return false;
@@ -119,22 +122,22 @@
         true
     }
 
-    /// Puts an object under a name that need not be its hash, as a faulty store would.
+    /// Stores an object without checking its name, as a faulty store might.
     pub fn corrupt_object(&mut self, name: ObjectName, content: Bytes) {
         self.objects.insert(name, content);
     }
 
-    /// Returns the content of an object.
+    /// Returns the content of an object, if it exists.
     pub fn get_object(&self, name: &ObjectName) -> Option<Bytes> {
         self.objects.get(name).cloned()
     }
 
-    /// Returns the version of a row, or that of a missing one.
+    /// Returns the version of a row, or [`RowVersion::ABSENT`] if it does not exist.
     fn version(&self, key: &RowKey) -> RowVersion {
         self.rows.get(key).map_or(RowVersion::ABSENT, |(version, _)| *version)
     }
 
-    /// Returns a row.
+    /// Returns a row, if it exists.
     fn get(&self, key: &RowKey) -> Option<Row> {
         let (version, value) = self.rows.get(key)?;
 
--- a/crates/standin/src/program.rs
+++ b/crates/standin/src/program.rs
@@ -1,4 +1,4 @@
-//! The program that runs one stand-in as a process of its own.
+//! The command line that runs one stand-in in its own process.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -91,25 +91,25 @@
     delay_ms: u64,
 }
 
-/// What is printed when the stand-in is ready.
+/// The JSON line that is printed when the stand-in is ready.
 #[derive(Serialize)]
 struct Ready {
-    /// Where it listens.
+    /// The address that it listens at.
     address: SocketAddr,
 }
 
-/// Runs a stand-in until it is stopped.
+/// Runs a stand-in until its server has stopped. Returns an error if an engine has crashed.
 pub async fn run(args: Args) -> Result<()> {
     match args.command {
         Command::Platform(args) => {
             let platform = Platform::start(args.listen, PlatformOptions::default()).await?;
-            ready(platform.address())?;
-            platform.closed().await;
+            print_ready(platform.address())?;
+            platform.wait_closed().await;
         }
         Command::Engine(args) => {
             let engine = Engine::start(args.listen, engine_options(&args)).await?;
-            ready(engine.address())?;
-            engine.closed().await;
+            print_ready(engine.address())?;
+            engine.wait_closed().await;
             bail!("engine: crashed");
         }
         Command::Service(args) => {
@@ -118,23 +118,23 @@
                 ..Default::default()
             };
             let service = Service::start(args.listen, options).await?;
-            ready(service.address())?;
-            service.closed().await;
+            print_ready(service.address())?;
+            service.wait_closed().await;
         }
     }
 
     Ok(())
 }
 
-/// Prints the address as one JSON line.
-fn ready(address: SocketAddr) -> Result<()> {
+/// Prints the readiness line.
+fn print_ready(address: SocketAddr) -> Result<()> {
     let mut stdout = std::io::stdout().lock();
     writeln!(stdout, "{}", serde_json::to_string(&Ready { address })?)?;
 
     Ok(stdout.flush()?)
 }
 
-/// Returns the options that the arguments give, and the defaults for the rest.
+/// Converts arguments to options. Arguments that are not given keep their default.
 fn engine_options(args: &EngineArgs) -> EngineOptions {
     let defaults = EngineOptions::default();
     let millis = |given: Option<u64>, default| given.map_or(default, Duration::from_millis);
--- a/crates/standin/src/requests.rs
+++ b/crates/standin/src/requests.rs
@@ -1,4 +1,4 @@
-//! The record of what a stand-in was sent, for tests to look into.
+//! Records the requests that a stand-in receives, so that tests can inspect them.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,23 +6,23 @@
 use http::Request;
 use serde::{Deserialize, Serialize};
 
-/// The most requests that are remembered; older ones are forgotten.
+/// The maximum number of recorded requests. The oldest ones are dropped first.
 const MAX_REQUESTS: usize = 4096;
 
-/// A request as it came.
+/// A received request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Box<str>,
-    /// The path, with its query.
+    /// The path including the query.
     pub path: Box<str>,
-    /// The headers by lower-case name.
+    /// The headers, by lower-case name.
     pub headers: BTreeMap<Box<str>, Box<str>>,
     /// The body, as text.
     pub body: Box<str>,
 }
 
-/// The last requests, oldest first.
+/// The most recent requests, oldest first.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct RequestLog {
     /// The requests.
@@ -30,7 +30,7 @@
 }
 
 impl RequestLog {
-    /// Adds a request.
+    /// Adds a request, and drops the oldest one if the log is full.
     pub(crate) fn record(&mut self, req: &Request<Bytes>) {
         if self.requests.len() == MAX_REQUESTS {
             self.requests.pop_front();
@@ -50,7 +50,7 @@
         });
     }
 
-    /// Returns the requests, oldest first.
+    /// Returns a copy of the requests, oldest first.
     pub(crate) fn to_vec(&self) -> Vec<SeenRequest> {
         self.requests.iter().cloned().collect()
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server whose handlers may also break the connection.
+//! A small HTTP/1.1 server whose handlers can also close the connection without an answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,52 +18,52 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The largest request body taken in, in bytes.
+/// The maximum size of a request body in bytes. A larger one closes the connection.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// The body of a response.
 pub(crate) type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// What becomes of a request.
+/// What a handler does with a request.
 pub(crate) enum Answer {
-    /// It is answered.
+    /// Sends a response.
     Reply(Box<Response<Body>>),
-    /// The connection is closed without an answer.
-    Broken,
+    /// Closes the connection without a response.
+    CloseConnection,
 }
 
-/// Answers requests; shared by all connections of a server.
+/// Handles requests. All connections of a server share it.
 pub(crate) type Handler = Arc<dyn Fn(Request<Bytes>) -> BoxFuture<'static, Answer> + Send + Sync>;
 
-/// A listening server. It ends when it is stopped or dropped.
+/// A running server. It stops when it is dropped.
 #[derive(Debug)]
 pub(crate) struct Server {
-    /// Where it listens.
+    /// The address that it listens at.
     address: SocketAddr,
-    /// Tells the accept loop to end.
+    /// Stops the accept loop.
     stop: Stopper,
-    /// Closed once the listener and all connections are.
+    /// A channel whose sender is dropped once the listener and all connections are closed.
     closed: watch::Receiver<()>,
 }
 
-/// Ends a server, also from within one of its handlers.
+/// A handle that stops a server. Handlers can use it too.
 #[derive(Clone, Debug)]
 pub(crate) struct Stopper(Arc<watch::Sender<bool>>);
 
 impl Stopper {
-    /// Makes the stopper of a server that is yet to be started.
+    /// Creates a handle for a server that will be started with it.
     pub(crate) fn new() -> Self {
         Self(Arc::new(watch::Sender::new(false)))
     }
 
-    /// Tells the server to close its listener and all connections.
+    /// Makes the server close its listener and all connections. Does not wait for that.
     pub(crate) fn stop(&self) {
         self.0.send_replace(true);
     }
 }
 
 impl Server {
-    /// Starts a server; port 0 takes any free port.
+    /// Starts a server. Port 0 selects a free port.
     pub(crate) async fn start(listen: SocketAddr, stop: Stopper, handler: Handler) -> Result<Self> {
         let listener =
             TcpListener::bind(listen).await.with_context(|| format!("listening on {listen}"))?;
@@ -79,22 +79,22 @@
         Ok(Self { address, stop, closed })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens at.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the listener and all connections, and returns when that is done.
+    /// Closes the listener and all connections, and waits until that is done.
     pub(crate) async fn stop(&self) {
         self.stop.stop();
-        self.closed().await;
+        self.wait_closed().await;
     }
 
-    /// Returns when the listener and all connections are closed.
-    pub(crate) async fn closed(&self) {
+    /// Waits until the listener and all connections are closed.
+    pub(crate) async fn wait_closed(&self) {
         let mut closed = self.closed.clone();
 
-        // The sender never sends: an error says that it was dropped.
+        // The sender never sends a value. An error means that it was dropped.
         while closed.changed().await.is_ok() {}
     }
 }
@@ -105,7 +105,7 @@
     }
 }
 
-/// Accepts connections until told to stop; then aborts those that are open.
+/// Accepts connections until the server is stopped, then aborts the open ones.
 async fn accept(listener: TcpListener, mut stopped: watch::Receiver<bool>, handler: Handler) {
     let mut connections = JoinSet::new();
 
@@ -125,19 +125,19 @@
     connections.shutdown().await;
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it closes.
 async fn serve(stream: TcpStream, handler: Handler) {
-    // Without this, small answers wait for the peer's delayed acknowledgement.
+    // Without TCP_NODELAY, small responses wait for the client's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |req| respond(req, Arc::clone(&handler)));
 
-    // An error means that the peer went away or that a handler broke the connection.
+    // An error means that the client disconnected or that a handler closed the connection.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-/// Reads a request whole and answers it; an error closes the connection.
+/// Reads a complete request and passes it to the handler. An error closes the connection.
 async fn respond(
     req: Request<Incoming>,
     handler: Handler,
@@ -151,11 +151,11 @@
 
     match handler(Request::from_parts(parts, body)).await {
         Answer::Reply(response) => Ok(*response),
-        Answer::Broken => Err(std::io::ErrorKind::ConnectionAborted.into()),
+        Answer::CloseConnection => Err(std::io::ErrorKind::ConnectionAborted.into()),
     }
 }
 
-/// Makes an answer of this status, type and content.
+/// Creates a response with this status, content type and content.
 fn reply(status: StatusCode, content_type: &'static str, content: Bytes) -> Answer {
     let body = Full::new(content).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
@@ -166,37 +166,38 @@
     Answer::Reply(Box::new(response))
 }
 
-/// Makes a JSON answer.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+/// Creates a JSON response.
+pub(crate) fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     match serde_json::to_vec(value) {
         Ok(content) => reply(status, "application/json", content.into()),
-        Err(_) => Answer::Broken,
+        Err(_) => Answer::CloseConnection,
     }
 }
 
-/// Makes an answer of raw bytes.
-pub(crate) fn raw(content: Bytes) -> Answer {
+/// Creates a response of raw bytes.
+pub(crate) fn raw_response(content: Bytes) -> Answer {
     reply(StatusCode::OK, "application/octet-stream", content)
 }
 
-/// Makes an answer without a body.
-pub(crate) fn empty(status: StatusCode) -> Answer {
+/// Creates a response without a body.
+pub(crate) fn empty_response(status: StatusCode) -> Answer {
     reply(status, "text/plain", Bytes::new())
 }
 
-/// The body of an answer that tells of a fault.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 struct Fault<'a> {
-    /// The fault, for a human reader.
+    /// A description of the error.
     error: &'a str,
 }
 
-/// Makes an answer that tells of a fault.
-pub(crate) fn fault(status: StatusCode, error: &str) -> Answer {
-    json(status, &Fault { error })
+/// Creates an error response.
+pub(crate) fn error_response(status: StatusCode, error: &str) -> Answer {
+    json_response(status, &Fault { error })
 }
 
-/// Reads a JSON body, or returns the answer to a malformed one.
-pub(crate) fn parse<T: DeserializeOwned>(body: &Bytes) -> std::result::Result<T, Answer> {
-    serde_json::from_slice(body).map_err(|error| fault(StatusCode::BAD_REQUEST, &error.to_string()))
+/// Parses a JSON body. Returns an error response if it is malformed.
+pub(crate) fn parse_json<T: DeserializeOwned>(body: &Bytes) -> std::result::Result<T, Answer> {
+    serde_json::from_slice(body)
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,5 +1,5 @@
-//! The service stand-in: runs operations, never de-duplicates, and keeps a ledger of what
-//! ran.
+//! The service stand-in. It runs operations without deduplicating repeated requests, and records
+//! each run in a ledger.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,80 +11,82 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 use crate::requests::{RequestLog, SeenRequest};
-use crate::server::{Answer, Server, Stopper, empty, fault, json, parse};
+use crate::server::{
+    Answer, Server, Stopper, empty_response, error_response, json_response, parse_json,
+};
 
-/// What a service stand-in starts with.
+/// The options of a service stand-in.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceOptions {
-    /// How long an operation takes to run.
+    /// The duration of an operation.
     pub delay: Duration,
-    /// How requests are treated at first.
+    /// The initial mode.
     pub mode: ServiceMode,
 }
 
-/// How requests are treated.
+/// How requests are handled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceMode {
-    /// They run and are answered.
+    /// Operations run and are answered.
     #[default]
     Ok,
-    /// They fail with 500 and do not run.
+    /// Requests fail with 500, and their operations do not run.
     FailBefore,
-    /// They run, then fail with 500.
+    /// Operations run, and their requests then fail with 500.
     FailAfter,
-    /// The connection is closed, and they do not run.
+    /// The connection is closed, and operations do not run.
     DropBefore,
-    /// They run, then the connection is closed.
+    /// Operations run, and the connection is then closed without an answer.
     DropAfter,
-    /// Like `Ok`; for setting a longer delay.
+    /// Like `Ok`. Its name documents that a longer delay is set.
     Slow,
-    /// They are refused with 503 and do not run.
+    /// Requests are refused with 503, and their operations do not run.
     Refuse,
 }
 
-/// A run of an operation, as asked for and as the ledger tells it.
+/// A run of an operation, as requested and as recorded in the ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The operation.
+    /// The name of the operation.
     pub operation: Box<str>,
-    /// The idempotency key, which this service does not heed.
+    /// The idempotency key, which this service ignores.
     pub key: Box<str>,
     /// The program that it runs for.
     pub program: Box<str>,
     /// The number of the call in the program.
     pub call: u32,
-    /// What it was given.
+    /// The input of the operation.
     pub input: serde_json::Value,
 }
 
-/// A service stand-in that runs in this process.
+/// A service stand-in that runs in this process. It stops when it is dropped.
 #[derive(Debug)]
 pub struct Service {
-    /// Its listener.
+    /// The HTTP server.
     server: Server,
-    /// What it holds.
+    /// The state, which its request handlers share.
     state: Shared,
 }
 
-/// The state as handlers share it.
+/// The state as request handlers share it.
 type Shared = Arc<Mutex<State>>;
 
-/// What a service stand-in holds.
+/// The state of a service stand-in.
 #[derive(Debug)]
 struct State {
-    /// How long an operation takes to run.
+    /// The duration of an operation.
     delay: Duration,
-    /// How requests are treated.
+    /// How requests are handled.
     mode: ServiceMode,
-    /// What ran, in order.
+    /// The ledger: all completed operations, in order.
     runs: Vec<Run>,
-    /// What it was sent.
+    /// The received API requests.
     requests: RequestLog,
 }
 
 impl Service {
-    /// Starts a service stand-in; port 0 takes any free port.
+    /// Starts a service stand-in. Port 0 selects a free port.
     pub async fn start(listen: SocketAddr, options: ServiceOptions) -> anyhow::Result<Self> {
         let state = Arc::new(Mutex::new(State {
             delay: options.delay,
@@ -103,65 +105,66 @@
         Ok(Self { server, state })
     }
 
-    /// Returns where it listens.
+    /// Returns the address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Closes the listener and all connections. Operations under way still run.
+    /// Closes the listener and all connections. Operations that have started still complete.
     pub async fn stop(&self) {
         self.server.stop().await;
     }
 
-    /// Returns when the listener is closed.
-    pub async fn closed(&self) {
-        self.server.closed().await;
+    /// Waits until the listener and all connections are closed.
+    pub async fn wait_closed(&self) {
+        self.server.wait_closed().await;
     }
 
-    /// Sets how requests are treated from now on, and how long an operation takes.
+    /// Sets how requests are handled from now on, and the duration of operations.
     pub fn set_mode(&self, mode: ServiceMode, delay: Duration) {
         let mut state = lock(&self.state);
         state.mode = mode;
         state.delay = delay;
     }
 
-    /// Returns what ran, in order.
+    /// Returns the ledger: all completed operations, in order.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.state).runs.clone()
     }
 
-    /// Returns what it was sent, oldest first.
+    /// Returns the recorded requests, oldest first.
     pub fn requests(&self) -> Vec<SeenRequest> {
         lock(&self.state).requests.to_vec()
     }
 }
 
-/// Locks the state; a handler that panicked leaves it usable for a fake.
+/// Locks the state. A lock that a panicked handler has poisoned is used as it is, which is good
+/// enough for a stand-in.
 fn lock(state: &Shared) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The ledger as answered.
+/// The response with the ledger.
 #[derive(Debug, Serialize)]
 struct Ledger<'a> {
-    /// What ran, in order.
+    /// All completed operations, in order.
     runs: &'a [Run],
 }
 
-/// A change of mode.
+/// A request to change the mode.
 #[serde_as]
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ModeSetting {
     /// The new mode.
     mode: ServiceMode,
-    /// How long an operation takes from now on; as before if left out.
+    /// The new duration of operations. If absent, it does not change.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "delay_ms", default)]
     delay: Option<Duration>,
 }
 
-/// Answers a request.
+/// Handles a request.
 async fn handle(state: Shared, req: Request<Bytes>) -> Answer {
     let path = req.uri().path();
 
@@ -170,21 +173,25 @@
     }
 
     match (req.method(), path) {
-        (&Method::POST, "/v1/run") => match parse(req.body()) {
+        (&Method::POST, "/v1/run") => match parse_json(req.body()) {
             Ok(run) => run_operation(state, run).await,
             Err(refusal) => refusal,
         },
-        (&Method::GET, "/ledger") => json(StatusCode::OK, &Ledger { runs: &lock(&state).runs }),
-        (&Method::GET, "/control/requests") => json(StatusCode::OK, &lock(&state).requests),
-        (&Method::POST, "/control/mode") => match parse(req.body()) {
+        (&Method::GET, "/ledger") => {
+            json_response(StatusCode::OK, &Ledger { runs: &lock(&state).runs })
+        }
+        (&Method::GET, "/control/requests") => {
+            json_response(StatusCode::OK, &lock(&state).requests)
+        }
+        (&Method::POST, "/control/mode") => match parse_json(req.body()) {
             Ok(setting) => change_mode(&state, &setting),
             Err(refusal) => refusal,
         },
-        _ => fault(StatusCode::NOT_FOUND, "no such call"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such call"),
     }
 }
 
-/// Makes a change of mode.
+/// Changes the mode, and the duration of operations if it is given.
 fn change_mode(state: &Shared, setting: &ModeSetting) -> Answer {
     let mut state = lock(state);
     state.mode = setting.mode;
@@ -193,63 +200,64 @@
         state.delay = delay;
     }
 
-    empty(StatusCode::NO_CONTENT)
+    empty_response(StatusCode::NO_CONTENT)
 }
 
-/// The answer to a run.
+/// The response to a successful run.
 #[derive(Debug, Serialize)]
 struct RunAnswer {
-    /// What the operation returned.
+    /// The output of the operation.
     output: RunOutput,
 }
 
-/// What an operation returns.
+/// The output of an operation.
 #[derive(Debug, Serialize)]
 struct RunOutput {
-    /// The operation.
+    /// The name of the operation.
     operation: Box<str>,
-    /// The number of the run in the ledger; the first is 1.
+    /// The number of the run in the ledger, starting at 1.
     run: usize,
 }
 
-/// The answer to a run that failed.
+/// The response to a failed run.
 #[derive(Debug, Serialize)]
 struct RunFault {
-    /// The fault, for a human reader.
+    /// A description of the error.
     error: &'static str,
     /// Whether the operation ran.
     ran: bool,
 }
 
-/// Runs an operation as the mode says, and answers.
+/// Handles a request to run an operation, according to the current mode.
 async fn run_operation(state: Shared, run: Run) -> Answer {
     let mode = lock(&state).mode;
     let failed = |ran| RunFault { error: "the operation failed", ran };
 
     match mode {
-        ServiceMode::Refuse => fault(StatusCode::SERVICE_UNAVAILABLE, "refusing"),
-        ServiceMode::FailBefore => json(StatusCode::INTERNAL_SERVER_ERROR, &failed(false)),
-        ServiceMode::DropBefore => Answer::Broken,
-        ServiceMode::Ok | ServiceMode::Slow => match run_to_end(state, run).await {
-            Some(output) => json(StatusCode::OK, &RunAnswer { output }),
-            None => Answer::Broken,
+        ServiceMode::Refuse => error_response(StatusCode::SERVICE_UNAVAILABLE, "refusing"),
+        ServiceMode::FailBefore => json_response(StatusCode::INTERNAL_SERVER_ERROR, &failed(false)),
+        ServiceMode::DropBefore => Answer::CloseConnection,
+        ServiceMode::Ok | ServiceMode::Slow => match run_to_completion(state, run).await {
+            Some(output) => json_response(StatusCode::OK, &RunAnswer { output }),
+            None => Answer::CloseConnection,
         },
         ServiceMode::FailAfter => {
-            run_to_end(state, run).await;
-            json(StatusCode::INTERNAL_SERVER_ERROR, &failed(true))
+            run_to_completion(state, run).await;
+            json_response(StatusCode::INTERNAL_SERVER_ERROR, &failed(true))
         }
         ServiceMode::DropAfter => {
-            run_to_end(state, run).await;
-            Answer::Broken
+            run_to_completion(state, run).await;
+            Answer::CloseConnection
         }
     }
 }
 
-/// Runs an operation to its end, also if the caller has gone by then.
-async fn run_to_end(state: Shared, run: Run) -> Option<RunOutput> {
+/// Runs an operation to completion, even if the caller disconnects. Returns `None` if its task
+/// failed.
+async fn run_to_completion(state: Shared, run: Run) -> Option<RunOutput> {
     let task = tokio::spawn(async move {
         let delay = lock(&state).delay;
-        // Even a sleep of nothing would take a tick of the timer, a millisecond.
+        // Even a zero sleep would wait for the next timer tick, up to a millisecond.
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
--- a/crates/standin/tests/cache.rs
+++ b/crates/standin/tests/cache.rs
@@ -1,33 +1,34 @@
-//! The prefix cache against a list that is kept in the order of use.
+//! Compares the prefix cache with a simple model: a list of programs in the order of use.
 
-use camphorwalk_standin::engine::{Cache, CacheChange, Held, tokens_of};
+use camphorwalk_standin::engine::{Cache, CacheChange, Held, count_tokens};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// What the cache may hold.
+/// The capacity of the cache in tokens.
 const CAPACITY: u64 = 12;
 
-/// A use of the cache.
+/// An operation on the cache.
 #[derive(Clone, Debug)]
-enum Step {
-    /// A request begins.
+enum Operation {
+    /// A request of a program begins, with a prompt whose parts have these lengths in tokens.
     Begin(u8, Vec<u8>),
-    /// The oldest request on the program ends, if there is one.
+    /// A request of the program ends, if one runs.
     End(u8),
-    /// The program is freed.
+    /// The program is freed, unless a request of it runs.
     Free(u8),
 }
 
-/// Draws a step.
-fn step() -> impl Strategy<Value = Step> {
+/// Generates an operation.
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        3 => (0..5u8, prop::collection::vec(1..4u8, 1..4)).prop_map(|(p, parts)| Step::Begin(p, parts)),
-        3 => (0..5u8).prop_map(Step::End),
-        1 => (0..5u8).prop_map(Step::Free),
+        3 => (0..5u8, prop::collection::vec(1..4u8, 1..4))
+            .prop_map(|(p, parts)| Operation::Begin(p, parts)),
+        3 => (0..5u8).prop_map(Operation::End),
+        1 => (0..5u8).prop_map(Operation::Free),
     ]
 }
 
-/// A program in the oracle.
+/// A program in the model.
 #[derive(Clone, Debug)]
 struct Entry {
     program: Box<str>,
@@ -35,39 +36,40 @@
     running: u32,
 }
 
-/// The oracle: the programs held, least recently used first.
-type Oracle = Vec<Entry>;
+/// The model: the programs held, least recently used first.
+type Model = Vec<Entry>;
 
-/// Returns the tokens of a prompt.
+/// Returns the number of tokens of a prompt.
 fn tokens(prompt: &[Box<str>]) -> u64 {
-    prompt.iter().map(|part| tokens_of(part)).sum()
+    prompt.iter().map(|part| count_tokens(part)).sum()
 }
 
-/// Drops what has to go.
-fn shrink(oracle: &mut Oracle) {
-    while oracle.iter().map(|entry| tokens(&entry.prompt)).sum::<u64>() > CAPACITY {
-        match oracle.iter().position(|entry| entry.running == 0) {
-            Some(oldest) => drop(oracle.remove(oldest)),
+/// Evicts idle programs from the model, least recently used first, until it fits the capacity.
+fn evict_to_capacity(model: &mut Model) {
+    while model.iter().map(|entry| tokens(&entry.prompt)).sum::<u64>() > CAPACITY {
+        match model.iter().position(|entry| entry.running == 0) {
+            Some(oldest) => drop(model.remove(oldest)),
             None => return,
         }
     }
 }
 
-/// Takes a step in both; returns the tokens that were cached, in each.
-fn take(cache: &mut Cache, oracle: &mut Oracle, step: &Step) -> (u64, u64) {
+/// Applies an operation to the cache and to the model. Returns the number of cached prompt tokens
+/// according to each.
+fn apply(cache: &mut Cache, model: &mut Model, operation: &Operation) -> (u64, u64) {
     let name = |program: &u8| -> Box<str> { format!("p{program}").into() };
 
-    match step {
-        Step::Begin(program, parts) => {
+    match operation {
+        Operation::Begin(program, parts) => {
             let program = name(program);
             let prompt: Vec<Box<str>> =
                 parts.iter().map(|part| "x".repeat(usize::from(*part) * 4).into()).collect();
-            let at = oracle.iter().position(|entry| entry.program == program);
-            let old = at.map(|at| oracle.remove(at));
+            let at = model.iter().position(|entry| entry.program == program);
+            let old = at.map(|at| model.remove(at));
             let (before, running) = old.map_or((vec![], 0), |old| (old.prompt, old.running));
             let same = before.iter().zip(&prompt).take_while(|(a, b)| a == b).count();
             let expected = tokens(&prompt[..same]);
-            oracle.push(Entry {
+            model.push(Entry {
                 program: program.clone(),
                 prompt: prompt.clone(),
                 running: running + 1,
@@ -75,9 +77,9 @@
 
             (cache.begin(&program, &prompt).0, expected)
         }
-        Step::End(program) => {
+        Operation::End(program) => {
             let program = name(program);
-            let entry = oracle.iter_mut().find(|e| e.program == program && e.running > 0);
+            let entry = model.iter_mut().find(|e| e.program == program && e.running > 0);
 
             if let Some(entry) = entry {
                 entry.running -= 1;
@@ -86,9 +88,9 @@
 
             (0, 0)
         }
-        Step::Free(program) => {
+        Operation::Free(program) => {
             let program = name(program);
-            oracle.retain(|entry| entry.program != program || entry.running > 0);
+            model.retain(|entry| entry.program != program || entry.running > 0);
             cache.free(&program);
 
             (0, 0)
@@ -96,11 +98,11 @@
     }
 }
 
-/// Returns what the oracle holds, by program.
-fn held(oracle: &Oracle) -> Vec<Held> {
+/// Returns the prefixes that the model holds, sorted by program.
+fn held(model: &Model) -> Vec<Held> {
     let entry =
         |entry: &Entry| Held { program: entry.program.clone(), tokens: tokens(&entry.prompt) };
-    let mut held: Vec<_> = oracle.iter().map(entry).collect();
+    let mut held: Vec<_> = model.iter().map(entry).collect();
     held.sort_by(|a, b| a.program.cmp(&b.program));
 
     held
@@ -112,17 +114,17 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
 
-    let outcome = runner.run(&prop::collection::vec(step(), 1..40), |steps| {
+    let outcome = runner.run(&prop::collection::vec(operation(), 1..40), |operations| {
         let mut cache = Cache::new(CAPACITY);
-        let mut oracle = Oracle::new();
+        let mut model = Model::new();
 
-        for step in &steps {
-            let (cached, expected) = take(&mut cache, &mut oracle, step);
-            shrink(&mut oracle);
+        for operation in &operations {
+            let (cached, expected) = apply(&mut cache, &mut model, operation);
+            evict_to_capacity(&mut model);
 
             prop_assert_eq!(cached, expected);
-            prop_assert_eq!(cache.held(), held(&oracle));
-            prop_assert_eq!(cache.tokens(), held(&oracle).iter().map(|h| h.tokens).sum::<u64>());
+            prop_assert_eq!(cache.held(), held(&model));
+            prop_assert_eq!(cache.tokens(), held(&model).iter().map(|h| h.tokens).sum::<u64>());
         }
 
         Ok(())
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: batching, cancelling, its cache, and what it tells late.
+//! The engine stand-in: batching, cancellation, its cache, and its delayed events and load.
 
 mod support;
 
@@ -9,13 +9,13 @@
 use serde_json::{Value, json};
 use tokio::task::JoinHandle;
 
-use support::{any_port, get, post, send, until};
+use support::{any_port, get, post, send, wait_until};
 
-/// Longer than any test.
+/// A duration that no test lasts.
 const FOREVER: Duration = Duration::from_secs(3600);
 
-/// Options without any delay.
-fn quick() -> EngineOptions {
+/// Returns options without delays and lost events.
+fn without_delays() -> EngineOptions {
     EngineOptions {
         token_interval: Duration::ZERO,
         prefill_tokens_per_second: 0,
@@ -26,24 +26,24 @@
     }
 }
 
-/// Starts an engine.
+/// Starts an engine stand-in.
 async fn engine(options: EngineOptions) -> Engine {
     Engine::start(any_port(), options).await.unwrap()
 }
 
-/// A request to generate four tokens at most.
+/// Returns a request to generate at most four tokens.
 fn generate(attempt: &str, program: &str, prompt: &[&str]) -> Value {
     json!({"attempt": attempt, "program": program, "prompt": prompt, "max_tokens": 4})
 }
 
-/// Sends a request to generate and leaves it running.
+/// Sends a request to generate in a background task. The attempt id is also the program's name.
 fn spawn(engine: &Engine, attempt: &str) -> JoinHandle<(StatusCode, Value)> {
     let (address, body) = (engine.address(), generate(attempt, attempt, &["measure"]));
 
     tokio::spawn(async move { post(address, "/v1/generate", body).await })
 }
 
-/// Returns the running and the waiting requests.
+/// Returns the numbers of running and waiting requests.
 fn load(engine: &Engine) -> (u32, u32) {
     let load = engine.load();
 
@@ -52,7 +52,7 @@
 
 #[tokio::test]
 async fn a_stream_gives_the_tokens_of_the_whole_answer() {
-    let engine = engine(quick()).await;
+    let engine = engine(without_delays()).await;
     let address = engine.address();
     let mut request = generate("a1", "p1", &["one", "two"]);
 
@@ -75,15 +75,16 @@
 
 #[tokio::test]
 async fn more_requests_than_the_batch_wait() {
-    let engine = engine(EngineOptions { batch: 1, token_interval: FOREVER, ..quick() }).await;
+    let engine =
+        engine(EngineOptions { batch: 1, token_interval: FOREVER, ..without_delays() }).await;
     let address = engine.address();
 
     let first = spawn(&engine, "a1");
-    until(|| load(&engine) == (1, 0)).await;
+    wait_until(|| load(&engine) == (1, 0)).await;
     let second = spawn(&engine, "a2");
-    until(|| load(&engine) == (1, 1)).await;
+    wait_until(|| load(&engine) == (1, 1)).await;
     let cancelled = post(address, "/v1/cancel", json!({"attempt": "a1"})).await;
-    until(|| load(&engine) == (1, 0)).await;
+    wait_until(|| load(&engine) == (1, 0)).await;
     let again = post(address, "/v1/cancel", json!({"attempt": "a1"})).await;
 
     assert_eq!(cancelled.1, json!({"cancelled": true}));
@@ -92,26 +93,27 @@
     assert!(!second.is_finished());
 }
 
-/// The caller closes its connection, once while its request runs and once while it waits.
-/// The engine gives both places free at once.
+/// One caller closes its connection while its request waits, and another while its request runs.
+/// The engine must drop both, so that abandoned requests do not occupy the batch.
 #[tokio::test]
 async fn closing_the_connection_cancels() {
-    let engine = engine(EngineOptions { batch: 1, token_interval: FOREVER, ..quick() }).await;
+    let engine =
+        engine(EngineOptions { batch: 1, token_interval: FOREVER, ..without_delays() }).await;
     let running = spawn(&engine, "a1");
-    until(|| load(&engine) == (1, 0)).await;
+    wait_until(|| load(&engine) == (1, 0)).await;
     let waiting = spawn(&engine, "a2");
-    until(|| load(&engine) == (1, 1)).await;
+    wait_until(|| load(&engine) == (1, 1)).await;
 
     waiting.abort();
-    until(|| load(&engine) == (1, 0)).await;
+    wait_until(|| load(&engine) == (1, 0)).await;
     running.abort();
 
-    until(|| load(&engine) == (0, 0)).await;
+    wait_until(|| load(&engine) == (0, 0)).await;
 }
 
 #[tokio::test]
 async fn load_and_events_come_late() {
-    let late = EngineOptions { load_lag: FOREVER, event_delay: FOREVER, ..quick() };
+    let late = EngineOptions { load_lag: FOREVER, event_delay: FOREVER, ..without_delays() };
     let engine = engine(late).await;
     let address = engine.address();
 
@@ -125,7 +127,7 @@
 
 #[tokio::test]
 async fn lost_events_leave_gaps_in_the_numbers() {
-    let engine = engine(EngineOptions { event_loss: 2, ..quick() }).await;
+    let engine = engine(EngineOptions { event_loss: 2, ..without_delays() }).await;
     let address = engine.address();
 
     for program in ["p1", "p2", "p3", "p4", "p5"] {
@@ -139,8 +141,8 @@
 
 #[tokio::test]
 async fn an_order_with_an_old_fence_is_refused_by_those_that_check() {
-    let checks = engine(quick()).await;
-    let ignores = engine(EngineOptions { checks_fencing: false, ..quick() }).await;
+    let checks = engine(without_delays()).await;
+    let ignores = engine(EngineOptions { checks_fencing: false, ..without_delays() }).await;
     let load = |fence| json!({"order": "load", "model": "m", "fence": fence});
     let mut seen = Vec::new();
 
@@ -154,15 +156,15 @@
 
 #[tokio::test]
 async fn a_program_is_freed_once_no_request_runs_on_it() {
-    let engine = engine(EngineOptions { token_interval: FOREVER, ..quick() }).await;
+    let engine = engine(EngineOptions { token_interval: FOREVER, ..without_delays() }).await;
     let address = engine.address();
     let free = json!({"order": "free", "program": "a1", "fence": 1});
     let _running = spawn(&engine, "a1");
-    until(|| !engine.held().is_empty()).await;
+    wait_until(|| !engine.held().is_empty()).await;
 
     let busy = post(address, "/v1/orders", free.clone()).await;
     post(address, "/v1/cancel", json!({"attempt": "a1"})).await;
-    until(|| load(&engine) == (0, 0)).await;
+    wait_until(|| load(&engine) == (0, 0)).await;
     let idle = post(address, "/v1/orders", free).await;
 
     assert_eq!(busy.1, json!({"done": false}));
@@ -170,21 +172,20 @@
     assert!(engine.held().is_empty());
 }
 
-/// One request brings the engine down when it runs. Its own connection and those of all
-/// others break without an answer, and nobody listens any more; a new engine at the same
-/// address starts with an empty cache.
+/// A request crashes the engine. All connections must close without an answer, and new connections
+/// must be refused. A new engine at the same address must start with an empty cache.
 #[tokio::test]
 async fn a_crash_takes_all_connections_with_it() {
-    let mark = EngineOptions { crash_mark: Some("boom".into()), ..quick() };
+    let mark = EngineOptions { crash_mark: Some("boom".into()), ..without_delays() };
     let slow = EngineOptions { token_interval: FOREVER, ..mark.clone() };
     let engine = engine(slow).await;
     let address = engine.address();
     let other = spawn(&engine, "a1");
-    until(|| load(&engine) == (1, 0)).await;
+    wait_until(|| load(&engine) == (1, 0)).await;
 
     let body = generate("a2", "p2", &["a boom b"]).to_string();
     let crashed = send(address, Method::POST, "/v1/generate", body.clone()).await;
-    engine.closed().await;
+    engine.wait_closed().await;
     let refused = send(address, Method::POST, "/v1/generate", body).await;
     let restarted = Engine::start(address, mark).await.unwrap();
 
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in, call by call as `docs/STANDINS.md` has them.
+//! The HTTP API of the platform stand-in, as described in `docs/STANDINS.md`.
 
 mod support;
 
@@ -9,17 +9,17 @@
 
 use support::{any_port, get, post, send};
 
-/// Starts a platform.
+/// Starts a platform stand-in.
 async fn platform() -> Platform {
     Platform::start(any_port(), PlatformOptions::default()).await.unwrap()
 }
 
-/// The key of a row.
+/// Returns the key of a row in the test table.
 fn key(name: &str) -> Value {
     json!({"table": "t", "key": name})
 }
 
-/// A transaction that writes a row that must have this version.
+/// Returns a transaction that writes a row if the row has this version. A null value deletes it.
 fn tx(name: &str, version: u64, value: Value) -> Value {
     json!({
         "checks": [{"key": key(name), "version": version}],
--- a/crates/standin/tests/processes.rs
+++ b/crates/standin/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes of their own.
+//! Stand-ins that run in their own processes.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 use support::{get, send};
 
-/// Starts a stand-in; returns it with the address that it prints.
+/// Starts a stand-in. Returns its process and the address that it prints when it is ready.
 fn start(arguments: &[&str]) -> (Child, SocketAddr) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_camphorwalk-standin"))
         .args(arguments)
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! The service stand-in: what ran is in the ledger, and nothing else is.
+//! The service stand-in: its ledger must contain exactly the operations that ran.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use support::{any_port, get, post, send, until};
+use support::{any_port, get, post, send, wait_until};
 
-/// Starts a service in this mode.
+/// Starts a service stand-in in this mode.
 async fn service(mode: ServiceMode) -> Service {
     Service::start(any_port(), ServiceOptions { mode, ..Default::default() }).await.unwrap()
 }
 
-/// A deposit.
+/// Returns a request to run a deposit.
 fn deposit() -> Value {
     json!({"operation": "deposit", "key": "k1", "program": "p1", "call": 2, "input": {"gbp": 50}})
 }
@@ -50,8 +50,8 @@
     assert_eq!(seen, [(Some(503), 0), (Some(500), 0), (None, 0), (Some(500), 1), (None, 2)]);
 }
 
-/// The caller gives up while the operation runs and closes its connection. The operation
-/// still comes to its end, and the ledger tells so.
+/// The caller closes its connection while the operation runs. The operation must still complete and
+/// appear in the ledger, as in a real service that does not notice the disconnect.
 #[tokio::test]
 async fn an_operation_that_nobody_waits_for_still_runs() {
     let service = service(ServiceMode::Ok).await;
@@ -60,10 +60,10 @@
     let body = deposit().to_string();
 
     let call = tokio::spawn(async move { send(address, Method::POST, "/v1/run", body).await });
-    until(|| !service.requests().is_empty()).await;
+    wait_until(|| !service.requests().is_empty()).await;
     call.abort();
 
-    until(|| service.runs().len() == 1).await;
+    wait_until(|| service.runs().len() == 1).await;
 }
 
 #[tokio::test]
--- a/crates/standin/tests/support/mod.rs
+++ b/crates/standin/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the tests of the stand-ins.
+//! A small HTTP client and other helpers for the tests of the stand-ins.
 
 #![allow(dead_code)]
 
@@ -12,12 +12,12 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::Value;
 
-/// Any free port.
+/// Returns a loopback address whose port 0 selects a free port.
 pub fn any_port() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
-/// Sends a request; returns the status and the body, or none if there was no whole answer.
+/// Sends a request. Returns the status and the body, or `None` if there was no complete response.
 pub async fn send(
     address: SocketAddr,
     method: Method,
@@ -39,23 +39,24 @@
     Some((status, body.to_bytes()))
 }
 
-/// Posts JSON; returns the status and the JSON answer, null if it is empty.
+/// Sends a POST request with a JSON body. Returns the status and the JSON response, or null if the
+/// response is not JSON.
 pub async fn post(address: SocketAddr, path: &str, body: Value) -> (StatusCode, Value) {
     let (status, body) = send(address, Method::POST, path, body.to_string()).await.unwrap();
 
     (status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
-/// Gets JSON.
+/// Sends a GET request and returns the JSON response.
 pub async fn get(address: SocketAddr, path: &str) -> Value {
     let (_, body) = send(address, Method::GET, path, "").await.unwrap();
 
     serde_json::from_slice(&body).unwrap()
 }
 
-/// Waits until a condition holds.
-pub async fn until(mut holds: impl FnMut() -> bool) {
-    while !holds() {
+/// Polls a condition until it holds, without a time limit.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
