--- a/crates/camphorwalk/tests/soak/fleet.rs
+++ b/crates/camphorwalk/tests/soak/fleet.rs
@@ -192,8 +192,8 @@
         host.process = Some(child);
     }
 
-    /// Waits until all hosts are ready and have exchanged status updates. A host that ends in the
-    /// meantime, because it was asked to shut down, is started again.
+    /// Waits until all hosts are ready, and then for some time in which they exchange status updates.
+    /// A host that ends in the meantime, because it was asked to shut down, is started again.
     pub async fn wait_ready(&mut self) {
         let ready = async {
             while !self.all_ready().await {
@@ -203,7 +203,7 @@
         };
         tokio::time::timeout(TEST_TIMEOUT, ready).await.expect("all hosts are ready again");
 
-        // Wait until each host has received status updates from all others.
+        // Give each host time to receive status updates from all others.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
     }
 
--- a/crates/camphorwalk/tests/soak/ledger.rs
+++ b/crates/camphorwalk/tests/soak/ledger.rs
@@ -33,7 +33,7 @@
     pub failed: usize,
 }
 
-/// The number of tokens that a target reports for each event.
+/// The number of tokens that each event counts for.
 pub const TOKENS_PER_EVENT: u64 = 10;
 
 /// The token budget that callers declare for a program.
--- a/crates/camphorwalk/tests/support/mod.rs
+++ b/crates/camphorwalk/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet of separate processes on loopback, for tests of `camphorwalkd` and `camphorwalk`.
 
-#![allow(dead_code, reason = "each test file uses only some of the fixtures")]
+#![allow(dead_code, reason = "each test file uses a part of the fixtures")]
 
 use std::io::{BufRead as _, BufReader};
 use std::net::SocketAddr;
