--- a/crates/camphorwalk/src/measure/control.rs
+++ b/crates/camphorwalk/src/measure/control.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::calls::{CallRequest, Reply, Request};
 use camphorwalk_core::ids::{ProgramId, RequestId};
-use camphorwalk_policy::scheduler::Times;
+use camphorwalk_policy::scheduler::SchedulerTimes;
 use serde::Serialize;
 
 use super::driver::{Counts, Driver};
--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -12,11 +12,11 @@
 use camphorwalk_core::platform::{HostListing, ObjectName, PlatformOp, PlatformReply, Write};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::{ConfigVersion, Tokens};
-use camphorwalk_policy::configs::OperatorId;
+use camphorwalk_policy::configs::OperatorRequestId;
 use camphorwalk_policy::scheduler::{
-    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
+    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, SchedulerTimes,
 };
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 use camphorwalk_standin::Store;
 use prost::Message as _;
 
@@ -150,7 +150,7 @@
     /// percent.
     pub fn alive_percent(&self) -> f64 {
         let pairs = self.hosts.len() * (self.hosts.len() - 1);
-        let alive: usize = self.hosts.iter().map(|host| host.board().alive.len()).sum();
+        let alive: usize = self.hosts.iter().map(|host| host.state().live_hosts.len()).sum();
 
         if pairs == 0 { 100.0 } else { alive as f64 / pairs as f64 * 100.0 }
     }
@@ -253,14 +253,14 @@
                 );
             }
             Action::Cancel(_)
-            | Action::Address { .. }
-            | Action::Free(_)
-            | Action::FreeAt { .. }
-            | Action::Watch(_)
+            | Action::SetPeerAddress { .. }
+            | Action::FreeProgram(_)
+            | Action::FreeProgramAt { .. }
+            | Action::WatchEngines(_)
             | Action::Adopted(_)
             | Action::KeyWithdrawn(_)
             | Action::OperatorAnswer { .. }
-            | Action::Left => {}
+            | Action::ShutdownReady => {}
         }
     }
 
@@ -283,7 +283,7 @@
     }
 }
 
-fn options(listing: &HostListing, times: Times) -> SchedulerOptions {
+fn options(listing: &HostListing, times: SchedulerTimes) -> SchedulerOptions {
     SchedulerOptions {
         host: listing.name.clone(),
         zone: listing.zone.clone(),
--- /dev/null
+++ b/crates/entry/src/log_sampler.rs
@@ -0,0 +1,77 @@
+//! Samples the log lines of calls when there are too many to log all.
+
+use std::cell::Cell;
+use std::time::Duration;
+
+use camphorwalk_core::hash::stable_hash;
+use camphorwalk_core::time::Instant;
+
+use crate::clock;
+
+/// The maximum number of lines a second about successful calls. A line costs about as much as
+/// sending a small message. At this rate logging stays below a hundredth of a host's work at its
+/// usual load.
+const MAX_LINES: u32 = 150;
+
+/// The interval over which lines are counted.
+const PERIOD: Duration = Duration::from_secs(1);
+
+/// The highest sampling level: one call in two to the power of the level is logged.
+const MAX_LEVEL: u32 = 10;
+
+/// Samples whole calls: either all lines of a call are logged or none. Failures are always logged.
+/// All hosts select the same calls at the same level.
+pub(crate) struct LogSampler {
+    /// One call in two to the power of this is logged.
+    level: Cell<u32>,
+    period_began: Cell<Instant>,
+    lines: Cell<u32>,
+    skipped: Cell<u64>,
+}
+
+impl LogSampler {
+    /// Creates a sampler that selects all calls.
+    pub(crate) fn new() -> Self {
+        Self {
+            level: Cell::new(0),
+            period_began: Cell::new(clock::now()),
+            lines: Cell::new(0),
+            skipped: Cell::new(0),
+        }
+    }
+
+    /// Returns whether the lines of a call are logged.
+    pub(crate) fn selects(&self, request_id: &str) -> bool {
+        self.end_period();
+        let mask = (1u64 << self.level.get()) - 1;
+        let is_selected = stable_hash(&[request_id.as_bytes()]) & mask == 0;
+
+        match is_selected {
+            true => self.lines.set(self.lines.get() + 1),
+            false => self.skipped.set(self.skipped.get() + 1),
+        }
+        is_selected
+    }
+
+    fn end_period(&self) {
+        let now = clock::now();
+        if now.since(self.period_began.get()) < PERIOD {
+            return;
+        }
+
+        let lines = self.lines.replace(0);
+        let level = self.level.get();
+        let next = match lines {
+            lines if lines > MAX_LINES => (level + 1).min(MAX_LEVEL),
+            lines if lines < MAX_LINES / 4 => level.saturating_sub(1),
+            _ => level,
+        };
+        self.period_began.set(now);
+        self.level.set(next);
+
+        if next != level {
+            let one_in = 1u64 << next;
+            tracing::info!(one_in, passed_over = self.skipped.get(), "log: calls sampled");
+        }
+    }
+}
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use camphorwalk_policy::scheduler::Times;
+use camphorwalk_policy::scheduler::SchedulerTimes;
 
 use self::reader::Reader;
 use crate::errors::{Error, Result, unreadable};
@@ -29,13 +29,13 @@
     /// Its availability zone's name, as declared in `fleet.json`.
     pub zone: Box<str>,
     /// Where callers reach it.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// Where operators reach it.
-    pub operators: SocketAddr,
+    pub operators_address: SocketAddr,
     /// The file with the operators' key.
     pub operator_key_file: PathBuf,
     /// Where other hosts reach it.
-    pub peers: SocketAddr,
+    pub peers_address: SocketAddr,
     /// The file with the fleet's secret: 64 hexadecimal digits.
     pub fleet_secret_file: PathBuf,
     /// The platform.
@@ -43,7 +43,7 @@
     /// What it takes on at most.
     pub limits: Limits,
     /// The times it works with.
-    pub times: Times,
+    pub times: SchedulerTimes,
     /// How long a host that is leaving goes on taking requests, so that the balancer in
     /// front has heard of it.
     pub drain_delay: Duration,
@@ -59,7 +59,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// How long one try may take.
-    pub deadline: Duration,
+    pub request_timeout: Duration,
     /// This host's share of the platform's reads a second.
     pub reads_per_second: f64,
     /// This host's share of the platform's writes a second.
@@ -172,10 +172,10 @@
     Some(Settings {
         name: name?,
         zone: zone?,
-        callers: callers?,
-        operators: operators?,
+        callers_address: callers?,
+        operators_address: operators?,
         operator_key_file: PathBuf::from(&*operator_key_file?),
-        peers: peers?,
+        peers_address: peers?,
         fleet_secret_file: PathBuf::from(&*fleet_secret_file?),
         platform: platform??,
         limits: limits?,
@@ -188,11 +188,16 @@
 
 fn read_platform(r: &mut Reader<'_>) -> Option<PlatformSettings> {
     let address = r.address("address");
-    let deadline = r.duration_or("deadline", Duration::from_secs(1));
+    let request_timeout = r.duration_or("deadline", Duration::from_secs(1));
     let reads_per_second = r.rate_or("reads_per_second", 100.0);
     let writes_per_second = r.rate_or("writes_per_second", 40.0);
 
-    Some(PlatformSettings { address: address?, deadline, reads_per_second, writes_per_second })
+    Some(PlatformSettings {
+        address: address?,
+        request_timeout,
+        reads_per_second,
+        writes_per_second,
+    })
 }
 
 /// What of a host's share of writes is left to the journal; the rest renews and publishes.
@@ -202,7 +207,7 @@
 ///
 /// It would then be refused what it needs to answer, and callers would be told that the
 /// platform is away while it is well.
-fn check_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &Times) {
+fn check_share(r: &mut Reader<'_>, platform: &PlatformSettings, times: &SchedulerTimes) {
     let writes = 1.0 / times.commit_interval.as_secs_f64();
 
     if writes > platform.writes_per_second * JOURNAL_SHARE {
@@ -221,10 +226,10 @@
     }
 }
 
-fn read_times(r: &mut Reader<'_>) -> Times {
-    let default = Times::default();
+fn read_times(r: &mut Reader<'_>) -> SchedulerTimes {
+    let default = SchedulerTimes::default();
 
-    Times {
+    SchedulerTimes {
         session_lifetime: r.duration_or("session_lifetime", default.session_lifetime),
         session_renewal: r.duration_or("session_renewal", default.session_renewal),
         lease_poll: r.duration_or("lease_poll", default.lease_poll),
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -3,15 +3,15 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Reply};
-use camphorwalk_core::ids::{PartitionId, ProgramId, TenantId, Ticket};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Reply};
+use camphorwalk_core::ids::{PartitionId, ProgramId, RequestOrigin, TenantId};
 
 use super::entries::Entry;
 use super::journal::Waiter;
 use super::state::{Kind, ProgramKey, ProgramState, Stage};
 use super::timers::Timer;
-use super::{Cx, ProgramNext, Programs, answers};
-use crate::wire::CallId;
+use super::{Cx, ProgramAction, Programs, answers};
+use crate::shared_types::CallId;
 
 /// How long an ended program is remembered, for repeats. After that it looks like none.
 pub(super) const REMEMBERED: Duration = Duration::from_secs(60);
@@ -21,7 +21,7 @@
     pub(super) fn end(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         program: ProgramId,
     ) {
@@ -70,7 +70,7 @@
             self.stop_call(cx, call, reason);
         }
 
-        cx.out.push(ProgramNext::Over { program: id });
+        cx.out.push(ProgramAction::ProgramEnded { program: id });
         self.append(key, Entry::Ended { program: id }, Waiter::End(key));
     }
 
@@ -81,7 +81,7 @@
         }
 
         // It was sent. What must not be repeated runs on and is recorded.
-        let reason = reason.clone().ran(Ran::Maybe);
+        let reason = reason.clone().ran(Executed::Maybe);
         self.answer_callers(cx, id, &reason);
         self.cancel_unwanted(cx, id);
     }
@@ -91,7 +91,7 @@
         let call = &self.calls[id];
 
         if let (Kind::Turn { .. }, Some(attempt)) = (&call.kind, call.attempt) {
-            cx.out.push(ProgramNext::Cancel { attempt });
+            cx.out.push(ProgramAction::Cancel { attempt });
         }
     }
 
@@ -116,7 +116,7 @@
                 Code::PlatformUnavailable,
                 "the program is over here, but the platform has no record of it yet",
             );
-            self.refuse(cx, ticket, refusal.ran(Ran::Maybe).retry_after(after));
+            self.refuse(cx, ticket, refusal.ran(Executed::Maybe).retry_after(after));
         }
     }
 
@@ -125,7 +125,7 @@
         let Some(program) = self.programs.get(key) else { return };
 
         if program.state == ProgramState::Open && cx.now >= program.deadline {
-            return self.end_family(cx, key, &answers::deadline(Ran::No));
+            return self.end_family(cx, key, &answers::deadline(Executed::No));
         }
 
         let Some(forget_at) = program.forget_at.filter(|_| program.state == ProgramState::Ended)
@@ -229,7 +229,7 @@
 
         // The entry may have become durable.
         for ticket in waiting {
-            self.refuse(cx, ticket, answers::leaving().ran(Ran::Maybe));
+            self.refuse(cx, ticket, answers::leaving().ran(Executed::Maybe));
         }
 
         match running {
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -1,10 +1,10 @@
 //! The budget of a family of programs.
 
-use camphorwalk_core::calls::{CallRequest, Code, Ran, Refusal, Reply, Request, Usage};
+use camphorwalk_core::calls::{CallRequest, Code, Executed, Refusal, Reply, Request, Usage};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{
     BUDGET, Home, Mode, PARTITION, PROGRAM, Platform, call, call_request, lost, open_child,
@@ -21,14 +21,14 @@
 }
 
 /// Returns the end of a turn that took this many tokens.
-fn took(prompt: u64, output: u64) -> AttemptEnd {
+fn took(prompt: u64, output: u64) -> AttemptOutcome {
     let usage = Usage {
         prompt_tokens: Tokens(prompt),
         cached_tokens: Tokens(0),
         output_tokens: Tokens(output),
     };
 
-    AttemptEnd::Done { output: "\"text\"".into(), usage }
+    AttemptOutcome::Done { output: "\"text\"".into(), usage }
 }
 
 #[test]
@@ -72,7 +72,7 @@
 
     let (refusal, _, spent) = turns_until_refused(&mut home, platform);
 
-    assert_eq!((refusal.code, refusal.ran), (Code::BudgetExhausted, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::BudgetExhausted, Executed::No));
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - spent);
 }
 
@@ -83,7 +83,7 @@
     let mut home = Home::with_program(platform, 1);
 
     home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    home.finish(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - 102);
 }
@@ -129,7 +129,7 @@
 
     let (refusal, ran, spent) = turns_until_refused(&mut home, platform);
 
-    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Executed::No));
     assert_eq!(ran, 2);
     assert!(spent <= BUDGET / 8);
 }
@@ -172,7 +172,7 @@
     old.finish(platform, took(3, 20));
 
     platform.mode = Mode::Hang;
-    old.event(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.event(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
     old.pass(platform, 100);
     let busy = old.programs.busy_partitions().len();
     platform.mode = Mode::Up;
@@ -195,7 +195,7 @@
     let mut old = Home::with_program(platform, 1);
     old.ask(platform, call("model", "k1", 0));
 
-    old.event(platform, ProgramEvent::Settle { partition: PARTITION });
+    old.event(platform, ProgramEvent::ReleaseGrants { partition: PARTITION });
     old.pass(platform, 100);
     let mut new = Home::new(platform, 2);
 
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -1,9 +1,9 @@
 //! Callers that are gone, and keys that are withdrawn.
 
-use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
+use camphorwalk_core::calls::{CallOutcome, Code, Executed, Reply, Request};
 use camphorwalk_core::ids::KeyId;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{Home, PROGRAM, Platform, call, done};
 
@@ -16,7 +16,7 @@
 
     home.event(platform, ProgramEvent::CallerGone { ticket });
     let cancelled = home.cancelled;
-    home.finish(platform, AttemptEnd::Cancelled);
+    home.finish(platform, AttemptOutcome::Cancelled);
     let next = home.run(platform, call("model", "k2", 0), "\"text\"");
 
     assert_eq!(cancelled, 1);
@@ -48,15 +48,15 @@
     let running = home.ask_as(platform, ("inkwick", 5), call("model", "k1", 0));
 
     home.event(platform, ProgramEvent::KeyWithdrawn(KeyId(5)));
-    home.finish(platform, AttemptEnd::Cancelled);
+    home.finish(platform, AttemptOutcome::Cancelled);
     home.hold_places = true;
     let waiting = home.ask_as(platform, ("inkwick", 6), call("model", "k2", 0));
     home.event(platform, ProgramEvent::KeyWithdrawn(KeyId(6)));
 
     assert_eq!(home.cancelled, 1);
     let (running, waiting) = (home.refusal(running), home.refusal(waiting));
-    assert_eq!((running.code, running.ran), (Code::Unauthorized, Ran::Maybe));
-    assert_eq!((waiting.code, waiting.ran), (Code::Unauthorized, Ran::No));
+    assert_eq!((running.code, running.ran), (Code::Unauthorized, Executed::Maybe));
+    assert_eq!((waiting.code, waiting.ran), (Code::Unauthorized, Executed::No));
 }
 
 /// The caller of a withdrawn key is told at once; its deposit runs on and is recorded. One
@@ -72,6 +72,6 @@
     let refusal = home.refusal(first);
     home.finish(platform, done("\"paid\""));
 
-    assert_eq!((refusal.code, refusal.ran), (Code::Unauthorized, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::Unauthorized, Executed::Maybe));
     assert_eq!(home.called(joined).call, 1);
 }
