--- a/crates/camphorwalk/src/bin/camphorwalkd.rs
+++ b/crates/camphorwalk/src/bin/camphorwalkd.rs
@@ -92,7 +92,7 @@
     tokio::select! {
         _ = terminate.recv() => tracing::info!("host: received SIGTERM, shutting down"),
         _ = interrupt.recv() => tracing::info!("host: received SIGINT, shutting down"),
-        () = host.reached(camphorwalk::node::host::Phase::Leaving) => {
+        () = host.wait_for_phase(camphorwalk::node::host::Phase::Leaving) => {
             tracing::info!("host: drained by an operator, shutting down");
         }
     }
--- a/crates/camphorwalk/src/measure/control.rs
+++ b/crates/camphorwalk/src/measure/control.rs
@@ -108,10 +108,10 @@
 }
 
 /// Returns the default times with the periods of renewals, polls and gossip multiplied.
-fn stretched_times(factor: u32) -> Times {
-    let times = Times::default();
+fn stretched_times(factor: u32) -> SchedulerTimes {
+    let times = SchedulerTimes::default();
 
-    Times {
+    SchedulerTimes {
         session_lifetime: times.session_lifetime * factor,
         session_renewal: times.session_renewal * factor,
         lease_poll: times.lease_poll * factor,
--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -73,7 +73,7 @@
 
 impl Driver {
     /// Starts hosts, publishes a configuration and simulates until all hosts have it in force.
-    pub fn start(hosts: usize, times: Times, config: &Config) -> Self {
+    pub fn start(hosts: usize, times: SchedulerTimes, config: &Config) -> Self {
         let listings: Vec<_> = (0..hosts).map(listing).collect();
         let mut driver = Self {
             hosts: listings.iter().map(|l| Scheduler::new(options(l, times))).collect(),
@@ -94,11 +94,15 @@
         };
 
         for host in 0..hosts {
-            driver.schedule(Duration::ZERO, host, Event::Hosts(listings.clone()));
+            driver.schedule(Duration::ZERO, host, Event::HostList(listings.clone()));
         }
         let request =
             OperatorRequest::Publish { base: ConfigVersion(0), config: Box::new(config.clone()) };
-        driver.schedule(Duration::ZERO, 0, Event::Operator { ask: OperatorId(0), request });
+        driver.schedule(
+            Duration::ZERO,
+            0,
+            Event::Operator { request_id: OperatorRequestId(0), request },
+        );
         while !driver.hosts.iter().all(Scheduler::is_ready) {
             driver.run(Duration::from_millis(100));
         }
@@ -245,11 +249,12 @@
             }
             Action::Dispatch(dispatch) => {
                 let usage = Usage { output_tokens: Tokens(8), ..Usage::default() };
-                let end = AttemptEnd::Done { output: "\"some words of an answer\"".into(), usage };
+                let outcome =
+                    AttemptOutcome::Done { output: "\"some words of an answer\"".into(), usage };
                 self.schedule(
                     TARGET_LATENCY,
                     host,
-                    Event::Ended { attempt: dispatch.attempt, end },
+                    Event::AttemptEnded { attempt: dispatch.attempt, outcome },
                 );
             }
             Action::Cancel(_)
--- a/crates/camphorwalk/src/measure/memory.rs
+++ b/crates/camphorwalk/src/measure/memory.rs
@@ -31,7 +31,7 @@
 ///
 /// The simulated platform discards journals and objects, so the growth is the memory of the host.
 pub fn measure(programs: usize, calls: u32, input_bytes: usize) -> MemoryReport {
-    let mut driver = Driver::start(1, Times::default(), &fleet_config::config(1, 64));
+    let mut driver = Driver::start(1, SchedulerTimes::default(), &fleet_config::config(1, 64));
     driver.run(Duration::from_secs(5));
     driver.discard_journals();
     let before = resident_bytes();
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -126,8 +126,8 @@
 
     /// Stores an object without checking that its name is the hash of its content. Simulates a
     /// faulty store.
-    pub fn corrupt_object(&self, name: ObjectName, content: impl Into<Bytes>) {
-        lock(&self.state).store.corrupt_object(name, content.into());
+    pub fn put_corrupt_object(&self, name: ObjectName, content: impl Into<Bytes>) {
+        lock(&self.state).store.put_corrupt_object(name, content.into());
     }
 }
 
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -123,7 +123,7 @@
     }
 
     /// Stores an object without checking its name, as a faulty store might.
-    pub fn corrupt_object(&mut self, name: ObjectName, content: Bytes) {
+    pub fn put_corrupt_object(&mut self, name: ObjectName, content: Bytes) {
         self.objects.insert(name, content);
     }
 
