--- a/crates/camphorwalk/src/commands/check.rs
+++ b/crates/camphorwalk/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `camphorwalk check`.
+//! `camphorwalk check`: validates a folder of declarations.
 
 use std::path::PathBuf;
 
@@ -28,7 +28,7 @@
 }
 
 impl Check {
-    /// Runs the command.
+    /// Runs the command and returns its exit code.
     pub fn run(&self) -> Exit {
         let faults = match load(&self.dir) {
             Ok(_) => Vec::new(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Prints faults, one a line or as JSON.
+/// Prints faults, one per line or as a JSON object.
 pub(crate) fn print_faults(faults: &[Fault], json: bool) {
     if json {
         return output::line(json!({ "faults": faults }));
