--- a/crates/scenario/src/declared.rs
+++ b/crates/scenario/src/fleet_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that stories run with.
+//! The configuration of the simulated fleet.
 
 use std::collections::BTreeSet;
 
@@ -8,26 +8,27 @@
 /// The template of all programs.
 pub const TEMPLATE: &str = "assistant";
 
-/// The longest deadline of a program, in milliseconds.
+/// The maximum deadline of a program, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// A tenant as a story declares it.
+/// A tenant as declared in a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSpec {
-    /// Its name.
+    /// The tenant's name.
     pub name: Box<str>,
-    /// Its rate in calls a second.
+    /// The rate in calls per second.
     pub rate: f64,
-    /// Its burst in calls.
+    /// The burst in calls.
     pub burst: u32,
-    /// The names of its keys.
+    /// The names of the tenant's API keys.
     pub keys: Vec<Box<str>>,
-    /// Whether a zone that is cut off from everyone goes on serving it.
+    /// Whether a zone that reaches neither the platform nor other zones continues to serve the
+    /// tenant.
     pub serve_when_cut_off: bool,
 }
 
 impl Default for TenantSpec {
-    /// Returns a tenant that no rate holds back.
+    /// Returns a tenant whose rate and burst are too high to limit any scenario.
     fn default() -> Self {
         Self {
             name: "t1".into(),
@@ -39,8 +40,8 @@
     }
 }
 
-/// Makes a configuration: in each zone one engine `model-ZONE` and one plain service
-/// `deposit-ZONE`, whose operation must not be repeated.
+/// Builds a configuration with one engine `model-ZONE` and one plain service `deposit-ZONE` in each
+/// zone. The operation of the service is not idempotent.
 pub fn config(zones: &BTreeSet<Box<str>>, tenants: &[TenantSpec]) -> Config {
     let target = |name: &str, kind: &str, port: usize, zone: &str| {
         json!({ "name": format!("{name}-{zone}"), "pool": name, "kind": kind, "zone": zone,
@@ -78,13 +79,13 @@
     });
 
     let config = serde_json::from_value(config).expect("the configuration is well formed");
-    let faults = camphorwalk_declare::check(&config);
-    assert!(faults.is_empty(), "{faults:?}");
+    let errors = camphorwalk_declare::check(&config);
+    assert!(errors.is_empty(), "{errors:?}");
 
     config
 }
 
-/// Returns a digest that differs for each key: no story looks at secrets.
+/// Returns a distinct digest for each key. Scenarios identify keys by name and use no secrets.
 fn digest_of(key: &str) -> String {
     let digest = camphorwalk_core::hash::digest(&[key.as_bytes()]);
 
--- a/crates/scenario/src/story/lines.rs
+++ b/crates/scenario/src/language/lines.rs
@@ -1,61 +1,65 @@
-//! Reads single lines.
+//! Parses single statements.
 
 use std::time::Duration;
 
-use super::words::{Options, Result, list, number, split, time};
-use super::{AnswerSpec, CallSpec, Command, DriveSpec, Expect, Expectation, HostRef, Step, Story};
-use crate::declared::TenantSpec;
-use crate::world::faults::{Harm, PLATFORM, PlatformMode, Point, TargetMode, Trap};
+use super::words::{Options, Result, list, number, split_options, time};
+use super::{
+    AnswerSpec, CallSpec, Command, Expect, Expectation, HostRef, Scenario, SequenceSpec, Step,
+};
+use crate::fleet_config::TenantSpec;
+use crate::world::faults::{
+    FaultInjection, HostFault, InjectionPoint, PLATFORM, PlatformMode, TargetMode,
+};
 
-/// The deadline of a program if the story gives none.
-const DEADLINE: Duration = Duration::from_secs(120);
+/// The deadline of a program if the scenario gives none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(120);
 
-/// Reads a line into a story.
-pub(super) fn read(story: &mut Story, line: usize, text: &str) -> Result<()> {
-    let (words, mut options) = split(text);
+/// Parses a line and adds its statement to a scenario.
+pub(super) fn read(scenario: &mut Scenario, line: usize, text: &str) -> Result<()> {
+    let (words, mut options) = split_options(text);
 
     match words.as_slice() {
         [] => {}
         ["hosts", names @ ..] => {
             let zone = |name: &str| name.trim_end_matches(|c: char| c.is_ascii_digit()).into();
-            story.hosts = names.iter().map(|name| ((*name).into(), zone(name))).collect();
+            scenario.hosts = names.iter().map(|name| ((*name).into(), zone(name))).collect();
         }
         ["tenant", name] => {
-            let other = TenantSpec::default();
-            story.tenants.push(TenantSpec {
+            let defaults = TenantSpec::default();
+            scenario.tenants.push(TenantSpec {
                 name: (*name).into(),
-                rate: options.number("rate")?.unwrap_or(other.rate),
-                burst: options.number("burst")?.unwrap_or(other.burst),
+                rate: options.number("rate")?.unwrap_or(defaults.rate),
+                burst: options.number("burst")?.unwrap_or(defaults.burst),
                 keys: list(&options.take_or("keys", "k1")),
                 serve_when_cut_off: options.take("cut-off") != Some("refused"),
             });
         }
-        ["until", end] => story.until = time(end)?,
+        ["until", end] => scenario.until = time(end)?,
         ["at", at, rest @ ..] => {
             let at = time(at)?;
-            let command = command(story, rest, &mut options)?;
-            story.steps.push(Step { at, command });
+            let command = command(scenario, rest, &mut options)?;
+            scenario.steps.push(Step { at, command });
         }
         ["expect", rest @ ..] => {
-            let what = expect(story, rest, &mut options)?;
-            story.expectations.push(Expectation { line, what });
+            let expected = expect(scenario, rest, &mut options)?;
+            scenario.expectations.push(Expectation { line, expected });
         }
         [word, ..] => return Err(format!("`{word}` begins no statement")),
     }
 
-    options.finish()
+    options.reject_unread()
 }
 
-fn command(story: &Story, words: &[&str], options: &mut Options<'_>) -> Result<Command> {
-    let host = |name: &str| host(story, name);
+fn command(scenario: &Scenario, words: &[&str], options: &mut Options<'_>) -> Result<Command> {
+    let host = |name: &str| host(scenario, name);
 
     Ok(match words {
         ["open", program, "at", at] => Command::Open {
             program: (*program).into(),
             host: host(at)?,
             tenant: options.take_or("tenant", "t1"),
-            with: options.take_or("with", "k1"),
-            deadline: options.time("deadline")?.unwrap_or(DEADLINE),
+            api_key: options.take_or("with", "k1"),
+            deadline: options.time("deadline")?.unwrap_or(DEFAULT_DEADLINE),
         },
         ["call", program, "at", at] => {
             Command::Call { call: call(program, options)?, host: host(at)? }
@@ -63,48 +67,54 @@
         ["drive", program] => {
             let via = options.list("via");
             via.iter().try_for_each(|name| host(name).map(drop))?;
-            Command::Drive(DriveSpec {
+            Command::CallSequence(SequenceSpec {
                 count: options.number("count")?.ok_or("`count=` is missing")?,
-                via: if via.is_empty() { names(story) } else { via },
-                every: options.time("every")?.unwrap_or_default(),
-                drop: options.take("refused") == Some("dropped"),
+                via: if via.is_empty() { names(scenario) } else { via },
+                interval: options.time("every")?.unwrap_or_default(),
+                skip_refused: options.take("refused") == Some("dropped"),
                 call: call(program, options)?,
             })
         }
-        ["callers", "of", key, "leave"] => Command::Leave { key: (*key).into() },
+        ["callers", "of", key, "leave"] => Command::DisconnectCallers { key: (*key).into() },
         ["kill", name] => Command::Kill(host(name)?),
         ["restart", name] => Command::Restart(host(name)?),
         ["pause", name] => Command::Pause(host(name)?, None),
         ["pause", name, "for", wait] => Command::Pause(host(name)?, Some(time(wait)?)),
         ["resume", name] => Command::Resume(host(name)?),
         ["drain", name] => Command::Drain(host(name)?),
-        ["cut", "zone", a, "from", "zone", b] => Command::Cut(zone(story, a)?, zone(story, b)?),
-        ["cut", "zone", a, "from", "platform"] => Command::Cut(zone(story, a)?, PLATFORM.into()),
+        ["cut", "zone", a, "from", "zone", b] => {
+            Command::NetworkPartition(zone(scenario, a)?, zone(scenario, b)?)
+        }
+        ["cut", "zone", a, "from", "platform"] => {
+            Command::NetworkPartition(zone(scenario, a)?, PLATFORM.into())
+        }
         ["heal"] => Command::Heal,
         ["platform", mode @ .., "for", "zone", name] => {
-            Command::Platform(Some(zone(story, name)?), platform_mode(mode)?)
+            Command::Platform(Some(zone(scenario, name)?), platform_mode(mode)?)
         }
         ["platform", mode @ ..] => Command::Platform(None, platform_mode(mode)?),
         ["target", name, mode @ ..] => Command::Target((*name).into(), target_mode(mode)?),
-        ["trap", when @ ("before" | "after"), point, harm @ ..] => Command::Trap(Trap {
-            point: match *point {
-                "intent" => Point::Intent,
-                "send" => Point::Send,
-                "outcome" => Point::Outcome,
-                other => return Err(format!("`{other}` is no step of a call")),
-            },
-            after: *when == "after",
-            harm: match harm {
-                ["kill"] => Harm::Kill,
-                ["pause", wait] => Harm::Pause(time(wait)?),
-                _ => return Err("a trap ends in `kill` or `pause TIME`".into()),
-            },
-        }),
+        ["trap", when @ ("before" | "after"), point, fault @ ..] => {
+            Command::InjectFault(FaultInjection {
+                point: match *point {
+                    "intent" => InjectionPoint::Intent,
+                    "send" => InjectionPoint::Send,
+                    "outcome" => InjectionPoint::Outcome,
+                    other => return Err(format!("`{other}` is no step of a call")),
+                },
+                after: *when == "after",
+                fault: match fault {
+                    ["kill"] => HostFault::Kill,
+                    ["pause", wait] => HostFault::Pause(time(wait)?),
+                    _ => return Err("a trap ends in `kill` or `pause TIME`".into()),
+                },
+            })
+        }
         ["publish", name, "at", at] => Command::Publish {
             name: (*name).into(),
             host: host(at)?,
             base: options.number("base")?.ok_or("`base=` is missing")?,
-            leave: options.take("leave").map(Into::into),
+            leaving_target: options.take("leave").map(Into::into),
         },
         ["withdraw", key, "at", at] => Command::Withdraw { key: (*key).into(), host: host(at)? },
         _ => return Err(format!("`{}` is no command", words.join(" "))),
@@ -114,48 +124,48 @@
 fn call(program: &str, options: &mut Options<'_>) -> Result<CallSpec> {
     Ok(CallSpec {
         program: program.into(),
-        key: options.need("key")?,
+        key: options.require("key")?,
         after: options.number("after")?,
         target: options.take_or("target", "model"),
-        with: options.take_or("with", "k1"),
+        api_key: options.take_or("with", "k1"),
         input: options.take_or("input", "words"),
     })
 }
 
-fn expect(story: &Story, words: &[&str], options: &mut Options<'_>) -> Result<Expect> {
-    let known = |name: &str| host(story, name).map(drop);
+fn expect(scenario: &Scenario, words: &[&str], options: &mut Options<'_>) -> Result<Expect> {
+    let check_host = |name: &str| host(scenario, name).map(drop);
     let except = |options: &mut Options<'_>| {
         let names = options.list("except");
-        names.iter().try_for_each(|name| known(name)).map(|()| names)
+        names.iter().try_for_each(|name| check_host(name)).map(|()| names)
     };
 
     Ok(match words {
-        ["ledger", key, "runs", "<=", most] => {
-            Expect::Runs { key: (*key).into(), least: 0, most: number(most)? }
+        ["ledger", key, "runs", "<=", max] => {
+            Expect::Runs { key: (*key).into(), min: 0, max: number(max)? }
         }
         ["ledger", key, "runs", "=", count] => {
             let count = number(count)?;
-            Expect::Runs { key: (*key).into(), least: count, most: count }
+            Expect::Runs { key: (*key).into(), min: count, max: count }
         }
         ["answer", key, allowed @ ..] => {
-            let (key, place) = match key.split_once('/') {
-                Some((key, place)) => (key, Some(number(place)?)),
+            let (key, position) = match key.split_once('/') {
+                Some((key, position)) => (key, Some(number(position)?)),
                 None => (*key, None),
             };
             let allowed = allowed.split(|word| *word == "or").map(answer).collect::<Result<_>>()?;
-            Expect::Answer { key: key.into(), place, allowed }
+            Expect::Answer { key: key.into(), position, allowed }
         }
         ["order", program] => {
             Expect::Order { program: (*program).into(), length: options.number("length")? }
         }
-        ["driven", program] => Expect::Driven { program: (*program).into() },
+        ["driven", program] => Expect::SequenceCompleted { program: (*program).into() },
         ["config", version, "everywhere", "within", within] => Expect::Config {
             version: number(version)?,
             within: time(within)?,
             except: except(options)?,
         },
         ["config", version, "at", name, "by", by] => {
-            known(name)?;
+            check_host(name)?;
             Expect::ConfigAt { version: number(version)?, host: (*name).into(), by: time(by)? }
         }
         ["publish", name, answer @ ("done" | "conflict" | "unavailable" | "unknown")] => {
@@ -173,11 +183,11 @@
             Expect::Busy { target: (*name).into(), before: time(before)? }
         }
         ["rate", tenant] => {
-            Expect::Rate { tenant: (*tenant).into(), least: options.number("least")?.unwrap_or(1) }
+            Expect::Rate { tenant: (*tenant).into(), min: options.number("least")?.unwrap_or(1) }
         }
         ["left", name] => {
-            known(name)?;
-            Expect::Left { host: (*name).into() }
+            check_host(name)?;
+            Expect::ProcessEnded { host: (*name).into() }
         }
         _ => return Err(format!("`{}` is no expectation", words.join(" "))),
     })
@@ -195,18 +205,18 @@
 
 fn platform_mode(words: &[&str]) -> Result<PlatformMode> {
     Ok(match words {
-        ["ok"] => PlatformMode::Ok,
+        ["ok"] => PlatformMode::Normal,
         ["refuses"] => PlatformMode::Refuse,
         ["slow", wait] => PlatformMode::Slow(time(wait)?),
-        ["loses", "answers"] => PlatformMode::Lost(Duration::ZERO),
-        ["loses", "answers", "late", wait] => PlatformMode::Lost(time(wait)?),
+        ["loses", "answers"] => PlatformMode::LoseAnswers(Duration::ZERO),
+        ["loses", "answers", "late", wait] => PlatformMode::LoseAnswers(time(wait)?),
         _ => return Err(format!("`{}` is no mode of the platform", words.join(" "))),
     })
 }
 
 fn target_mode(words: &[&str]) -> Result<TargetMode> {
     Ok(match words {
-        ["ok"] => TargetMode::Ok,
+        ["ok"] => TargetMode::Normal,
         ["slow", wait] => TargetMode::Slow(time(wait)?),
         ["closes", "before"] => TargetMode::CloseBefore,
         ["closes", "after"] => TargetMode::CloseAfter,
@@ -215,23 +225,23 @@
     })
 }
 
-fn names(story: &Story) -> Vec<Box<str>> {
-    story.hosts.iter().map(|(name, _)| name.clone()).collect()
+fn names(scenario: &Scenario) -> Vec<Box<str>> {
+    scenario.hosts.iter().map(|(name, _)| name.clone()).collect()
 }
 
-fn host(story: &Story, name: &str) -> Result<HostRef> {
+fn host(scenario: &Scenario, name: &str) -> Result<HostRef> {
     if let Some(program) = name.strip_prefix("home:") {
         return Ok(HostRef::Home(program.into()));
     }
 
-    match story.hosts.iter().any(|(known, _)| &**known == name) {
+    match scenario.hosts.iter().any(|(known, _)| &**known == name) {
         true => Ok(HostRef::Name(name.into())),
         false => Err(format!("there is no host `{name}`")),
     }
 }
 
-fn zone(story: &Story, name: &str) -> Result<Box<str>> {
-    match story.hosts.iter().any(|(_, zone)| &**zone == name) {
+fn zone(scenario: &Scenario, name: &str) -> Result<Box<str>> {
+    match scenario.hosts.iter().any(|(_, zone)| &**zone == name) {
         true => Ok(name.into()),
         false => Err(format!("there is no zone `{name}`")),
     }
--- a/crates/scenario/src/story/words.rs
+++ b/crates/scenario/src/language/words.rs
@@ -1,16 +1,16 @@
-//! The words of a line: plain ones in order, and options written `name=value`.
+//! Splits a line into positional words and options written `name=value`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A reason why a line cannot be read.
+/// The error is the reason why a line is invalid.
 pub(super) type Result<T> = std::result::Result<T, String>;
 
-/// The options of a line.
+/// The options of a line that have not been read yet.
 pub(super) struct Options<'a>(BTreeMap<&'a str, &'a str>);
 
-/// Splits a line into plain words and options.
-pub(super) fn split(line: &str) -> (Vec<&str>, Options<'_>) {
+/// Splits a line into positional words and options.
+pub(super) fn split_options(line: &str) -> (Vec<&str>, Options<'_>) {
     let mut words = Vec::new();
     let mut options = BTreeMap::new();
 
@@ -27,38 +27,38 @@
 }
 
 impl<'a> Options<'a> {
-    /// Takes an option.
+    /// Removes an option and returns its value.
     pub fn take(&mut self, name: &str) -> Option<&'a str> {
         self.0.remove(name)
     }
 
-    /// Takes an option, or what stands for it.
-    pub fn take_or(&mut self, name: &str, other: &str) -> Box<str> {
-        self.take(name).unwrap_or(other).into()
+    /// Removes an option and returns its value, or `default` if it is absent.
+    pub fn take_or(&mut self, name: &str, default: &str) -> Box<str> {
+        self.take(name).unwrap_or(default).into()
     }
 
-    /// Takes an option that must be there.
-    pub fn need(&mut self, name: &str) -> Result<Box<str>> {
+    /// Removes a required option and returns its value; an error if it is absent.
+    pub fn require(&mut self, name: &str) -> Result<Box<str>> {
         self.take(name).map(Into::into).ok_or_else(|| format!("`{name}=` is missing"))
     }
 
-    /// Takes a number.
+    /// Removes an option whose value is a number.
     pub fn number<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>> {
         self.take(name).map(number).transpose()
     }
 
-    /// Takes a list of names.
+    /// Removes an option whose value is a list of names; an empty list if it is absent.
     pub fn list(&mut self, name: &str) -> Vec<Box<str>> {
         self.take(name).map(list).unwrap_or_default()
     }
 
-    /// Takes a time.
+    /// Removes an option whose value is a time.
     pub fn time(&mut self, name: &str) -> Result<Option<Duration>> {
         self.take(name).map(time).transpose()
     }
 
-    /// Checks that nothing is left over.
-    pub fn finish(self) -> Result<()> {
+    /// Returns an error if the line has an option that its statement does not take.
+    pub fn reject_unread(self) -> Result<()> {
         match self.0.keys().next() {
             Some(name) => Err(format!("`{name}=` does not belong here")),
             None => Ok(()),
@@ -66,17 +66,17 @@
     }
 }
 
-/// Reads a list of names with commas between them.
+/// Parses a list of names separated by commas.
 pub(super) fn list(text: &str) -> Vec<Box<str>> {
     text.split(',').map(Into::into).collect()
 }
 
-/// Reads a number.
+/// Parses a number.
 pub(super) fn number<T: std::str::FromStr>(text: &str) -> Result<T> {
     text.parse().map_err(|_| format!("`{text}` is no number"))
 }
 
-/// Reads a time in seconds or milliseconds.
+/// Parses a time in seconds or milliseconds.
 pub(super) fn time(text: &str) -> Result<Duration> {
     let error = || format!("`{text}` is no time like `2.5s` or `40ms`");
     let (digits, unit) = match text.strip_suffix("ms") {
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,12 +1,13 @@
-//! Stories of faults, told in a small language and run in virtual time.
+//! Fault scenarios, written in a small language and run in virtual time.
 //!
-//! [`world`] puts the control state of some hosts between fakes: one platform, targets with
-//! a ledger, and messages with delays. [`record`] holds what callers, targets and operators
-//! saw; [`checks`] judges it. [`story`] reads a scenario and [`runner`] runs it.
+//! [`world`] connects the schedulers of several hosts to simulated dependencies: a platform,
+//! targets with a ledger, and a network with delays. [`record`] collects what callers, targets and
+//! operators observed, and [`checks`] verifies it. [`language`] parses a scenario and [`runner`]
+//! runs it.
 
 pub mod checks;
-pub mod declared;
+pub mod fleet_config;
+pub mod language;
 pub mod record;
 pub mod runner;
-pub mod story;
 pub mod world;
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -1,4 +1,4 @@
-//! Some hosts in virtual time, with fakes at their interfaces.
+//! Several hosts in virtual time, with simulated network, platform and targets.
 
 pub mod faults;
 mod network;
@@ -24,137 +24,137 @@
 use camphorwalk_policy::wire::Dispatch;
 
 use crate::record::{Record, Submission};
-use faults::Trap;
+use faults::FaultInjection;
 use network::Network;
 use platform::Platform;
 use targets::Targets;
 
-/// The shortest sleep of a host that has nothing to do.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
+/// The minimum time between two wake-ups of a host, so that virtual time always advances.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
 
-/// How a host is.
+/// The state of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// It runs.
+pub enum ProcessState {
+    /// The process runs.
     Up,
-    /// Its process is stopped; its clock goes on.
+    /// The process is stopped, while its clock runs on.
     Paused,
-    /// It is gone.
+    /// The process has ended.
     Down,
 }
 
-/// A host and what the world keeps for it.
+/// A host and its simulated environment.
 struct Host {
     name: Box<str>,
     zone: Box<str>,
     id: HostId,
-    state: State,
+    state: ProcessState,
     scheduler: Scheduler,
     session: u64,
-    wake: Instant,
+    wake_at: Instant,
     /// When the process was last stopped.
     stopped_at: Instant,
-    /// What waits in sockets while the process is stopped.
-    inbox: VecDeque<Event>,
-    /// What the process was about to do when it was stopped.
-    undone: VecDeque<Action>,
-    /// Keys that the traffic side knows as good and as withdrawn.
-    good_keys: Set<KeyId>,
-    withdrawn: Set<KeyId>,
-    /// Whether all is handed back.
-    left: bool,
+    /// Events that wait in socket buffers while the process is stopped.
+    buffered_events: VecDeque<Event>,
+    /// Actions that the process had not executed when it was stopped.
+    pending_actions: VecDeque<Action>,
+    /// The API keys that the traffic threads accept, and those that they know to be withdrawn.
+    accepted_keys: Set<KeyId>,
+    withdrawn_keys: Set<KeyId>,
+    /// Whether the scheduler has handed over all its work and the process may end.
+    shutdown_ready: bool,
 }
 
-/// What happens at a time.
+/// Something that happens at a scheduled time.
 #[derive(Debug)]
-enum Item {
-    /// An event reaches a host; dropped if the session is another by then.
-    Event { host: usize, session: u64, event: Box<Event> },
-    /// A stopped host goes on.
+enum ScheduledEvent {
+    /// Delivers an event to a host, unless the host was restarted since.
+    HostEvent { host: usize, session: u64, event: Box<Event> },
+    /// Resumes a stopped host.
     Resume { host: usize, session: u64 },
-    /// A connection between two hosts breaks.
-    Break { pair: (usize, usize), cut: u64 },
-    /// An operation reaches the platform.
-    Platform(platform::Arrival),
-    /// An attempt reaches a target.
-    Arrive { host: usize, session: u64, dispatch: Box<Dispatch> },
+    /// Breaks the connection between two hosts, unless the network partition has ended.
+    BreakConnection { pair: (usize, usize), network_partition: u64 },
+    /// An operation arrives at the platform.
+    Platform(platform::PlatformArrival),
+    /// An attempt arrives at a target.
+    AttemptArrives { host: usize, session: u64, dispatch: Box<Dispatch> },
     /// An attempt ends at a target.
-    End { target: usize, number: u64 },
+    AttemptEnds { target: usize, number: u64 },
 }
 
-/// Some hosts in virtual time.
+/// A simulated fleet in virtual time.
 pub struct World {
-    /// What was seen so far.
+    /// What was observed so far.
     pub record: Record,
     now: Instant,
     hosts: Vec<Host>,
     by_id: BTreeMap<HostId, usize>,
-    agenda: BTreeMap<(Instant, u64), Item>,
+    schedule: BTreeMap<(Instant, u64), ScheduledEvent>,
     network: Network,
     platform: Platform,
     targets: Targets,
-    traps: Vec<Trap>,
-    next_number: u64,
-    next_session: u64,
-    trace: DefaultHasher,
+    injections: Vec<FaultInjection>,
+    last_number: u64,
+    last_session: u64,
+    trace_hasher: DefaultHasher,
 }
 
 impl World {
-    /// Starts hosts, given as name and zone, which share a configuration.
+    /// Starts hosts, given as name and zone, and publishes a configuration at the first one.
     pub fn start(hosts: &[(Box<str>, Box<str>)], config: &Config) -> Self {
         let mut world = Self {
             record: Record::default(),
             now: Instant::from_millis(1),
             hosts: Vec::new(),
             by_id: BTreeMap::new(),
-            agenda: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             network: Network::new(hosts.iter().map(|(_, zone)| zone.clone()).collect()),
             platform: Platform::default(),
             targets: Targets::new(config),
-            traps: Vec::new(),
-            next_number: 0,
-            next_session: 0,
-            trace: DefaultHasher::new(),
+            injections: Vec::new(),
+            last_number: 0,
+            last_session: 0,
+            trace_hasher: DefaultHasher::new(),
         };
 
         for (index, (name, zone)) in hosts.iter().enumerate() {
-            world.next_session += 1 << 32;
-            let session = world.next_session;
+            world.last_session += 1 << 32;
+            let session = world.last_session;
             let host = Host {
                 name: name.clone(),
                 zone: zone.clone(),
                 id: HostId::from_name(name),
-                state: State::Up,
+                state: ProcessState::Up,
                 scheduler: scheduler(index, name, zone, session),
                 session,
-                wake: Instant::default(),
+                wake_at: Instant::default(),
                 stopped_at: Instant::default(),
-                inbox: VecDeque::new(),
-                undone: VecDeque::new(),
-                good_keys: Set::default(),
-                withdrawn: Set::default(),
-                left: false,
+                buffered_events: VecDeque::new(),
+                pending_actions: VecDeque::new(),
+                accepted_keys: Set::default(),
+                withdrawn_keys: Set::default(),
+                shutdown_ready: false,
             };
             world.by_id.insert(host.id, index);
             world.hosts.push(host);
         }
         for host in 0..hosts.len() {
             world.record.started.push((world.now, host, world.hosts[host].session));
-            world.tell_hosts(host);
+            world.send_host_list(host);
         }
         world.publish(0, 0, config.clone());
 
         world
     }
 
-    /// Returns the time.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// Returns a digest of all that happened so far.
-    pub fn trace(&self) -> u64 {
-        self.trace.finish()
+    /// Returns a digest of the steps of all hosts and of all answers so far.
+    pub fn trace_digest(&self) -> u64 {
+        self.trace_hasher.finish()
     }
 
     /// Returns the number of hosts.
@@ -172,13 +172,13 @@
         &self.hosts[host].name
     }
 
-    /// Returns the host with this name.
+    /// Returns the index of the host with this name.
     pub fn host(&self, name: &str) -> Option<usize> {
         self.hosts.iter().position(|host| &*host.name == name)
     }
 
-    /// Returns how a host is.
-    pub fn state(&self, host: usize) -> State {
+    /// Returns the state of a host's process.
+    pub fn state(&self, host: usize) -> ProcessState {
         self.hosts[host].state
     }
 
@@ -187,28 +187,28 @@
         (0..self.hosts.len()).filter(|host| &*self.hosts[*host].zone == zone).collect()
     }
 
-    /// Returns whether a host runs, serves, and is not leaving.
+    /// Returns whether a host runs, is ready for requests and is not shutting down.
     pub fn is_ready(&self, host: usize) -> bool {
-        self.hosts[host].state == State::Up && self.hosts[host].scheduler.is_ready()
+        self.hosts[host].state == ProcessState::Up && self.hosts[host].scheduler.is_ready()
     }
 
-    /// Returns the configuration version in force at a host.
+    /// Returns the configuration version in force at a host, 0 if there is none.
     pub fn version(&self, host: usize) -> u64 {
         let board = self.hosts[host].scheduler.board();
 
         board.config.as_ref().map_or(0, |config| config.version.0)
     }
 
-    /// Returns the running host that holds a program's partition and was heard of last.
+    /// Returns the host that holds a program's partition, unless its process has ended.
     pub fn home(&self, program: ProgramId) -> Option<usize> {
         let holds = |host: &&(usize, &Host)| {
             let board = host.1.scheduler.board();
             let partition: PartitionId = program.partition(board.partitions());
-            host.1.state != State::Down && board.homes.contains(&partition)
+            host.1.state != ProcessState::Down && board.homes.contains(&partition)
         };
         let hosts: Vec<_> = self.hosts.iter().enumerate().collect();
 
-        // After a pause two may think so: the one whose lease lasts longer is right.
+        // After a pause two hosts may believe that they hold it; the later lease is the valid one.
         hosts
             .iter()
             .filter(holds)
@@ -216,16 +216,16 @@
             .map(|(index, _)| *index)
     }
 
-    /// Lets time pass until `end`, or until something was answered to a caller.
+    /// Advances virtual time to `end`, or until a caller gets an answer.
     ///
-    /// Returns whether `end` is reached.
+    /// Returns whether `end` was reached.
     pub fn run_until(&mut self, end: Instant) -> bool {
-        let answers = self.network.answers;
+        let answers = self.network.answer_count;
 
-        while self.network.answers == answers {
-            let wake = self.hosts.iter().filter(|host| host.state == State::Up);
-            let wake = wake.map(|host| host.wake).min().unwrap_or(end + SHORTEST_SLEEP);
-            let item = self.agenda.first_key_value().map(|((at, _), _)| *at);
+        while self.network.answer_count == answers {
+            let wake = self.hosts.iter().filter(|host| host.state == ProcessState::Up);
+            let wake = wake.map(|host| host.wake_at).min().unwrap_or(end + MIN_SLEEP);
+            let item = self.schedule.first_key_value().map(|((at, _), _)| *at);
             let next = item.map_or(wake, |at| at.min(wake)).max(self.now);
 
             if next > end {
@@ -234,11 +234,11 @@
             }
             self.now = next;
             if item.is_some_and(|at| at <= next) {
-                let (_, item) = self.agenda.pop_first().expect("it was looked at");
-                self.happen(item);
+                let (_, item) = self.schedule.pop_first().expect("the schedule has an item");
+                self.handle(item);
             } else {
-                let due = |host: &Host| host.state == State::Up && host.wake <= next;
-                let host = self.hosts.iter().position(due).expect("one is due");
+                let due = |host: &Host| host.state == ProcessState::Up && host.wake_at <= next;
+                let host = self.hosts.iter().position(due).expect("a host is due");
                 self.step(host, Event::Wake);
             }
         }
@@ -255,7 +255,7 @@
         request: Request,
         deadline: Duration,
     ) -> u64 {
-        let number = self.number();
+        let number = self.next_number();
         let key = KeyId::from_name(key);
         let submission = Submission {
             host,
@@ -264,7 +264,7 @@
             request: request.clone(),
             deadline: self.now + deadline,
             answers: Vec::new(),
-            cut: self.hosts[host].state == State::Down,
+            abandoned: self.hosts[host].state == ProcessState::Down,
         };
         self.record.submissions.insert(number, submission);
 
@@ -275,172 +275,181 @@
         number
     }
 
-    /// The caller of a request goes away.
-    pub fn leave(&mut self, number: u64) {
+    /// Disconnects the caller of a request.
+    pub fn disconnect_caller(&mut self, number: u64) {
         let Some(submission) = self.record.submissions.get_mut(&number) else {
             return;
         };
         if submission.answers.is_empty() {
-            submission.cut = true;
+            submission.abandoned = true;
             let host = submission.host;
             self.deliver(host, Event::CallerGone(RequestId(number)));
         }
     }
 
-    /// An operator publishes a configuration that was made from version `base`.
+    /// Sends a host an operator's request to publish a configuration based on version `base`;
+    /// returns the number of the request.
     pub fn publish(&mut self, host: usize, base: u64, config: Config) -> u64 {
         let request =
             OperatorRequest::Publish { base: ConfigVersion(base), config: Box::new(config) };
 
-        self.operate(host, request)
+        self.send_operator_request(host, request)
     }
 
-    /// An operator asks something of a host.
-    pub fn operate(&mut self, host: usize, request: OperatorRequest) -> u64 {
-        let ask = self.number();
+    /// Sends a host a request of an operator and returns its number.
+    pub fn send_operator_request(&mut self, host: usize, request: OperatorRequest) -> u64 {
+        let number = self.next_number();
         if let OperatorRequest::Withdraw { key } = &request {
-            self.record.withdrawn.push((self.now, host, KeyId::from_name(key)));
+            self.record.withdrawals.push((self.now, host, KeyId::from_name(key)));
         }
-        self.deliver(host, Event::Operator { ask: OperatorId(ask), request });
+        self.deliver(host, Event::Operator { ask: OperatorId(number), request });
 
-        ask
+        number
     }
 
-    fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    fn add(&mut self, at: Instant, item: Item) {
-        let number = self.number();
-        self.agenda.insert((at, number), item);
+    fn schedule_event(&mut self, at: Instant, item: ScheduledEvent) {
+        let number = self.next_number();
+        self.schedule.insert((at, number), item);
     }
 
-    fn add_event(&mut self, at: Instant, host: usize, event: Event) {
+    fn schedule_host_event(&mut self, at: Instant, host: usize, event: Event) {
         let session = self.hosts[host].session;
-        self.add(at, Item::Event { host, session, event: Box::new(event) });
+        self.schedule_event(
+            at,
+            ScheduledEvent::HostEvent { host, session, event: Box::new(event) },
+        );
     }
 
-    fn happen(&mut self, item: Item) {
+    fn handle(&mut self, item: ScheduledEvent) {
         match item {
-            Item::Event { host, session, event } => {
+            ScheduledEvent::HostEvent { host, session, event } => {
                 if self.hosts[host].session == session {
                     self.deliver(host, *event);
                 }
             }
-            Item::Resume { host, session } => {
+            ScheduledEvent::Resume { host, session } => {
                 if self.hosts[host].session == session {
                     self.resume(host);
                 }
             }
-            Item::Break { pair, cut } => self.break_connection(pair, cut),
-            Item::Platform(arrival) => self.on_platform(arrival),
-            Item::Arrive { host, session, dispatch } => self.on_arrival(host, session, &dispatch),
-            Item::End { target, number } => self.on_end(target, number),
+            ScheduledEvent::BreakConnection { pair, network_partition } => {
+                self.break_connection(pair, network_partition)
+            }
+            ScheduledEvent::Platform(arrival) => self.on_platform_arrival(arrival),
+            ScheduledEvent::AttemptArrives { host, session, dispatch } => {
+                self.on_attempt_arrival(host, session, &dispatch)
+            }
+            ScheduledEvent::AttemptEnds { target, number } => self.on_attempt_end(target, number),
         }
     }
 
-    /// Hands an event to a host; a stopped one finds it later.
+    /// Delivers an event to a host; a stopped host receives it when it resumes.
     fn deliver(&mut self, host: usize, event: Event) {
         match self.hosts[host].state {
-            State::Up => self.step(host, event),
-            State::Paused => self.hosts[host].inbox.push_back(event),
-            State::Down => {}
+            ProcessState::Up => self.step(host, event),
+            ProcessState::Paused => self.hosts[host].buffered_events.push_back(event),
+            ProcessState::Down => {}
         }
     }
 
     fn step(&mut self, host: usize, event: Event) {
         if let Event::Request { request, key, .. } = &event
-            && !self.key_stands(host, *key)
+            && !self.is_key_accepted(host, *key)
         {
             let refusal = Refusal::not_run(Code::Unauthorized, "the key is not accepted");
-            return self.answered(*request, Reply::Refused(refusal));
+            return self.record_answer(*request, Reply::Refused(refusal));
         }
 
         let mut actions = Vec::new();
         let state = &mut self.hosts[host];
         state.scheduler.step(self.now, event, &mut actions);
-        state.wake = state.scheduler.wake_at().max(self.now + SHORTEST_SLEEP);
+        state.wake_at = state.scheduler.wake_at().max(self.now + MIN_SLEEP);
         self.record.steps += 1;
-        (self.now.0, host, actions.len()).hash(&mut self.trace);
+        (self.now.0, host, actions.len()).hash(&mut self.trace_hasher);
 
-        self.carry_out_all(host, actions.into());
-        self.let_go(host);
+        self.execute_all(host, actions.into());
+        self.end_if_shut_down(host);
     }
 
-    /// Carries out actions until one of them runs into a trap that stops the host.
-    fn carry_out_all(&mut self, host: usize, mut actions: VecDeque<Action>) {
+    /// Executes actions until an injected fault stops the host.
+    fn execute_all(&mut self, host: usize, mut actions: VecDeque<Action>) {
         while let Some(action) = actions.pop_front() {
-            if self.spring(host, &action, false) {
+            if self.trigger_matching(host, &action, false) {
                 actions.push_front(action);
                 break;
             }
-            let after = self.trap_for(host, &action, true);
-            self.carry_out(host, action);
-            if let Some(trap) = after {
-                self.spring_trap(host, trap);
+            let after = self.take_matching_injection(host, &action, true);
+            self.execute(host, action);
+            if let Some(injection) = after {
+                self.trigger(host, injection);
                 break;
             }
         }
 
-        if self.hosts[host].state == State::Paused {
-            self.hosts[host].undone.extend(actions);
+        if self.hosts[host].state == ProcessState::Paused {
+            self.hosts[host].pending_actions.extend(actions);
         }
     }
 
-    fn carry_out(&mut self, host: usize, action: Action) {
+    fn execute(&mut self, host: usize, action: Action) {
         match action {
-            Action::Answer { request, reply } => self.answered(request, *reply),
+            Action::Answer { request, reply } => self.record_answer(request, *reply),
             Action::Send { to, message } => self.send(host, to, message),
-            Action::Platform { op, request } => self.ask_platform(host, op, request),
+            Action::Platform { op, request } => self.send_to_platform(host, op, request),
             Action::Dispatch(dispatch) => self.dispatch(host, dispatch),
             Action::Cancel(attempt) => self.cancel(attempt),
             Action::Adopted(config) => {
                 let keys = config.tenants.iter().flat_map(|t| &t.keys);
                 let state = &mut self.hosts[host];
-                state.good_keys = keys.map(|key| KeyId::from_name(&key.id)).collect();
+                state.accepted_keys = keys.map(|key| KeyId::from_name(&key.id)).collect();
                 let entry = (self.now, host, state.session, config.version.0);
                 self.record.adopted.push(entry);
             }
             Action::KeyWithdrawn(key) => {
-                self.hosts[host].withdrawn.insert(key);
-                self.record.heard_withdrawn.push((self.now, host, key));
+                self.hosts[host].withdrawn_keys.insert(key);
+                self.record.applied_withdrawals.push((self.now, host, key));
             }
             Action::OperatorAnswer { ask, reply } => {
-                self.record.operators.insert(ask.0, *reply);
+                self.record.operator_replies.insert(ask.0, *reply);
             }
-            Action::Left => self.hosts[host].left = true,
+            Action::Left => self.hosts[host].shutdown_ready = true,
             Action::Address { .. } | Action::Free(_) | Action::FreeAt { .. } | Action::Watch(_) => {
             }
         }
     }
 
-    fn answered(&mut self, request: RequestId, reply: Reply) {
-        self.network.answers += 1;
-        format!("{reply:?}").hash(&mut self.trace);
+    fn record_answer(&mut self, request: RequestId, reply: Reply) {
+        self.network.answer_count += 1;
+        format!("{reply:?}").hash(&mut self.trace_hasher);
         if let Some(submission) = self.record.submissions.get_mut(&request.0) {
             submission.answers.push((self.now, reply));
         }
     }
 
-    fn key_stands(&self, host: usize, key: KeyId) -> bool {
+    fn is_key_accepted(&self, host: usize, key: KeyId) -> bool {
         let host = &self.hosts[host];
 
-        !host.withdrawn.contains(&key) && (host.good_keys.contains(&key) || host.left)
+        !host.withdrawn_keys.contains(&key)
+            && (host.accepted_keys.contains(&key) || host.shutdown_ready)
     }
 
-    /// Ends the process of a host that has handed all back and has no open request.
-    fn let_go(&mut self, host: usize) {
-        let open = |s: &Submission| s.host == host && s.answers.is_empty() && !s.cut;
-        if self.hosts[host].left && !self.record.submissions.values().any(open) {
+    /// Ends the process of a host whose shutdown is complete and that has no open request.
+    fn end_if_shut_down(&mut self, host: usize) {
+        let open = |s: &Submission| s.host == host && s.answers.is_empty() && !s.abandoned;
+        if self.hosts[host].shutdown_ready && !self.record.submissions.values().any(open) {
             self.kill(host);
         }
     }
 
-    fn tell_hosts(&mut self, host: usize) {
+    fn send_host_list(&mut self, host: usize) {
         let listings = self.hosts.iter().enumerate().map(|(i, h)| listing(i, &h.name, &h.zone));
         let event = Event::Hosts(listings.collect());
-        self.add_event(self.now, host, event);
+        self.schedule_host_event(self.now, host, event);
     }
 }
 
--- a/crates/scenario/src/world/faults.rs
+++ b/crates/scenario/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of hosts: killed, restarted, stopped and gone on, also at an exact step.
+//! Faults of hosts: kills, restarts and pauses, also at an exact step of a call.
 
 use std::time::Duration;
 
@@ -6,44 +6,44 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::scheduler::{Action, Event};
 
+use super::network::PEER_TIMEOUT;
 pub use super::network::PLATFORM;
-use super::network::SILENCE;
 pub use super::platform::Mode as PlatformMode;
 pub use super::targets::{Mode as TargetMode, POISON};
-use super::{State, World, scheduler};
+use super::{ProcessState, World, scheduler};
 
-/// A step of a call that must not be repeated.
+/// A step of a non-idempotent call at which a fault can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Point {
-    /// Its intent is written.
+pub enum InjectionPoint {
+    /// The host writes the call's intent to the journal.
     Intent,
-    /// It is sent to its target.
+    /// The host sends the call to its target.
     Send,
-    /// Its outcome is written.
+    /// The host writes the call's outcome to the journal.
     Outcome,
 }
 
-/// What happens to a host that reaches a point.
+/// What happens to a host that reaches an injection point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// Its process dies.
+pub enum HostFault {
+    /// The process is killed.
     Kill,
-    /// Its process is stopped for this long.
+    /// The process is stopped for this long.
     Pause(Duration),
 }
 
-/// Harms the next host that reaches a point.
+/// A fault for the next host that reaches an injection point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trap {
-    /// The point.
-    pub point: Point,
-    /// Whether the step is still made: the bytes are out, and no answer is read.
+pub struct FaultInjection {
+    /// The step of a call.
+    pub point: InjectionPoint,
+    /// Whether the step is still executed: its request is sent, but the host reads no answer to it.
     pub after: bool,
-    /// What happens.
-    pub harm: Harm,
+    /// The fault to inject.
+    pub fault: HostFault,
 }
 
-impl Point {
+impl InjectionPoint {
     fn matches(self, action: &Action) -> bool {
         let writes = |word: &str| match action {
             Action::Platform { request: PlatformOp::Commit(tx), .. } => tx.writes.iter().any(|w| {
@@ -61,119 +61,126 @@
 }
 
 impl World {
-    /// Sets a trap for the next host that comes by.
-    pub fn set_trap(&mut self, trap: Trap) {
-        self.traps.push(trap);
+    /// Injects a fault into the next host that reaches its point.
+    pub fn inject_fault(&mut self, injection: FaultInjection) {
+        self.injections.push(injection);
     }
 
-    /// Takes all traps away.
-    pub fn forget_traps(&mut self) {
-        self.traps.clear();
+    /// Removes all injected faults that have not been triggered.
+    pub fn clear_injected_faults(&mut self) {
+        self.injections.clear();
     }
 
-    pub(super) fn trap_for(&mut self, _: usize, action: &Action, after: bool) -> Option<Trap> {
-        let index = self.traps.iter().position(|t| t.after == after && t.point.matches(action))?;
+    pub(super) fn take_matching_injection(
+        &mut self,
+        _: usize,
+        action: &Action,
+        after: bool,
+    ) -> Option<FaultInjection> {
+        let index =
+            self.injections.iter().position(|i| i.after == after && i.point.matches(action))?;
 
-        Some(self.traps.remove(index))
+        Some(self.injections.remove(index))
     }
 
-    /// Springs a trap before an action; returns whether there was one.
-    pub(super) fn spring(&mut self, host: usize, action: &Action, after: bool) -> bool {
-        let trap = self.trap_for(host, action, after);
-        if let Some(trap) = trap {
-            self.spring_trap(host, trap);
+    /// Triggers a fault that matches an action, and returns whether there was one.
+    pub(super) fn trigger_matching(&mut self, host: usize, action: &Action, after: bool) -> bool {
+        let injection = self.take_matching_injection(host, action, after);
+        if let Some(injection) = injection {
+            self.trigger(host, injection);
         }
 
-        trap.is_some()
+        injection.is_some()
     }
 
-    pub(super) fn spring_trap(&mut self, host: usize, trap: Trap) {
-        match trap.harm {
-            Harm::Kill => self.kill(host),
-            Harm::Pause(time) => self.pause(host, Some(time)),
+    pub(super) fn trigger(&mut self, host: usize, injection: FaultInjection) {
+        match injection.fault {
+            HostFault::Kill => self.kill(host),
+            HostFault::Pause(time) => self.pause(host, Some(time)),
         }
     }
 
-    /// Kills a host: its callers, connections and memory are gone.
+    /// Kills a host's process: its callers, connections and memory are lost.
     pub fn kill(&mut self, host: usize) {
-        if self.hosts[host].state == State::Down {
+        if self.hosts[host].state == ProcessState::Down {
             return;
         }
         let state = &mut self.hosts[host];
-        state.state = State::Down;
+        state.state = ProcessState::Down;
         state.session = 0;
-        state.inbox.clear();
-        state.undone.clear();
+        state.buffered_events.clear();
+        state.pending_actions.clear();
 
         for submission in self.record.submissions.values_mut() {
             if submission.host == host && submission.answers.is_empty() {
-                submission.cut = true;
+                submission.abandoned = true;
             }
         }
-        self.peer_down(host);
+        self.notify_peer_down(host);
     }
 
-    /// Starts a killed host anew, with a higher session.
+    /// Restarts a host with a higher session.
     pub fn restart(&mut self, host: usize) {
         self.kill(host);
-        self.next_session += 1 << 32;
-        let session = self.next_session;
+        self.last_session += 1 << 32;
+        let session = self.last_session;
         let state = &mut self.hosts[host];
         state.scheduler = scheduler(host, &state.name, &state.zone, session);
         state.session = session;
-        state.state = State::Up;
-        state.wake = Instant::default();
-        state.good_keys.clear();
-        state.withdrawn.clear();
-        state.left = false;
+        state.state = ProcessState::Up;
+        state.wake_at = Instant::default();
+        state.accepted_keys.clear();
+        state.withdrawn_keys.clear();
+        state.shutdown_ready = false;
 
         self.record.started.push((self.now, host, session));
-        self.tell_hosts(host);
+        self.send_host_list(host);
     }
 
-    /// Stops a host's process; `resume_after` says when it goes on by itself.
+    /// Stops a host's process. With `resume_after` it resumes after that time.
     pub fn pause(&mut self, host: usize, resume_after: Option<Duration>) {
-        if self.hosts[host].state != State::Up {
+        if self.hosts[host].state != ProcessState::Up {
             return;
         }
-        self.hosts[host].state = State::Paused;
+        self.hosts[host].state = ProcessState::Paused;
         self.hosts[host].stopped_at = self.now;
         let session = self.hosts[host].session;
 
-        // Others give up its connections; it finds that out when it goes on.
-        if resume_after.is_none_or(|time| time > SILENCE) {
+        // Peers close the connections after the timeout; the host notices when it resumes.
+        if resume_after.is_none_or(|time| time > PEER_TIMEOUT) {
             let id = self.hosts[host].id;
             for other in (0..self.hosts.len()).filter(|other| *other != host) {
-                self.add_event(self.now + SILENCE, other, Event::PeerDown(id));
+                self.schedule_host_event(self.now + PEER_TIMEOUT, other, Event::PeerDown(id));
             }
         }
         if let Some(time) = resume_after {
-            self.add(self.now + time, super::Item::Resume { host, session });
+            self.schedule_event(self.now + time, super::ScheduledEvent::Resume { host, session });
         }
     }
 
-    /// Lets a stopped process go on: first what it was about to do, then what waited.
+    /// Resumes a stopped process. It first executes its remaining actions, then receives the
+    /// buffered events.
     pub fn resume(&mut self, host: usize) {
-        if self.hosts[host].state != State::Paused {
+        if self.hosts[host].state != ProcessState::Paused {
             return;
         }
         let state = &mut self.hosts[host];
-        state.state = State::Up;
-        let undone = std::mem::take(&mut state.undone);
-        let inbox = std::mem::take(&mut state.inbox);
+        state.state = ProcessState::Up;
+        let pending_actions = std::mem::take(&mut state.pending_actions);
+        let buffered_events = std::mem::take(&mut state.buffered_events);
 
-        self.carry_out_all(host, undone);
-        for event in inbox {
+        self.execute_all(host, pending_actions);
+        for event in buffered_events {
             self.deliver(host, event);
         }
-        if self.now - self.hosts[host].stopped_at > SILENCE {
+        if self.now - self.hosts[host].stopped_at > PEER_TIMEOUT {
             for other in (0..self.hosts.len()).filter(|other| *other != host) {
                 self.deliver(host, Event::PeerDown(self.hosts[other].id));
             }
         }
     }
 
-    /// Tells a host to leave.
+    /// Asks a host to shut down gracefully.
     pub fn drain(&mut self, host: usize) {
         self.deliver(host, Event::Drain);
     }
--- a/crates/scenario/src/world/platform.rs
+++ b/crates/scenario/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform between hosts: away, slow, or losing its answers, for each zone.
+//! A simulated platform. For the hosts of each zone it can be unavailable, be slow or lose answers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,88 +8,101 @@
 use camphorwalk_standin::Store;
 
 use super::network::PLATFORM;
-use super::{Item, World};
+use super::{ScheduledEvent, World};
 
-/// How long the platform takes, there and back.
-const TIME: Duration = Duration::from_millis(4);
+/// The round-trip time of an operation.
+const ROUND_TRIP: Duration = Duration::from_millis(4);
 
 /// How long a client waits for an answer.
-const DEADLINE: Duration = Duration::from_millis(500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How the platform treats the hosts of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mode {
-    /// It answers.
+    /// It answers normally.
     #[default]
-    Ok,
-    /// It refuses at once and does nothing.
+    Normal,
+    /// It refuses each operation at once without executing it.
     Refuse,
-    /// It takes this long, both to take effect and to answer.
+    /// It executes an operation after this time, and answers then.
     Slow(Duration),
-    /// Transactions take effect after this time, and their answers are lost.
-    Lost(Duration),
+    /// Transactions are executed after this time, and their answers are lost. Other operations are
+    /// answered normally.
+    LoseAnswers(Duration),
 }
 
-/// The platform.
+/// The stored data, and the mode for each zone.
 #[derive(Default)]
 pub(super) struct Platform {
     store: Store,
     modes: BTreeMap<Box<str>, Mode>,
 }
 
-/// An operation on its way.
+/// An operation on its way to the platform.
 #[derive(Debug)]
-pub(super) struct Arrival {
+pub(super) struct PlatformArrival {
     host: usize,
     session: u64,
     op: OpId,
     request: PlatformOp,
-    /// Whether the answer still finds its client waiting.
-    heard: bool,
+    /// Whether the answer arrives before the client's timeout.
+    answered: bool,
 }
 
 impl World {
-    /// Sets how the platform treats a zone from now on.
+    /// Sets how the platform treats the hosts of a zone from now on.
     pub fn set_platform(&mut self, zone: &str, mode: Mode) {
         self.platform.modes.insert(zone.into(), mode);
     }
 
-    pub(super) fn ask_platform(&mut self, host: usize, op: OpId, request: PlatformOp) {
+    pub(super) fn send_to_platform(&mut self, host: usize, op: OpId, request: PlatformOp) {
         let zone = &self.hosts[host].zone;
         let mode = self.platform.modes.get(zone).copied().unwrap_or_default();
         let writes = matches!(request, PlatformOp::Commit(_) | PlatformOp::PutObject(_));
-        let lost = if writes { PlatformReply::Unknown } else { PlatformReply::Unavailable };
+        let no_answer = if writes { PlatformReply::Unknown } else { PlatformReply::Unavailable };
 
-        if !self.network.reaches(zone, PLATFORM) {
-            return self.add_event(self.now + DEADLINE, host, Event::Platform { op, reply: lost });
+        if !self.network.can_reach(zone, PLATFORM) {
+            return self.schedule_host_event(
+                self.now + CLIENT_TIMEOUT,
+                host,
+                Event::Platform { op, reply: no_answer },
+            );
         }
-        let (after, heard) = match mode {
+        let (after, answered) = match mode {
             Mode::Refuse => {
                 let reply = PlatformReply::Unavailable;
-                return self.add_event(self.now + TIME, host, Event::Platform { op, reply });
+                return self.schedule_host_event(
+                    self.now + ROUND_TRIP,
+                    host,
+                    Event::Platform { op, reply },
+                );
             }
-            Mode::Slow(time) => (time, time + TIME < DEADLINE),
-            Mode::Lost(time) if matches!(request, PlatformOp::Commit(_)) => {
-                (time.max(TIME / 2), false)
+            Mode::Slow(time) => (time, time + ROUND_TRIP < CLIENT_TIMEOUT),
+            Mode::LoseAnswers(time) if matches!(request, PlatformOp::Commit(_)) => {
+                (time.max(ROUND_TRIP / 2), false)
             }
-            Mode::Ok | Mode::Lost(_) => (TIME / 2, true),
+            Mode::Normal | Mode::LoseAnswers(_) => (ROUND_TRIP / 2, true),
         };
 
-        if !heard {
-            self.add_event(self.now + DEADLINE, host, Event::Platform { op, reply: lost });
+        if !answered {
+            self.schedule_host_event(
+                self.now + CLIENT_TIMEOUT,
+                host,
+                Event::Platform { op, reply: no_answer },
+            );
         }
         let session = self.hosts[host].session;
-        let arrival = Arrival { host, session, op, request, heard };
-        self.add(self.now + after, Item::Platform(arrival));
+        let arrival = PlatformArrival { host, session, op, request, answered };
+        self.schedule_event(self.now + after, ScheduledEvent::Platform(arrival));
     }
 
-    /// Runs an operation, also if its sender is gone by now.
-    pub(super) fn on_platform(&mut self, arrival: Arrival) {
+    /// Executes an operation, even if its sender has died since.
+    pub(super) fn on_platform_arrival(&mut self, arrival: PlatformArrival) {
         let reply = self.platform.store.run(arrival.request);
 
-        if arrival.heard && self.hosts[arrival.host].session == arrival.session {
+        if arrival.answered && self.hosts[arrival.host].session == arrival.session {
             let event = Event::Platform { op: arrival.op, reply };
-            self.add_event(self.now + TIME / 2, arrival.host, event);
+            self.schedule_host_event(self.now + ROUND_TRIP / 2, arrival.host, event);
         }
     }
 }
--- a/crates/scenario/src/world/targets.rs
+++ b/crates/scenario/src/world/targets.rs
@@ -1,4 +1,5 @@
-//! Fake targets: engines that tag their answers, and plain services with a ledger.
+//! Simulated targets: engines that put the program and call number into their output, and plain
+//! services with a ledger.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,65 +12,65 @@
 use camphorwalk_policy::scheduler::Event;
 use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
 
-use super::{Item, World};
+use super::{ScheduledEvent, World};
 use crate::record::Sent;
 
-/// How long a request takes to a target, and its answer back.
-const WAY: Duration = Duration::from_millis(1);
+/// The network delay between a host and a target, in each direction.
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
-/// How long an engine takes.
+/// The time an engine takes for a call.
 const ENGINE_TIME: Duration = Duration::from_millis(100);
 
-/// How long a plain service takes.
+/// The time a plain service takes for a call.
 const SERVICE_TIME: Duration = Duration::from_millis(40);
 
-/// How long a crashed engine is away.
-const RESTART: Duration = Duration::from_secs(1);
+/// How long a crashed engine is unavailable.
+const RESTART_TIME: Duration = Duration::from_secs(1);
 
-/// A prompt with this word brings down each engine that runs it.
+/// An engine crashes when it runs a prompt that contains this word.
 pub const POISON: &str = "poison";
 
-/// How a target treats what it gets.
+/// How a target treats the calls it receives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mode {
-    /// It runs and answers.
+    /// It runs a call and answers.
     #[default]
-    Ok,
-    /// It runs at once and takes this long to answer.
+    Normal,
+    /// It runs a call at once and answers after this time.
     Slow(Duration),
-    /// It closes the connection without running.
+    /// It closes the connection without running the call.
     CloseBefore,
-    /// It runs, then closes the connection without an answer.
+    /// It runs the call, then closes the connection without an answer.
     CloseAfter,
-    /// It refuses.
+    /// It refuses the call.
     Refuse,
 }
 
-/// A target.
+/// A simulated engine or plain service.
 struct Target {
     name: Box<str>,
     id: TargetId,
     zone: Box<str>,
     kind: TargetKind,
     mode: Mode,
-    /// Until when it is away after a crash.
-    away_until: Instant,
+    /// When it is available again after a crash.
+    unavailable_until: Instant,
 }
 
-/// An attempt at a target.
-struct Running {
+/// An attempt that runs at a target.
+struct RunningAttempt {
     host: usize,
     session: u64,
     target: usize,
     end: AttemptEnd,
 }
 
-/// All targets and what runs at them.
+/// All targets and the attempts that run at them.
 pub(super) struct Targets {
     targets: Vec<Target>,
-    running: BTreeMap<AttemptId, Running>,
-    /// What the ends on the agenda are for.
-    ends: BTreeMap<u64, AttemptId>,
+    running: BTreeMap<AttemptId, RunningAttempt>,
+    /// The attempts behind the scheduled ends, by the number of the end.
+    scheduled_ends: BTreeMap<u64, AttemptId>,
 }
 
 impl Targets {
@@ -79,21 +80,20 @@
             id: TargetId::from_name(&t.name),
             zone: t.zone.clone(),
             kind: t.kind,
-            mode: Mode::Ok,
-            away_until: Instant::default(),
+            mode: Mode::Normal,
+            unavailable_until: Instant::default(),
         };
 
         Self {
             targets: config.targets.iter().map(target).collect(),
             running: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            scheduled_ends: BTreeMap::new(),
         }
     }
 }
 
 impl World {
-    /// Sets how the targets whose names begin with `prefix` treat what they get; returns
-    /// whether there is one.
+    /// Sets the mode of the targets whose names start with `prefix`; returns whether there is one.
     pub fn set_target(&mut self, prefix: &str, mode: Mode) -> bool {
         let named = |target: &&mut Target| target.name.starts_with(prefix);
         let targets = self.targets.targets.iter_mut().filter(named);
@@ -101,17 +101,17 @@
         targets.map(|target| target.mode = mode).count() > 0
     }
 
-    /// Sends an attempt. The key is looked at once more, as traffic threads do.
+    /// Sends an attempt to its target. Checks the API key again, as traffic threads do.
     pub(super) fn dispatch(&mut self, host: usize, dispatch: Box<Dispatch>) {
         let index = self.targets.targets.iter().position(|t| t.id == dispatch.target);
         let reachable = index.is_some_and(|index| {
             let target = &self.targets.targets[index];
-            self.network.reaches(&self.hosts[host].zone, &target.zone)
-                && target.away_until <= self.now
+            self.network.can_reach(&self.hosts[host].zone, &target.zone)
+                && target.unavailable_until <= self.now
         });
-        if !reachable || !self.key_stands(host, dispatch.key) {
+        if !reachable || !self.is_key_accepted(host, dispatch.key) {
             let event = Event::Ended { attempt: dispatch.attempt, end: AttemptEnd::NotSent };
-            return self.add_event(self.now + WAY, host, event);
+            return self.schedule_host_event(self.now + NETWORK_DELAY, host, event);
         }
 
         self.record.sent.push(Sent {
@@ -124,14 +124,17 @@
             number: dispatch.number,
         });
         let session = self.hosts[host].session;
-        self.add(self.now + WAY, Item::Arrive { host, session, dispatch });
+        self.schedule_event(
+            self.now + NETWORK_DELAY,
+            ScheduledEvent::AttemptArrives { host, session, dispatch },
+        );
     }
 
-    /// An attempt arrives, also if its host is gone by now.
-    pub(super) fn on_arrival(&mut self, host: usize, session: u64, dispatch: &Dispatch) {
+    /// Starts an attempt at its target, even if the sending host has died since.
+    pub(super) fn on_attempt_arrival(&mut self, host: usize, session: u64, dispatch: &Dispatch) {
         let id = dispatch.target;
         let index = self.targets.targets.iter().position(|t| t.id == id);
-        let index = index.expect("it was found before sending");
+        let index = index.expect("the target existed when the call was sent");
         let (kind, mode) = {
             let target = &self.targets.targets[index];
             (target.kind, target.mode)
@@ -139,31 +142,32 @@
         let time = if kind == TargetKind::Engine { ENGINE_TIME } else { SERVICE_TIME };
         let lost = AttemptEnd::Lost { streamed: false, crashed: false };
         let (time, end) = match mode {
-            Mode::Ok => (time, self.run(dispatch)),
+            Mode::Normal => (time, self.run(dispatch)),
             Mode::Slow(time) => (time, self.run(dispatch)),
-            Mode::CloseBefore => (WAY, lost.clone()),
+            Mode::CloseBefore => (NETWORK_DELAY, lost.clone()),
             Mode::CloseAfter => {
                 self.run(dispatch);
                 (time, lost.clone())
             }
-            Mode::Refuse => (WAY, AttemptEnd::Refused { message: "busy".into() }),
+            Mode::Refuse => (NETWORK_DELAY, AttemptEnd::Refused { message: "busy".into() }),
         };
 
-        // A caller of a target waits no longer than its timeout.
+        // The host stops waiting for a target after the timeout of the dispatch.
         let (time, end) =
             if time > dispatch.timeout { (dispatch.timeout, lost) } else { (time, end) };
-        let running = Running { host, session, target: index, end };
+        let running = RunningAttempt { host, session, target: index, end };
         self.targets.running.insert(dispatch.attempt, running);
-        if poisoned(dispatch) {
+        if contains_poison(dispatch) {
             return self.crash(index);
         }
 
-        let number = self.number();
-        self.targets.ends.insert(number, dispatch.attempt);
-        self.add(self.now + time, Item::End { target: index, number });
+        let number = self.next_number();
+        self.targets.scheduled_ends.insert(number, dispatch.attempt);
+        self.schedule_event(self.now + time, ScheduledEvent::AttemptEnds { target: index, number });
     }
 
-    /// Runs an attempt: the ledger notes it, however often it comes.
+    /// Runs an attempt and returns its result. The ledger counts each run of a plain service's
+    /// call.
     fn run(&mut self, dispatch: &Dispatch) -> AttemptEnd {
         let (program, number) = (dispatch.program, dispatch.number);
         let (output, tokens) = match &dispatch.work {
@@ -181,51 +185,51 @@
             output_tokens: Tokens(tokens.min(8)),
             ..Usage::default()
         };
-        let output = serde_json::to_string(&output).expect("text is plain data").into();
+        let output = serde_json::to_string(&output).expect("a string can be serialized").into();
 
         AttemptEnd::Done { output, usage }
     }
 
-    pub(super) fn on_end(&mut self, _target: usize, number: u64) {
-        let Some(attempt) = self.targets.ends.remove(&number) else {
+    pub(super) fn on_attempt_end(&mut self, _target: usize, number: u64) {
+        let Some(attempt) = self.targets.scheduled_ends.remove(&number) else {
             return;
         };
         if let Some(running) = self.targets.running.remove(&attempt) {
-            self.tell_end(attempt, running);
+            self.report_attempt_end(attempt, running);
         }
     }
 
-    fn tell_end(&mut self, attempt: AttemptId, running: Running) {
+    fn report_attempt_end(&mut self, attempt: AttemptId, running: RunningAttempt) {
         if self.hosts[running.host].session == running.session {
             let event = Event::Ended { attempt, end: running.end };
-            self.add_event(self.now + WAY, running.host, event);
+            self.schedule_host_event(self.now + NETWORK_DELAY, running.host, event);
         }
     }
 
     pub(super) fn cancel(&mut self, attempt: AttemptId) {
         if let Some(mut running) = self.targets.running.remove(&attempt) {
             running.end = AttemptEnd::Cancelled;
-            self.tell_end(attempt, running);
+            self.report_attempt_end(attempt, running);
         }
     }
 
-    /// A target goes down under all that runs there.
+    /// Crashes a target: all attempts that run there are lost.
     fn crash(&mut self, index: usize) {
-        self.targets.targets[index].away_until = self.now + RESTART;
-        let there = |(_, running): &(&AttemptId, &Running)| running.target == index;
+        self.targets.targets[index].unavailable_until = self.now + RESTART_TIME;
+        let there = |(_, running): &(&AttemptId, &RunningAttempt)| running.target == index;
         let attempts: Vec<_> =
             self.targets.running.iter().filter(there).map(|(attempt, _)| *attempt).collect();
 
         for attempt in attempts {
             if let Some(mut running) = self.targets.running.remove(&attempt) {
                 running.end = AttemptEnd::Lost { streamed: false, crashed: true };
-                self.tell_end(attempt, running);
+                self.report_attempt_end(attempt, running);
             }
         }
     }
 }
 
-fn poisoned(dispatch: &Dispatch) -> bool {
+fn contains_poison(dispatch: &Dispatch) -> bool {
     match &dispatch.work {
         Work::Generate { prompt, .. } => prompt.iter().any(|text| text.contains(POISON)),
         Work::Operation { .. } => false,
--- a/crates/scenario/tests/fuzz/callers.rs
+++ b/crates/scenario/tests/fuzz/callers.rs
@@ -1,4 +1,4 @@
-//! The hosts of the fuzz, and the callers who remember what they were told.
+//! The simulated fleet of the fuzz test, and callers that keep the state they got from answers.
 
 use std::time::Duration;
 
@@ -9,59 +9,59 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::scheduler::OperatorRequest;
 use camphorwalk_scenario::checks;
-use camphorwalk_scenario::declared::{TEMPLATE, TenantSpec, config};
+use camphorwalk_scenario::fleet_config::{TEMPLATE, TenantSpec, config};
 use camphorwalk_scenario::record::instant;
 use camphorwalk_scenario::world::faults::{PLATFORM, POISON, PlatformMode, TargetMode};
-use camphorwalk_scenario::world::{State, World};
+use camphorwalk_scenario::world::{ProcessState, World};
 
 use crate::Op;
 
 pub const HOSTS: [&str; 4] = ["a1", "a2", "b1", "c1"];
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// The programs, with the tenant and the key of each.
+/// The programs: name, tenant, API key.
 pub const PROGRAMS: [(&str, &str, &str); 3] =
     [("P", "t1", "k1"), ("Q", "t1", "k2"), ("R", "t2", "k3")];
 
-/// The rates and bursts of the tenants.
+/// The tenants: name, rate in calls per second, burst.
 pub const RATES: [(&str, f64, u32); 2] = [("t1", 3.0, 6), ("t2", 50.0, 50)];
 
-/// How long the fleet has to come up.
-pub const COMES_UP: Duration = Duration::from_secs(10);
+/// Time for the fleet to start.
+pub const STARTUP_TIME: Duration = Duration::from_secs(10);
 
-/// How long after the start the programs' callers wait.
+/// The deadline of all programs.
 pub const DEADLINE: Duration = Duration::from_secs(150);
 
-/// How long the fleet has to settle once all is healed.
-pub const SETTLES: Duration = Duration::from_secs(20);
+/// Time for the fleet to recover once all faults are removed.
+pub const RECOVERY_TIME: Duration = Duration::from_secs(20);
 
-/// How soon a withdrawn key stops working.
-pub const WITHDRAWN_WITHIN: Duration = Duration::from_secs(4);
+/// How soon after its withdrawal a key must be rejected by all hosts.
+pub const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_secs(4);
 
-/// How long faults must be over for a withdrawal to have a path to all hosts.
-pub const CALM: Duration = Duration::from_secs(10);
+/// How long there must have been no fault before a withdrawal for it to reach all hosts in time.
+pub const FAULT_FREE_TIME: Duration = Duration::from_secs(10);
 
-/// What the programs' callers know.
+/// What a program's callers know about it.
 #[derive(Default)]
-struct Known {
+struct ProgramState {
     id: Option<ProgramId>,
     head: u32,
     tail: Option<Box<str>>,
     calls: Vec<CallRequest>,
-    last: Vec<u64>,
+    last_requests: Vec<u64>,
 }
 
-/// The hosts and their callers.
+/// The system under test: the fleet and its callers.
 pub struct Sut {
     pub world: World,
     config: Config,
-    programs: [Known; 3],
-    /// The last time at which a fault was in force.
-    troubled: Instant,
-    /// Whether the platform or a cut is in the way.
-    in_the_way: bool,
-    /// Keys that had to be out of use from some time on.
-    pub stopped: Vec<(KeyId, Instant)>,
+    programs: [ProgramState; 3],
+    /// The last time at which a fault was active.
+    last_fault_at: Instant,
+    /// Whether a platform fault or a network partition is active.
+    fault_active: bool,
+    /// Keys that no call may be sent with after the given time.
+    pub withdrawn_keys: Vec<(KeyId, Instant)>,
 }
 
 impl Sut {
@@ -81,12 +81,12 @@
             world: World::start(&hosts, &config),
             config,
             programs: Default::default(),
-            troubled: Instant::default(),
-            in_the_way: false,
-            stopped: Vec::new(),
+            last_fault_at: Instant::default(),
+            fault_active: false,
+            withdrawn_keys: Vec::new(),
         };
 
-        sut.run_until(instant(COMES_UP));
+        sut.run_until(instant(STARTUP_TIME));
         for (index, (name, tenant, key)) in PROGRAMS.into_iter().enumerate() {
             let id = ProgramId::from_open_key(TenantId::from_name(tenant), name);
             sut.programs[index].id = Some(id);
@@ -99,58 +99,58 @@
             };
             sut.world.request(index, tenant, key, Request::Open(open), DEADLINE);
         }
-        sut.run_until(instant(COMES_UP + Duration::from_secs(1)));
+        sut.run_until(instant(STARTUP_TIME + Duration::from_secs(1)));
 
         sut
     }
 
     fn run_until(&mut self, end: Instant) {
         while !self.world.run_until(end) {
-            self.take_answers();
+            self.process_answers();
         }
-        self.take_answers();
+        self.process_answers();
 
-        let stopped = |host| self.world.state(host) != State::Up;
-        if self.in_the_way || (0..HOSTS.len()).any(stopped) {
-            self.troubled = self.world.now();
+        let is_stopped = |host| self.world.state(host) != ProcessState::Up;
+        if self.fault_active || (0..HOSTS.len()).any(is_stopped) {
+            self.last_fault_at = self.world.now();
         }
     }
 
-    /// Callers learn the head and the tail from the answers to their last calls.
-    fn take_answers(&mut self) {
-        for known in &mut self.programs {
-            for number in &known.last {
+    /// Updates the head and the tail of each program from the answers to its last calls.
+    fn process_answers(&mut self) {
+        for program_state in &mut self.programs {
+            for number in &program_state.last_requests {
                 if let Some(Reply::Called(called)) = self.world.record.submissions[number].answer()
-                    && called.call > known.head
+                    && called.call > program_state.head
                 {
-                    known.head = called.call;
-                    known.tail = called.tail.clone();
+                    program_state.head = called.call;
+                    program_state.tail = called.tail.clone();
                 }
             }
         }
     }
 
-    /// Makes a step.
+    /// Executes an operation.
     pub fn apply(&mut self, op: Op) {
         match op {
             Op::Call { program, deposit, poison, hosts } => {
                 let call = self.new_call(program, deposit, poison);
                 self.programs[program].calls.push(call.clone());
-                self.programs[program].last.clear();
+                self.programs[program].last_requests.clear();
                 hosts.into_iter().for_each(|host| self.send(program, call.clone(), host));
             }
-            Op::Repeat { program, back, host } => {
+            Op::Retry { program, nth_last, host } => {
                 let calls = &self.programs[program].calls;
-                if let Some(call) = calls.iter().rev().nth(back).cloned() {
+                if let Some(call) = calls.iter().rev().nth(nth_last).cloned() {
                     self.send(program, call, host);
                 }
             }
             Op::History { program, host } => {
                 self.history(program, host);
             }
-            Op::Leave { program } => {
-                let last = self.programs[program].last.clone();
-                last.into_iter().for_each(|number| self.world.leave(number));
+            Op::DisconnectCallers { program } => {
+                let last_requests = self.programs[program].last_requests.clone();
+                last_requests.into_iter().for_each(|number| self.world.disconnect_caller(number));
             }
             Op::Kill { host } => self.world.kill(host),
             Op::Restart { host } => self.world.restart(host),
@@ -158,22 +158,24 @@
                 self.world.pause(host, Some(Duration::from_millis(millis)));
             }
             Op::Drain { host } => self.world.drain(host),
-            Op::CutZones { a, b } if a != b => self.cut(ZONES[a], ZONES[b]),
-            Op::CutZones { .. } => {}
-            Op::CutPlatform { zone } => self.cut(ZONES[zone], PLATFORM),
+            Op::PartitionZones { a, b } if a != b => {
+                self.start_network_partition(ZONES[a], ZONES[b])
+            }
+            Op::PartitionZones { .. } => {}
+            Op::PartitionPlatform { zone } => self.start_network_partition(ZONES[zone], PLATFORM),
             Op::Heal => {
                 self.world.heal();
-                ZONES.iter().for_each(|zone| self.world.set_platform(zone, PlatformMode::Ok));
-                self.in_the_way = false;
+                ZONES.iter().for_each(|zone| self.world.set_platform(zone, PlatformMode::Normal));
+                self.fault_active = false;
             }
             Op::Platform { zone, mode } => {
                 self.world.set_platform(ZONES[zone], mode);
-                self.in_the_way |= mode != PlatformMode::Ok;
+                self.fault_active |= mode != PlatformMode::Normal;
             }
             Op::Target { deposit, mode } => {
                 self.world.set_target(if deposit { "deposit" } else { "model" }, mode);
             }
-            Op::Trap(trap) => self.world.set_trap(trap),
+            Op::InjectFault(injection) => self.world.inject_fault(injection),
             Op::Publish { hosts } => {
                 for (index, host) in hosts.into_iter().enumerate() {
                     let base = self.world.version(host);
@@ -190,38 +192,39 @@
         self.run_until(self.world.now() + Duration::from_millis(5));
     }
 
-    fn cut(&mut self, a: &str, b: &str) {
-        self.world.cut(a, b);
-        self.in_the_way = true;
+    fn start_network_partition(&mut self, a: &str, b: &str) {
+        self.world.start_network_partition(a, b);
+        self.fault_active = true;
     }
 
-    /// Withdraws the key of the second program.
+    /// Withdraws the API key of the second program.
     fn withdraw(&mut self, host: usize) {
         let key = PROGRAMS[1].2;
         let now = self.world.now();
-        self.world.operate(host, OperatorRequest::Withdraw { key: key.into() });
-        if self.troubled + CALM > now || self.in_the_way {
+        self.world.send_operator_request(host, OperatorRequest::Withdraw { key: key.into() });
+        if self.last_fault_at + FAULT_FREE_TIME > now || self.fault_active {
             return;
         }
 
-        // It has a path only if nothing goes wrong while it spreads.
-        self.run_until(now + WITHDRAWN_WITHIN);
-        if self.troubled < now {
-            self.stopped.push((KeyId::from_name(key), now + WITHDRAWN_WITHIN));
+        // The time limit applies only if no fault is active until all hosts must know the
+        // withdrawal.
+        self.run_until(now + MAX_WITHDRAWAL_DELAY);
+        if self.last_fault_at < now {
+            self.withdrawn_keys.push((KeyId::from_name(key), now + MAX_WITHDRAWAL_DELAY));
         }
     }
 
     fn new_call(&self, program: usize, deposit: bool, poison: bool) -> CallRequest {
-        let known = &self.programs[program];
+        let program_state = &self.programs[program];
         let target = if deposit { "deposit" } else { "model" };
-        let key = format!("{}-{}", PROGRAMS[program].0, known.calls.len());
+        let key = format!("{}-{}", PROGRAMS[program].0, program_state.calls.len());
         let word = if poison && !deposit { POISON } else { "words" };
         let input = format!("\"{key}/{word}\"");
 
         CallRequest {
-            program: known.id.expect("it is opened"),
+            program: program_state.id.expect("the program is opened"),
             key: key.into(),
-            after: known.head,
+            after: program_state.head,
             target: target.into(),
             body: digest(&[target.as_bytes(), input.as_bytes()]),
             input: input.into(),
@@ -233,64 +236,67 @@
 
     fn send(&mut self, program: usize, mut call: CallRequest, host: usize) {
         let (_, tenant, key) = PROGRAMS[program];
-        let known = &mut self.programs[program];
-        call.tail = known.tail.clone();
-        // The balancer sends nothing to a host that is gone.
-        let up = |host: &usize| self.world.state(*host) != State::Down;
+        let program_state = &mut self.programs[program];
+        call.tail = program_state.tail.clone();
+        // A load balancer sends no requests to a host that is down.
+        let up = |host: &usize| self.world.state(*host) != ProcessState::Down;
         let host = (host..host + HOSTS.len()).map(|h| h % HOSTS.len()).find(up).unwrap_or(host);
-        let deadline = instant(COMES_UP + DEADLINE).since(self.world.now());
+        let deadline = instant(STARTUP_TIME + DEADLINE).since(self.world.now());
         let number = self.world.request(host, tenant, key, Request::Call(call), deadline);
-        known.last.push(number);
+        program_state.last_requests.push(number);
     }
 
     fn history(&mut self, program: usize, host: usize) -> u64 {
         let (_, tenant, _) = PROGRAMS[program];
-        // The first program's key is never withdrawn, and is its tenant's.
-        let key = PROGRAMS.iter().find(|(_, t, _)| *t == tenant).expect("it has one").2;
-        let id = self.programs[program].id.expect("it is opened");
+        // A key of the same tenant that is never withdrawn: that of the tenant's first program.
+        let key =
+            PROGRAMS.iter().find(|(_, t, _)| *t == tenant).expect("the tenant has a program").2;
+        let id = self.programs[program].id.expect("the program is opened");
         let request = Request::History { program: id, from: 1 };
 
         self.world.request(host, tenant, key, request, Duration::from_secs(30))
     }
 
-    /// Heals all, lets the fleet settle, and asks for all histories.
-    pub fn settle(&mut self) -> Vec<(u64, ProgramId)> {
-        self.world.forget_traps();
+    /// Removes all faults, lets the fleet recover, and requests the histories of all programs.
+    /// Returns the numbers of these requests with their programs.
+    pub fn recover(&mut self) -> Vec<(u64, ProgramId)> {
+        self.world.clear_injected_faults();
         self.apply(Op::Heal);
-        self.apply(Op::Target { deposit: true, mode: TargetMode::Ok });
-        self.apply(Op::Target { deposit: false, mode: TargetMode::Ok });
+        self.apply(Op::Target { deposit: true, mode: TargetMode::Normal });
+        self.apply(Op::Target { deposit: false, mode: TargetMode::Normal });
         for host in 0..HOSTS.len() {
             self.world.resume(host);
-            if self.world.state(host) == State::Down {
+            if self.world.state(host) == ProcessState::Down {
                 self.world.restart(host);
             }
         }
-        self.run_until(self.world.now() + SETTLES);
+        self.run_until(self.world.now() + RECOVERY_TIME);
 
-        // A host told to leave late may still be at it: its callers are sent elsewhere.
+        // A host that was asked to shut down late may end its process only during the recovery.
         for host in 0..HOSTS.len() {
-            if self.world.state(host) == State::Down {
+            if self.world.state(host) == ProcessState::Down {
                 self.world.restart(host);
             }
         }
-        self.run_until(self.world.now() + SETTLES);
+        self.run_until(self.world.now() + RECOVERY_TIME);
         let host = (0..HOSTS.len()).find(|host| self.world.is_ready(*host));
-        let host = host.expect("a host serves");
+        let host = host.expect("a host is ready");
         let numbers: Vec<_> = (0..PROGRAMS.len())
             .map(|program| {
-                let id = self.programs[program].id.expect("it is opened");
+                let id = self.programs[program].id.expect("the program is opened");
                 (self.history(program, host), id)
             })
             .collect();
         self.run_until(self.world.now() + Duration::from_secs(2));
-        let end = instant(COMES_UP + DEADLINE + checks::ANSWER_BOUND + Duration::from_secs(1));
+        let end =
+            instant(STARTUP_TIME + DEADLINE + checks::MAX_ANSWER_DELAY + Duration::from_secs(1));
         self.run_until(end.max(self.world.now()));
 
         numbers
     }
 }
 
-/// Returns the keys of a tenant.
+/// Returns the API keys of a tenant.
 fn keys_of(tenant: &str) -> Vec<Box<str>> {
     PROGRAMS.iter().filter(|(_, t, _)| *t == tenant).map(|(_, _, key)| (*key).into()).collect()
 }
--- a/crates/scenario/tests/fuzz/main.rs
+++ b/crates/scenario/tests/fuzz/main.rs
@@ -1,8 +1,8 @@
-//! Random faults against whole hosts, judged by a simple oracle.
+//! Random faults against a simulated fleet, checked by an oracle.
 //!
-//! Three zones, four hosts, three programs of two tenants. After each case all is healed;
-//! then [`oracle::check`] judges what callers, targets and operators saw.
-//! `CAMPHORWALK_FUZZ_CASES` sets the number of cases.
+//! The fleet has three zones, four hosts, and three programs of two tenants. After each case all
+//! faults are removed; then [`oracle::check`] verifies what callers, targets and operators
+//! observed. `CAMPHORWALK_FUZZ_CASES` sets the number of cases.
 
 mod callers;
 mod oracle;
@@ -10,45 +10,47 @@
 use std::time::Duration;
 
 use camphorwalk_scenario::checks;
-use camphorwalk_scenario::world::faults::{Harm, PlatformMode, Point, TargetMode, Trap};
+use camphorwalk_scenario::world::faults::{
+    FaultInjection, HostFault, InjectionPoint, PlatformMode, TargetMode,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
 use callers::{HOSTS, PROGRAMS, Sut};
 
-/// The variable that sets the number of cases.
+/// The environment variable that sets the number of cases.
 const CASES_VAR: &str = "CAMPHORWALK_FUZZ_CASES";
 
-/// The number of cases if nothing sets it.
+/// The number of cases if the variable is not set.
 const CASES: u32 = 60;
 
-/// The number of steps of a case.
+/// The number of operations of a case.
 const STEPS: usize = 50;
 
-/// Something that happens.
+/// An operation of a caller or an operator, a fault, or a period of time.
 #[derive(Clone, Debug)]
 enum Op {
-    /// A new call, at one host or two at once.
+    /// A new call, sent to one host or to two at once.
     Call {
         program: usize,
         deposit: bool,
         poison: bool,
         hosts: Vec<usize>,
     },
-    /// One of the last calls once more, at another host.
-    Repeat {
+    /// One of the last calls again, at any host.
+    Retry {
         program: usize,
-        back: usize,
+        nth_last: usize,
         host: usize,
     },
-    /// Somebody reads a program's history.
+    /// A caller reads a program's history.
     History {
         program: usize,
         host: usize,
     },
-    /// The callers of a program's last call go away.
-    Leave {
+    /// The callers of a program's last call disconnect.
+    DisconnectCallers {
         program: usize,
     },
     Kill {
@@ -64,11 +66,11 @@
     Drain {
         host: usize,
     },
-    CutZones {
+    PartitionZones {
         a: usize,
         b: usize,
     },
-    CutPlatform {
+    PartitionPlatform {
         zone: usize,
     },
     Heal,
@@ -80,8 +82,8 @@
         deposit: bool,
         mode: TargetMode,
     },
-    Trap(Trap),
-    /// One operator publishes, or two at once.
+    InjectFault(FaultInjection),
+    /// One operator publishes a configuration, or two do at once.
     Publish {
         hosts: Vec<usize>,
     },
@@ -93,7 +95,7 @@
     },
 }
 
-/// Any step may follow any other, so nothing needs to be known of the ones before.
+/// A model without state: any operation may follow any other.
 struct AnyOrder;
 
 impl ReferenceStateMachine for AnyOrder {
@@ -108,24 +110,28 @@
         let host = || 0..HOSTS.len();
         let program = || 0..PROGRAMS.len();
         let platform = prop_oneof![
-            Just(PlatformMode::Ok),
+            Just(PlatformMode::Normal),
             Just(PlatformMode::Refuse),
             Just(PlatformMode::Slow(Duration::from_millis(300))),
             Just(PlatformMode::Slow(Duration::from_millis(900))),
-            Just(PlatformMode::Lost(Duration::ZERO)),
-            Just(PlatformMode::Lost(Duration::from_secs(2))),
+            Just(PlatformMode::LoseAnswers(Duration::ZERO)),
+            Just(PlatformMode::LoseAnswers(Duration::from_secs(2))),
         ];
         let target = prop_oneof![
-            Just(TargetMode::Ok),
+            Just(TargetMode::Normal),
             Just(TargetMode::Slow(Duration::from_secs(3))),
             Just(TargetMode::CloseBefore),
             Just(TargetMode::CloseAfter),
             Just(TargetMode::Refuse),
         ];
-        let point = prop_oneof![Just(Point::Intent), Just(Point::Send), Just(Point::Outcome)];
-        let harm = prop_oneof![
-            Just(Harm::Kill),
-            (500_u64..15_000).prop_map(|ms| Harm::Pause(Duration::from_millis(ms))),
+        let point = prop_oneof![
+            Just(InjectionPoint::Intent),
+            Just(InjectionPoint::Send),
+            Just(InjectionPoint::Outcome)
+        ];
+        let fault = prop_oneof![
+            Just(HostFault::Kill),
+            (500_u64..15_000).prop_map(|ms| HostFault::Pause(Duration::from_millis(ms))),
         ];
         let hosts = || proptest::collection::vec(host(), 1..3);
 
@@ -134,21 +140,22 @@
                 |(program, deposit, poison, hosts)| Op::Call { program, deposit, poison, hosts }
             ),
             8 => (program(), 0..3_usize, host())
-                .prop_map(|(program, back, host)| Op::Repeat { program, back, host }),
+                .prop_map(|(program, nth_last, host)| Op::Retry { program, nth_last, host }),
             2 => (program(), host()).prop_map(|(program, host)| Op::History { program, host }),
-            1 => program().prop_map(|program| Op::Leave { program }),
+            1 => program().prop_map(|program| Op::DisconnectCallers { program }),
             1 => host().prop_map(|host| Op::Kill { host }),
             3 => host().prop_map(|host| Op::Restart { host }),
             2 => (host(), 200_u64..15_000).prop_map(|(host, millis)| Op::Pause { host, millis }),
             1 => host().prop_map(|host| Op::Drain { host }),
-            1 => (0..3_usize, 0..3_usize).prop_map(|(a, b)| Op::CutZones { a, b }),
-            1 => (0..3_usize).prop_map(|zone| Op::CutPlatform { zone }),
+            1 => (0..3_usize, 0..3_usize).prop_map(|(a, b)| Op::PartitionZones { a, b }),
+            1 => (0..3_usize).prop_map(|zone| Op::PartitionPlatform { zone }),
             2 => Just(Op::Heal),
             2 => (0..3_usize, platform).prop_map(|(zone, mode)| Op::Platform { zone, mode }),
             2 => (any::<bool>(), target)
                 .prop_map(|(deposit, mode)| Op::Target { deposit, mode }),
-            3 => (point, any::<bool>(), harm)
-                .prop_map(|(point, after, harm)| Op::Trap(Trap { point, after, harm })),
+            3 => (point, any::<bool>(), fault).prop_map(
+                |(point, after, fault)| Op::InjectFault(FaultInjection { point, after, fault })
+            ),
             1 => hosts().prop_map(|hosts| Op::Publish { hosts }),
             1 => host().prop_map(|host| Op::Withdraw { host }),
             14 => (1_u64..3_000).prop_map(|millis| Op::Run { millis }),
@@ -161,7 +168,7 @@
     }
 }
 
-/// The test machine.
+/// The state machine test.
 struct Fuzz;
 
 impl StateMachineTest for Fuzz {
@@ -184,12 +191,12 @@
     }
 
     fn teardown(mut sut: Sut) {
-        let histories = sut.settle();
+        let histories = sut.recover();
         oracle::check(&sut, &histories);
     }
 }
 
-/// Returns the fixed seed and the number of cases.
+/// Returns the test settings, with a fixed seed.
 fn fuzz_config() -> ProptestConfig {
     let cases = std::env::var(CASES_VAR).ok().and_then(|text| text.parse().ok());
 
@@ -206,5 +213,5 @@
     #![proptest_config(fuzz_config())]
 
     #[test]
-    fn hosts_keep_what_they_promise(sequential STEPS..STEPS + 1 => Fuzz);
+    fn invariants_hold_after_random_faults(sequential STEPS..STEPS + 1 => Fuzz);
 }
--- a/crates/scenario/tests/fuzz/oracle.rs
+++ b/crates/scenario/tests/fuzz/oracle.rs
@@ -1,4 +1,4 @@
-//! The whole oracle: what must hold after any faults.
+//! The oracle of the fuzz test: what must hold after any faults.
 
 use camphorwalk_core::calls::{Reply, Request};
 use camphorwalk_core::ids::ProgramId;
@@ -8,14 +8,16 @@
 
 use crate::callers::{RATES, Sut};
 
-/// Judges a case: all of what must hold, in one place.
+/// Checks a finished case. `histories` are the requests for the final histories.
 pub fn check(sut: &Sut, histories: &[(u64, ProgramId)]) {
     let record = &sut.world.record;
 
-    // At most one run, true refusals, one answer each, one outcome each, versions upward.
+    // At most one run per call, refusals that state correctly whether the call ran, one answer per
+    // request, one outcome per call, and increasing configuration versions.
     checks::check_all(record, sut.world.now()).unwrap();
 
-    // Histories in order, of own calls only, with all that was said to be stored.
+    // Each history is in order, contains only the program's own calls, and all that were reported
+    // as stored.
     for (number, program) in histories {
         match record.submissions[number].answer() {
             Some(Reply::History { calls }) => {
@@ -26,27 +28,31 @@
     }
     check_growth(record);
 
-    // From the first configuration on, never more calls than burst and rate allow.
-    let start = record.adopted.first().expect("the fleet came up").0;
+    // From the first configuration on, no more calls are sent than burst and rate allow.
+    let start = record.adopted.first().expect("a configuration was adopted").0;
     for (tenant, rate, burst) in RATES {
-        for (index, at) in checks::admitted(record, tenant).iter().enumerate() {
-            let most = f64::from(burst) + rate * at.since(start).as_secs_f64();
-            assert!((index + 1) as f64 <= most, "{tenant}: {} calls, at most {most}", index + 1);
+        for (index, at) in checks::first_sends(record, tenant).iter().enumerate() {
+            let max_calls = f64::from(burst) + rate * at.since(start).as_secs_f64();
+            assert!(
+                (index + 1) as f64 <= max_calls,
+                "{tenant}: {} calls, at most {max_calls}",
+                index + 1
+            );
         }
     }
 
-    // Where a withdrawal had a path to all hosts, nothing is sent with the key any more.
-    for (key, from) in &sut.stopped {
+    // No call is sent with a withdrawn key if the withdrawal could reach all hosts in time.
+    for (key, from) in &sut.withdrawn_keys {
         let late = record.sent.iter().find(|sent| sent.key == *key && sent.at > *from);
-        assert!(late.is_none(), "withdrawn by {from:?}: {late:?}");
+        assert!(late.is_none(), "key withdrawn by {from:?}, but used later: {late:?}");
     }
 }
 
-/// A history asked for after an earlier one was answered begins with what that one showed,
-/// as far as it was stored by then.
+/// Checks that a history requested after an earlier one was answered starts with the part of the
+/// earlier one that was stored by then.
 ///
-/// Turns beyond that were answered with `stored: false` and a sealed tail. Should their home
-/// die before the tail is handed back with a call, they are gone until it is.
+/// Later calls were answered with `stored: false` and a sealed tail. If their home dies before a
+/// caller sends the tail back with a call, they are missing from the history until then.
 fn check_growth(record: &Record) {
     let histories = || {
         record.submissions.values().filter_map(|s| match (&s.request, s.answers.first()) {
@@ -65,7 +71,7 @@
     }
 }
 
-/// Returns the last call of a program that somebody was told by then to be stored.
+/// Returns the last call of a program that was reported to a caller as stored by this time.
 fn stored_by(record: &Record, program: ProgramId, by: Instant) -> usize {
     let calls = record.submissions.values().filter_map(|s| match (&s.request, s.answers.first()) {
         (Request::Call(call), Some((at, Reply::Called(called))))
--- a/crates/scenario/tests/stories.rs
+++ b/crates/scenario/tests/stories.rs
@@ -1,46 +1,49 @@
-//! Runs every story of `scenarios/`, twice: the verdict and the trace are the same.
+//! Runs every scenario of `scenarios/` twice, and checks that its expectations hold and that both
+//! runs have the same trace digest. A difference means that a run depends on something other than
+//! virtual time and its input.
 
 use std::path::Path;
 
+use camphorwalk_scenario::language::{Scenario, parse};
 use camphorwalk_scenario::runner::run;
-use camphorwalk_scenario::story::{Story, parse};
 
-/// Reads all stories of the folder, in the order of their names.
-fn stories() -> Vec<(String, Story)> {
+/// Reads all scenarios of the folder, in the order of their names.
+fn scenarios() -> Vec<(String, Scenario)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
-    let entries = std::fs::read_dir(folder).expect("the folder is there");
-    let mut paths: Vec<_> = entries.map(|entry| entry.expect("it can be listed").path()).collect();
+    let entries = std::fs::read_dir(folder).expect("the folder can be read");
+    let mut paths: Vec<_> =
+        entries.map(|entry| entry.expect("the folder entry can be read").path()).collect();
     paths.retain(|path| path.extension().is_some_and(|ending| ending == "txt"));
     paths.sort();
 
     let read = |path: &std::path::PathBuf| {
-        let name = path.file_name().expect("it is a file").to_string_lossy().into_owned();
-        let text = std::fs::read_to_string(path).expect("it can be read");
-        let story = parse(&name, &text).unwrap_or_else(|error| panic!("{error}"));
-        (name, story)
+        let name = path.file_name().expect("the path names a file").to_string_lossy().into_owned();
+        let text = std::fs::read_to_string(path).expect("the file can be read as UTF-8");
+        let scenario = parse(&name, &text).unwrap_or_else(|error| panic!("{error}"));
+        (name, scenario)
     };
     paths.iter().map(read).collect()
 }
 
 #[test]
-fn every_story_ends_as_told() {
-    let stories = stories();
-
-    let mut faults = Vec::new();
-    for (name, story) in &stories {
-        let (first, second) = (run(story), run(story));
-        faults.extend(first.faults.iter().map(|fault| format!("{name}: {fault}")));
-        if first.trace != second.trace {
-            faults.push(format!("{name}: two runs differ"));
+fn every_scenario_meets_its_expectations_in_equal_runs() {
+    let scenarios = scenarios();
+
+    let mut failures = Vec::new();
+    for (name, scenario) in &scenarios {
+        let (first, second) = (run(scenario), run(scenario));
+        failures.extend(first.failures.iter().map(|failure| format!("{name}: {failure}")));
+        if first.trace_digest != second.trace_digest {
+            failures.push(format!("{name}: two runs differ"));
         }
     }
 
-    assert!(!stories.is_empty());
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(!scenarios.is_empty());
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
-fn a_line_that_cannot_be_read_is_named() {
+fn a_syntax_error_names_its_line() {
     let cases = [
         ("hosts a1\nat soon kill a1\nuntil 5s", "x.txt:2: `soon` is no time like `2.5s` or `40ms`"),
         ("hosts a1\nat 1s kill a1 hard=yes\nuntil 5s", "x.txt:2: `hard=` does not belong here"),
