--- a/crates/bench/examples/decisions.rs
+++ b/crates/bench/examples/decisions.rs
@@ -1,5 +1,5 @@
-//! Prints how many decisions a second the queues make:
-//! `cargo run --release -p camphorwalk-bench --example decisions`.
+//! Prints how many scheduling decisions per second the queues make: `cargo run --release -p
+//! camphorwalk-bench --example decisions`.
 
 use camphorwalk_bench::decisions::measure;
 
--- a/crates/bench/examples/limits.rs
+++ b/crates/bench/examples/limits.rs
@@ -1,4 +1,5 @@
-//! Prints the measurements of slices as JSON: `limits [slopes]`.
+//! Prints the measurements of rate limiting as JSON. `limits` compares the methods under faults;
+//! `limits slopes` prints the message costs of slices by fleet size.
 
 use camphorwalk_bench::limits::{LimitsOptions, run, slope};
 
--- a/crates/bench/examples/queues.rs
+++ b/crates/bench/examples/queues.rs
@@ -1,5 +1,5 @@
-//! Prints the whole report, and writes the plot to the file named by the first argument:
-//! `cargo run --release -p camphorwalk-bench --example queues [PLOT.svg]`.
+//! Prints the whole report, and writes the plot to the file given as the first argument: `cargo run
+//! --release -p camphorwalk-bench --example queues [PLOT.svg]`.
 
 use std::path::Path;
 
--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -1,7 +1,7 @@
-//! The baselines: first in, first out, with round robin or the least loaded target.
+//! The baselines: first-in-first-out queues with round-robin or least-loaded target selection.
 //!
-//! They keep the same windows as the queues that they are compared with, refuse nothing, and
-//! know neither tenants, classes nor prefixes.
+//! They use the same windows as the queues they are compared with, refuse nothing, and ignore
+//! tenants, classes and cached prefixes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,68 +9,68 @@
 use camphorwalk_policy::queue::{QueueEvent, QueueNext};
 use camphorwalk_policy::wire::Asker;
 
-/// How a baseline chooses a target.
+/// How a baseline selects a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum TargetSelection {
     /// Each target in turn.
     RoundRobin,
     /// The target with the fewest calls in flight.
     LeastLoaded,
 }
 
-/// A first-in-first-out queue before several targets.
+/// A first-in-first-out queue in front of several targets.
 #[derive(Debug)]
 pub struct Fifo {
-    choice: Choice,
+    selection: TargetSelection,
     window: u32,
     targets: Vec<(TargetId, u32)>,
-    turn: usize,
-    calls: VecDeque<Asker>,
-    places: BTreeMap<Asker, usize>,
+    next_index: usize,
+    waiting: VecDeque<Asker>,
+    granted: BTreeMap<Asker, usize>,
 }
 
 impl Fifo {
-    /// Makes an empty queue before these targets.
-    pub fn new(choice: Choice, window: u32, targets: &[TargetId]) -> Self {
+    /// Creates an empty queue in front of these targets.
+    pub fn new(selection: TargetSelection, window: u32, targets: &[TargetId]) -> Self {
         Self {
-            choice,
+            selection,
             window,
             targets: targets.iter().map(|target| (*target, 0)).collect(),
-            turn: 0,
-            calls: VecDeque::new(),
-            places: BTreeMap::new(),
+            next_index: 0,
+            waiting: VecDeque::new(),
+            granted: BTreeMap::new(),
         }
     }
 
-    /// Takes in an event and appends what to do next to `out`.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn step(&mut self, event: &QueueEvent, out: &mut Vec<QueueNext>) {
         match event {
-            QueueEvent::Ask { asker, .. } => self.calls.push_back(*asker),
-            QueueEvent::Vacate { asker, .. } => self.vacate(*asker),
+            QueueEvent::Ask { asker, .. } => self.waiting.push_back(*asker),
+            QueueEvent::Vacate { asker, .. } => self.release(*asker),
             _ => return,
         }
 
-        while let Some((asker, at)) = self.next() {
+        while let Some((asker, at)) = self.next_grant() {
             self.targets[at].1 += 1;
-            self.places.insert(asker, at);
+            self.granted.insert(asker, at);
             out.push(QueueNext::Grant { asker, target: self.targets[at].0 });
         }
     }
 
-    fn vacate(&mut self, asker: Asker) {
-        match self.places.remove(&asker) {
+    fn release(&mut self, asker: Asker) {
+        match self.granted.remove(&asker) {
             Some(at) => self.targets[at].1 -= 1,
-            None => self.calls.retain(|waiting| *waiting != asker),
+            None => self.waiting.retain(|waiting| *waiting != asker),
         }
     }
 
-    fn next(&mut self) -> Option<(Asker, usize)> {
-        let at = match self.choice {
-            Choice::RoundRobin => self.next_in_turn()?,
-            Choice::LeastLoaded => self.least_loaded()?,
+    fn next_grant(&mut self) -> Option<(Asker, usize)> {
+        let at = match self.selection {
+            TargetSelection::RoundRobin => self.next_in_turn()?,
+            TargetSelection::LeastLoaded => self.least_loaded()?,
         };
-        let asker = self.calls.pop_front()?;
-        self.turn = at + 1;
+        let asker = self.waiting.pop_front()?;
+        self.next_index = at + 1;
 
         Some((asker, at))
     }
@@ -78,7 +78,7 @@
     fn next_in_turn(&self) -> Option<usize> {
         let count = self.targets.len();
 
-        (0..count).map(|step| (self.turn + step) % count).find(|at| self.has_room(*at))
+        (0..count).map(|step| (self.next_index + step) % count).find(|at| self.has_room(*at))
     }
 
     fn least_loaded(&self) -> Option<usize> {
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,4 +1,5 @@
-//! How many decisions a second the queues make, by how many calls wait.
+//! Measures how many scheduling decisions per second the queues make, by the number of waiting
+//! calls.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant as WallClock};
@@ -14,51 +15,52 @@
 use crate::scheduler::{Policy, Scheduler};
 use crate::workload::Workload;
 
-/// The numbers of waiting calls that are measured.
-const WAITING: [u64; 4] = [10, 100, 1_000, 10_000];
+/// The numbers of waiting calls to measure.
+const WAITING_CALLS: [u64; 4] = [10, 100, 1_000, 10_000];
 
-/// Calls that end, each with a new question and a grant, in one measurement.
+/// The number of rounds of one measurement. In each round a call ends, its place is granted to
+/// another one, and a new call requests a place.
 const ROUNDS: u64 = 20_000;
 
-/// Wall clock time between two ends of calls in virtual time.
-const STEP: Duration = Duration::from_millis(1);
+/// The virtual time between two rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What a number of waiting calls costs.
+/// The cost of decisions with a number of waiting calls.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DecisionRate {
-    /// Calls that wait all the time.
+    /// The number of calls that wait, constant during the measurement.
     pub waiting: u64,
-    /// Targets of the pool.
+    /// The targets of the pool.
     pub targets: usize,
-    /// Tenants with calls that wait.
+    /// The tenants whose calls wait.
     pub tenants: usize,
-    /// Events taken in a second: one question and one end for each grant.
+    /// Events processed per second: one request and one release for each grant.
     pub events_per_second: f64,
-    /// Microseconds of one call: its question, its grant and its end.
+    /// Microseconds per call, for its request, its grant and its release.
     pub micros_per_call: f64,
 }
 
-/// Measures the queues of a pool with this many targets and tenants. Uses the wall clock: the
-/// figures differ from run to run.
+/// Measures the queues of a pool with this many targets and tenants. It uses the wall clock, so the
+/// results differ from run to run.
 pub fn measure(targets: usize, tenants: usize) -> Vec<DecisionRate> {
-    WAITING.iter().map(|waiting| measure_one(*waiting, targets, tenants)).collect()
+    WAITING_CALLS.iter().map(|waiting| measure_one(*waiting, targets, tenants)).collect()
 }
 
 fn measure_one(waiting: u64, targets: usize, tenants: usize) -> DecisionRate {
-    let mut load = Load::new(targets, tenants);
+    let mut load = SteadyLoad::new(targets, tenants);
     let places = load.places;
-    (0..places + waiting).for_each(|_| load.ask());
+    (0..places + waiting).for_each(|_| load.request_place());
 
     let start = WallClock::now();
 
     for _ in 0..ROUNDS {
-        load.now = load.now + STEP;
-        load.end_oldest();
-        load.ask();
+        load.now = load.now + ROUND_INTERVAL;
+        load.release_oldest();
+        load.request_place();
     }
 
     let seconds = start.elapsed().as_secs_f64();
-    assert_eq!(load.asked - places - waiting, ROUNDS);
+    assert_eq!(load.request_count - places - waiting, ROUNDS);
     assert_eq!(load.granted.len() as u64, places, "calls were refused");
 
     DecisionRate {
@@ -71,17 +73,17 @@
 }
 
 /// A steady load on one queue.
-struct Load {
+struct SteadyLoad {
     scheduler: Scheduler,
     now: Instant,
     places: u64,
     tenants: u64,
-    asked: u64,
+    request_count: u64,
     granted: std::collections::VecDeque<Asker>,
     out: Vec<QueueNext>,
 }
 
-impl Load {
+impl SteadyLoad {
     fn new(targets: usize, tenants: usize) -> Self {
         let engines = Engines { count: targets, ..Engines::default() };
         let mut workload = Workload::inkwick();
@@ -91,7 +93,7 @@
             now: Instant(0),
             places: targets as u64 * u64::from(engines.window),
             tenants: tenants as u64,
-            asked: 0,
+            request_count: 0,
             granted: std::collections::VecDeque::new(),
             out: Vec::new(),
         };
@@ -110,9 +112,9 @@
         }
     }
 
-    fn ask(&mut self) {
-        let number = self.asked;
-        self.asked += 1;
+    fn request_place(&mut self) {
+        let number = self.request_count;
+        self.request_count += 1;
 
         let class = if number.is_multiple_of(4) { "arrival" } else { "chat" };
         let tenant = TenantId::from_name(&tenant_name((number % self.tenants) as usize));
@@ -132,7 +134,7 @@
         self.step(QueueEvent::Ask { asker: Asker { host: HostId(1), number }, request });
     }
 
-    fn end_oldest(&mut self) {
+    fn release_oldest(&mut self) {
         let Some(asker) = self.granted.pop_front() else { return };
         let end = PlaceEnd {
             how: PlaceEndKind::Finished,
--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -1,4 +1,4 @@
-//! A small fake of a model engine: continuous batching, a bounded prefix cache, no priorities.
+//! A simulated model engine with continuous batching, a bounded prefix cache and no priorities.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,20 +6,20 @@
 use camphorwalk_policy::queue::LoadReport;
 use serde::Serialize;
 
-/// The properties of an engine. Times in microseconds.
+/// The properties of an engine. Times are in microseconds unless the name says otherwise.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct EngineShape {
-    /// The most sequences in a batch; others wait at the engine, first come first served.
+    /// The maximum number of sequences in a batch. Others wait at the engine, first in, first out.
     pub batch: usize,
-    /// Tokens that its memory holds, running sequences included.
+    /// The capacity of the cache in tokens, including those of running sequences.
     pub cache_tokens: u64,
     /// The fixed time of one iteration.
     pub iteration: u64,
-    /// The time of one prompt token that is computed.
+    /// The time to compute one prompt token.
     pub prompt_token_nanos: u64,
     /// The time that each decoding sequence adds to an iteration.
     pub decode_sequence: u64,
-    /// The most prompt tokens computed in one iteration.
+    /// The maximum number of prompt tokens computed in one iteration.
     pub prompt_chunk: u64,
 }
 
@@ -39,22 +39,22 @@
 /// A request at an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Sequence {
-    /// The number of the question that it was placed for.
+    /// The number of the place request that was granted for it.
     pub number: u64,
-    /// The program.
+    /// The program that the request belongs to.
     pub program: usize,
-    /// Tokens of its prompt.
+    /// The length of the prompt in tokens.
     pub prompt: u64,
-    /// Tokens it generates.
+    /// The number of tokens to generate.
     pub output: u64,
-    /// Tokens of its prompt that were not in the cache.
+    /// Prompt tokens that were not in the cache.
     pub computed: u64,
     prefill_left: u64,
     output_left: u64,
 }
 
 impl Sequence {
-    /// Makes a request that is to be sent.
+    /// Creates a request of which nothing is computed yet.
     pub fn new(number: u64, program: usize, prompt: u64, output: u64) -> Self {
         let (prefill_left, output_left) = (prompt, output);
 
@@ -66,75 +66,75 @@
     }
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
     shape: EngineShape,
     waiting: VecDeque<Sequence>,
     running: Vec<Sequence>,
-    /// Prefixes that are not in use: program to tokens and last use.
+    /// Cached prefixes of programs without a running sequence: program to tokens and last use.
     prefixes: BTreeMap<usize, (u64, u64)>,
-    by_use: BTreeMap<u64, usize>,
-    uses: u64,
-    held: u64,
+    by_last_use: BTreeMap<u64, usize>,
+    use_count: u64,
+    used_tokens: u64,
     busy: bool,
 }
 
 impl Engine {
-    /// Makes an idle engine.
+    /// Creates an idle engine with an empty cache.
     pub fn new(shape: EngineShape) -> Self {
         Self {
             shape,
             waiting: VecDeque::new(),
             running: Vec::new(),
             prefixes: BTreeMap::new(),
-            by_use: BTreeMap::new(),
-            uses: 0,
-            held: 0,
+            by_last_use: BTreeMap::new(),
+            use_count: 0,
+            used_tokens: 0,
             busy: false,
         }
     }
 
-    /// Takes in a request.
+    /// Adds a request to the engine's queue.
     pub fn send(&mut self, sequence: Sequence) {
         self.waiting.push_back(sequence);
     }
 
-    /// Drops a request.
+    /// Cancels a waiting or running request.
     pub fn cancel(&mut self, number: u64) {
         self.waiting.retain(|sequence| sequence.number != number);
 
         if let Some(at) = self.running.iter().position(|sequence| sequence.number == number) {
             let sequence = self.running.remove(at);
-            self.held -= sequence.size();
+            self.used_tokens -= sequence.size();
         }
     }
 
-    /// Drops a program's prefix.
+    /// Evicts a program's prefix.
     ///
     /// Returns whether there was one.
     pub fn free(&mut self, program: usize) -> bool {
         let Some((tokens, at)) = self.prefixes.remove(&program) else { return false };
 
-        self.by_use.remove(&at);
-        self.held -= tokens;
+        self.by_last_use.remove(&at);
+        self.used_tokens -= tokens;
 
         true
     }
 
-    /// Returns its load now.
+    /// Returns the engine's current load.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             running: self.running.len() as u32,
             waiting: self.waiting.len() as u32,
-            held: Tokens(self.held),
+            held: Tokens(self.used_tokens),
         }
     }
 
-    /// Begins an iteration, unless one is under way or there is nothing to do.
+    /// Starts an iteration, unless one is running or there is nothing to do.
     ///
-    /// Returns how long it takes, and the programs whose prefixes were evicted for it.
-    pub fn begin(&mut self) -> Option<(u64, Vec<usize>)> {
+    /// Returns its duration, and the programs whose prefixes were evicted for it.
+    pub fn start_iteration(&mut self) -> Option<(u64, Vec<usize>)> {
         if self.busy {
             return None;
         }
@@ -151,7 +151,7 @@
     }
 
     /// Ends the iteration and returns the requests that are finished.
-    pub fn finish(&mut self) -> Vec<Sequence> {
+    pub fn finish_iteration(&mut self) -> Vec<Sequence> {
         self.busy = false;
         self.advance();
 
@@ -161,7 +161,7 @@
         self.running = running;
 
         for sequence in &done {
-            self.keep(sequence);
+            self.cache_prefix(sequence);
         }
 
         done
@@ -182,10 +182,10 @@
             self.free(sequence.program);
             self.make_room(sequence.size(), &mut evicted);
 
-            // The last token of a prompt is always computed.
+            // The last token of a prompt is always computed, even if the whole prompt is cached.
             sequence.computed = sequence.prompt - cached.min(sequence.prompt - 1);
             sequence.prefill_left = sequence.computed;
-            self.held += sequence.size();
+            self.used_tokens += sequence.size();
             self.running.push(sequence);
             self.waiting.pop_front();
         }
@@ -194,8 +194,9 @@
     }
 
     fn make_room(&mut self, size: u64, evicted: &mut Vec<usize>) {
-        while self.held + size > self.shape.cache_tokens {
-            let Some(program) = self.by_use.first_key_value().map(|(_, program)| *program) else {
+        while self.used_tokens + size > self.shape.cache_tokens {
+            let Some(program) = self.by_last_use.first_key_value().map(|(_, program)| *program)
+            else {
                 return;
             };
 
@@ -204,14 +205,14 @@
         }
     }
 
-    fn keep(&mut self, sequence: &Sequence) {
+    fn cache_prefix(&mut self, sequence: &Sequence) {
         self.free(sequence.program);
-        self.uses += 1;
-        self.prefixes.insert(sequence.program, (sequence.size(), self.uses));
-        self.by_use.insert(self.uses, sequence.program);
+        self.use_count += 1;
+        self.prefixes.insert(sequence.program, (sequence.size(), self.use_count));
+        self.by_last_use.insert(self.use_count, sequence.program);
     }
 
-    fn prefill_now(&self) -> u64 {
+    fn next_prefill(&self) -> u64 {
         let left: u64 = self.running.iter().map(|sequence| sequence.prefill_left).sum();
 
         left.min(self.shape.prompt_chunk)
@@ -219,7 +220,7 @@
 
     fn iteration_time(&self) -> u64 {
         let decoding = self.running.iter().filter(|sequence| sequence.prefill_left == 0).count();
-        let prefill = self.prefill_now() * self.shape.prompt_token_nanos / 1_000;
+        let prefill = self.next_prefill() * self.shape.prompt_token_nanos / 1_000;
 
         self.shape.iteration + prefill + decoding as u64 * self.shape.decode_sequence
     }
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -1,28 +1,29 @@
-//! The runs that make a report.
+//! Runs all policies in all scenarios and assembles the report.
 
-use crate::drive::{Drive, End, Start};
-use crate::figures::{Figures, Spread, judge};
+use crate::figures::{Figures, Spread, compute_figures};
 use crate::fleet::Engines;
 use crate::report::{Aim, Capacity, Cell, GoodputPoint, Report, Scenario};
 use crate::scheduler::Policy;
+use crate::simulation::{ArrivalMode, ProgramEnd, Simulation};
 use crate::workload::{Program, Traffic, Workload, micros};
 
-/// The load of the steady runs, as a part of the better baseline's capacity.
+/// The load of the steady runs, as a fraction of the better baseline's capacity.
 const STEADY_LOAD: f64 = 0.9;
 
-/// How many times its rate the surging tenant sends.
+/// The factor by which the surging tenant exceeds its rate.
 const SURGE: f64 = 5.0;
 
-/// Programs under way while capacity is measured, in windows of all engines.
+/// The numbers of concurrent programs for measuring capacity, in multiples of the sum of all
+/// engines' windows.
 const CLOSED_WINDOWS: [usize; 3] = [1, 2, 4];
 
-/// How much of the time that capacity is measured is warm-up.
+/// The fraction of a capacity run that is warm-up.
 const CLOSED_WARM_UP: f64 = 0.25;
 
-/// The loads of the goodput curve, as parts of the policy's own capacity.
+/// The loads of the goodput curve, as fractions of the policy's own capacity.
 const LOADS: [f64; 5] = [0.5, 0.9, 1.0, 1.5, 2.0];
 
-/// After the last arrival, a run goes on for this long, in seconds.
+/// How long a run continues after the last arrival, in seconds.
 const DRAIN_SECONDS: f64 = 500.0;
 
 /// What to measure.
@@ -34,9 +35,9 @@
     pub seconds: f64,
     /// How long capacity is measured, in seconds.
     pub capacity_seconds: f64,
-    /// The workloads.
+    /// The workloads to run.
     pub workloads: Vec<Workload>,
-    /// The engines.
+    /// The engines of all runs.
     pub engines: Engines,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// Runs every policy through every scenario.
+/// Runs every policy in every scenario.
 ///
 /// ```
 /// use camphorwalk_bench::{BenchOptions, run};
@@ -108,29 +109,37 @@
         report.aims.extend(self.aims(report));
     }
 
-    /// Measures programs finished a second with a fixed number under way; the best of
-    /// several numbers.
+    /// Measures finished programs per second with a fixed number of concurrent programs, and
+    /// returns the maximum over several such numbers.
     fn capacity(&self, policy: Policy) -> f64 {
         let windows = self.options.engines.window as usize * self.options.engines.count;
-        let rates = CLOSED_WINDOWS.map(|factor| self.closed_rate(policy, factor * windows));
+        let rates = CLOSED_WINDOWS.map(|factor| self.closed_loop_rate(policy, factor * windows));
 
         rates.into_iter().fold(0.0, f64::max)
     }
 
-    fn closed_rate(&self, policy: Policy, under_way: usize) -> f64 {
+    fn closed_loop_rate(&self, policy: Policy, concurrent: usize) -> f64 {
         let seconds = self.options.capacity_seconds;
         let warm_up = CLOSED_WARM_UP * seconds;
         let seed = self.options.seeds.first().copied().unwrap_or_default();
-        // Far more programs than can be served in the time.
+        // A rate far above capacity, so that the closed loop does not run out of programs.
         let traffic = Traffic { rate: 4.0, seconds, surge: 1.0 };
         let mut programs = self.workload.draw(seed, traffic);
-        shuffle_by_arrival(&mut programs);
-        let start = Start::Closed(under_way);
-        let drive = Drive::new(policy, self.workload, &programs, self.options.engines, start, seed);
-        let trace = drive.run(micros(seconds));
+        sort_by_arrival(&mut programs);
+        let arrival_mode = ArrivalMode::ClosedLoop(concurrent);
+        let simulation = Simulation::new(
+            policy,
+            self.workload,
+            &programs,
+            self.options.engines,
+            arrival_mode,
+            seed,
+        );
+        let trace = simulation.run(micros(seconds));
         let roots = programs.iter().zip(&trace.outcomes).filter(|(program, outcome)| {
             program.parent.is_none()
-                && outcome.is_some_and(|end| end.end == End::Finished && end.at >= micros(warm_up))
+                && outcome
+                    .is_some_and(|end| end.end == ProgramEnd::Finished && end.at >= micros(warm_up))
         });
 
         roots.count() as f64 / (seconds - warm_up)
@@ -140,11 +149,18 @@
         let Self { options, workload } = self;
         let traffic = Traffic { rate, seconds: options.seconds, surge };
         let programs = workload.draw(seed, traffic);
-        let drive = Drive::new(policy, workload, &programs, options.engines, Start::Open, seed);
-        let trace = drive.run(micros(options.seconds + DRAIN_SECONDS));
+        let simulation = Simulation::new(
+            policy,
+            workload,
+            &programs,
+            options.engines,
+            ArrivalMode::OpenLoop,
+            seed,
+        );
+        let trace = simulation.run(micros(options.seconds + DRAIN_SECONDS));
         let surging = (surge > 1.0).then_some(workload.surging_tenant);
 
-        judge(workload, &programs, &options.engines, &trace, options.seconds, surging)
+        compute_figures(workload, &programs, &options.engines, &trace, options.seconds, surging)
     }
 
     fn cell(&self, policy: Policy, scenario: Scenario, rate: f64) -> Cell {
@@ -180,17 +196,29 @@
             .into_iter()
             .filter_map(|policy| find(Scenario::Steady, policy))
             .collect();
-        let against = |figure: fn(&Figures) -> f64| ratios(ours, &baselines, figure);
+        let ratio_to_baselines = |figure: fn(&Figures) -> f64| ratios(ours, &baselines, figure);
 
         vec![
-            self.aim("p95 program latency / better baseline", 0.5, against(|f| f.p95_ms)),
-            self.aim("first class p95 / better baseline", 0.25, against(|f| f.first_class_p95_ms)),
+            self.aim(
+                "p95 program latency / better baseline",
+                0.5,
+                ratio_to_baselines(|f| f.p95_ms),
+            ),
+            self.aim(
+                "first class p95 / better baseline",
+                0.25,
+                ratio_to_baselines(|f| f.first_class_p95_ms),
+            ),
             self.aim(
                 "delay p95 above time alone / better baseline",
                 0.5,
-                against(|f| f.delay_p95_ms),
+                ratio_to_baselines(|f| f.delay_p95_ms),
+            ),
+            self.aim(
+                "re-computed / better baseline",
+                0.5,
+                ratio_to_baselines(|f| f.recomputed_kilotokens),
             ),
-            self.aim("re-computed / better baseline", 0.5, against(|f| f.recomputed_kilotokens)),
             self.aim("surge: worst / mean slowdown", 1.2, surge.spread(|f| f.worst_to_mean)),
             self.goodput_aim(report),
         ]
@@ -217,7 +245,7 @@
     }
 }
 
-/// Returns our figure over the smaller of the baselines', seed by seed.
+/// Returns the ratio of our figure to the smallest of the baselines', for each seed.
 fn ratios(ours: &Cell, baselines: &[&Cell], figure: fn(&Figures) -> f64) -> Spread {
     let seeds = 0..ours.runs.len();
     let ratio = |seed: usize| {
@@ -229,21 +257,21 @@
     Spread::of(seeds.map(ratio).collect())
 }
 
-/// Puts programs in the order of arrival, so that a closed run mixes tenants.
-fn shuffle_by_arrival(programs: &mut Vec<Program>) {
+/// Sorts programs by arrival, so that a closed-loop run mixes tenants.
+fn sort_by_arrival(programs: &mut Vec<Program>) {
     let mut order: Vec<usize> = (0..programs.len()).collect();
     order.sort_by_key(|number| (programs[*number].arrival, *number));
 
-    let mut place = vec![0; programs.len()];
-    order.iter().enumerate().for_each(|(new, old)| place[*old] = new);
+    let mut new_index = vec![0; programs.len()];
+    order.iter().enumerate().for_each(|(new, old)| new_index[*old] = new);
 
     let mut sorted: Vec<Program> = order.iter().map(|old| programs[*old].clone()).collect();
 
     for program in &mut sorted {
-        program.parent = program.parent.map(|parent| place[parent]);
+        program.parent = program.parent.map(|parent| new_index[parent]);
 
         for child in program.turns.iter_mut().flat_map(|turn| turn.children.iter_mut()) {
-            *child = place[*child];
+            *child = new_index[*child];
         }
     }
 
--- a/crates/bench/src/figures.rs
+++ b/crates/bench/src/figures.rs
@@ -1,21 +1,21 @@
-//! What a run is judged by.
+//! Computes the figures of a run from its trace.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::drive::{End, Trace};
 use crate::engine::EngineShape;
 use crate::fleet::Engines;
+use crate::simulation::{ProgramEnd, Trace};
 use crate::workload::{Program, Workload, micros};
 
-/// Programs that arrive before this many seconds only warm the caches up.
+/// Programs that arrive in the first seconds only warm up the caches and are not counted.
 pub const WARM_UP_SECONDS: f64 = 60.0;
 
-/// The longest latency that histograms tell apart, in milliseconds.
-const LONGEST_MILLIS: u64 = 3_600_000;
+/// The maximum latency that histograms record, in milliseconds.
+const MAX_LATENCY_MS: u64 = 3_600_000;
 
-/// The figures of one run. A program that was not finished in time counts with its whole
-/// deadline, so that refusing makes no latency better.
+/// The figures of one run. A program that did not finish in time counts with its whole deadline as
+/// latency, so that refusing programs does not improve the latencies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
     /// Median program latency, in milliseconds.
@@ -24,41 +24,41 @@
     pub p95_ms: f64,
     /// 99th percentile of program latency, in milliseconds.
     pub p99_ms: f64,
-    /// 95th percentile of the first class's program latency, in milliseconds.
+    /// 95th percentile of program latency in the first class, in milliseconds.
     pub first_class_p95_ms: f64,
-    /// 95th percentile of the time that programs take alone on an engine: no policy's
-    /// program latency can be lower.
+    /// 95th percentile of the time that programs take alone on an engine, in milliseconds: a lower
+    /// bound for the program latency of any policy.
     pub alone_p95_ms: f64,
-    /// The same of the first class's programs.
+    /// The same for programs of the first class.
     pub first_class_alone_p95_ms: f64,
-    /// 95th percentile of what a program's latency is above its time alone.
+    /// 95th percentile of the difference between a program's latency and its time alone, in
+    /// milliseconds.
     pub delay_p95_ms: f64,
-    /// Programs in each thousand whose time alone is above their deadline: no policy can
-    /// finish them.
+    /// Programs per thousand whose time alone exceeds their deadline; no policy can finish them.
     pub hopeless: f64,
-    /// Thousands of prompt tokens computed although an earlier turn had computed them.
+    /// Thousands of prompt tokens computed again, after an earlier turn had computed them.
     pub recomputed_kilotokens: f64,
-    /// The mean slowdown of the worst-served tenant within its rate.
+    /// The largest mean slowdown of a tenant within its rate.
     pub worst_slowdown: f64,
-    /// The mean of the slowdowns of the tenants within their rate.
+    /// The mean of the mean slowdowns of the tenants within their rate.
     pub mean_slowdown: f64,
-    /// Their quotient.
+    /// `worst_slowdown` divided by `mean_slowdown`.
     pub worst_to_mean: f64,
-    /// The mean slowdown of the surging tenant.
+    /// The mean slowdown of the surging tenant, 0 if there is none.
     pub surging_slowdown: f64,
-    /// Programs refused in each thousand of the tenants within their rate.
+    /// Refused programs per thousand, of the tenants within their rate.
     pub refused_within_rate: f64,
-    /// Programs given up by their callers in each thousand of the tenants within their rate.
+    /// Timed-out programs per thousand, of the tenants within their rate.
     pub timed_out_within_rate: f64,
-    /// Median time after which a program that was refused was told so, in milliseconds.
+    /// Median time from the arrival of a program to its refusal, in milliseconds.
     pub told_p50_ms: f64,
     /// Thousands of tokens served to programs that did not finish.
     pub wasted_kilotokens: f64,
-    /// Programs finished in time, a second.
+    /// Programs finished in time per second.
     pub goodput: f64,
 }
 
-/// A figure's name, as tables show it, and how to get it.
+/// A figure's name in tables, and the function that returns it.
 pub type Column = (&'static str, fn(&Figures) -> f64);
 
 /// The figures in the order of tables.
@@ -83,14 +83,14 @@
     ("goodput /s", |f| f.goodput),
 ];
 
-/// The smallest, middle and largest of several runs.
+/// The minimum, median and maximum over several runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Spread {
-    /// The smallest.
+    /// The minimum.
     pub min: f64,
     /// The median.
     pub median: f64,
-    /// The largest.
+    /// The maximum.
     pub max: f64,
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// Counts of one tenant.
+/// The counts of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantCount {
     programs: u64,
@@ -127,8 +127,8 @@
     }
 }
 
-/// Judges a run; `surging` is the tenant that was over its rate, if one was.
-pub fn judge(
+/// Computes the figures of a run; `surging` is the tenant that exceeded its rate, if any.
+pub fn compute_figures(
     workload: &Workload,
     programs: &[Program],
     engines: &Engines,
@@ -142,7 +142,7 @@
     let mut alone_latencies = histogram();
     let mut first_class_alone = histogram();
     let mut delays = histogram();
-    let mut told = histogram();
+    let mut refusal_times = histogram();
     let (mut finished, mut hopeless) = (0_u64, 0_u64);
 
     for (number, program) in programs.iter().enumerate() {
@@ -152,20 +152,20 @@
 
         let kind = &workload.kinds[program.kind];
         let outcome = trace.outcomes[number];
-        let end = outcome.map_or(End::TimedOut, |outcome| outcome.end);
+        let end = outcome.map_or(ProgramEnd::TimedOut, |outcome| outcome.end);
         let latency = match outcome {
-            Some(outcome) if end == End::Finished => outcome.at - program.arrival,
+            Some(outcome) if end == ProgramEnd::Finished => outcome.at - program.arrival,
             _ => micros(kind.deadline),
         };
         let tenant = &mut tenants[program.tenant];
 
-        let alone = alone(programs, number, &engines.shape);
+        let alone = time_alone(programs, number, &engines.shape);
 
         latencies.saturating_record(latency / 1_000);
         alone_latencies.saturating_record(alone / 1_000);
         delays.saturating_record(latency.saturating_sub(alone) / 1_000);
-        if let Some(refused) = outcome.filter(|outcome| outcome.end == End::Refused) {
-            told.saturating_record((refused.at - program.arrival) / 1_000);
+        if let Some(refused) = outcome.filter(|outcome| outcome.end == ProgramEnd::Refused) {
+            refusal_times.saturating_record((refused.at - program.arrival) / 1_000);
         }
 
         hopeless += u64::from(alone > micros(kind.deadline));
@@ -176,10 +176,10 @@
         }
 
         tenant.programs += 1;
-        tenant.refused += u64::from(end == End::Refused);
-        tenant.timed_out += u64::from(end == End::TimedOut);
+        tenant.refused += u64::from(end == ProgramEnd::Refused);
+        tenant.timed_out += u64::from(end == ProgramEnd::TimedOut);
         tenant.slowdown += latency as f64 / alone as f64;
-        finished += u64::from(end == End::Finished);
+        finished += u64::from(end == ProgramEnd::Finished);
     }
 
     let in_rate: Vec<TenantCount> = (0..tenants.len())
@@ -208,37 +208,36 @@
         surging_slowdown: surging.map_or(0.0, |tenant| tenants[tenant].mean_slowdown()),
         refused_within_rate: per_thousand(in_rate.iter().map(|tenant| tenant.refused).sum()),
         timed_out_within_rate: per_thousand(in_rate.iter().map(|tenant| tenant.timed_out).sum()),
-        told_p50_ms: told.value_at_quantile(0.5) as f64,
+        told_p50_ms: refusal_times.value_at_quantile(0.5) as f64,
         wasted_kilotokens: wasted(trace) as f64 / 1_000.0,
         goodput: finished as f64 / (seconds - WARM_UP_SECONDS),
     }
 }
 
-/// Returns the tokens that were served to programs that did not finish.
+/// Returns the tokens served to programs that did not finish.
 fn wasted(trace: &Trace) -> u64 {
-    let unfinished = trace
-        .outcomes
-        .iter()
-        .zip(&trace.served)
-        .filter(|(outcome, _)| outcome.is_none_or(|outcome| outcome.end != End::Finished));
+    let unfinished =
+        trace.outcomes.iter().zip(&trace.served).filter(|(outcome, _)| {
+            outcome.is_none_or(|outcome| outcome.end != ProgramEnd::Finished)
+        });
 
     unfinished.map(|(_, served)| served).sum()
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST_MILLIS, 3).expect("the bounds are valid")
+    Histogram::new_with_max(MAX_LATENCY_MS, 3).expect("the bounds are valid")
 }
 
-/// Returns the time that a program takes alone on an engine with its prefix kept, in
+/// Returns the time that a program takes alone on an engine that keeps its prefix cached, in
 /// microseconds.
-pub fn alone(programs: &[Program], number: usize, shape: &EngineShape) -> u64 {
+pub fn time_alone(programs: &[Program], number: usize, shape: &EngineShape) -> u64 {
     let mut cached = 0;
     let mut time = 0;
 
     for turn in &programs[number].turns {
         let computed = (turn.prompt - cached).max(1);
         let chunks = computed.div_ceil(shape.prompt_chunk);
-        let children = turn.children.iter().map(|child| alone(programs, *child, shape)).max();
+        let children = turn.children.iter().map(|child| time_alone(programs, *child, shape)).max();
 
         time += chunks * shape.iteration + computed * shape.prompt_token_nanos / 1_000;
         time += turn.output * (shape.iteration + shape.decode_sequence);
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -9,22 +9,22 @@
 use crate::engine::EngineShape;
 use crate::workload::Workload;
 
-/// The engines of a run, and how late and incomplete their news is.
+/// The engines of a run, and the delay and loss of their reports.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Engines {
-    /// How many there are.
+    /// The number of engines.
     pub count: usize,
-    /// The properties of each.
+    /// The properties of each engine.
     pub shape: EngineShape,
-    /// The declared window of each.
+    /// The declared window of each engine.
     pub window: u32,
     /// The time between load reports, in seconds.
     pub report_every: f64,
-    /// How old a report is when it arrives, in seconds.
+    /// The delay of a load report, in seconds.
     pub report_lag: f64,
-    /// How late an eviction is told, in seconds.
+    /// The delay of the report of an eviction, in seconds.
     pub event_lag: f64,
-    /// The part of evictions that is never told.
+    /// The fraction of evictions that are never reported.
     pub event_loss: f64,
 }
 
@@ -48,7 +48,8 @@
 /// The availability zone of the queue host and its engines.
 pub const ZONE: &str = "a";
 
-/// Weights are whole numbers: a tenant with the whole traffic would have this one.
+/// The weight of a tenant with all of the traffic. Weights are integers, so they are scaled by this
+/// factor.
 const WEIGHT_SCALE: f64 = 100.0;
 
 /// Returns the name of an engine.
@@ -61,7 +62,7 @@
     format!("tenant-{number}").into()
 }
 
-/// Returns the configuration for a workload before these engines.
+/// Builds the configuration of a fleet with these engines for a workload.
 pub fn config(workload: &Workload, engines: &Engines) -> Config {
     Config {
         version: ConfigVersion(1),
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -1,4 +1,5 @@
-//! Rates and bursts under faults, in virtual time: lent slices against the plain ways.
+//! Compares lent slices with simpler methods of limiting rate and burst, under faults and in
+//! virtual time.
 
 mod bucket;
 mod checks;
@@ -21,7 +22,7 @@
 
 use scenario::Plan;
 
-/// Settings of [`run`].
+/// Options of [`run`].
 #[serde_as]
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LimitsOptions {
@@ -29,7 +30,7 @@
     pub seeds: u64,
     /// The number of hosts, in three zones.
     pub hosts: usize,
-    /// The virtual time with calls of each run.
+    /// The virtual time of each run in which calls arrive.
     #[serde_as(as = "DurationSeconds<u64>")]
     #[serde(rename = "span_s")]
     pub span: Duration,
@@ -41,44 +42,45 @@
     }
 }
 
-/// What [`run`] measured.
+/// The result of [`run`].
 #[derive(Clone, Debug, Serialize)]
 pub struct LimitsReport {
-    /// The settings.
+    /// The options of the run.
     pub options: LimitsOptions,
     /// One entry for each scenario and method.
     pub entries: Vec<LimitsEntry>,
 }
 
-/// How a method did in a scenario, over all seeds.
+/// The results of a method in a scenario, over all seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct LimitsEntry {
-    /// The scenario.
+    /// The scenario that was run.
     pub scenario: Scenario,
-    /// The method.
+    /// The method that was used.
     pub method: Method,
-    /// The most tokens that were taken in any window of time t, against B + R t.
+    /// The maximum number of tokens taken in any window of time t, divided by B + R t (burst and
+    /// rate).
     pub worst_window: Spread,
-    /// The same for the times at which callers heard of it. Answers that are late by up to a
-    /// question's timeout press these together.
+    /// The same for the times at which callers received their answers. Answers may be delayed by up
+    /// to the timeout of a take request, which brings admissions closer together.
     pub worst_window_at_callers: Spread,
-    /// Calls refused that one exact bucket would have admitted, for each 1,000 that it
-    /// admits. By each tenant's totals, so that two calls that change places count for none.
+    /// Refused calls that one exact bucket would have admitted, per 1,000 calls that it admits.
+    /// Only each tenant's totals are compared, so two calls that swap their outcome do not count.
     pub wrongful_per_1000: Spread,
-    /// Messages sent and received, a second and host.
+    /// Messages sent and received, per second and host.
     pub messages_per_second: Spread,
-    /// Bytes sent and received in them, a second and host.
+    /// Bytes of these messages, per second and host.
     pub bytes_per_second: Spread,
 }
 
-/// A figure over all seeds.
+/// The spread of a figure over all seeds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Spread {
-    /// The least.
+    /// The minimum.
     pub min: f64,
     /// The median.
     pub median: f64,
-    /// The most.
+    /// The maximum.
     pub max: f64,
 }
 
@@ -100,7 +102,7 @@
     bytes_per_second: f64,
 }
 
-/// Runs each scenario with each method.
+/// Runs each scenario with each of its methods.
 ///
 /// ```
 /// use camphorwalk_bench::limits::{LimitsOptions, Method, run};
@@ -160,7 +162,8 @@
     }
 }
 
-/// Returns the most calls in any window of time t against B + R t, of all tenants.
+/// Returns the maximum, over all tenants and windows of time t, of admitted calls divided by B + R
+/// t.
 fn worst_window(plan: &Plan, calls: &BTreeMap<usize, Vec<u64>>) -> f64 {
     let mut worst = 0.0_f64;
 
@@ -170,8 +173,8 @@
         for (first, start) in calls.iter().enumerate() {
             for (last, end) in calls.iter().enumerate().skip(first) {
                 let span = (end - start) as f64 / SECOND as f64;
-                let most = f64::from(tenant.burst) + tenant.rate_per_second * span;
-                worst = worst.max((last - first + 1) as f64 / most);
+                let max_calls = f64::from(tenant.burst) + tenant.rate_per_second * span;
+                worst = worst.max((last - first + 1) as f64 / max_calls);
             }
         }
     }
--- a/crates/bench/src/limits/bucket.rs
+++ b/crates/bench/src/limits/bucket.rs
@@ -1,12 +1,12 @@
-//! The one exact bucket that everything is compared with.
+//! The exact token bucket that all methods are compared with.
 
-/// One token, in the millionths of a millionth that levels are counted in.
+/// One token, in the unit of levels: 10^-12 tokens.
 const TOKEN: u128 = 1_000_000_000_000;
 
-/// A token bucket of one tenant's whole rate and burst.
+/// A token bucket with the whole rate and burst of one tenant.
 ///
-/// A bucket that begins full has a token for each of some calls exactly if no window of
-/// time t holds more than B + R t of them.
+/// A bucket that starts full admits all calls of a sequence if and only if no window of time t
+/// contains more than B + R t of them (burst and rate).
 #[derive(Clone, Debug)]
 pub struct ExactBucket {
     level: u128,
@@ -14,12 +14,12 @@
 }
 
 impl ExactBucket {
-    /// Makes a full bucket at time zero.
+    /// Creates a full bucket at time zero.
     pub fn full(burst: u32) -> Self {
         Self { level: u128::from(burst) * TOKEN, at: 0 }
     }
 
-    /// Makes an empty bucket at a time in microseconds.
+    /// Creates an empty bucket at a time in microseconds.
     ///
     /// ```
     /// use camphorwalk_bench::limits::ExactBucket;
@@ -29,7 +29,7 @@
         Self { level: 0, at }
     }
 
-    /// Takes a token at a time in microseconds, if there is one.
+    /// Takes a token at a time in microseconds; returns whether there was one.
     ///
     /// ```
     /// use camphorwalk_bench::limits::ExactBucket;
@@ -46,7 +46,7 @@
         enough
     }
 
-    /// Lets it refill until a time in microseconds.
+    /// Refills the bucket up to a time in microseconds.
     ///
     /// ```
     /// use camphorwalk_bench::limits::ExactBucket;
@@ -60,7 +60,7 @@
         self.at = self.at.max(at);
     }
 
-    /// Returns the time up to which it is refilled.
+    /// Returns the time up to which the bucket is refilled, in microseconds.
     ///
     /// ```
     /// assert_eq!(camphorwalk_bench::limits::ExactBucket::full(1).at(), 0);
--- a/crates/bench/src/limits/checks.rs
+++ b/crates/bench/src/limits/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold of each token that is taken and each question that is answered.
+//! Invariants of token grants and answers to take requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,42 +12,42 @@
 use super::bucket::ExactBucket;
 use super::fleet::SECOND;
 
-/// How far clocks are off, at most. Rates are as exact as the clocks.
+/// The maximum clock drift of simulated hosts. Rates are only as exact as the clocks.
 pub(super) const DRIFT_PPM: i64 = 5_000;
 
-/// What the oracle allows for that: a little more, as clocks round to microseconds.
+/// The drift that the oracle tolerates: slightly more, because clocks are rounded to microseconds.
 const RATE_PPM: f64 = DRIFT_PPM as f64 + 10.0;
 
-/// How long a slice may go on with a former rate and burst, in microseconds: hosts of the
-/// fleet hear of a configuration at once, and a loan ends by itself.
+/// How long a slice may be used with a former rate and burst, in microseconds. Running hosts
+/// receive a new configuration at once, but a loan keeps the former share until it expires.
 const CHANGE_SLACK: u64 = 3 * SECOND + SECOND / 5;
 
-/// A question at its entry host.
+/// A take request at its entry host.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingTake {
     host: usize,
     tenant: TenantId,
 }
 
-/// A question on its way to a pool host: session and number.
-type Question = (u64, u64);
+/// Identifies a take request sent to an admission host: session and number.
+type TakeKey = (u64, u64);
 
-/// The oracle: one exact bucket for each tenant, and one answer for each question.
+/// The oracle: one exact bucket for each tenant, and one answer for each take request.
 ///
-/// A token counts when it is taken, where it is taken; its answer may reach the entry host
+/// A token counts at the time and host where it is taken. Its answer may reach the entry host
 /// later, or never.
 #[derive(Debug)]
 pub(super) struct Checks {
     cfg: Arc<Config>,
-    /// Former configurations, each with its end.
-    former: Vec<(u64, Arc<Config>)>,
-    asked: BTreeMap<TakeId, Asked>,
+    /// Former configurations, each with the time at which it was replaced.
+    former_configs: Vec<(u64, Arc<Config>)>,
+    pending: BTreeMap<TakeId, PendingTake>,
     answered: BTreeSet<TakeId>,
-    questions: BTreeMap<Question, (TakeId, TenantId)>,
-    /// Questions for which a pool host took a token.
-    granted: BTreeSet<Question>,
-    oracles: BTreeMap<TenantId, ExactBucket>,
-    /// When tokens were taken.
+    requests: BTreeMap<TakeKey, (TakeId, TenantId)>,
+    /// Take requests for which an admission host took a token.
+    granted: BTreeSet<TakeKey>,
+    buckets: BTreeMap<TenantId, ExactBucket>,
+    /// When tokens were taken, by tenant.
     pub(super) taken: BTreeMap<TenantId, Vec<u64>>,
 }
 
@@ -55,35 +55,35 @@
     pub(super) fn new(cfg: Arc<Config>) -> Self {
         Self {
             cfg,
-            former: vec![],
-            asked: BTreeMap::new(),
+            former_configs: vec![],
+            pending: BTreeMap::new(),
             answered: BTreeSet::new(),
-            questions: BTreeMap::new(),
+            requests: BTreeMap::new(),
             granted: BTreeSet::new(),
-            oracles: BTreeMap::new(),
+            buckets: BTreeMap::new(),
             taken: BTreeMap::new(),
         }
     }
 
-    /// Notes another configuration.
-    pub(super) fn configure(&mut self, now: u64, cfg: Arc<Config>) {
+    /// Records a new configuration.
+    pub(super) fn record_config(&mut self, now: u64, cfg: Arc<Config>) {
         let former = std::mem::replace(&mut self.cfg, cfg);
-        self.former.push((now, former));
+        self.former_configs.push((now, former));
     }
 
-    /// Notes a call that enters at a host.
-    pub(super) fn ask(&mut self, take: TakeId, host: usize, tenant: TenantId) {
-        self.asked.insert(take, Asked { host, tenant });
+    /// Records a call that enters at a host.
+    pub(super) fn record_call(&mut self, take: TakeId, host: usize, tenant: TenantId) {
+        self.pending.insert(take, PendingTake { host, tenant });
     }
 
-    /// Forgets the callers of a host that died.
-    pub(super) fn forget(&mut self, host: usize) {
-        self.asked.retain(|_, asked| asked.host != host);
+    /// Discards the open take requests of a host that died, as its callers are gone.
+    pub(super) fn discard_pending(&mut self, host: usize) {
+        self.pending.retain(|_, pending| pending.host != host);
     }
 
-    /// Notes what a host does next after an event. Returns the tenants of the questions that
-    /// it answered, each with whether it was admitted.
-    pub(super) fn note(
+    /// Checks the actions of a host after an event. Returns the tenants of the take requests that
+    /// it answered, each with whether the call was admitted.
+    pub(super) fn record_actions(
         &mut self,
         now: u64,
         event: &SliceEvent,
@@ -91,12 +91,12 @@
     ) -> Vec<(TenantId, bool)> {
         let mut verdicts = Vec::new();
 
-        for next in out {
-            match next {
-                SliceNext::Send { message, .. } => self.note_message(now, event, &message.body),
+        for action in out {
+            match action {
+                SliceNext::Send { message, .. } => self.record_message(now, event, &message.body),
                 SliceNext::Verdict { take, verdict } => {
                     let admitted = *verdict == Verdict::Admitted;
-                    let tenant = self.note_verdict(now, event, *take, admitted);
+                    let tenant = self.record_verdict(now, event, *take, admitted);
                     verdicts.extend(tenant.map(|tenant| (tenant, admitted)));
                 }
             }
@@ -105,17 +105,17 @@
         verdicts
     }
 
-    fn note_message(&mut self, now: u64, event: &SliceEvent, body: &Option<SliceBody>) {
+    fn record_message(&mut self, now: u64, event: &SliceEvent, body: &Option<SliceBody>) {
         match (event, body) {
             (SliceEvent::Take { take, tenant }, Some(SliceBody::Take(req))) => {
                 let TakeRequest { session, number, .. } = *req;
-                self.questions.entry((session, number)).or_insert((*take, *tenant));
+                self.requests.entry((session, number)).or_insert((*take, *tenant));
             }
             (_, Some(SliceBody::Answer(answer))) if answer.admitted => {
-                let question = question_of(answer);
+                let key = key_of(answer);
 
-                if let Some((_, tenant)) = self.questions.get(&question).copied()
-                    && self.granted.insert(question)
+                if let Some((_, tenant)) = self.requests.get(&key).copied()
+                    && self.granted.insert(key)
                 {
                     self.take_token(now, tenant);
                 }
@@ -124,19 +124,19 @@
         }
     }
 
-    fn note_verdict(
+    fn record_verdict(
         &mut self,
         now: u64,
         event: &SliceEvent,
         take: TakeId,
         admitted: bool,
     ) -> Option<TenantId> {
-        let asked = self.asked.remove(&take);
+        let pending = self.pending.remove(&take);
         assert!(self.answered.insert(take), "{take:?} was answered twice");
-        let tenant = asked?.tenant;
+        let tenant = pending?.tenant;
 
-        // The pool host's answer brings a token that was counted there.
-        let granted = granted_by(event).and_then(|question| self.questions.get(&question));
+        // The token behind the answer of an admission host was counted when that host took it.
+        let granted = key_of_granted(event).and_then(|key| self.requests.get(&key));
 
         if admitted && granted.is_none_or(|(granted, _)| *granted != take) {
             self.take_token(now, tenant);
@@ -145,45 +145,49 @@
         Some(tenant)
     }
 
-    /// Asserts that each question was answered whose entry host runs.
+    /// Asserts that each take request was answered if the process of its entry host runs.
     pub(super) fn assert_all_answered(&self, runs: impl Fn(usize) -> bool) {
-        let open: Vec<_> = self.asked.values().filter(|asked| runs(asked.host)).collect();
+        let open: Vec<_> = self.pending.values().filter(|pending| runs(pending.host)).collect();
 
-        assert!(open.is_empty(), "questions without an answer: {open:?}");
+        assert!(open.is_empty(), "take requests without an answer: {open:?}");
     }
 
-    /// Asserts that a token fits one bucket of the tenant's rate and burst.
+    /// Takes a token from one exact bucket with the tenant's rate and burst, and asserts that it
+    /// had one.
     ///
-    /// For a while after a change slices may have their old share or their new one: the
-    /// bucket then has the larger rate and the larger burst.
+    /// For some time after a configuration change, slices may have their old or their new share.
+    /// The bucket then has the larger of both rates and of both bursts.
     fn take_token(&mut self, now: u64, tenant: TenantId) {
         self.taken.entry(tenant).or_default().push(now);
 
-        let (_, burst) = self.figures(tenant, 0);
-        let mut oracle = self.oracles.remove(&tenant).unwrap_or(ExactBucket::full(burst));
+        let (_, burst) = self.max_rate_and_burst(tenant, 0);
+        let mut bucket = self.buckets.remove(&tenant).unwrap_or(ExactBucket::full(burst));
 
-        let ends = self.former.iter().map(|(end, _)| *end);
+        let ends = self.former_configs.iter().map(|(end, _)| *end);
         let mut changes: Vec<u64> = ends.flat_map(|end| [end, end + CHANGE_SLACK]).collect();
-        changes.retain(|at| oracle.at() < *at && *at < now);
+        changes.retain(|at| bucket.at() < *at && *at < now);
         changes.sort_unstable();
 
         for at in changes {
-            let (rate, burst) = self.figures(tenant, oracle.at());
-            oracle.refill(at, rate, burst);
+            let (rate, burst) = self.max_rate_and_burst(tenant, bucket.at());
+            bucket.refill(at, rate, burst);
         }
 
-        let (rate, burst) = self.figures(tenant, oracle.at());
-        assert!(oracle.take(now, rate, burst), "over {rate}/s and {burst} at {now}");
-        self.oracles.insert(tenant, oracle);
+        let (rate, burst) = self.max_rate_and_burst(tenant, bucket.at());
+        assert!(
+            bucket.take(now, rate, burst),
+            "more than {rate}/s and a burst of {burst} at {now}"
+        );
+        self.buckets.insert(tenant, bucket);
     }
 
     /// Returns the largest rate and burst of a tenant that may be in use at a time.
-    fn figures(&self, tenant: TenantId, at: u64) -> (f64, u32) {
+    fn max_rate_and_burst(&self, tenant: TenantId, at: u64) -> (f64, u32) {
         let last = (u64::MAX - CHANGE_SLACK, self.cfg.clone());
         let mut start = 0;
         let (mut rate, mut burst) = (0.0_f64, 0);
 
-        for (end, cfg) in self.former.iter().chain([&last]) {
+        for (end, cfg) in self.former_configs.iter().chain([&last]) {
             let in_use = start <= at && at < end + CHANGE_SLACK;
             let named = |name: &str| TenantId::from_name(name) == tenant;
             start = *end;
@@ -198,15 +202,15 @@
     }
 }
 
-fn question_of(answer: &TakeAnswer) -> Question {
+fn key_of(answer: &TakeAnswer) -> TakeKey {
     (answer.session, answer.number)
 }
 
-/// Returns the question that an event answers with a token.
-fn granted_by(event: &SliceEvent) -> Option<Question> {
+/// Returns the take request that an event answers with a token.
+fn key_of_granted(event: &SliceEvent) -> Option<TakeKey> {
     match event {
         SliceEvent::Message { message, .. } => match &message.body {
-            Some(SliceBody::Answer(answer)) if answer.admitted => Some(question_of(answer)),
+            Some(SliceBody::Answer(answer)) if answer.admitted => Some(key_of(answer)),
             _ => None,
         },
         _ => None,
--- a/crates/bench/src/limits/fleet.rs
+++ b/crates/bench/src/limits/fleet.rs
@@ -1,8 +1,8 @@
-//! A fleet of [`Slices`] on virtual time: a network that loses, repeats, delays and reorders
-//! messages, clocks that run at different speeds, and a platform that grants columns.
+//! A fleet of [`Slices`] in virtual time, with a network that loses, duplicates, delays and
+//! reorders messages, clocks that run at different speeds, and a platform that grants columns.
 //!
-//! It checks at each step what must hold (the exact bucket, one user for each slice, one answer
-//! for each question), and panics if it does not.
+//! After each step it asserts the invariants (the exact bucket, one user of each slice, one answer
+//! to each take request), and panics if one is violated.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -26,19 +26,20 @@
 /// One second of virtual time, in microseconds.
 pub const SECOND: u64 = 1_000 * MILLI;
 
-/// How long the platform grants a column, and what it keeps back for drifting clocks.
+/// How long the platform grants a column, and the margin for clock drift by which the owner ends
+/// its use earlier.
 const LEASE: u64 = 4 * SECOND;
 const LEASE_MARGIN: u64 = 200 * MILLI;
 const PLATFORM_PERIOD: u64 = 500 * MILLI;
 
-/// What the network does to messages.
+/// The faults and delays of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct Net {
-    /// The part of messages that is lost.
+    /// The fraction of messages that are lost.
     pub loss: f64,
-    /// The part of messages that arrives twice.
+    /// The fraction of messages that arrive twice.
     pub repeat: f64,
-    /// The least and the most delay, in microseconds.
+    /// The minimum and maximum delay, in microseconds.
     pub delay: (u64, u64),
 }
 
@@ -46,51 +47,51 @@
     /// A network within a region.
     pub const HEALTHY: Self = Self { loss: 0.0, repeat: 0.0, delay: (300, 1_500) };
 
-    /// A network that does all it may, with delays beyond every timeout of a message.
+    /// A network with loss, duplicates and delays longer than every message timeout.
     pub const BAD: Self = Self { loss: 0.2, repeat: 0.2, delay: (300, 400 * MILLI) };
 }
 
-/// What a host sent and received.
+/// The messages that hosts sent and received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages.
+    /// The number of messages.
     pub messages: u64,
-    /// Bytes of their encodings, without frames.
+    /// The bytes of the encoded messages, without frames.
     pub bytes: u64,
 }
 
-/// A host.
+/// A simulated host.
 #[derive(Debug)]
 pub struct Node {
-    /// Its id.
+    /// The id of the host.
     pub id: HostId,
-    /// What it sent and received.
+    /// The messages that the host sent and received.
     pub traffic: Traffic,
     zone: ZoneId,
-    /// None while its process is dead.
+    /// `None` while the process is dead.
     slices: Option<Slices>,
     paused: bool,
     leaving: bool,
-    /// What arrived in a pause.
+    /// Events that arrived while the process was paused.
     inbox: Vec<SliceEvent>,
     drift_ppm: i64,
-    /// What its clock showed at the start.
+    /// The reading of the host's clock at the start of the run.
     offset: u64,
     wake: u64,
 }
 
-/// A column as the platform knows it.
+/// The state of a column (one slice of every tenant) at the platform.
 #[derive(Debug)]
 struct Column {
     owner: Option<usize>,
     zone: ZoneId,
     until: u64,
-    renewed: bool,
-    /// Whether it had an owner before.
-    granted: bool,
+    is_renewed: bool,
+    /// Whether the column had an owner before.
+    had_owner: bool,
 }
 
-/// Hosts, their network and the platform.
+/// Simulated hosts with their network and platform.
 ///
 /// ```
 /// use camphorwalk_bench::limits::{Fleet, SECOND, config};
@@ -102,36 +103,36 @@
 /// ```
 #[derive(Debug)]
 pub struct Fleet {
-    /// The time, in microseconds.
+    /// The current time, in microseconds.
     pub now: u64,
-    /// What the network does.
+    /// The state of the network.
     pub net: Net,
-    /// The hosts.
+    /// The simulated hosts.
     pub nodes: Vec<Node>,
-    /// The side of a cut that each host is on.
+    /// The side of the network partition that each host is on.
     pub side: Vec<u8>,
-    /// Whether to check after each step that no slice has two users.
+    /// Whether to assert after each step that no slice has two users.
     pub check_users: bool,
     /// The configuration in force.
     pub cfg: Arc<Config>,
-    /// When calls were admitted, for each tenant.
+    /// When calls were admitted, by tenant.
     pub admitted: BTreeMap<TenantId, Vec<u64>>,
-    /// When calls were refused, for each tenant.
+    /// When calls were refused, by tenant.
     pub refused: BTreeMap<TenantId, Vec<u64>>,
-    /// Events that hosts took in.
+    /// The number of events that hosts processed.
     pub steps: u64,
-    index: BTreeMap<HostId, usize>,
+    host_indices: BTreeMap<HostId, usize>,
     rng: SmallRng,
     wakes: BTreeSet<(u64, usize)>,
-    queue: BTreeMap<(u64, u64), (usize, HostId, SliceMessage)>,
+    in_transit: BTreeMap<(u64, u64), (usize, HostId, SliceMessage)>,
     columns: Vec<Column>,
-    platform_at: u64,
-    counter: u64,
+    next_platform_step: u64,
+    last_number: u64,
     checks: Checks,
 }
 
 impl Fleet {
-    /// Makes a fleet of `hosts` hosts, spread over the zones of `cfg`.
+    /// Creates a fleet of `hosts` hosts, distributed over the zones of `cfg`.
     pub fn new(cfg: Arc<Config>, hosts: usize, seed: u64) -> Self {
         let zone = |i: usize| ZoneId::from_name(&cfg.fleet.zones[i % cfg.fleet.zones.len()].name);
         let node = |i: usize| Node {
@@ -147,7 +148,7 @@
             wake: u64::MAX,
         };
         let column =
-            |(_, zone)| Column { owner: None, zone, until: 0, renewed: true, granted: false };
+            |(_, zone)| Column { owner: None, zone, until: 0, is_renewed: true, had_owner: false };
 
         let mut fleet = Self {
             now: 0,
@@ -157,25 +158,25 @@
             check_users: false,
             admitted: BTreeMap::new(),
             refused: BTreeMap::new(),
-            index: BTreeMap::new(),
+            host_indices: BTreeMap::new(),
             steps: 0,
             wakes: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
-            queue: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             columns: columns(&cfg).into_iter().map(column).collect(),
-            platform_at: 0,
-            counter: 0,
+            next_platform_step: 0,
+            last_number: 0,
             checks: Checks::new(cfg.clone()),
             cfg,
         };
 
-        fleet.index = fleet.nodes.iter().enumerate().map(|(i, node)| (node.id, i)).collect();
+        fleet.host_indices = fleet.nodes.iter().enumerate().map(|(i, node)| (node.id, i)).collect();
         (0..hosts).for_each(|host| fleet.start(host));
         fleet.show_all_hosts();
         fleet
     }
 
-    /// Lets clocks run at different speeds, up to [`DRIFT_PPM`] off. Call it at the start.
+    /// Makes clocks run at different speeds, up to [`DRIFT_PPM`] off. Call it at the start.
     pub fn drift(&mut self) {
         for (host, node) in self.nodes.iter_mut().enumerate() {
             node.drift_ppm = [0, DRIFT_PPM, -DRIFT_PPM][host % 3];
@@ -184,31 +185,31 @@
 
     /// Starts the process of a host.
     pub fn start(&mut self, host: usize) {
-        self.counter += 1;
+        self.last_number += 1;
         let Node { id, zone, .. } = self.nodes[host];
         let times = SliceTimes::default();
-        let options = SliceOptions { host: id, zone, session: self.counter, times };
+        let options = SliceOptions { host: id, zone, session: self.last_number, times };
 
         self.nodes[host].slices = Some(Slices::new(options));
         self.step(host, SliceEvent::Config(self.cfg.clone()));
     }
 
-    /// Kills the process of a host; its callers are gone with it.
+    /// Kills the process of a host; its callers are gone.
     pub fn kill(&mut self, host: usize) {
         self.wake(host, u64::MAX);
         let node = &mut self.nodes[host];
         (node.slices, node.paused, node.leaving) = (None, false, false);
         node.inbox.clear();
-        self.checks.forget(host);
+        self.checks.discard_pending(host);
     }
 
-    /// Lets a host leave: the others, and it, see it no more.
+    /// Starts the shutdown of a host: no host, including itself, lists it any more.
     pub fn leave(&mut self, host: usize) {
         self.nodes[host].leaving = true;
         self.show_all_hosts();
     }
 
-    /// Lets a host give up its columns, which go to others at once.
+    /// Makes a host give up its columns, which are granted to other hosts at once.
     pub fn give_up_columns(&mut self, host: usize) {
         for column in 0..self.columns.len() {
             if self.columns[column].owner == Some(host) {
@@ -216,7 +217,7 @@
             }
         }
 
-        self.platform_at = self.now;
+        self.next_platform_step = self.now;
     }
 
     /// Stops the process of a host, until [`Self::resume`].
@@ -225,7 +226,7 @@
         self.nodes[host].paused = self.nodes[host].slices.is_some();
     }
 
-    /// Lets the process of a host go on. It hears of the configuration first.
+    /// Resumes the process of a host. It receives the configuration before the buffered events.
     pub fn resume(&mut self, host: usize) {
         self.nodes[host].paused = false;
         let inbox = std::mem::take(&mut self.nodes[host].inbox);
@@ -233,7 +234,7 @@
         inbox.into_iter().for_each(|event| self.step(host, event));
     }
 
-    /// Tells a host that these hosts can be reached.
+    /// Sends a host the list of hosts that it can reach.
     pub fn show(&mut self, host: usize, seen: impl Fn(usize) -> bool) {
         let stays = !self.nodes[host].leaving;
         let nodes = self.nodes.iter().enumerate();
@@ -242,7 +243,7 @@
         self.step(host, SliceEvent::Hosts(hosts));
     }
 
-    /// Tells each host of the live ones on its side of a cut.
+    /// Sends each host the list of live hosts on its side of the network partition.
     pub fn show_all_hosts(&mut self) {
         let side = self.side.clone();
         let live: Vec<bool> =
@@ -253,20 +254,21 @@
         }
     }
 
-    /// Publishes another configuration.
+    /// Publishes a new configuration to all hosts.
     pub fn configure(&mut self, cfg: Arc<Config>) {
         self.cfg = cfg.clone();
-        self.checks.configure(self.now, cfg);
+        self.checks.record_config(self.now, cfg);
 
         for host in 0..self.nodes.len() {
             self.step(host, SliceEvent::Config(self.cfg.clone()));
         }
     }
 
-    /// Moves a column: its owner gives it up, or (`abruptly`) gets no further renewal.
+    /// Moves a column to another owner: the current one gives it up or, if `abruptly`, its lease is
+    /// not renewed.
     pub fn move_column(&mut self, column: usize, abruptly: bool) {
         let lease = &mut self.columns[column];
-        lease.renewed = false;
+        lease.is_renewed = false;
 
         if let Some(owner) = lease.owner
             && !abruptly
@@ -277,19 +279,19 @@
         }
     }
 
-    /// Lets a call enter at a host, if that runs.
+    /// Requests a token for a call that enters at a host, if the host's process runs.
     pub fn take(&mut self, host: usize, tenant: &str) {
         if self.nodes[host].paused || self.nodes[host].slices.is_none() {
             return;
         }
 
-        self.counter += 1;
-        let (take, tenant) = (TakeId(self.counter), TenantId::from_name(tenant));
-        self.checks.ask(take, host, tenant);
+        self.last_number += 1;
+        let (take, tenant) = (TakeId(self.last_number), TenantId::from_name(tenant));
+        self.checks.record_call(take, host, tenant);
         self.step(host, SliceEvent::Take { take, tenant });
     }
 
-    /// Lets time pass.
+    /// Advances virtual time by `span` microseconds.
     pub fn run(&mut self, span: u64) {
         let end = self.now + span;
 
@@ -308,7 +310,7 @@
         self.admitted.values().map(|calls| calls.len() as u64).sum()
     }
 
-    /// Returns what all hosts sent and received.
+    /// Returns the sum of the traffic of all hosts.
     pub fn traffic(&self) -> Traffic {
         let all = self.nodes.iter().map(|node| node.traffic);
 
@@ -318,25 +320,25 @@
         })
     }
 
-    /// Returns whether the process of a host is there, paused or not.
+    /// Returns whether the process of a host exists, paused or not.
     pub fn lives(&self, host: usize) -> bool {
         self.nodes[host].slices.is_some()
     }
 
-    /// Asserts that each question was answered; call it after all timeouts.
+    /// Asserts that each take request was answered; call it after all timeouts have passed.
     pub fn assert_all_answered(&self) {
         self.checks.assert_all_answered(|host| !self.nodes[host].paused);
     }
 
-    /// Returns when tokens of each tenant were taken, answers that were lost included.
+    /// Returns when tokens of each tenant were taken, including those whose answers were lost.
     pub fn taken(&self) -> &BTreeMap<TenantId, Vec<u64>> {
         &self.checks.taken
     }
 
     fn next_job(&self) -> Option<(u64, Job)> {
-        let message = self.queue.keys().next().map(|key| (key.0, Job::Deliver(*key)));
+        let message = self.in_transit.keys().next().map(|key| (key.0, Job::Deliver(*key)));
         let wake = self.wakes.first().map(|(at, host)| (*at, Job::Wake(*host)));
-        let platform = (self.platform_at, Job::Platform);
+        let platform = (self.next_platform_step, Job::Platform);
 
         message.into_iter().chain(wake).chain([platform]).min()
     }
@@ -344,7 +346,7 @@
     fn do_job(&mut self, job: Job) {
         match job {
             Job::Deliver(key) => {
-                let (to, from, message) = self.queue.remove(&key).expect("queued");
+                let (to, from, message) = self.in_transit.remove(&key).expect("queued");
                 self.step(to, SliceEvent::Message { from, message });
             }
             Job::Wake(host) => self.step(host, SliceEvent::Wake),
@@ -352,18 +354,19 @@
         }
     }
 
-    /// Renews columns, and gives those that lapsed to another host of their zone.
+    /// Renews columns, and grants those that have expired to another host of their zone.
     fn grant_columns(&mut self) {
-        self.platform_at = self.now + PLATFORM_PERIOD;
+        self.next_platform_step = self.now + PLATFORM_PERIOD;
 
         for column in 0..self.columns.len() {
-            let Column { owner, zone, until, renewed, .. } = self.columns[column];
+            let Column { owner, zone, until, is_renewed, .. } = self.columns[column];
             let runs = |host: usize| {
                 let node = &self.nodes[host];
                 node.slices.is_some() && !node.paused && !node.leaving
             };
 
-            if let Some(owner) = owner.filter(|host| renewed && runs(*host) && self.now < until) {
+            if let Some(owner) = owner.filter(|host| is_renewed && runs(*host) && self.now < until)
+            {
                 self.grant(column, owner, false);
             } else if until <= self.now {
                 let zone = |host: &usize| self.nodes[*host].zone == zone && runs(*host);
@@ -379,12 +382,12 @@
 
     fn grant(&mut self, column: usize, host: usize, fresh: bool) {
         let until = self.now + LEASE;
-        let of_host = Instant(self.clock(host).0 + LEASE - LEASE_MARGIN);
+        let until_at_host = Instant(self.clock(host).0 + LEASE - LEASE_MARGIN);
         let lease = &mut self.columns[column];
-        let first = !std::mem::replace(&mut lease.granted, true);
-        (lease.owner, lease.until, lease.renewed) = (Some(host), until, true);
+        let first = !std::mem::replace(&mut lease.had_owner, true);
+        (lease.owner, lease.until, lease.is_renewed) = (Some(host), until, true);
 
-        let (column, until) = (ColumnId(column as u16), of_host);
+        let (column, until) = (ColumnId(column as u16), until_at_host);
         let event = match first {
             true => SliceEvent::First { column, until },
             false => SliceEvent::Owned { column, until, fresh },
@@ -417,7 +420,7 @@
         let wait = wait.map(|wait| wait.as_micros() as u64);
         self.wake(host, wait.map_or(u64::MAX, |wait| self.now + wait + wait / 100));
 
-        for (tenant, admitted) in self.checks.note(self.now, &event, &out) {
+        for (tenant, admitted) in self.checks.record_actions(self.now, &event, &out) {
             let calls = if admitted { &mut self.admitted } else { &mut self.refused };
             calls.entry(tenant).or_default().push(self.now);
         }
@@ -433,7 +436,7 @@
         }
     }
 
-    /// Sets when a host's next wake is due.
+    /// Sets the time of a host's next wake-up.
     fn wake(&mut self, host: usize, at: u64) {
         let wake = std::mem::replace(&mut self.nodes[host].wake, at);
         self.wakes.remove(&(wake, host));
@@ -444,7 +447,7 @@
     }
 
     fn send(&mut self, from: usize, to: HostId, message: SliceMessage) {
-        let Some(to) = self.index.get(&to).copied() else { return };
+        let Some(to) = self.host_indices.get(&to).copied() else { return };
         let copies = 1 + u32::from(self.rng.random_bool(self.net.repeat));
 
         for host in [from, to] {
@@ -457,9 +460,10 @@
                 continue;
             }
 
-            self.counter += 1;
+            self.last_number += 1;
             let at = self.now + self.rng.random_range(self.net.delay.0..self.net.delay.1);
-            self.queue.insert((at, self.counter), (to, self.nodes[from].id, message.clone()));
+            self.in_transit
+                .insert((at, self.last_number), (to, self.nodes[from].id, message.clone()));
         }
     }
 
--- a/crates/bench/src/limits/methods.rs
+++ b/crates/bench/src/limits/methods.rs
@@ -1,4 +1,4 @@
-//! The ways of limiting that are compared: lent slices, a static split, a leased counter.
+//! The limiting methods that are compared: lent slices, a static split and a leased counter.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,34 @@
 
 use super::bucket::ExactBucket;
 use super::fleet::{Fleet, SECOND, Traffic};
-use super::scenario::{Call, LEAVING, NOTICED, Plan, RESTART, Scenario, WARM_UP};
+use super::scenario::{
+    Call, DETECTION_DELAY, Plan, RESTART_TIME, SHUTDOWN_TIME, Scenario, WARM_UP,
+};
 
 /// The lease of a leased counter, as long as that of a column.
 const LEASE: u64 = 4 * SECOND;
 
-/// A way of limiting.
+/// A method of limiting the rate and burst of tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Method {
-    /// Lent slices, as the product does.
+    /// The product's method: each rate and burst is divided into slices, and each slice is lent to
+    /// one host at a time.
     Slices,
-    /// Each host has an equal part of each rate and burst.
+    /// Each host has an equal share of each rate and burst.
     StaticSplit,
-    /// One host has each tenant's counter, under a lease of the platform.
+    /// One host has each tenant's counter, under a lease granted by the platform.
     LeasedCounter,
 }
 
-/// What came of a plan.
+/// The result of running a plan.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outcome {
-    /// When tokens were taken, by the tenant's place in the configuration.
+    /// When tokens were taken, by the tenant's index in the configuration.
     pub(super) taken: BTreeMap<usize, Vec<u64>>,
-    /// When callers heard that they were admitted.
+    /// When callers received the answer that their call was admitted, by the tenant's index.
     pub(super) admitted: BTreeMap<usize, Vec<u64>>,
-    /// What all hosts sent and received since the first call.
+    /// The messages that all hosts sent and received since the first call.
     pub(super) traffic: Traffic,
 }
 
@@ -52,7 +55,7 @@
     }
 }
 
-/// Runs a plan.
+/// Runs a plan with a method.
 pub(super) fn run(method: Method, plan: &Plan) -> Outcome {
     match method {
         Method::Slices => slices(plan),
@@ -61,34 +64,38 @@
     }
 }
 
-/// Admits what one exact bucket for each tenant admits: the measure of wrongful refusals.
+/// Returns the calls that one exact bucket per tenant admits, as the reference for wrongful
+/// refusals.
 pub(super) fn exact(plan: &Plan) -> BTreeMap<usize, Vec<u64>> {
     let whole = |call: &Call| {
         let tenant = &plan.cfg.tenants[call.tenant];
-        Part { key: 0, rate: tenant.rate_per_second, burst: tenant.burst, empty_at: None }
+        CallBucket { key: 0, rate: tenant.rate_per_second, burst: tenant.burst, empty_at: None }
     };
 
-    take_each(&plan.calls, whole)
+    take_tokens(&plan.calls, whole)
 }
 
-/// The bucket that a call draws on.
+/// The bucket that a call takes its token from.
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    /// Which one of its tenant's.
+struct CallBucket {
+    /// The bucket's number among those of its tenant.
     key: usize,
     rate: f64,
     burst: u32,
-    /// When it was empty, if it was not full at the start.
+    /// When the bucket was empty; `None` if it was full at the start.
     empty_at: Option<u64>,
 }
 
-/// Draws each call on its bucket. Returns when tokens were taken.
-fn take_each(calls: &[Call], part: impl Fn(&Call) -> Part) -> BTreeMap<usize, Vec<u64>> {
+/// Takes a token for each call from its bucket. Returns when tokens were taken.
+fn take_tokens(
+    calls: &[Call],
+    bucket_of: impl Fn(&Call) -> CallBucket,
+) -> BTreeMap<usize, Vec<u64>> {
     let mut buckets = BTreeMap::new();
     let mut taken: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
 
     for call in calls {
-        let Part { key, rate, burst, empty_at } = part(call);
+        let CallBucket { key, rate, burst, empty_at } = bucket_of(call);
         let bucket = buckets.entry((call.tenant, key)).or_insert_with(|| {
             empty_at.map_or_else(|| ExactBucket::full(burst), ExactBucket::empty)
         });
@@ -121,15 +128,15 @@
 
     fleet.run(SECOND);
     let after = fleet.traffic();
-    let by_place = |calls: &BTreeMap<_, Vec<u64>>| {
+    let by_index = |calls: &BTreeMap<_, Vec<u64>>| {
         let tenants = plan.cfg.tenants.iter().enumerate();
         let id = |name: &str| camphorwalk_core::ids::TenantId::from_name(name);
         tenants.map(|(i, t)| (i, calls.get(&id(&t.name)).cloned().unwrap_or_default())).collect()
     };
 
     Outcome {
-        taken: by_place(fleet.taken()),
-        admitted: by_place(&fleet.admitted),
+        taken: by_index(fleet.taken()),
+        admitted: by_index(&fleet.admitted),
         traffic: Traffic {
             messages: after.messages - before.messages,
             bytes: after.bytes - before.bytes,
@@ -137,54 +144,57 @@
     }
 }
 
-/// A step of a scenario.
+/// A fault or recovery step of a scenario.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    Cut(bool),
+    Isolate(bool),
     Kill(usize),
-    /// A host begins to leave; all notice.
-    Leave(usize),
-    /// It gives up its columns and ends.
-    End(usize),
+    /// The host starts its shutdown, and all hosts notice.
+    StartShutdown(usize),
+    /// The host gives up its columns and its process ends.
+    EndProcess(usize),
     Start(usize),
-    /// All hosts notice who can be reached.
-    Notice,
+    /// All hosts update their lists of hosts that they can reach.
+    UpdateHostLists,
 }
 
 fn faults(plan: &Plan) -> Vec<(u64, Fault)> {
-    let (from, to) = plan.cut;
+    let (from, to) = plan.fault_window;
 
-    match (plan.scenario, plan.killed()) {
+    match (plan.scenario, plan.killed_host()) {
         (Scenario::ZoneCut, _) => vec![
-            (from, Fault::Cut(true)),
-            (from + NOTICED, Fault::Notice),
-            (to, Fault::Cut(false)),
-            (to + NOTICED, Fault::Notice),
+            (from, Fault::Isolate(true)),
+            (from + DETECTION_DELAY, Fault::UpdateHostLists),
+            (to, Fault::Isolate(false)),
+            (to + DETECTION_DELAY, Fault::UpdateHostLists),
         ],
         (Scenario::RollingRestart, _) => (0..plan.hosts)
             .flat_map(|host| {
-                let at = plan.leaves_at(host);
-                let end = at + LEAVING;
+                let at = plan.shutdown_start(host);
+                let end = at + SHUTDOWN_TIME;
                 [
-                    (at, Fault::Leave(host)),
-                    (end, Fault::End(host)),
-                    (end + RESTART, Fault::Start(host)),
+                    (at, Fault::StartShutdown(host)),
+                    (end, Fault::EndProcess(host)),
+                    (end + RESTART_TIME, Fault::Start(host)),
                 ]
             })
             .collect(),
-        (_, Some((host, at))) => vec![(at, Fault::Kill(host)), (at + NOTICED, Fault::Notice)],
+        (_, Some((host, at))) => {
+            vec![(at, Fault::Kill(host)), (at + DETECTION_DELAY, Fault::UpdateHostLists)]
+        }
         _ => vec![],
     }
 }
 
 fn apply(fleet: &mut Fleet, plan: &Plan, fault: Fault) {
     match fault {
-        Fault::Cut(cut) => {
-            fleet.side = (0..plan.hosts).map(|host| u8::from(cut && plan.is_cut(host))).collect();
+        Fault::Isolate(isolated) => {
+            fleet.side =
+                (0..plan.hosts).map(|host| u8::from(isolated && plan.is_isolated(host))).collect();
         }
         Fault::Kill(host) => fleet.kill(host),
-        Fault::Leave(host) => fleet.leave(host),
-        Fault::End(host) => {
+        Fault::StartShutdown(host) => fleet.leave(host),
+        Fault::EndProcess(host) => {
             fleet.give_up_columns(host);
             fleet.kill(host);
         }
@@ -192,20 +202,20 @@
             fleet.start(host);
             fleet.show_all_hosts();
         }
-        Fault::Notice => fleet.show_all_hosts(),
+        Fault::UpdateHostLists => fleet.show_all_hosts(),
     }
 }
 
 fn static_split(plan: &Plan) -> Outcome {
-    let taken = take_each(&plan.calls, |call| {
+    let taken = take_tokens(&plan.calls, |call| {
         let tenant = &plan.cfg.tenants[call.tenant];
         let rate = tenant.rate_per_second / plan.hosts as f64;
 
-        // Whole tokens only: the burst that does not divide goes to the first hosts.
+        // Tokens are whole: the remainder of the burst goes to the first hosts.
         let hosts = plan.hosts as u32;
         let burst = tenant.burst / hosts + u32::from((call.host as u32) < tenant.burst % hosts);
 
-        Part { key: call.host, rate, burst, empty_at: None }
+        CallBucket { key: call.host, rate, burst, empty_at: None }
     });
 
     Outcome { admitted: taken.clone(), taken, traffic: Traffic::default() }
@@ -214,32 +224,33 @@
 fn leased_counter(plan: &Plan) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(plan.seed);
     let mut traffic = Traffic::default();
-    let mut asked = Vec::new();
+    let mut arrivals = Vec::new();
 
     for call in &plan.calls {
-        let Some(holder) = holder(plan, call) else { continue };
+        let Some(holder) = counter_holder(plan, call) else { continue };
 
         if holder == call.host {
-            asked.push(*call);
+            arrivals.push(*call);
             continue;
         }
 
-        // Ask and answer, each sent and received.
+        // A request and an answer, each counted when sent and when received.
         traffic.messages += 4;
-        traffic.bytes += 2 * question_bytes();
-        asked.push(Call { at: call.at + rng.random_range(300..1_500), ..*call });
+        traffic.bytes += 2 * request_and_answer_bytes();
+        arrivals.push(Call { at: call.at + rng.random_range(300..1_500), ..*call });
     }
 
-    asked.sort_by_key(|call| call.at);
+    arrivals.sort_by_key(|call| call.at);
 
-    let taken = take_each(&asked, |call| {
+    let taken = take_tokens(&arrivals, |call| {
         let tenant = &plan.cfg.tenants[call.tenant];
 
-        // What the former holder admitted is unknown: a counter that moved begins at zero.
+        // The number of calls that the former holder admitted is unknown, so a counter that moved
+        // starts empty.
         let empty_at = moved_at(plan, call.tenant).filter(|moved| *moved <= call.at);
         let key = usize::from(empty_at.is_some());
 
-        Part { key, rate: tenant.rate_per_second, burst: tenant.burst, empty_at }
+        CallBucket { key, rate: tenant.rate_per_second, burst: tenant.burst, empty_at }
     });
 
     Outcome { admitted: taken.clone(), taken, traffic }
@@ -247,35 +258,36 @@
 
 /// Returns when a tenant's counter moves to another host, if it does.
 fn moved_at(plan: &Plan, tenant: usize) -> Option<u64> {
-    let first = plan.pool_of(tenant, |_| true);
-    let lost = plan.is_cut(first) || plan.killed().is_some_and(|(dead, _)| dead == first);
+    let first = plan.admission_host(tenant, |_| true);
+    let moves =
+        plan.is_isolated(first) || plan.killed_host().is_some_and(|(dead, _)| dead == first);
 
-    lost.then_some(plan.cut.0 + LEASE)
+    moves.then_some(plan.fault_window.0 + LEASE)
 }
 
-/// Returns the host that answers for a call's counter, if it can be reached.
-fn holder(plan: &Plan, call: &Call) -> Option<usize> {
-    let first = plan.pool_of(call.tenant, |_| true);
-    let cut = plan.cut.0 <= call.at && call.at < plan.cut.1;
+/// Returns the host that holds the counter for a call, if it can be reached.
+fn counter_holder(plan: &Plan, call: &Call) -> Option<usize> {
+    let first = plan.admission_host(call.tenant, |_| true);
+    let during_partition = plan.fault_window.0 <= call.at && call.at < plan.fault_window.1;
 
     let holder = match moved_at(plan, call.tenant) {
         Some(moved) if moved <= call.at => {
-            let dead = plan.killed().map(|(dead, _)| dead);
-            plan.pool_of(call.tenant, |host| !plan.is_cut(host) && Some(host) != dead)
+            let dead = plan.killed_host().map(|(dead, _)| dead);
+            plan.admission_host(call.tenant, |host| !plan.is_isolated(host) && Some(host) != dead)
         }
-        // The holder is dead; its lease is not over yet.
-        Some(_) if plan.killed().is_some_and(|(_, at)| at <= call.at) => return None,
+        // The holder is dead, but its lease has not expired.
+        Some(_) if plan.killed_host().is_some_and(|(_, at)| at <= call.at) => return None,
         _ => first,
     };
 
-    (!cut || plan.is_cut(holder) == plan.is_cut(call.host)).then_some(holder)
+    (!during_partition || plan.is_isolated(holder) == plan.is_isolated(call.host)).then_some(holder)
 }
 
-fn question_bytes() -> u64 {
+fn request_and_answer_bytes() -> u64 {
     let session = u64::MAX / 2;
-    let ask = TakeRequest { session, number: 1_000, tenant: session };
+    let request = TakeRequest { session, number: 1_000, tenant: session };
     let answer = TakeAnswer { session, number: 1_000, admitted: true, retry_after_us: 0 };
     let bytes = |body| SliceMessage::from(body).encoded_bytes() as u64;
 
-    bytes(SliceBody::Take(ask)) + bytes(SliceBody::Answer(answer))
+    bytes(SliceBody::Take(request)) + bytes(SliceBody::Answer(answer))
 }
--- a/crates/bench/src/limits/scenario.rs
+++ b/crates/bench/src/limits/scenario.rs
@@ -1,4 +1,4 @@
-//! The calls and faults that each way of limiting is measured with.
+//! The calls and faults that each limiting method is measured with.
 
 use std::sync::Arc;
 
@@ -14,7 +14,8 @@
 /// The time before the first call, in which columns are granted and slices fill up.
 pub(super) const WARM_UP: u64 = 30 * SECOND;
 
-/// The tenants: a few large ones, as at Inkwick and Inzira (name, rate a second, burst).
+/// The tenants (name, rate per second, burst): a few large ones, as in the Inkwick and Inzira
+/// deployments.
 const TENANTS: [(&str, f64, u32); 8] = [
     ("t1", 40.0, 40),
     ("t2", 20.0, 20),
@@ -30,7 +31,7 @@
 
 const SLICES: u16 = 16;
 
-/// Makes a configuration with these tenants (name, rate, burst).
+/// Builds a configuration with these tenants (name, rate per second, burst).
 ///
 /// ```
 /// use camphorwalk_bench::limits::config;
@@ -66,21 +67,21 @@
     })
 }
 
-/// What happens in a run.
+/// The conditions of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scenario {
-    /// All well; four fifths of each tenant's calls enter at one host.
+    /// No faults; four fifths of each tenant's calls enter at one host.
     SkewedEntry,
-    /// All well; calls come in bursts of half the tenant's burst, each at one host.
+    /// No faults; calls arrive in bursts of up to half the tenant's burst, each at one host.
     SmallBursts,
-    /// One zone is cut off from the others and the platform for the middle third.
+    /// One zone reaches neither the other zones nor the platform during the middle third.
     ZoneCut,
-    /// The host that pools the largest tenant dies after a third.
+    /// The admission host of the largest tenant dies after one third.
     PoolKilled,
     /// The largest tenant sends five times its rate.
     FiveTimes,
-    /// Each host in turn is shut down gracefully and started again. Slices only.
+    /// Each host in turn is shut down gracefully and restarted. Run with slices only.
     RollingRestart,
 }
 
@@ -99,10 +100,10 @@
 /// A call that enters at a host.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Call {
-    /// When, in microseconds.
+    /// When the call arrives, in microseconds.
     pub(super) at: u64,
     pub(super) host: usize,
-    /// The tenant's place in the configuration.
+    /// The tenant's index in the configuration.
     pub(super) tenant: usize,
 }
 
@@ -112,10 +113,11 @@
     pub(super) scenario: Scenario,
     pub(super) cfg: Arc<Config>,
     pub(super) hosts: usize,
-    /// In the order of time.
+    /// The calls in order of time.
     pub(super) calls: Vec<Call>,
-    /// The middle third: a zone is cut off.
-    pub(super) cut: (u64, u64),
+    /// The start and end of the middle third: the time of a network partition, and the start is the
+    /// time of a host's death.
+    pub(super) fault_window: (u64, u64),
     pub(super) end: u64,
     pub(super) seed: u64,
 }
@@ -123,8 +125,9 @@
 impl Plan {
     pub(super) fn new(scenario: Scenario, hosts: usize, span: u64, seed: u64) -> Self {
         let cfg = config(&ZONES, SLICES, &TENANTS);
-        let cut = (WARM_UP + span / 3, WARM_UP + span * 2 / 3);
-        let mut plan = Self { scenario, cfg, hosts, calls: vec![], cut, end: WARM_UP + span, seed };
+        let fault_window = (WARM_UP + span / 3, WARM_UP + span * 2 / 3);
+        let mut plan =
+            Self { scenario, cfg, hosts, calls: vec![], fault_window, end: WARM_UP + span, seed };
 
         let mut rng = SmallRng::seed_from_u64(seed);
         (0..TENANTS.len()).for_each(|tenant| plan.add_calls(tenant, &mut rng));
@@ -132,20 +135,20 @@
         plan
     }
 
-    /// Returns whether a host is in the zone that is cut off.
-    pub(super) fn is_cut(&self, host: usize) -> bool {
+    /// Returns whether a host is in the zone that is isolated during the network partition.
+    pub(super) fn is_isolated(&self, host: usize) -> bool {
         self.scenario == Scenario::ZoneCut && host % ZONES.len() == ZONES.len() - 1
     }
 
     /// Returns the host that dies, and when.
-    pub(super) fn killed(&self) -> Option<(usize, u64)> {
-        let pool = self.pool_of(0, |_| true);
+    pub(super) fn killed_host(&self) -> Option<(usize, u64)> {
+        let host = self.admission_host(0, |_| true);
 
-        (self.scenario == Scenario::PoolKilled).then_some((pool, self.cut.0))
+        (self.scenario == Scenario::PoolKilled).then_some((host, self.fault_window.0))
     }
 
-    /// Returns the host that pools a tenant if only some hosts are seen.
-    pub(super) fn pool_of(&self, tenant: usize, seen: impl Fn(usize) -> bool) -> usize {
+    /// Returns the admission host of a tenant if only the hosts accepted by `seen` can be reached.
+    pub(super) fn admission_host(&self, tenant: usize, seen: impl Fn(usize) -> bool) -> usize {
         let id = TenantId::from_name(TENANTS[tenant].0);
         let hosts = (0..self.hosts).filter(|host| seen(*host));
         let ids: Vec<(usize, HostId)> = hosts.map(|host| (host, host_id(host))).collect();
@@ -158,12 +161,12 @@
     fn add_calls(&mut self, tenant: usize, rng: &mut SmallRng) {
         let (_, rate, burst) = TENANTS[tenant];
         let load = if self.scenario == Scenario::FiveTimes && tenant == 0 { 5.0 } else { 0.8 };
-        let most = if self.scenario == Scenario::SmallBursts { burst / 2 } else { 3 };
-        let favourite = rng.random_range(0..self.hosts);
+        let max_calls = if self.scenario == Scenario::SmallBursts { burst / 2 } else { 3 };
+        let main_host = rng.random_range(0..self.hosts);
         let mut at = WARM_UP as f64;
 
         loop {
-            let calls = rng.random_range(1..=most.max(1));
+            let calls = rng.random_range(1..=max_calls.max(1));
             let mean = f64::from(calls) / (rate * load) * SECOND as f64;
             at += -mean * (1.0 - rng.random::<f64>()).ln();
 
@@ -172,28 +175,29 @@
             }
 
             let skewed = self.scenario == Scenario::SkewedEntry && rng.random_bool(0.8);
-            let host = if skewed { favourite } else { rng.random_range(0..self.hosts) };
-            let host = self.live_host(host, at as u64);
+            let host = if skewed { main_host } else { rng.random_range(0..self.hosts) };
+            let host = self.serving_host(host, at as u64);
             let call = Call { at: at as u64, host, tenant };
             self.calls.extend((0..calls).map(|_| call));
         }
     }
 
-    /// Returns when a host begins to leave in a rolling restart; a turn later the next does.
-    pub(super) fn leaves_at(&self, host: usize) -> u64 {
-        let turn = (self.end - WARM_UP) / self.hosts as u64;
+    /// Returns when a host starts its shutdown in a rolling restart. Hosts follow each other at
+    /// equal intervals.
+    pub(super) fn shutdown_start(&self, host: usize) -> u64 {
+        let interval = (self.end - WARM_UP) / self.hosts as u64;
 
-        WARM_UP + turn * host as u64
+        WARM_UP + interval * host as u64
     }
 
-    /// Callers of a host that is dead, or leaving, come back at the next one.
-    fn live_host(&self, host: usize, at: u64) -> usize {
-        let leaves = self.leaves_at(host);
-        let restarts = self.scenario == Scenario::RollingRestart
-            && (leaves..leaves + LEAVING + RESTART).contains(&at);
-        let dead = self.killed().is_some_and(|(dead, when)| dead == host && when <= at);
+    /// Callers of a host that is dead or shutting down go to the next one.
+    fn serving_host(&self, host: usize, at: u64) -> usize {
+        let start = self.shutdown_start(host);
+        let is_restarting = self.scenario == Scenario::RollingRestart
+            && (start..start + SHUTDOWN_TIME + RESTART_TIME).contains(&at);
+        let is_dead = self.killed_host().is_some_and(|(dead, when)| dead == host && when <= at);
 
-        if restarts || dead { (host + 1) % self.hosts } else { host }
+        if is_restarting || is_dead { (host + 1) % self.hosts } else { host }
     }
 }
 
@@ -202,11 +206,12 @@
     HostId::from_name(&format!("host-{host}"))
 }
 
-/// How long a host is leaving in a rolling restart: it takes no calls, and hands back.
-pub(super) const LEAVING: u64 = SECOND;
+/// The time from the start of a host's shutdown to the end of its process in a rolling restart. It
+/// admits no calls and returns its slices in this time.
+pub(super) const SHUTDOWN_TIME: u64 = SECOND;
 
-/// How long its process is away then.
-pub(super) const RESTART: u64 = SECOND;
+/// The time from the end of the process to its restart in a rolling restart.
+pub(super) const RESTART_TIME: u64 = SECOND;
 
-/// The time after which the others have noticed that a host died or was cut off.
-pub(super) const NOTICED: u64 = 2_000 * MILLI;
+/// The time after which the other hosts have noticed that a host died or was isolated.
+pub(super) const DETECTION_DELAY: u64 = 2_000 * MILLI;
--- a/crates/bench/src/limits/slopes.rs
+++ b/crates/bench/src/limits/slopes.rs
@@ -1,36 +1,36 @@
-//! What slices cost in messages and bytes, by the numbers of tenants and hosts.
+//! The cost of slices in messages and bytes, by the numbers of tenants and hosts.
 
 use serde::Serialize;
 
 use super::fleet::{Fleet, MILLI, SECOND, Traffic};
 use super::scenario::config;
 
-/// The zones of a measured fleet, as many as there will be.
+/// The zones of a measured fleet: as many as the largest planned deployment has.
 const ZONES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 
 const SLICES: u16 = 16;
 
-/// The calls a second of all hosts at the expected peak, and the hosts then.
+/// The calls per second over all hosts at the expected peak, and the number of hosts then.
 const PEAK_CALLS: u64 = 2_100;
 const PEAK_HOSTS: u64 = 390;
 
-/// The virtual time that is measured, after as much for loans to settle.
-const SPAN: u64 = 20 * SECOND;
+/// The measured virtual time. The fleet runs for the same time before, so that loans settle.
+const MEASURED_TIME: u64 = 20 * SECOND;
 
-/// What slices cost at one size, in a healthy fleet at its share of the peak.
+/// The cost of slices in a healthy fleet of one size, at its share of the peak load.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Slope {
-    /// Tenants.
+    /// The number of tenants.
     pub tenants: usize,
-    /// Hosts.
+    /// The number of hosts.
     pub hosts: usize,
-    /// Calls a second, over all hosts.
+    /// Calls per second over all hosts.
     pub calls_per_second: u64,
-    /// Messages sent and received, a second and host.
+    /// Messages sent and received, per second and host.
     pub mean_messages_per_second: f64,
     /// The same at the busiest host.
     pub most_messages_per_second: f64,
-    /// Bytes sent and received, a second and host.
+    /// Bytes sent and received, per second and host.
     pub mean_bytes_per_second: f64,
     /// The same at the busiest host.
     pub most_bytes_per_second: f64,
@@ -46,37 +46,38 @@
     let names: Vec<String> = (0..tenants).map(|i| format!("tenant-{i}")).collect();
     let figures: Vec<(&str, f64, u32)> = names.iter().map(|n| (&**n, 20.0, 20)).collect();
     let mut fleet = Fleet::new(config(&ZONES[..hosts.min(8)], SLICES, &figures), hosts, 1);
-    fleet.run(SPAN);
+    fleet.run(MEASURED_TIME);
 
     let before: Vec<Traffic> = fleet.nodes.iter().map(|node| node.traffic).collect();
     let calls_per_second = PEAK_CALLS * hosts as u64 / PEAK_HOSTS + 1;
     send_calls(&mut fleet, &names, calls_per_second);
 
     let nodes = fleet.nodes.iter().zip(&before);
-    let per_second = |figure: u64| figure as f64 / (SPAN / SECOND) as f64;
+    let per_second = |figure: u64| figure as f64 / (MEASURED_TIME / SECOND) as f64;
     let messages: Vec<f64> =
         nodes.clone().map(|(n, b)| per_second(n.traffic.messages - b.messages)).collect();
     let bytes: Vec<f64> = nodes.map(|(n, b)| per_second(n.traffic.bytes - b.bytes)).collect();
     let mean = |figures: &[f64]| figures.iter().sum::<f64>() / hosts as f64;
-    let most = |figures: &[f64]| figures.iter().copied().fold(0.0, f64::max);
+    let max = |figures: &[f64]| figures.iter().copied().fold(0.0, f64::max);
 
     Slope {
         tenants,
         hosts,
         calls_per_second,
         mean_messages_per_second: mean(&messages),
-        most_messages_per_second: most(&messages),
+        most_messages_per_second: max(&messages),
         mean_bytes_per_second: mean(&bytes),
-        most_bytes_per_second: most(&bytes),
+        most_bytes_per_second: max(&bytes),
     }
 }
 
-/// Sends calls at a steady pace, hosts and tenants in turns that do not match.
+/// Sends calls at a constant rate, rotating over hosts and tenants at different steps so that a
+/// tenant's calls enter at different hosts.
 fn send_calls(fleet: &mut Fleet, names: &[String], calls_per_second: u64) {
     let hosts = fleet.nodes.len() as u64;
     let start = fleet.now;
 
-    for call in 0..calls_per_second * SPAN / SECOND {
+    for call in 0..calls_per_second * MEASURED_TIME / SECOND {
         let at = start + call * SECOND / calls_per_second;
         fleet.run(at - fleet.now);
 
@@ -85,5 +86,5 @@
         fleet.take(host as usize, &names[tenant as usize]);
     }
 
-    fleet.run(start + SPAN + 100 * MILLI - fleet.now);
+    fleet.run(start + MEASURED_TIME + 100 * MILLI - fleet.now);
 }
--- a/crates/bench/src/plot.rs
+++ b/crates/bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! The goodput of each policy by load, as a picture.
+//! Plots the goodput of each policy by load.
 
 use anyhow::{Result, anyhow};
 use plotters::prelude::*;
@@ -6,10 +6,10 @@
 use crate::report::{GoodputPoint, Report};
 use crate::scheduler::Policy;
 
-/// The size of the picture of one workload.
+/// The width and height of one workload's chart.
 const SIZE: (u32, u32) = (640, 400);
 
-/// Returns the SVG text: one chart for each workload, below one another.
+/// Returns the SVG text, with one chart for each workload below one another.
 pub fn goodput(report: &Report) -> Result<String> {
     let mut svg = String::new();
     let rows = report.workloads.len().max(1);
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a bench run: as a table, as JSON and as a plot.
+//! The report of a bench run, as a table, as JSON and as a plot.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -15,14 +15,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scenario {
-    /// 90 in 100 of the better baseline's capacity.
+    /// 90% of the better baseline's capacity.
     Steady,
-    /// The same, and one tenant sends several times its rate.
+    /// The same, while one tenant sends several times its rate.
     Surge,
 }
 
 impl Scenario {
-    /// Returns its name in tables.
+    /// Returns the scenario's name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady, 90% load",
@@ -36,11 +36,11 @@
 pub struct Cell {
     /// The workload's name.
     pub workload: &'static str,
-    /// The traffic.
+    /// The traffic of the runs.
     pub scenario: Scenario,
-    /// The policy.
+    /// The policy of the runs.
     pub policy: Policy,
-    /// The figures of each seed.
+    /// The figures for each seed.
     pub runs: Vec<Figures>,
 }
 
@@ -51,40 +51,40 @@
     }
 }
 
-/// Programs finished in time at a load.
+/// The goodput of a policy at one load.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct GoodputPoint {
     /// The workload's name.
     pub workload: &'static str,
-    /// The policy.
+    /// The policy that was measured.
     pub policy: Policy,
-    /// The load, as a part of the policy's own capacity.
+    /// The load, as a fraction of the policy's own capacity.
     pub load: f64,
-    /// Programs a second.
+    /// Programs finished in time per second.
     pub goodput: Spread,
 }
 
-/// What a policy carries with every window full.
+/// The throughput of a policy when all windows are full.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Capacity {
     /// The workload's name.
     pub workload: &'static str,
-    /// The policy.
+    /// The policy that was measured.
     pub policy: Policy,
-    /// Programs a second.
+    /// Finished programs per second.
     pub programs_per_second: f64,
 }
 
-/// A figure that was aimed at.
+/// A performance goal and whether it was met.
 #[derive(Clone, Debug, Serialize)]
 pub struct Aim {
     /// The workload's name.
     pub workload: &'static str,
-    /// What is aimed at.
+    /// The figure that the goal is about.
     pub name: &'static str,
-    /// The bound.
+    /// The bound on the figure.
     pub bound: f64,
-    /// The figure of each seed.
+    /// The spread of the figure over the seeds.
     pub measured: Spread,
     /// Whether the median is within the bound.
     pub met: bool,
@@ -93,25 +93,25 @@
 /// The result of [`crate::run`].
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The seeds.
+    /// The seeds of the runs.
     pub seeds: Vec<u64>,
     /// How long programs arrive in each run, in seconds.
     pub seconds: f64,
     /// How long capacity was measured, in seconds.
     pub capacity_seconds: f64,
-    /// How many times its rate the surging tenant sends.
+    /// The factor by which the surging tenant exceeds its rate.
     pub surge: f64,
-    /// The engines.
+    /// The engines of all runs.
     pub engines: Engines,
     /// The workloads with all their parameters.
     pub workloads: Vec<Workload>,
-    /// The capacities.
+    /// The capacity of each policy and workload.
     pub capacities: Vec<Capacity>,
-    /// The figures.
+    /// The figures of each policy, workload and scenario.
     pub cells: Vec<Cell>,
-    /// Goodput by load.
+    /// The goodput of each policy and workload by load.
     pub goodput: Vec<GoodputPoint>,
-    /// The aims.
+    /// The performance goals.
     pub aims: Vec<Aim>,
 }
 
@@ -121,11 +121,11 @@
         serde_json::to_string_pretty(self).expect("a report has only text keys")
     }
 
-    /// Returns the report as text.
+    /// Returns the report as text tables.
     pub fn table(&self) -> String {
         let mut text = String::new();
 
-        self.head(&mut text);
+        self.header_lines(&mut text);
         self.cells.iter().for_each(|cell| cell_lines(&mut text, cell));
         self.goodput_lines(&mut text);
         self.aim_lines(&mut text);
@@ -134,13 +134,13 @@
         text
     }
 
-    /// Writes the goodput by load as an SVG picture.
+    /// Writes the plot of goodput by load to an SVG file.
     pub fn plot(&self, path: &Path) -> anyhow::Result<()> {
         std::fs::write(path, crate::plot::goodput(self)?)
             .with_context(|| format!("bench: cannot write the plot to {}", path.display()))
     }
 
-    fn head(&self, text: &mut String) {
+    fn header_lines(&self, text: &mut String) {
         line(text, format_args!("seeds {:?}, {} s each", self.seeds, self.seconds));
         line(text, format_args!("figures: median [min .. max] over the seeds"));
 
@@ -158,7 +158,7 @@
 
         for GoodputPoint { workload, policy, load, goodput } in &self.goodput {
             let name = policy.name();
-            let spread = show(goodput);
+            let spread = format_spread(goodput);
             line(text, format_args!("  {workload}, {name:<20} load {load:<5} {spread}"));
         }
     }
@@ -168,7 +168,7 @@
 
         for Aim { workload, name, bound, measured, met } in &self.aims {
             let met = if *met { "met" } else { "NOT MET" };
-            let spread = show(measured);
+            let spread = format_spread(measured);
             line(text, format_args!("  {workload}, {name}: {spread}, bound {bound}: {met}"));
         }
     }
@@ -189,12 +189,12 @@
     line(text, format_args!("\n{workload}, {scenario}: {policy}"));
 
     for (name, figure) in COLUMNS {
-        let spread = show(&cell.spread(figure));
+        let spread = format_spread(&cell.spread(figure));
         line(text, format_args!("  {name:<24} {spread}"));
     }
 }
 
-fn show(spread: &Spread) -> String {
+fn format_spread(spread: &Spread) -> String {
     let Spread { min, median, max } = spread;
 
     format!("{median:>10.3} [{min:.3} .. {max:.3}]")
--- a/crates/bench/src/scheduler.rs
+++ b/crates/bench/src/scheduler.rs
@@ -1,14 +1,14 @@
-//! The policies under measurement behind one front.
+//! A common interface to all measured policies.
 
 use camphorwalk_core::ids::{TargetId, ZoneId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::queue::{QueueEvent, QueueNext, QueueOptions, Queues};
 use serde::Serialize;
 
-use crate::baseline::{Choice, Fifo};
+use crate::baseline::{Fifo, TargetSelection};
 use crate::fleet::ZONE;
 
-/// A policy under measurement.
+/// A scheduling policy that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
@@ -24,7 +24,7 @@
     /// All policies, baselines first.
     pub const ALL: [Self; 3] = [Self::FifoRoundRobin, Self::FifoLeastLoaded, Self::Camphorwalk];
 
-    /// Returns its name in tables.
+    /// Returns the policy's name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::FifoRoundRobin => "fifo, round robin",
@@ -34,7 +34,7 @@
     }
 }
 
-/// A policy at work.
+/// The queue of a policy.
 pub enum Scheduler {
     /// The queues of camphorwalk.
     Queues(Box<Queues>),
@@ -43,13 +43,13 @@
 }
 
 impl Scheduler {
-    /// Makes a policy's queue before these targets.
+    /// Creates a policy's queue in front of these targets.
     pub fn new(policy: Policy, window: u32, targets: &[TargetId]) -> Self {
-        let fifo = |choice| Self::Fifo(Fifo::new(choice, window, targets));
+        let fifo = |selection| Self::Fifo(Fifo::new(selection, window, targets));
 
         match policy {
-            Policy::FifoRoundRobin => fifo(Choice::RoundRobin),
-            Policy::FifoLeastLoaded => fifo(Choice::LeastLoaded),
+            Policy::FifoRoundRobin => fifo(TargetSelection::RoundRobin),
+            Policy::FifoLeastLoaded => fifo(TargetSelection::LeastLoaded),
             Policy::Camphorwalk => {
                 let options = QueueOptions { zone: ZoneId::from_name(ZONE) };
                 Self::Queues(Box::new(Queues::new(options)))
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in an event and appends what to do next to `out`.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn step(&mut self, now: Instant, event: QueueEvent, out: &mut Vec<QueueNext>) {
         match self {
             Self::Queues(queues) => queues.step(now, event, out),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns when a wake-up is due.
+    /// Returns when the next wake-up is due; `None` if none is needed.
     pub fn wake_at(&self) -> Option<Instant> {
         match self {
             Self::Queues(queues) => queues.wake_at(),
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,68 +1,69 @@
-//! Seeded workloads shaped like the two deployments.
+//! Seeded workloads modelled on two deployments.
 //!
-//! A program is a chain of dependent turns with tool pauses between them; some turns start
-//! sub-agents, and the next turn waits for them. Shapes are drawn before a run, so that each
-//! policy meets the same programs. The parameters stand on the report.
+//! A program is a chain of dependent turns with tool pauses between them. Some turns start
+//! sub-agents, and the next turn waits for these. All programs are drawn before a run, so that each
+//! policy gets the same ones. The report lists the parameters.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// The shape of one kind of program.
+/// The statistical properties of one kind of program.
 #[derive(Clone, Debug, Serialize)]
 pub struct Kind {
-    /// Its name.
+    /// The name of the kind.
     pub name: &'static str,
-    /// Its class.
+    /// The class of its programs.
     pub class: &'static str,
-    /// The rank of the class; lower goes first.
+    /// The rank of the class; lower ranks are served first.
     pub rank: u8,
-    /// The part of all programs.
+    /// The fraction of all programs that are of this kind.
     pub part: f64,
-    /// The fewest turns.
+    /// The minimum number of turns.
     pub turns_min: f64,
-    /// The exponent of the Pareto tail of the number of turns; lower is heavier.
+    /// The exponent of the Pareto distribution of the number of turns; lower values give a heavier
+    /// tail.
     pub turns_alpha: f64,
-    /// The most turns.
+    /// The maximum number of turns.
     pub turns_max: f64,
     /// Tokens of the first prompt.
     pub base_prompt: f64,
-    /// The median of the tokens that the caller or a tool adds at each later turn.
+    /// The median number of tokens that the caller or a tool adds at each later turn.
     pub input_median: f64,
-    /// The median of the tokens generated at each turn.
+    /// The median number of tokens generated at each turn.
     pub output_median: f64,
     /// The spread (sigma of the logarithm) of inputs and outputs.
     pub spread: f64,
-    /// The most tokens that a turn generates.
+    /// The maximum number of tokens generated at a turn.
     pub output_max: u64,
     /// The median tool pause between turns, in seconds.
     pub pause_median: f64,
     /// The spread (sigma of the logarithm) of pauses.
     pub pause_spread: f64,
-    /// The longest pause, in seconds.
+    /// The maximum pause, in seconds.
     pub pause_max: f64,
-    /// The chance that a turn (not the last) starts sub-agents.
+    /// The probability that a turn, other than the last, starts sub-agents.
     pub sub_agents: f64,
     /// How long the caller waits, in seconds.
     pub deadline: f64,
 }
 
-/// A workload: kinds of programs and the tenants' parts of the traffic.
+/// A workload: kinds of programs, and the tenants' fractions of the traffic.
 #[derive(Clone, Debug, Serialize)]
 pub struct Workload {
-    /// Its name.
+    /// The name of the workload.
     pub name: &'static str,
-    /// The kinds.
+    /// The kinds of programs.
     pub kinds: Vec<Kind>,
-    /// Each tenant's part of the traffic; its weight is in proportion.
+    /// Each tenant's fraction of the traffic; its weight is proportional to it.
     pub tenant_parts: Vec<f64>,
     /// The tenant that sends several times its rate in a surge.
     pub surging_tenant: usize,
-    /// The median of the tokens a sub-agent starts with is this part of its kind's.
+    /// The first prompt of a sub-agent, as a fraction of its kind's `base_prompt`.
     pub sub_agent_scale: f64,
-    /// The most turns of a sub-agent.
+    /// The maximum number of turns of a sub-agent.
     pub sub_agent_turns: u32,
-    /// The most sub-agents of one turn.
+    /// The maximum number of sub-agents that one turn starts.
     pub sub_agents_max: u32,
 }
 
@@ -71,47 +72,49 @@
 pub struct Turn {
     /// Tokens of the whole prompt: history and new input.
     pub prompt: u64,
-    /// Tokens it generates.
+    /// The number of tokens generated.
     pub output: u64,
-    /// The tool pause after it, in microseconds.
+    /// The tool pause after the turn, in microseconds.
     pub pause: u64,
-    /// Sub-agents that it starts; the next turn waits for them all.
+    /// The sub-agents that the turn starts; the next turn waits for all of them.
     pub children: Vec<usize>,
 }
 
 /// One program.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The tenant's number.
+    /// The tenant's index.
     pub tenant: usize,
-    /// The kind's number.
+    /// The kind's index in the workload.
     pub kind: usize,
-    /// The program it is a sub-agent of.
+    /// The parent program if this is a sub-agent.
     pub parent: Option<usize>,
-    /// When it arrives, in microseconds; sub-agents arrive when their turn is over.
+    /// When the program arrives, in microseconds. Sub-agents arrive when the turn that starts them
+    /// ends.
     pub arrival: u64,
-    /// Its turns.
+    /// The turns in order.
     pub turns: Vec<Turn>,
 }
 
-/// How many programs arrive, and when.
+/// How many programs arrive, and for how long.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Programs a second, sub-agents not counted.
+    /// Programs per second, not counting sub-agents.
     pub rate: f64,
     /// How long programs arrive, in seconds.
     pub seconds: f64,
-    /// How many times its rate the surging tenant sends.
+    /// The factor on the surging tenant's rate.
     pub surge: f64,
 }
 
 impl Workload {
-    /// Returns weddings and galas: many short check-ins, chats, planners with sub-agents.
+    /// Returns a workload for weddings and galas: many short check-ins, chats, and planners with
+    /// sub-agents.
     pub fn inkwick() -> Self {
         Self {
             name: "inkwick",
             kinds: vec![
-                Kind { part: 0.40, ..short("arrival-check-in", "arrival") },
+                Kind { part: 0.40, ..short_program("arrival-check-in", "arrival") },
                 Kind { part: 0.45, ..chat("brief-assistant", 1.0) },
                 Kind { part: 0.15, ..planner("gig-planner") },
             ],
@@ -123,12 +126,12 @@
         }
     }
 
-    /// Returns survey chats with long pauses, planners and crew alerts.
+    /// Returns a workload of survey chats with long pauses, planners and crew alerts.
     pub fn inzira() -> Self {
         Self {
             name: "inzira",
             kinds: vec![
-                Kind { part: 0.25, ..short("crew-alert", "alert") },
+                Kind { part: 0.25, ..short_program("crew-alert", "alert") },
                 Kind { part: 0.55, ..chat("survey-assistant", 4.0) },
                 Kind { part: 0.20, ..planner("planning-assistant") },
             ],
@@ -140,23 +143,24 @@
         }
     }
 
-    /// Draws the programs of one run; sub-agents stand among them.
+    /// Draws the programs of one run, including sub-agents.
     pub fn draw(&self, seed: u64, traffic: Traffic) -> Vec<Program> {
         let mut programs = Vec::new();
 
         for (tenant, part) in self.tenant_parts.iter().enumerate() {
             let factor = if tenant == self.surging_tenant { traffic.surge } else { 1.0 };
             let rng = SmallRng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(tenant as u64));
-            let mut draw = Draw { workload: self, rng, tenant, programs: &mut programs };
+            let mut generator =
+                ProgramGenerator { workload: self, rng, tenant, programs: &mut programs };
 
-            draw.arrivals(traffic.rate * part * factor, traffic.seconds);
+            generator.arrivals(traffic.rate * part * factor, traffic.seconds);
         }
 
         programs
     }
 }
 
-fn short(name: &'static str, class: &'static str) -> Kind {
+fn short_program(name: &'static str, class: &'static str) -> Kind {
     Kind {
         name,
         class,
@@ -216,15 +220,15 @@
 }
 
 /// The state of drawing one tenant's programs.
-struct Draw<'a> {
+struct ProgramGenerator<'a> {
     workload: &'a Workload,
     rng: SmallRng,
     tenant: usize,
     programs: &'a mut Vec<Program>,
 }
 
-impl Draw<'_> {
-    /// Draws programs with exponential gaps.
+impl ProgramGenerator<'_> {
+    /// Draws programs with exponentially distributed interarrival times.
     fn arrivals(&mut self, rate: f64, seconds: f64) {
         let mut at = 0.0;
 
@@ -235,12 +239,12 @@
                 return;
             }
 
-            let kind = self.kind();
+            let kind = self.draw_kind();
             self.program(kind, None, micros(at));
         }
     }
 
-    fn kind(&mut self) -> usize {
+    fn draw_kind(&mut self) -> usize {
         let mut left: f64 = self.rng.random();
 
         for (number, kind) in self.workload.kinds.iter().enumerate() {
@@ -267,7 +271,7 @@
 
     fn turns(&mut self, kind: usize, is_child: bool, number: usize) -> Vec<Turn> {
         let shape = self.workload.kinds[kind].clone();
-        let count = self.count(&shape, is_child);
+        let count = self.turn_count(&shape, is_child);
         let scale = if is_child { self.workload.sub_agent_scale } else { 1.0 };
         let mut prompt = (shape.base_prompt * scale) as u64;
         let mut turns = Vec::new();
@@ -286,7 +290,7 @@
         turns
     }
 
-    fn count(&mut self, shape: &Kind, is_child: bool) -> u32 {
+    fn turn_count(&mut self, shape: &Kind, is_child: bool) -> u32 {
         if is_child {
             return self.rng.random_range(1..=self.workload.sub_agent_turns);
         }
@@ -321,7 +325,7 @@
     }
 }
 
-/// Returns seconds as microseconds.
+/// Converts seconds to microseconds.
 pub fn micros(seconds: f64) -> u64 {
     (seconds * 1e6) as u64
 }
--- a/crates/bench/tests/bench_runs.rs
+++ b/crates/bench/tests/bench_runs.rs
@@ -1,13 +1,14 @@
-//! The bench itself: it repeats itself, and its fakes do what they stand for.
+//! Tests of the bench itself: equal options give equal reports, every policy ends the same
+//! programs, and the simulated engine caches and batches as specified.
 
-use camphorwalk_bench::drive::{Drive, End, Start};
 use camphorwalk_bench::engine::{Engine, EngineShape, Sequence};
 use camphorwalk_bench::fleet::Engines;
 use camphorwalk_bench::scheduler::Policy;
+use camphorwalk_bench::simulation::{ArrivalMode, ProgramEnd, Simulation};
 use camphorwalk_bench::workload::{Program, Traffic, Workload};
 use camphorwalk_bench::{BenchOptions, run};
 
-fn short() -> BenchOptions {
+fn short_options() -> BenchOptions {
     BenchOptions {
         seeds: vec![7],
         seconds: 90.0,
@@ -17,12 +18,12 @@
     }
 }
 
-/// Runs an engine until it is idle, and returns what it finished.
+/// Runs an engine until it is idle, and returns the finished requests.
 fn finish(engine: &mut Engine) -> Vec<Sequence> {
     let mut done = Vec::new();
 
-    while engine.begin().is_some() {
-        done.extend(engine.finish());
+    while engine.start_iteration().is_some() {
+        done.extend(engine.finish_iteration());
     }
 
     done
@@ -30,7 +31,7 @@
 
 #[test]
 fn the_same_options_give_the_same_bytes() {
-    let options = short();
+    let options = short_options();
 
     let first = run(&options);
     let second = run(&options);
@@ -43,7 +44,7 @@
 fn the_plot_is_an_svg_with_each_workload() {
     let file = std::env::temp_dir().join(format!("camphorwalk-plot-{}.svg", std::process::id()));
 
-    run(&short()).plot(&file).unwrap();
+    run(&short_options()).plot(&file).unwrap();
     let svg = std::fs::read_to_string(&file).unwrap();
     std::fs::remove_file(&file).unwrap();
 
@@ -52,18 +53,25 @@
 }
 
 #[test]
-fn every_policy_meets_the_same_programs_and_ends_each() {
+fn every_policy_ends_every_program() {
     let workload = Workload::inzira();
     let traffic = Traffic { rate: 0.2, seconds: 60.0, surge: 1.0 };
     let programs = workload.draw(3, traffic);
 
     for policy in Policy::ALL {
-        let drive = Drive::new(policy, &workload, &programs, Engines::default(), Start::Open, 3);
-        let trace = drive.run(u64::MAX);
+        let simulation = Simulation::new(
+            policy,
+            &workload,
+            &programs,
+            Engines::default(),
+            ArrivalMode::OpenLoop,
+            3,
+        );
+        let trace = simulation.run(u64::MAX);
 
         let roots = || programs.iter().zip(&trace.outcomes).filter(|(p, _)| p.parent.is_none());
         assert!(roots().all(|(_, outcome)| outcome.is_some()), "{policy:?}");
-        assert!(roots().any(|(_, outcome)| outcome.unwrap().end == End::Finished));
+        assert!(roots().any(|(_, outcome)| outcome.unwrap().end == ProgramEnd::Finished));
     }
 }
 
@@ -74,11 +82,18 @@
     let programs: Vec<Program> = workload.draw(1, traffic);
     let engines = Engines::default();
 
-    let drive = Drive::new(Policy::Camphorwalk, &workload, &programs, engines, Start::Open, 1);
-    let trace = drive.run(u64::MAX);
+    let simulation = Simulation::new(
+        Policy::Camphorwalk,
+        &workload,
+        &programs,
+        engines,
+        ArrivalMode::OpenLoop,
+        1,
+    );
+    let trace = simulation.run(u64::MAX);
 
     for (program, outcome) in programs.iter().zip(&trace.outcomes) {
-        let Some(outcome) = outcome.filter(|outcome| outcome.end == End::Finished) else {
+        let Some(outcome) = outcome.filter(|outcome| outcome.end == ProgramEnd::Finished) else {
             continue;
         };
         let children = program.turns.iter().flat_map(|turn| &turn.children);
@@ -102,7 +117,7 @@
 }
 
 #[test]
-fn an_engine_drops_the_prefix_that_was_used_longest_ago() {
+fn an_engine_evicts_the_least_recently_used_prefix() {
     let shape = EngineShape { cache_tokens: 2_500, ..EngineShape::default() };
     let mut engine = Engine::new(shape);
 
@@ -116,12 +131,12 @@
 }
 
 #[test]
-fn an_engine_batches_no_more_than_it_may_and_reports_the_rest() {
+fn an_engine_limits_its_batch_and_reports_waiting_requests() {
     let shape = EngineShape { batch: 2, ..EngineShape::default() };
     let mut engine = Engine::new(shape);
     (1..=3).for_each(|number| engine.send(Sequence::new(number, number as usize, 100, 10)));
 
-    engine.begin();
+    engine.start_iteration();
 
     let load = engine.load();
     assert_eq!((load.running, load.waiting), (2, 1));
