--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use camphorwalk_core::ids::TargetId;
-use camphorwalk_policy::queue::{QueueEvent, QueueNext};
-use camphorwalk_policy::wire::Asker;
+use camphorwalk_policy::queue::{QueueAction, QueueEvent};
+use camphorwalk_policy::shared_types::PlaceRequestId;
 
 /// How a baseline selects a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,8 +25,8 @@
     window: u32,
     targets: Vec<(TargetId, u32)>,
     next_index: usize,
-    waiting: VecDeque<Asker>,
-    granted: BTreeMap<Asker, usize>,
+    waiting: VecDeque<PlaceRequestId>,
+    granted: BTreeMap<PlaceRequestId, usize>,
 }
 
 impl Fifo {
@@ -43,36 +43,36 @@
     }
 
     /// Processes an event and appends the resulting actions to `out`.
-    pub fn step(&mut self, event: &QueueEvent, out: &mut Vec<QueueNext>) {
+    pub fn step(&mut self, event: &QueueEvent, out: &mut Vec<QueueAction>) {
         match event {
-            QueueEvent::Ask { asker, .. } => self.waiting.push_back(*asker),
-            QueueEvent::Vacate { asker, .. } => self.release(*asker),
+            QueueEvent::Request { request_id, .. } => self.waiting.push_back(*request_id),
+            QueueEvent::Release { request_id, .. } => self.release(*request_id),
             _ => return,
         }
 
-        while let Some((asker, at)) = self.next_grant() {
+        while let Some((request_id, at)) = self.next_grant() {
             self.targets[at].1 += 1;
-            self.granted.insert(asker, at);
-            out.push(QueueNext::Grant { asker, target: self.targets[at].0 });
+            self.granted.insert(request_id, at);
+            out.push(QueueAction::Grant { request_id, target: self.targets[at].0 });
         }
     }
 
-    fn release(&mut self, asker: Asker) {
-        match self.granted.remove(&asker) {
+    fn release(&mut self, request_id: PlaceRequestId) {
+        match self.granted.remove(&request_id) {
             Some(at) => self.targets[at].1 -= 1,
-            None => self.waiting.retain(|waiting| *waiting != asker),
+            None => self.waiting.retain(|waiting| *waiting != request_id),
         }
     }
 
-    fn next_grant(&mut self) -> Option<(Asker, usize)> {
+    fn next_grant(&mut self) -> Option<(PlaceRequestId, usize)> {
         let at = match self.selection {
             TargetSelection::RoundRobin => self.next_in_turn()?,
             TargetSelection::LeastLoaded => self.least_loaded()?,
         };
-        let asker = self.waiting.pop_front()?;
+        let request_id = self.waiting.pop_front()?;
         self.next_index = at + 1;
 
-        Some((asker, at))
+        Some((request_id, at))
     }
 
     fn next_in_turn(&self) -> Option<usize> {
--- a/crates/bench/src/limits/checks.rs
+++ b/crates/bench/src/limits/checks.rs
@@ -6,8 +6,8 @@
 use camphorwalk_core::config::Config;
 use camphorwalk_core::ids::TenantId;
 use camphorwalk_core::messages::slices::{SliceBody, TakeAnswer, TakeRequest};
-use camphorwalk_policy::slices::{SliceEvent, SliceNext, TakeId};
-use camphorwalk_policy::wire::Verdict;
+use camphorwalk_policy::shared_types::Verdict;
+use camphorwalk_policy::slices::{SliceAction, SliceEvent, TakeId};
 
 use super::bucket::ExactBucket;
 use super::fleet::SECOND;
@@ -87,14 +87,14 @@
         &mut self,
         now: u64,
         event: &SliceEvent,
-        out: &[SliceNext],
+        out: &[SliceAction],
     ) -> Vec<(TenantId, bool)> {
         let mut verdicts = Vec::new();
 
         for action in out {
             match action {
-                SliceNext::Send { message, .. } => self.record_message(now, event, &message.body),
-                SliceNext::Verdict { take, verdict } => {
+                SliceAction::Send { message, .. } => self.record_message(now, event, &message.body),
+                SliceAction::Verdict { take, verdict } => {
                     let admitted = *verdict == Verdict::Admitted;
                     let tenant = self.record_verdict(now, event, *take, admitted);
                     verdicts.extend(tenant.map(|tenant| (tenant, admitted)));
--- a/crates/bench/src/limits/fleet.rs
+++ b/crates/bench/src/limits/fleet.rs
@@ -13,7 +13,8 @@
 use camphorwalk_core::messages::slices::SliceMessage;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::slices::{
-    ColumnId, SliceEvent, SliceHost, SliceNext, SliceOptions, SliceTimes, Slices, TakeId, columns,
+    ColumnId, SliceAction, SliceEvent, SliceHost, SliceOptions, SliceTimes, Slices, TakeId,
+    column_zones,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -38,17 +39,17 @@
     /// The fraction of messages that are lost.
     pub loss: f64,
     /// The fraction of messages that arrive twice.
-    pub repeat: f64,
+    pub duplication: f64,
     /// The minimum and maximum delay, in microseconds.
     pub delay: (u64, u64),
 }
 
 impl Net {
     /// A network within a region.
-    pub const HEALTHY: Self = Self { loss: 0.0, repeat: 0.0, delay: (300, 1_500) };
+    pub const HEALTHY: Self = Self { loss: 0.0, duplication: 0.0, delay: (300, 1_500) };
 
     /// A network with loss, duplicates and delays longer than every message timeout.
-    pub const BAD: Self = Self { loss: 0.2, repeat: 0.2, delay: (300, 400 * MILLI) };
+    pub const UNRELIABLE: Self = Self { loss: 0.2, duplication: 0.2, delay: (300, 400 * MILLI) };
 }
 
 /// The messages that hosts sent and received.
@@ -110,7 +111,7 @@
     /// The simulated hosts.
     pub nodes: Vec<Node>,
     /// The side of the network partition that each host is on.
-    pub side: Vec<u8>,
+    pub partition_side: Vec<u8>,
     /// Whether to assert after each step that no slice has two users.
     pub check_users: bool,
     /// The configuration in force.
@@ -154,7 +155,7 @@
             now: 0,
             net: Net::HEALTHY,
             nodes: (0..hosts).map(node).collect(),
-            side: vec![0; hosts],
+            partition_side: vec![0; hosts],
             check_users: false,
             admitted: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -163,7 +164,7 @@
             wakes: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
             in_transit: BTreeMap::new(),
-            columns: columns(&cfg).into_iter().map(column).collect(),
+            columns: column_zones(&cfg).into_iter().map(column).collect(),
             next_platform_step: 0,
             last_number: 0,
             checks: Checks::new(cfg.clone()),
@@ -172,12 +173,12 @@
 
         fleet.host_indices = fleet.nodes.iter().enumerate().map(|(i, node)| (node.id, i)).collect();
         (0..hosts).for_each(|host| fleet.start(host));
-        fleet.show_all_hosts();
+        fleet.update_visible_hosts();
         fleet
     }
 
     /// Makes clocks run at different speeds, up to [`DRIFT_PPM`] off. Call it at the start.
-    pub fn drift(&mut self) {
+    pub fn enable_clock_drift(&mut self) {
         for (host, node) in self.nodes.iter_mut().enumerate() {
             node.drift_ppm = [0, DRIFT_PPM, -DRIFT_PPM][host % 3];
         }
@@ -206,7 +207,7 @@
     /// Starts the shutdown of a host: no host, including itself, lists it any more.
     pub fn leave(&mut self, host: usize) {
         self.nodes[host].leaving = true;
-        self.show_all_hosts();
+        self.update_visible_hosts();
     }
 
     /// Makes a host give up its columns, which are granted to other hosts at once.
@@ -235,7 +236,7 @@
     }
 
     /// Sends a host the list of hosts that it can reach.
-    pub fn show(&mut self, host: usize, seen: impl Fn(usize) -> bool) {
+    pub fn set_visible_hosts(&mut self, host: usize, seen: impl Fn(usize) -> bool) {
         let stays = !self.nodes[host].leaving;
         let nodes = self.nodes.iter().enumerate();
         let all = nodes.filter(|(i, _)| (stays && *i == host) || seen(*i));
@@ -244,13 +245,13 @@
     }
 
     /// Sends each host the list of live hosts on its side of the network partition.
-    pub fn show_all_hosts(&mut self) {
-        let side = self.side.clone();
+    pub fn update_visible_hosts(&mut self) {
+        let side = self.partition_side.clone();
         let live: Vec<bool> =
             self.nodes.iter().map(|node| node.slices.is_some() && !node.leaving).collect();
 
         for host in 0..self.nodes.len() {
-            self.show(host, |other| side[other] == side[host] && live[other]);
+            self.set_visible_hosts(host, |other| side[other] == side[host] && live[other]);
         }
     }
 
@@ -321,7 +322,7 @@
     }
 
     /// Returns whether the process of a host exists, paused or not.
-    pub fn lives(&self, host: usize) -> bool {
+    pub fn is_running(&self, host: usize) -> bool {
         self.nodes[host].slices.is_some()
     }
 
@@ -389,7 +390,7 @@
 
         let (column, until) = (ColumnId(column as u16), until_at_host);
         let event = match first {
-            true => SliceEvent::First { column, until },
+            true => SliceEvent::FirstOwned { column, until },
             false => SliceEvent::Owned { column, until, fresh },
         };
         self.step(host, event);
@@ -425,8 +426,8 @@
             calls.entry(tenant).or_default().push(self.now);
         }
 
-        for next in out {
-            if let SliceNext::Send { to, message } = next {
+        for action in out {
+            if let SliceAction::Send { to, message } = action {
                 self.send(host, to, message);
             }
         }
@@ -448,7 +449,7 @@
 
     fn send(&mut self, from: usize, to: HostId, message: SliceMessage) {
         let Some(to) = self.host_indices.get(&to).copied() else { return };
-        let copies = 1 + u32::from(self.rng.random_bool(self.net.repeat));
+        let copies = 1 + u32::from(self.rng.random_bool(self.net.duplication));
 
         for host in [from, to] {
             self.nodes[host].traffic.messages += 1;
@@ -456,7 +457,9 @@
         }
 
         for _ in 0..copies {
-            if self.side[from] != self.side[to] || self.rng.random_bool(self.net.loss) {
+            if self.partition_side[from] != self.partition_side[to]
+                || self.rng.random_bool(self.net.loss)
+            {
                 continue;
             }
 
@@ -473,7 +476,7 @@
         for host in 0..self.nodes.len() {
             let Some(slices) = &self.nodes[host].slices else { continue };
 
-            for slice in slices.usable(self.clock(host)) {
+            for slice in slices.usable_slices(self.clock(host)) {
                 let other = users.insert(slice, host);
                 assert!(other.is_none(), "{slice:?} used by {other:?} and {host} at {}", self.now);
             }
--- a/crates/bench/src/limits/methods.rs
+++ b/crates/bench/src/limits/methods.rs
@@ -189,7 +189,7 @@
 fn apply(fleet: &mut Fleet, plan: &Plan, fault: Fault) {
     match fault {
         Fault::Isolate(isolated) => {
-            fleet.side =
+            fleet.partition_side =
                 (0..plan.hosts).map(|host| u8::from(isolated && plan.is_isolated(host))).collect();
         }
         Fault::Kill(host) => fleet.kill(host),
@@ -200,9 +200,9 @@
         }
         Fault::Start(host) => {
             fleet.start(host);
-            fleet.show_all_hosts();
+            fleet.update_visible_hosts();
         }
-        Fault::UpdateHostLists => fleet.show_all_hosts(),
+        Fault::UpdateHostLists => fleet.update_visible_hosts(),
     }
 }
 
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -8,8 +8,8 @@
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
-use camphorwalk_policy::queue::{LoadReport, QueueEvent, QueueNext};
-use camphorwalk_policy::wire::{Asker, PlaceEnd, PlaceEndKind, PlaceRequest};
+use camphorwalk_policy::queue::{LoadReport, QueueAction, QueueEvent};
+use camphorwalk_policy::shared_types::{PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -106,7 +106,7 @@
     planned_wake: Option<u64>,
     arrival_mode: ArrivalMode,
     next_program: usize,
-    actions: Vec<QueueNext>,
+    actions: Vec<QueueAction>,
 }
 
 impl<'a> Simulation<'a> {
@@ -263,7 +263,7 @@
         self.request_count += 1;
         self.programs_by_request.insert(number, program);
         self.progress[program].pending_request = Some(number);
-        self.step_scheduler(QueueEvent::Ask { asker: asker(number), request });
+        self.step_scheduler(QueueEvent::Request { request_id: request_id(number), request });
     }
 
     /// Passes an event to the scheduler and executes the resulting actions.
@@ -271,10 +271,10 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.step(Instant(self.now), event, &mut actions);
 
-        for next in actions.drain(..) {
-            match next {
-                QueueNext::Grant { asker, target } => self.on_grant(asker, target),
-                QueueNext::Refuse { asker, .. } => self.on_refusal(asker),
+        for action in actions.drain(..) {
+            match action {
+                QueueAction::Grant { request_id, target } => self.on_grant(request_id, target),
+                QueueAction::Refuse { request_id, .. } => self.on_refusal(request_id),
             }
         }
 
@@ -292,18 +292,25 @@
         }
     }
 
-    fn on_grant(&mut self, asker: Asker, target: TargetId) {
-        let Some(program) = self.programs_by_request.get(&asker.number).copied() else { return };
+    fn on_grant(&mut self, request_id: PlaceRequestId, target: TargetId) {
+        let Some(program) = self.programs_by_request.get(&request_id.number).copied() else {
+            return;
+        };
         let Some(engine) = self.targets.iter().position(|known| *known == target) else { return };
         let turn = &self.programs[program].turns[self.progress[program].turn];
 
         self.progress[program].engine = Some(engine);
-        self.engines[engine].send(Sequence::new(asker.number, program, turn.prompt, turn.output));
+        self.engines[engine].send(Sequence::new(
+            request_id.number,
+            program,
+            turn.prompt,
+            turn.output,
+        ));
         self.start_iteration(engine);
     }
 
-    fn on_refusal(&mut self, asker: Asker) {
-        let Some(program) = self.programs_by_request.remove(&asker.number) else { return };
+    fn on_refusal(&mut self, request_id: PlaceRequestId) {
+        let Some(program) = self.programs_by_request.remove(&request_id.number) else { return };
 
         self.progress[program].pending_request = None;
         self.end(self.root(program), ProgramEnd::Refused);
@@ -359,22 +366,22 @@
         self.programs_by_request.remove(&sequence.number);
         self.release_place(
             sequence.number,
-            PlaceEndKind::Finished,
+            PlaceOutcome::Finished,
             sequence.computed,
             sequence.output,
         );
         self.finish_turn(program, turn);
     }
 
-    fn release_place(&mut self, number: u64, how: PlaceEndKind, computed: u64, output: u64) {
-        let end = PlaceEnd {
-            how,
-            computed: Tokens(computed),
+    fn release_place(&mut self, number: u64, outcome: PlaceOutcome, computed: u64, output: u64) {
+        let end = PlaceRelease {
+            outcome,
+            computed_prompt: Tokens(computed),
             output: Tokens(output),
-            program_over: how == PlaceEndKind::Failed || how == PlaceEndKind::NotSent,
+            program_ended: outcome == PlaceOutcome::Failed || outcome == PlaceOutcome::NotSent,
         };
 
-        self.step_scheduler(QueueEvent::Vacate { asker: asker(number), end });
+        self.step_scheduler(QueueEvent::Release { request_id: request_id(number), end });
     }
 
     fn finish_turn(&mut self, program: usize, turn: usize) {
@@ -456,9 +463,9 @@
         match self.progress[program].engine.take() {
             Some(engine) => {
                 self.engines[engine].cancel(number);
-                self.release_place(number, PlaceEndKind::Failed, 0, 0);
+                self.release_place(number, PlaceOutcome::Failed, 0, 0);
             }
-            None => self.release_place(number, PlaceEndKind::NotSent, 0, 0),
+            None => self.release_place(number, PlaceOutcome::NotSent, 0, 0),
         }
     }
 
@@ -501,6 +508,6 @@
     ProgramId(number as u128)
 }
 
-fn asker(number: u64) -> Asker {
-    Asker { host: HostId(1), number }
+fn request_id(number: u64) -> PlaceRequestId {
+    PlaceRequestId { host: HostId(1), number }
 }
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -1,4 +1,5 @@
-//! Places at targets: a call gets one at once, or waits for one.
+//! Places at targets. A place is the right to have one call in flight at a target. A call waits in
+//! a queue while none is free.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,40 +18,39 @@
 use crate::clock;
 use crate::host::Shared;
 
-/// When a call that finds no target at all is told to come back, if nothing is known.
-const NOWHERE_RETRY: Duration = Duration::from_millis(300);
+/// Retry-After of a call for which no target is usable, if no ejected target is due to return.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The time that a new program is told to stay away from a full service: about the hold of one
-/// place.
-const FULL_RETRY: Duration = Duration::from_millis(250);
+/// Retry-After of a new program while its service is full: about as long as a call holds its place.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The longest time that a call is told to stay away.
-const LONGEST_RETRY: Duration = Duration::from_secs(1);
+/// The longest Retry-After of a call that would wait beyond its deadline.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a new program may wait for a place: a quarter of the objective of its first event.
-/// After that it is better told to come back than kept.
-const NEW_WAIT: Duration = Duration::from_millis(50);
+/// How long a new program may wait for a place: a quarter of the latency objective of its first
+/// event. Beyond that a quick refusal serves the caller better than more waiting.
+const MAX_NEW_WAIT: Duration = Duration::from_millis(50);
 
-/// While so many calls wait, a new program is refused at once: none of the places that become
-/// free within its wait would be its own.
-const MOST_NEW_WAITING: usize = 4;
+/// A new program is refused at once while this many calls wait: they would take all places that
+/// become free within [`MAX_NEW_WAIT`].
+const MAX_NEW_WAITING: usize = 4;
 
 struct Waiter {
-    shape: PlacementRequest,
+    placement: PlacementRequest,
     tx: oneshot::Sender<Place>,
 }
 
-/// The calls that wait at this host.
+/// The calls that wait for a place at this host.
 pub(crate) struct Places {
     waiting: RefCell<WaitQueue>,
     waiters: RefCell<Map<WaiterId, Waiter>>,
     next: Cell<u64>,
-    /// Programs that have run something at this host.
-    under_way: RefCell<RecentMap<u64, ()>>,
+    /// Programs that have run a turn at this host.
+    recent_programs: RefCell<RecentMap<u64, ()>>,
 }
 
-/// How many programs are remembered as under way.
-const PROGRAMS_REMEMBERED: usize = 8_192;
+/// How many running programs are remembered.
+const MAX_RECENT_PROGRAMS: usize = 8_192;
 
 impl Default for Places {
     fn default() -> Self {
@@ -58,17 +58,17 @@
             waiting: RefCell::default(),
             waiters: RefCell::default(),
             next: Cell::default(),
-            under_way: RefCell::new(RecentMap::new(PROGRAMS_REMEMBERED)),
+            recent_programs: RefCell::new(RecentMap::new(MAX_RECENT_PROGRAMS)),
         }
     }
 }
 
 impl Places {
-    /// Takes in that a program runs a turn here.
-    pub(crate) fn began(&self, program: Option<&str>) {
+    /// Records that a program runs a turn at this host.
+    pub(crate) fn record_running(&self, program: Option<&str>) {
         let Some(program) = program else { return };
 
-        self.under_way.borrow_mut().put(stable_hash(&[program.as_bytes()]), ());
+        self.recent_programs.borrow_mut().put(stable_hash(&[program.as_bytes()]), ());
     }
 
     /// Returns how many calls wait for each service.
@@ -84,77 +84,88 @@
             .collect()
     }
 
-    /// Returns whether a program has run something at this host.
-    pub(crate) fn is_under_way(&self, program: Option<&str>) -> bool {
+    /// Returns whether a program has run a turn at this host.
+    pub(crate) fn has_run_recently(&self, program: Option<&str>) -> bool {
         let Some(program) = program else { return false };
         let program = stable_hash(&[program.as_bytes()]);
 
-        self.under_way.borrow().get(&program).is_some()
+        self.recent_programs.borrow().get(&program).is_some()
     }
 }
 
-/// A place at a target. Dropped without an outcome it counts as left by its caller.
+/// A place at a target. Dropping it without an outcome counts as abandoned by the caller.
 pub(crate) struct Place {
     shared: Rc<Shared>,
     /// The target.
     pub(crate) key: TargetKey,
     service: Box<str>,
-    taken: Instant,
-    /// The prompt tokens that are to be read, as far as is known.
-    missing: u32,
-    /// The events that the target has made, and when the first and the last one came.
+    taken_at: Instant,
+    /// The estimated prompt tokens that the target must process for the call.
+    uncached_tokens: u32,
+    /// The number of events that the target has generated, and when the first and the last of them
+    /// came.
     events: u32,
-    came: Option<(Instant, Instant)>,
-    ended: bool,
+    event_times: Option<(Instant, Instant)>,
+    is_ended: bool,
 }
 
 impl Place {
-    /// Takes a place for a call that is sent now.
-    fn new(shared: &Rc<Shared>, service: &str, key: TargetKey, shape: &PlacementRequest) -> Self {
-        let missing = shared.targets.borrow_mut().record_sent(key, shape);
+    /// Takes a place for a call that is about to be sent.
+    fn new(
+        shared: &Rc<Shared>,
+        service: &str,
+        key: TargetKey,
+        placement: &PlacementRequest,
+    ) -> Self {
+        let uncached_tokens = shared.targets.borrow_mut().record_sent(key, placement);
 
         Self {
             shared: Rc::clone(shared),
             key,
             service: service.into(),
-            taken: clock::now(),
-            missing,
+            taken_at: clock::now(),
+            uncached_tokens,
             events: 0,
-            came: None,
-            ended: false,
+            event_times: None,
+            is_ended: false,
         }
     }
 
-    /// Takes in that the target made events of a stream.
-    pub(crate) fn made(&mut self, events: u32) {
+    /// Records that the target has generated events of a stream.
+    pub(crate) fn record_events(&mut self, events: u32) {
         let now = clock::now();
 
-        if self.came.is_none() {
-            let waited = now.since(self.taken);
-            self.shared.targets.borrow_mut().record_first_event(self.key, self.missing, waited);
+        if self.event_times.is_none() {
+            let waited = now.since(self.taken_at);
+            self.shared.targets.borrow_mut().record_first_event(
+                self.key,
+                self.uncached_tokens,
+                waited,
+            );
         }
-        let first = self.came.map_or(now, |(first, _)| first);
-        self.came = Some((first, now));
+        let first = self.event_times.map_or(now, |(first, _)| first);
+        self.event_times = Some((first, now));
         self.events += events;
     }
 
-    /// Returns the target's id, and what all hosts have in flight there as this one knows.
+    /// Returns the target's id and the number of calls that all hosts have in flight there, as far
+    /// as this host knows.
     pub(crate) fn target(&self) -> (Box<str>, u32) {
         let targets = self.shared.targets.borrow();
 
         targets.get(self.key).map_or_else(Default::default, |t| (t.entry.id.clone(), t.load()))
     }
 
-    /// Ends the call at its target.
+    /// Frees the place with the outcome of the call.
     pub(crate) fn end(mut self, outcome: Outcome) {
         self.finish(outcome);
     }
 
-    /// Ends the call with a whole answer.
-    pub(crate) fn answered(self) {
+    /// Frees the place after a complete answer.
+    pub(crate) fn complete(self) {
         let now = clock::now();
-        let held = now.since(self.taken);
-        if let Some((first, last)) = self.came {
+        let held = now.since(self.taken_at);
+        if let Some((first, last)) = self.event_times {
             let further = self.events.saturating_sub(1);
             self.shared.targets.borrow_mut().record_events(self.key, further, last.since(first));
         }
@@ -162,7 +173,7 @@
     }
 
     fn finish(&mut self, outcome: Outcome) {
-        self.ended = true;
+        self.is_ended = true;
         let ejected =
             self.shared.targets.borrow_mut().record_outcome(clock::now(), self.key, outcome);
 
@@ -173,27 +184,27 @@
             self.shared.metrics.ejections.inc();
         }
 
-        wake(&self.shared, &self.service);
+        assign_places(&self.shared, &self.service);
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_ended {
             self.finish(Outcome::Abandoned);
         }
     }
 }
 
-/// A waiting call; dropping it takes it out of the queue.
-struct Queued<'a> {
+/// A waiting call. Dropping it removes the call from the queue.
+struct QueuedCall<'a> {
     shared: &'a Rc<Shared>,
     service: &'a str,
     urgency: Urgency,
     id: WaiterId,
 }
 
-impl Drop for Queued<'_> {
+impl Drop for QueuedCall<'_> {
     fn drop(&mut self) {
         let places = &self.shared.places;
         places.waiting.borrow_mut().remove(self.service, self.urgency, self.id);
@@ -201,27 +212,27 @@
     }
 }
 
-/// Gets a place at a target of a service, waiting for one until the urgency's deadline.
+/// Takes a place at a target of a service. Waits for one until the deadline in `urgency`.
 pub(crate) async fn take(
     shared: &Rc<Shared>,
     service: &str,
-    shape: &PlacementRequest,
+    placement: &PlacementRequest,
     urgency: Urgency,
 ) -> Result<Place, Refusal> {
     let now = clock::now();
     let nobody_waits = shared.places.waiting.borrow().is_empty(service);
-    let choice = shared.targets.borrow().choose(now, service, shape);
+    let choice = shared.targets.borrow().choose(now, service, placement);
 
     match choice {
         Choice::Target(key) if nobody_waits => {
-            return Ok(Place::new(shared, service, key, shape));
+            return Ok(Place::new(shared, service, key, placement));
         }
-        Choice::NoTarget => return Err(nowhere(shared, service)),
+        Choice::NoTarget => return Err(no_target(shared, service)),
         Choice::Target(_) | Choice::Full => {}
     }
 
-    if urgency.is_new && shared.places.waiting.borrow().len(service) >= MOST_NEW_WAITING {
-        return Err(full());
+    if urgency.is_new && shared.places.waiting.borrow().len(service) >= MAX_NEW_WAITING {
+        return Err(refuse_full());
     }
     let expected = expected_wait(shared, service, urgency);
     if !urgency.is_new && expected > clock::until(urgency.deadline) {
@@ -231,54 +242,57 @@
             is_late = urgency.is_late,
             "place: none can be had in time"
         );
-        return Err(Refusal::later("no place can be had in time", expected.min(LONGEST_RETRY)));
+        return Err(Refusal::retry_later(
+            "no place can be had in time",
+            expected.min(MAX_RETRY_AFTER),
+        ));
     }
-    wait(shared, service, shape, urgency).await
+    wait(shared, service, placement, urgency).await
 }
 
-/// Refuses a new program while no target has room for one.
-pub(crate) fn may_begin(
+/// Refuses a new program if no target has room for it.
+pub(crate) fn check_room_for_new(
     shared: &Shared,
     service: &str,
-    shape: &PlacementRequest,
+    placement: &PlacementRequest,
 ) -> Result<(), Refusal> {
-    match shared.targets.borrow().choose(clock::now(), service, shape) {
-        Choice::Full => Err(full()),
+    match shared.targets.borrow().choose(clock::now(), service, placement) {
+        Choice::Full => Err(refuse_full()),
         Choice::Target(_) | Choice::NoTarget => Ok(()),
     }
 }
 
-/// Returns how long a call will wait by what goes before it at this host, which gets an even
-/// share of the places that become free.
+/// Estimates how long a call will wait behind the calls ahead of it at this host, which gets an
+/// even share of the places that become free.
 fn expected_wait(shared: &Shared, service: &str, urgency: Urgency) -> Duration {
     let ahead = shared.places.waiting.borrow().ahead(service, urgency);
     let targets = shared.targets.borrow();
     let slots = f64::from(targets.capacity(clock::now(), service).0);
     let places = (slots / shared.fleet.size() as f64).max(1.0);
 
-    targets.mean_hold(service).mul_f64(ahead as f64 / places)
+    targets.mean_service_time(service).mul_f64(ahead as f64 / places)
 }
 
-/// The answer to a new program while all targets are taken.
-fn full() -> Refusal {
-    Refusal::later_spread("all targets are full", FULL_RETRY)
+/// Returns the refusal of a new program while all targets are full.
+fn refuse_full() -> Refusal {
+    Refusal::retry_later_jittered("all targets are full", FULL_RETRY_AFTER)
 }
 
-/// Takes a place at a target that a call was at before, whatever waits for it: the call held
-/// its slot until now.
-pub(crate) fn same(
+/// Takes a place at the target that already runs the call, ahead of all waiting calls, because the
+/// call has held its slot until now.
+pub(crate) fn retake(
     shared: &Rc<Shared>,
     service: &str,
     key: TargetKey,
-    shape: &PlacementRequest,
+    placement: &PlacementRequest,
 ) -> Place {
-    Place::new(shared, service, key, shape)
+    Place::new(shared, service, key, placement)
 }
 
 async fn wait(
     shared: &Rc<Shared>,
     service: &str,
-    shape: &PlacementRequest,
+    placement: &PlacementRequest,
     urgency: Urgency,
 ) -> Result<Place, Refusal> {
     let places = &shared.places;
@@ -286,14 +300,14 @@
     places.next.set(id.0 + 1);
     let (tx, rx) = oneshot::channel();
 
-    places.waiters.borrow_mut().insert(id, Waiter { shape: shape.clone(), tx });
+    places.waiters.borrow_mut().insert(id, Waiter { placement: placement.clone(), tx });
     places.waiting.borrow_mut().push(service, urgency, id);
-    let queued = Queued { shared, service, urgency, id };
-    shared.metrics.waited.inc();
-    wake(shared, service);
+    let queued = QueuedCall { shared, service, urgency, id };
+    shared.metrics.queued_calls.inc();
+    assign_places(shared, service);
 
     let left = clock::until(urgency.deadline);
-    let limit = if urgency.is_new { left.min(NEW_WAIT) } else { left };
+    let limit = if urgency.is_new { left.min(MAX_NEW_WAIT) } else { left };
     let began = clock::now();
     let granted = timeout(limit, rx).await;
     drop(queued);
@@ -304,21 +318,21 @@
             shared.metrics.place_wait.observe(waited.as_secs_f64());
             Ok(place)
         }
-        Ok(Err(_)) => Err(nowhere(shared, service)),
-        Err(_) if urgency.is_new => Err(full()),
-        Err(_) => Err(Refusal::late(false)),
+        Ok(Err(_)) => Err(no_target(shared, service)),
+        Err(_) if urgency.is_new => Err(refuse_full()),
+        Err(_) => Err(Refusal::timed_out(false)),
     }
 }
 
-/// Gives free places of a service to the calls that wait, in their order.
-pub(crate) fn wake(shared: &Rc<Shared>, service: &str) {
+/// Assigns free places of a service to the waiting calls, in the order of the queue.
+pub(crate) fn assign_places(shared: &Rc<Shared>, service: &str) {
     loop {
         let places = &shared.places;
         let Some(id) = places.waiting.borrow().first(service) else { return };
         let choice = {
             let waiters = places.waiters.borrow();
             let Some(waiter) = waiters.get(&id) else { return };
-            shared.targets.borrow().choose(clock::now(), service, &waiter.shape)
+            shared.targets.borrow().choose(clock::now(), service, &waiter.placement)
         };
 
         if choice == Choice::Full {
@@ -328,25 +342,25 @@
         places.waiting.borrow_mut().remove_first(service);
         let Some(waiter) = places.waiters.borrow_mut().remove(&id) else { continue };
 
-        // Dropping the sender of a call that has nowhere to go tells it so.
+        // Without a usable target, dropping the sender wakes the call with an error.
         let Choice::Target(key) = choice else { continue };
-        // If the call has gone meanwhile, its place is dropped and free again.
-        drop(waiter.tx.send(Place::new(shared, service, key, &waiter.shape)));
+        // If the call has ended in the meantime, the place is dropped and becomes free again.
+        drop(waiter.tx.send(Place::new(shared, service, key, &waiter.placement)));
     }
 }
 
-/// Gives free places of all services.
-pub(crate) fn wake_all(shared: &Rc<Shared>) {
+/// Assigns free places of all services.
+pub(crate) fn assign_all_places(shared: &Rc<Shared>) {
     let services = shared.places.waiting.borrow().services();
 
-    services.iter().for_each(|service| wake(shared, service));
+    services.iter().for_each(|service| assign_places(shared, service));
 }
 
-fn nowhere(shared: &Shared, service: &str) -> Refusal {
+fn no_target(shared: &Shared, service: &str) -> Refusal {
     let back = shared.targets.borrow().time_to_readmission(clock::now(), service);
 
-    Refusal::later(
+    Refusal::retry_later(
         "no target can be reached",
-        back.unwrap_or(NOWHERE_RETRY).max(Duration::from_millis(50)),
+        back.unwrap_or(NO_TARGET_RETRY_AFTER).max(Duration::from_millis(50)),
     )
 }
--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -1,8 +1,9 @@
-//! The decisions about calls that an entry host forwards: which route and target, whose rate,
-//! which budget, who waits, and what is kept of a turn.
+//! Decisions of an entry host about the calls that it forwards: the route and target, the tenant's
+//! rate, the program's budget, the order of waiting calls, and which turns are stored.
 
 pub mod attempts;
 pub mod budgets;
+pub mod call_stats;
 pub mod crashes;
 pub mod host_rows;
 pub mod isolation;
@@ -19,5 +20,4 @@
 pub mod turn_writes;
 pub mod turns;
 pub mod waiting;
-pub mod work;
 pub mod write_back;
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -5,9 +5,9 @@
 
 use std::sync::Arc;
 
-use camphorwalk_core::calls::{CallRequest, Ran, Refusal};
+use camphorwalk_core::calls::{CallRequest, Executed, Refusal};
 use camphorwalk_core::config::{Template, TemplateTarget};
-use camphorwalk_core::ids::{KeyId, PoolId, TenantId, Ticket};
+use camphorwalk_core::ids::{KeyId, PoolId, RequestOrigin, TenantId};
 use camphorwalk_core::units::Tokens;
 
 use super::entries::{CallText, Entry, OutcomeEntry};
@@ -15,8 +15,8 @@
 use super::retry::request_digest;
 use super::state::{Call, Caller, Kind, Program, ProgramKey, ProgramState, Stage, estimate};
 use super::tail::{self, TailError};
-use super::{Cx, ProgramNext, Programs, answers};
-use crate::wire::CallId;
+use super::{Cx, ProgramAction, Programs, answers};
+use crate::shared_types::CallId;
 
 /// What a call comes to, given what is known of its idempotency key.
 enum Step {
@@ -33,7 +33,7 @@
     pub(super) fn call(
         &mut self,
         cx: &mut Cx<'_>,
-        ticket: Ticket,
+        ticket: RequestOrigin,
         tenant: TenantId,
         key: KeyId,
         mut req: CallRequest,
@@ -167,7 +167,7 @@
         }
 
         if self.suspects.is_quarantined(&call.digest) {
-            return Err(answers::quarantined(Ran::No));
+            return Err(answers::quarantined(Executed::No));
         }
 
         if call.reserved > self.accounts[program.account].left() {
@@ -195,7 +195,7 @@
 
         self.tickets.insert(caller.ticket, id);
         self.retries.earn();
-        cx.out.push(ProgramNext::Admit { call: id, tenant });
+        cx.out.push(ProgramAction::Admit { call: id, tenant });
     }
 
     /// Takes over the calls of a tail that a caller handed back.
@@ -246,9 +246,9 @@
 fn check_state(cx: &Cx<'_>, program: &Program) -> Result<(), Refusal> {
     match program.state {
         ProgramState::Opening => Err(answers::leaving()),
-        ProgramState::Ended if cx.now >= program.deadline => Err(answers::deadline(Ran::No)),
+        ProgramState::Ended if cx.now >= program.deadline => Err(answers::deadline(Executed::No)),
         ProgramState::Ended => Err(answers::not_found()),
-        ProgramState::Open if cx.now >= program.deadline => Err(answers::deadline(Ran::No)),
+        ProgramState::Open if cx.now >= program.deadline => Err(answers::deadline(Executed::No)),
         ProgramState::Open => Ok(()),
     }
 }
--- a/crates/policy/src/scheduler/asks.rs
+++ b/crates/policy/src/scheduler/asks.rs
@@ -4,7 +4,9 @@
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::ids::{ClassId, HostId, PoolId, ProgramId, TargetId, TenantId};
-use camphorwalk_core::messages::queue::{Ask, Done, Grant, QueueBody, QueueMessage, Refuse};
+use camphorwalk_core::messages::queue::{
+    Grant, QueueBody, QueueMessage, RefusePlace, ReleasePlace, RequestPlace,
+};
 use camphorwalk_core::messages::{Body, PeerMessage};
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
@@ -13,7 +15,7 @@
 use super::{Action, Scheduler};
 use crate::programs::ProgramEvent;
 use crate::queue::QueueEvent;
-use crate::wire::{Asker, CallId, PlaceEnd, PlaceEndKind, PlaceRequest};
+use crate::shared_types::{CallId, PlaceOutcome, PlaceRelease, PlaceRequest, PlaceRequestId};
 
 /// How long a question stays unanswered before it is sent once more: messages may be lost,
 /// and a repeated question is known by its number.
@@ -65,7 +67,7 @@
     ) {
         self.asks.next += 1;
         let number = self.asks.next;
-        let keeper = self.board.keeper(request.pool);
+        let keeper = self.state.keeper(request.pool);
         let repeat_at = now + REPEAT_AFTER;
         let question = Question {
             call,
@@ -85,17 +87,17 @@
 
     fn send_question(&mut self, number: u64, out: &mut Vec<Action>) {
         let Question { keeper, request, .. } = self.asks.questions[&number];
-        if keeper == self.board.me {
-            let asker = Asker { host: self.board.me, number };
-            self.work.push_back(Work::Queue(QueueEvent::Ask { asker, request }));
+        if keeper == self.state.me {
+            let request_id = PlaceRequestId { host: self.state.me, number };
+            self.work.push_back(Work::Queue(QueueEvent::Request { request_id, request }));
             return;
         }
 
-        out.push(send(keeper, QueueBody::Ask(ask_message(number, &request))));
+        out.push(send(keeper, QueueBody::RequestPlace(ask_message(number, &request))));
     }
 
     /// Gives a place back, or withdraws the question for one.
-    pub(super) fn vacate(&mut self, call: CallId, end: PlaceEnd, out: &mut Vec<Action>) {
+    pub(super) fn vacate(&mut self, call: CallId, end: PlaceRelease, out: &mut Vec<Action>) {
         let Some(number) = self.asks.numbers.remove(&call) else {
             return;
         };
@@ -103,12 +105,12 @@
             return;
         };
 
-        if question.keeper == self.board.me {
-            let asker = Asker { host: self.board.me, number };
-            self.work.push_back(Work::Queue(QueueEvent::Vacate { asker, end }));
+        if question.keeper == self.state.me {
+            let request_id = PlaceRequestId { host: self.state.me, number };
+            self.work.push_back(Work::Queue(QueueEvent::Release { request_id, end }));
             return;
         }
-        out.push(send(question.keeper, QueueBody::Done(done_message(number, &end))));
+        out.push(send(question.keeper, QueueBody::ReleasePlace(done_message(number, &end))));
     }
 
     /// Repeats questions that were not answered for long, elsewhere if their host is gone.
@@ -134,7 +136,7 @@
         due.sort_unstable();
         for number in due {
             let keeper = self.asks.questions[&number].keeper;
-            if keeper == self.board.me || self.membership.is_alive(keeper) {
+            if keeper == self.state.me || self.membership.is_alive(keeper) {
                 self.send_question(number, out);
             } else {
                 self.ask_elsewhere(now, number, out);
@@ -166,31 +168,36 @@
     }
 
     /// Tells an asker of its place.
-    pub(super) fn grant(&mut self, asker: Asker, target: TargetId, out: &mut Vec<Action>) {
-        if asker.host == self.board.me {
-            self.on_grant(self.board.me, asker.number, target, out);
+    pub(super) fn grant(
+        &mut self,
+        request_id: PlaceRequestId,
+        target: TargetId,
+        out: &mut Vec<Action>,
+    ) {
+        if request_id.host == self.state.me {
+            self.on_grant(self.state.me, request_id.number, target, out);
             return;
         }
 
-        let grant = Grant { number: asker.number, target: target.0 };
-        out.push(send(asker.host, QueueBody::Grant(grant)));
+        let grant = Grant { number: request_id.number, target: target.0 };
+        out.push(send(request_id.host, QueueBody::Grant(grant)));
     }
 
     /// Tells an asker that it cannot be served in time.
     pub(super) fn refuse_ask(
         &mut self,
-        asker: Asker,
+        request_id: PlaceRequestId,
         retry_after: Duration,
         out: &mut Vec<Action>,
     ) {
-        if asker.host == self.board.me {
-            self.on_refused(asker.number, retry_after);
+        if request_id.host == self.state.me {
+            self.on_refused(request_id.number, retry_after);
             return;
         }
 
         let retry_after_ms = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
-        let refuse = Refuse { number: asker.number, retry_after_ms };
-        out.push(send(asker.host, QueueBody::Refuse(refuse)));
+        let refuse = RefusePlace { number: request_id.number, retry_after_ms };
+        out.push(send(request_id.host, QueueBody::RefusePlace(refuse)));
     }
 
     pub(super) fn on_queue_message(
@@ -200,20 +207,20 @@
         out: &mut Vec<Action>,
     ) {
         match message.body {
-            Some(QueueBody::Ask(ask)) => {
-                let asker = Asker { host: from, number: ask.number };
+            Some(QueueBody::RequestPlace(ask)) => {
+                let request_id = PlaceRequestId { host: from, number: ask.number };
                 let request = place_request(&ask);
-                self.work.push_back(Work::Queue(QueueEvent::Ask { asker, request }));
+                self.work.push_back(Work::Queue(QueueEvent::Request { request_id, request }));
             }
-            Some(QueueBody::Done(done)) => {
-                let asker = Asker { host: from, number: done.number };
+            Some(QueueBody::ReleasePlace(done)) => {
+                let request_id = PlaceRequestId { host: from, number: done.number };
                 let end = place_end(&done);
-                self.work.push_back(Work::Queue(QueueEvent::Vacate { asker, end }));
+                self.work.push_back(Work::Queue(QueueEvent::Release { request_id, end }));
             }
             Some(QueueBody::Grant(grant)) => {
                 self.on_grant(from, grant.number, TargetId(grant.target), out);
             }
-            Some(QueueBody::Refuse(refuse)) => {
+            Some(QueueBody::RefusePlace(refuse)) => {
                 self.on_refused(refuse.number, Duration::from_millis(refuse.retry_after_ms));
             }
             None => {}
@@ -223,8 +230,8 @@
     fn on_grant(&mut self, from: HostId, number: u64, target: TargetId, out: &mut Vec<Action>) {
         let Some(question) = self.asks.questions.get_mut(&number) else {
             // Withdrawn meanwhile, or asked elsewhere: the place goes back at once.
-            if from != self.board.me {
-                out.push(send(from, QueueBody::Done(done_message(number, &not_sent()))));
+            if from != self.state.me {
+                out.push(send(from, QueueBody::ReleasePlace(done_message(number, &not_sent()))));
             }
             return;
         };
@@ -253,42 +260,42 @@
     Action::Send { to, message }
 }
 
-fn not_sent() -> PlaceEnd {
-    PlaceEnd {
-        how: PlaceEndKind::NotSent,
-        computed: Tokens(0),
+fn not_sent() -> PlaceRelease {
+    PlaceRelease {
+        outcome: PlaceOutcome::NotSent,
+        computed_prompt: Tokens(0),
         output: Tokens(0),
-        program_over: false,
+        program_ended: false,
     }
 }
 
-/// The numbers that stand for [`PlaceEndKind`] in a message.
-const ENDS: [PlaceEndKind; 4] =
-    [PlaceEndKind::NotSent, PlaceEndKind::Finished, PlaceEndKind::Failed, PlaceEndKind::Crashed];
+/// The numbers that stand for [`PlaceOutcome`] in a message.
+const ENDS: [PlaceOutcome; 4] =
+    [PlaceOutcome::NotSent, PlaceOutcome::Finished, PlaceOutcome::Failed, PlaceOutcome::Crashed];
 
-fn done_message(number: u64, end: &PlaceEnd) -> Done {
-    let position = ENDS.iter().position(|how| *how == end.how).unwrap_or(0);
+fn done_message(number: u64, end: &PlaceRelease) -> ReleasePlace {
+    let position = ENDS.iter().position(|outcome| *outcome == end.outcome).unwrap_or(0);
 
-    Done {
+    ReleasePlace {
         number,
         end: position as u32,
-        computed_tokens: end.computed.0,
+        computed_tokens: end.computed_prompt.0,
         output_tokens: end.output.0,
-        program_over: end.program_over,
+        program_over: end.program_ended,
     }
 }
 
-fn place_end(done: &Done) -> PlaceEnd {
-    PlaceEnd {
-        how: ENDS.get(done.end as usize).copied().unwrap_or(PlaceEndKind::Failed),
-        computed: Tokens(done.computed_tokens),
+fn place_end(done: &ReleasePlace) -> PlaceRelease {
+    PlaceRelease {
+        outcome: ENDS.get(done.end as usize).copied().unwrap_or(PlaceOutcome::Failed),
+        computed_prompt: Tokens(done.computed_tokens),
         output: Tokens(done.output_tokens),
-        program_over: done.program_over,
+        program_ended: done.program_over,
     }
 }
 
-fn ask_message(number: u64, request: &PlaceRequest) -> Ask {
-    Ask {
+fn ask_message(number: u64, request: &PlaceRequest) -> RequestPlace {
+    RequestPlace {
         number,
         pool: request.pool.0,
         tenant: request.tenant.0,
@@ -304,7 +311,7 @@
     }
 }
 
-fn place_request(ask: &Ask) -> PlaceRequest {
+fn place_request(ask: &RequestPlace) -> PlaceRequest {
     PlaceRequest {
         pool: PoolId(ask.pool),
         tenant: TenantId(ask.tenant),
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use camphorwalk_core::calls::{
-    CallRequest, Called, HistoryCall, OpenRequest, Refusal, Reply, Request, Usage,
+    CallRequest, CompletedCall, HistoryCall, OpenRequest, Refusal, Reply, Request, Usage,
 };
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{
-    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, TargetId, TenantId, Ticket,
+    Epoch, HostId, KeyId, PartitionId, ProgramId, RequestId, RequestOrigin, TargetId, TenantId,
 };
 use camphorwalk_core::platform::{
     ObjectName, PlatformOp, PlatformReply, Row, RowKey, RowVersion, Transaction,
@@ -18,9 +18,9 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::{
-    ProgramEvent, ProgramNext, ProgramOp, ProgramOptions, Programs,
+    ProgramAction, ProgramEvent, ProgramOp, ProgramOptions, Programs,
 };
-use camphorwalk_policy::wire::{AttemptEnd, CallId, Dispatch, PlaceRequest, Verdict};
+use camphorwalk_policy::shared_types::{AttemptOutcome, CallId, Dispatch, PlaceRequest, Verdict};
 
 /// The partition that all programs of the stories are in.
 pub const PARTITION: PartitionId = PartitionId(0);
@@ -187,7 +187,7 @@
 pub struct Home {
     pub programs: Programs,
     pub now: Instant,
-    pub answers: Vec<(Ticket, Reply)>,
+    pub answers: Vec<(RequestOrigin, Reply)>,
     pub sent: Vec<Dispatch>,
     pub cancelled: usize,
     pub over: Vec<ProgramId>,
@@ -273,18 +273,18 @@
         }
     }
 
-    fn next(&mut self, platform: &mut Platform, next: ProgramNext) -> Option<ProgramEvent> {
+    fn next(&mut self, platform: &mut Platform, next: ProgramAction) -> Option<ProgramEvent> {
         match next {
-            ProgramNext::Answer { ticket, reply } => self.answers.push((ticket, reply)),
-            ProgramNext::Admit { call, .. } if !self.hold_places => {
+            ProgramAction::Answer { ticket, reply } => self.answers.push((ticket, reply)),
+            ProgramAction::Admit { call, .. } if !self.hold_places => {
                 return Some(ProgramEvent::Verdict { call, verdict: Verdict::Admitted });
             }
-            ProgramNext::Place { call, request } => {
+            ProgramAction::Place { call, request } => {
                 self.placed.push(request);
                 let target = TargetId(self.placed.len() as u64);
                 return (!self.hold_places).then_some(ProgramEvent::Placed { call, target });
             }
-            ProgramNext::Platform { op, request } => {
+            ProgramAction::Platform { op, request } => {
                 self.requests.push(request.clone());
 
                 match platform.run(&request) {
@@ -292,13 +292,13 @@
                     None => self.hanging.push((op, request)),
                 }
             }
-            ProgramNext::Dispatch(dispatch) => self.sent.push(dispatch),
-            ProgramNext::Cancel { .. } => self.cancelled += 1,
-            ProgramNext::Over { program } => self.over.push(program),
-            ProgramNext::Quarantine { digest } => self.quarantined.push(digest),
-            ProgramNext::Fenced { .. } => self.fenced += 1,
-            ProgramNext::Vacate { call, .. } => self.vacated.push(call),
-            ProgramNext::Admit { .. } => {}
+            ProgramAction::Dispatch(dispatch) => self.sent.push(dispatch),
+            ProgramAction::Cancel { .. } => self.cancelled += 1,
+            ProgramAction::ProgramEnded { program } => self.over.push(program),
+            ProgramAction::Quarantine { digest } => self.quarantined.push(digest),
+            ProgramAction::Fenced { .. } => self.fenced += 1,
+            ProgramAction::ReleasePlace { call, .. } => self.vacated.push(call),
+            ProgramAction::Admit { .. } => {}
         }
 
         None
@@ -330,9 +330,9 @@
         platform: &mut Platform,
         who: (&str, u64),
         request: Request,
-    ) -> Ticket {
+    ) -> RequestOrigin {
         self.tickets += 1;
-        let ticket = Ticket { entry: self.host, request: RequestId(self.tickets) };
+        let ticket = RequestOrigin { entry: self.host, request: RequestId(self.tickets) };
         let (tenant, key) = (tenant(who.0), KeyId(who.1));
         self.event(platform, ProgramEvent::Request { ticket, tenant, key, request });
         self.pass(platform, 10);
@@ -341,19 +341,24 @@
     }
 
     /// Sends a request of the usual tenant and returns its ticket.
-    pub fn ask(&mut self, platform: &mut Platform, request: Request) -> Ticket {
+    pub fn ask(&mut self, platform: &mut Platform, request: Request) -> RequestOrigin {
         self.ask_as(platform, ("inkwick", 1), request)
     }
 
     /// Ends the attempt that was sent last.
-    pub fn finish(&mut self, platform: &mut Platform, end: AttemptEnd) {
+    pub fn finish(&mut self, platform: &mut Platform, outcome: AttemptOutcome) {
         let attempt = self.sent.last().expect("an attempt was sent").attempt;
-        self.event(platform, ProgramEvent::Ended { attempt, end });
+        self.event(platform, ProgramEvent::Ended { attempt, outcome });
         self.pass(platform, 10);
     }
 
     /// Makes a call that the target answers with `output`.
-    pub fn run(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
+    pub fn run(
+        &mut self,
+        platform: &mut Platform,
+        request: Request,
+        output: &str,
+    ) -> CompletedCall {
         let ticket = self.ask(platform, request);
         self.finish(platform, done(output));
 
@@ -361,7 +366,7 @@
     }
 
     /// Returns the answer to a request.
-    pub fn reply(&self, ticket: Ticket) -> &Reply {
+    pub fn reply(&self, ticket: RequestOrigin) -> &Reply {
         let mut replies = self.answers.iter().filter(|(to, _)| *to == ticket);
         let (_, reply) = replies.next().expect("the request was answered");
         assert!(replies.next().is_none(), "the request was answered twice");
@@ -370,7 +375,7 @@
     }
 
     /// Returns the refusal of a request.
-    pub fn refusal(&self, ticket: Ticket) -> Refusal {
+    pub fn refusal(&self, ticket: RequestOrigin) -> Refusal {
         match self.reply(ticket) {
             Reply::Refused(refusal) => refusal.clone(),
             reply => panic!("the request was answered {reply:?}"),
@@ -378,7 +383,7 @@
     }
 
     /// Returns the answer to a call that ran.
-    pub fn called(&self, ticket: Ticket) -> Called {
+    pub fn called(&self, ticket: RequestOrigin) -> CompletedCall {
         match self.reply(ticket) {
             Reply::Called(called) => called.clone(),
             reply => panic!("the call was answered {reply:?}"),
@@ -433,10 +438,10 @@
 }
 
 /// Returns the end of an attempt that was answered in full.
-pub fn done(output: &str) -> AttemptEnd {
+pub fn done(output: &str) -> AttemptOutcome {
     let usage = Usage { prompt_tokens: Tokens(10), output_tokens: Tokens(20), ..Usage::default() };
 
-    AttemptEnd::Done { output: output.into(), usage }
+    AttemptOutcome::Done { output: output.into(), usage }
 }
 
 /// Returns the opening of a sub-agent.
@@ -447,6 +452,6 @@
 }
 
 /// Returns the end of an attempt whose connection broke.
-pub fn lost(crashed: bool) -> AttemptEnd {
-    AttemptEnd::Lost { streamed: false, crashed }
+pub fn lost(crashed: bool) -> AttemptOutcome {
+    AttemptOutcome::Lost { streamed: false, crashed }
 }
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -1,9 +1,9 @@
 //! Retries of model turns, and requests that crash targets.
 
-use camphorwalk_core::calls::{CallRequest, Code, Ran, Request};
+use camphorwalk_core::calls::{CallRequest, Code, Executed, Request};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_policy::programs::ProgramEvent;
-use camphorwalk_policy::wire::AttemptEnd;
+use camphorwalk_policy::shared_types::AttemptOutcome;
 
 use crate::fixture::{Home, PROGRAM, Platform, call, call_request, done, lost, open};
 
@@ -30,10 +30,10 @@
     let mut home = Home::with_program(platform, 1);
 
     let ticket = home.ask(platform, call("model", "k1", 0));
-    home.finish(platform, AttemptEnd::Lost { streamed: true, crashed: false });
+    home.finish(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Executed::Maybe));
     assert_eq!(home.sent.len(), 1);
 }
 
@@ -49,7 +49,7 @@
         let mut tries = home.sent.len();
 
         loop {
-            home.finish(platform, AttemptEnd::Failed { message: "no".into() });
+            home.finish(platform, AttemptOutcome::Failed { message: "no".into() });
 
             if home.sent.len() == tries {
                 break;
@@ -71,13 +71,13 @@
     let ticket = home.ask(platform, call("model", "k1", 0));
     home.finish(platform, lost(false));
 
-    home.finish(platform, AttemptEnd::Refused { message: "full".into() });
+    home.finish(platform, AttemptOutcome::Refused { message: "full".into() });
     while home.sent.len() > home.vacated.len() {
-        home.finish(platform, AttemptEnd::NotSent);
+        home.finish(platform, AttemptOutcome::NotSent);
     }
 
     let refusal = home.refusal(ticket);
-    assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Executed::Maybe));
 }
 
 /// The caller of a request that crashes targets gets a final answer after the second crash,
@@ -100,7 +100,7 @@
     assert!(!home.placed[0].suspect && home.placed[1].suspect);
     let refusals = [home.refusal(first), home.refusal(second)];
     assert_eq!(refusals.clone().map(|r| r.code), [Code::Quarantined, Code::Quarantined]);
-    assert_eq!(refusals.map(|r| r.ran), [Ran::Maybe, Ran::No]);
+    assert_eq!(refusals.map(|r| r.ran), [Executed::Maybe, Executed::No]);
     assert_eq!((home.sent.len(), home.quarantined.len()), (2, 1));
 }
 
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use camphorwalk_core::calls::{CallRequest, OpenRequest, Ran, Reply, Request};
+use camphorwalk_core::calls::{CallRequest, Executed, OpenRequest, Reply, Request};
 use camphorwalk_core::config::Config;
 use camphorwalk_core::hash::digest;
 use camphorwalk_core::ids::{ProgramId, TenantId};
@@ -299,7 +299,7 @@
         let (finished, wait) = match reply {
             Some(Reply::Refused(refusal)) => {
                 let must_not_retry =
-                    refusal.ran != Ran::No && &*sequence.spec.call.target == "deposit";
+                    refusal.ran != Executed::No && &*sequence.spec.call.target == "deposit";
                 let wait = refusal.retry_after.unwrap_or(RETRY_AFTER).max(RETRY_AFTER / 10);
                 (sequence.spec.skip_refused || must_not_retry, wait)
             }
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -17,11 +17,11 @@
 use camphorwalk_core::platform::HostListing;
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::ConfigVersion;
-use camphorwalk_policy::configs::OperatorId;
+use camphorwalk_policy::configs::OperatorRequestId;
 use camphorwalk_policy::scheduler::{
-    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, Times,
+    Action, Event, OperatorRequest, Scheduler, SchedulerOptions, SchedulerTimes,
 };
-use camphorwalk_policy::wire::Dispatch;
+use camphorwalk_policy::shared_types::Dispatch;
 
 use crate::record::{Record, Submission};
 use faults::FaultInjection;
@@ -194,17 +194,17 @@
 
     /// Returns the configuration version in force at a host, 0 if there is none.
     pub fn version(&self, host: usize) -> u64 {
-        let board = self.hosts[host].scheduler.board();
+        let state = self.hosts[host].scheduler.state();
 
-        board.config.as_ref().map_or(0, |config| config.version.0)
+        state.config.as_ref().map_or(0, |config| config.version.0)
     }
 
     /// Returns the host that holds a program's partition, unless its process has ended.
     pub fn home(&self, program: ProgramId) -> Option<usize> {
         let holds = |host: &&(usize, &Host)| {
-            let board = host.1.scheduler.board();
-            let partition: PartitionId = program.partition(board.partitions());
-            host.1.state != ProcessState::Down && board.homes.contains(&partition)
+            let state = host.1.scheduler.state();
+            let partition: PartitionId = program.partition(state.partitions());
+            host.1.state != ProcessState::Down && state.held_partitions.contains(&partition)
         };
         let hosts: Vec<_> = self.hosts.iter().enumerate().collect();
 
@@ -212,7 +212,7 @@
         hosts
             .iter()
             .filter(holds)
-            .max_by_key(|(_, host)| host.scheduler.board().leases_until)
+            .max_by_key(|(_, host)| host.scheduler.state().leases_valid_until)
             .map(|(index, _)| *index)
     }
 
@@ -302,7 +302,7 @@
         if let OperatorRequest::Withdraw { key } = &request {
             self.record.withdrawals.push((self.now, host, KeyId::from_name(key)));
         }
-        self.deliver(host, Event::Operator { ask: OperatorId(number), request });
+        self.deliver(host, Event::Operator { request_id: OperatorRequestId(number), request });
 
         number
     }
@@ -414,12 +414,14 @@
                 self.hosts[host].withdrawn_keys.insert(key);
                 self.record.applied_withdrawals.push((self.now, host, key));
             }
-            Action::OperatorAnswer { ask, reply } => {
-                self.record.operator_replies.insert(ask.0, *reply);
-            }
-            Action::Left => self.hosts[host].shutdown_ready = true,
-            Action::Address { .. } | Action::Free(_) | Action::FreeAt { .. } | Action::Watch(_) => {
+            Action::OperatorAnswer { request_id, reply } => {
+                self.record.operator_replies.insert(request_id.0, *reply);
             }
+            Action::ShutdownReady => self.hosts[host].shutdown_ready = true,
+            Action::SetPeerAddress { .. }
+            | Action::FreeProgram(_)
+            | Action::FreeProgramAt { .. }
+            | Action::WatchEngines(_) => {}
         }
     }
 
@@ -448,7 +450,7 @@
 
     fn send_host_list(&mut self, host: usize) {
         let listings = self.hosts.iter().enumerate().map(|(i, h)| listing(i, &h.name, &h.zone));
-        let event = Event::Hosts(listings.collect());
+        let event = Event::HostList(listings.collect());
         self.schedule_host_event(self.now, host, event);
     }
 }
@@ -473,7 +475,7 @@
         peer_address: listing.peer_address,
         session,
         seal_key: [7; 32],
-        times: Times::default(),
+        times: SchedulerTimes::default(),
         read_config: |bytes| camphorwalk_declare::unbundle(bytes).map_err(|e| e.to_string().into()),
         write_config: camphorwalk_declare::bundle,
     })
--- a/crates/scenario/src/world/network.rs
+++ b/crates/scenario/src/world/network.rs
@@ -116,7 +116,7 @@
 
     pub(super) fn send(&mut self, from: usize, to: HostId, message: PeerMessage) {
         let Some(receiver) = self.by_id.get(&to).copied() else {
-            return self.schedule_host_event(self.now, from, Event::Unsent { to, message });
+            return self.schedule_host_event(self.now, from, Event::SendFailed { to, message });
         };
         let broken = self.network.broken_connections.contains(&(from, receiver));
 
@@ -128,7 +128,7 @@
         };
 
         if broken || unreachable {
-            self.schedule_host_event(self.now, from, Event::Unsent { to, message });
+            self.schedule_host_event(self.now, from, Event::SendFailed { to, message });
         } else if self.network.hosts_connected(from, receiver) {
             self.send_now(from, receiver, message);
         } else {
--- a/crates/scenario/src/world/targets.rs
+++ b/crates/scenario/src/world/targets.rs
@@ -10,7 +10,7 @@
 use camphorwalk_core::time::Instant;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::scheduler::Event;
-use camphorwalk_policy::wire::{AttemptEnd, Dispatch, Work};
+use camphorwalk_policy::shared_types::{AttemptOutcome, AttemptPayload, Dispatch};
 
 use super::{ScheduledEvent, World};
 use crate::record::Sent;
@@ -62,7 +62,7 @@
     host: usize,
     session: u64,
     target: usize,
-    end: AttemptEnd,
+    end: AttemptOutcome,
 }
 
 /// All targets and the attempts that run at them.
@@ -110,7 +110,8 @@
                 && target.unavailable_until <= self.now
         });
         if !reachable || !self.is_key_accepted(host, dispatch.key) {
-            let event = Event::Ended { attempt: dispatch.attempt, end: AttemptEnd::NotSent };
+            let event =
+                Event::AttemptEnded { attempt: dispatch.attempt, outcome: AttemptOutcome::NotSent };
             return self.schedule_host_event(self.now + NETWORK_DELAY, host, event);
         }
 
@@ -140,7 +141,7 @@
             (target.kind, target.mode)
         };
         let time = if kind == TargetKind::Engine { ENGINE_TIME } else { SERVICE_TIME };
-        let lost = AttemptEnd::Lost { streamed: false, crashed: false };
+        let lost = AttemptOutcome::Lost { streamed: false, crashed: false };
         let (time, end) = match mode {
             Mode::Normal => (time, self.run(dispatch)),
             Mode::Slow(time) => (time, self.run(dispatch)),
@@ -149,7 +150,7 @@
                 self.run(dispatch);
                 (time, lost.clone())
             }
-            Mode::Refuse => (NETWORK_DELAY, AttemptEnd::Refused { message: "busy".into() }),
+            Mode::Refuse => (NETWORK_DELAY, AttemptOutcome::Refused { message: "busy".into() }),
         };
 
         // The host stops waiting for a target after the timeout of the dispatch.
@@ -168,14 +169,14 @@
 
     /// Runs an attempt and returns its result. The ledger counts each run of a plain service's
     /// call.
-    fn run(&mut self, dispatch: &Dispatch) -> AttemptEnd {
+    fn run(&mut self, dispatch: &Dispatch) -> AttemptOutcome {
         let (program, number) = (dispatch.program, dispatch.number);
-        let (output, tokens) = match &dispatch.work {
-            Work::Generate { prompt, .. } => {
+        let (output, tokens) = match &dispatch.payload {
+            AttemptPayload::Generate { prompt, .. } => {
                 let last = prompt.last().map_or("", |text| text);
                 (format!("{program} {number} {}", last.replace('"', "")), prompt.len() as u64)
             }
-            Work::Operation { key, .. } => {
+            AttemptPayload::Operation { key, .. } => {
                 *self.record.ledger.entry((program, key.clone())).or_default() += 1;
                 (format!("{program} {number} {key}"), 0)
             }
@@ -187,7 +188,7 @@
         };
         let output = serde_json::to_string(&output).expect("a string can be serialized").into();
 
-        AttemptEnd::Done { output, usage }
+        AttemptOutcome::Done { output, usage }
     }
 
     pub(super) fn on_attempt_end(&mut self, _target: usize, number: u64) {
@@ -201,14 +202,14 @@
 
     fn report_attempt_end(&mut self, attempt: AttemptId, running: RunningAttempt) {
         if self.hosts[running.host].session == running.session {
-            let event = Event::Ended { attempt, end: running.end };
+            let event = Event::AttemptEnded { attempt, outcome: running.end };
             self.schedule_host_event(self.now + NETWORK_DELAY, running.host, event);
         }
     }
 
     pub(super) fn cancel(&mut self, attempt: AttemptId) {
         if let Some(mut running) = self.targets.running.remove(&attempt) {
-            running.end = AttemptEnd::Cancelled;
+            running.end = AttemptOutcome::Cancelled;
             self.report_attempt_end(attempt, running);
         }
     }
@@ -222,7 +223,7 @@
 
         for attempt in attempts {
             if let Some(mut running) = self.targets.running.remove(&attempt) {
-                running.end = AttemptEnd::Lost { streamed: false, crashed: true };
+                running.end = AttemptOutcome::Lost { streamed: false, crashed: true };
                 self.report_attempt_end(attempt, running);
             }
         }
@@ -230,8 +231,8 @@
 }
 
 fn contains_poison(dispatch: &Dispatch) -> bool {
-    match &dispatch.work {
-        Work::Generate { prompt, .. } => prompt.iter().any(|text| text.contains(POISON)),
-        Work::Operation { .. } => false,
+    match &dispatch.payload {
+        AttemptPayload::Generate { prompt, .. } => prompt.iter().any(|text| text.contains(POISON)),
+        AttemptPayload::Operation { .. } => false,
     }
 }
