--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -37,8 +37,8 @@
     /// Whether the sender knows of grants without the store to programs that may still send calls.
     #[prost(bool, tag = "14")]
     pub knows_of_loose: bool,
-    /// Whether the sender grants tokens to programs without the store, or made such grants that
-    /// are not all written to the store yet.
+    /// Whether the sender may be granting tokens to programs without the store, or knows of such
+    /// grants to itself or to a silent host that are not written to the store yet.
     #[prost(bool, tag = "13")]
     pub grants_loose: bool,
     /// The number of calls queued at the sender, for each service whose targets are full.
@@ -143,7 +143,7 @@
     pub question: Vec<u8>,
 }
 
-/// The reply to an [`PeerQuery`].
+/// The reply to a [`PeerQuery`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerQueryReply {
     /// Number of the query that it answers.
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -104,8 +104,8 @@
         Self { status: StatusCode::BAD_GATEWAY, reason, retry_after: None }
     }
 
-    /// Creates the answer to a call whose deadline has passed. Only a call that was never sent to a
-    /// target can be reported as not run.
+    /// Creates the answer to a call whose deadline has passed. The answer promises that the call
+    /// has not run only if no target may have run it.
     pub fn timed_out(may_have_run: bool) -> Self {
         match may_have_run {
             true => Self {
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -1,4 +1,5 @@
-//! Token budgets of programs. A grant is written to the store before its tokens are generated.
+//! Token budgets of programs. Before a turn runs, its tokens must be granted to this host: by a
+//! write to the store, or by another host while the store is unsettled (see `grants`).
 
 use std::rc::Rc;
 
@@ -27,8 +28,8 @@
 /// The table of budgets.
 const TABLE: &str = "budgets";
 
-/// How many times a row is written again after a conflict with other hosts. A program usually has a
-/// handful of concurrent conversations, so a few attempts suffice.
+/// How many times a host tries to write a grant if its writes conflict with those of other hosts. A
+/// program usually has a handful of concurrent conversations, so a few attempts suffice.
 pub(crate) const MAX_WRITE_ATTEMPTS: u32 = 6;
 
 /// Retry-After of a turn whose budget cannot be determined at the moment.
@@ -51,7 +52,8 @@
     program: ProgramKey,
     max_tokens: u64,
     used: u64,
-    /// Whether this is the first turn of its program that was granted tokens of the budget.
+    /// Whether this is the first turn of its program that was granted tokens of the budget, as far
+    /// as this host knows.
     pub(crate) is_first: bool,
 }
 
@@ -94,8 +96,8 @@
     let mut is_first = !shared.budgets.borrow().has_grants(program);
     for _ in 0..MAX_WRITE_ATTEMPTS {
         let is_settled = shared.is_settled();
-        // While the store is unsettled, one elected host grants. It knows more than this host, so
-        // the limit is applied there.
+        // While the store is unsettled, one host grants all tokens of the program (see
+        // `grants::request_grant`). It knows more than this host, so it applies the limit.
         let limit = if is_settled { grants::limit(shared) } else { Limit::Whole };
         let reservation = shared.budgets.borrow_mut().reserve_within(
             clock::now(),
@@ -137,7 +139,7 @@
                     HedgedWrite::Done(Ok(WriteOutcome::Committed)) => {}
                     HedgedWrite::Done(Ok(WriteOutcome::Superseded)) => is_first = false,
                     // The store now counts as unsettled, so the next iteration requests the grant
-                    // from the elected host.
+                    // from the host that grants the program's tokens.
                     HedgedWrite::Done(_) | HedgedWrite::Overdue(_) => {
                         shared.store.record_slow(clock::now())
                     }
@@ -198,7 +200,7 @@
 
     match doubt {
         Doubt::Unsettled => unknown_budget(&call.shared),
-        // No host can tell for longer than the program runs, so a retry would not help.
+        // No host will know what was granted before the program ends, so a retry would not help.
         Doubt::Forgotten => budget_spent(),
     }
 }
@@ -207,8 +209,8 @@
     Refusal::permanent(StatusCode::PAYMENT_REQUIRED, "the program's budget is spent")
 }
 
-/// Collects unused tokens of a program from other hosts: by direct transfer first, then by having
-/// them returned to the row if the store is settled.
+/// Collects unused tokens of a program from other hosts: by direct transfers first, and if that is
+/// not enough and the store is settled, by asking the hosts to give them back to the budget.
 async fn collect_unused(shared: &Shared, program: ProgramKey, max_tokens: u64, is_settled: bool) {
     if !is_settled {
         grants::fetch_known_rows(shared, program, ROW_REPLICAS).await;
@@ -248,7 +250,7 @@
     }
 }
 
-/// Transfers tokens that this host does not need to another host.
+/// Transfers unused tokens of this host to the run `to` of another host.
 pub(crate) fn transfer(
     shared: &Shared,
     program: ProgramKey,
@@ -262,7 +264,7 @@
     QueryReply::Given(budgets.transfer_to(program, to, total), budgets.transfer_recipients(program))
 }
 
-/// Asks the other hosts to return their unused tokens of a program to the row.
+/// Asks the other hosts to give their unused tokens of a program back to the budget.
 async fn request_returns(shared: &Shared, program: ProgramKey) {
     let holders = shared.budgets.borrow().holders(program);
     let hosts = holders.into_iter().filter_map(|run| shared.fleet.live_host_of_run(run.0));
@@ -277,7 +279,7 @@
     }
 }
 
-/// Returns the unused tokens that this host holds of a program to the row.
+/// Gives the unused tokens of a program that this host holds back to the budget.
 pub(crate) fn return_unused(shared: &Shared, program: ProgramKey) -> QueryReply {
     let row = shared.budgets.borrow_mut().return_unused(program);
 
@@ -288,7 +290,8 @@
 pub(crate) enum WriteOutcome {
     /// The row was written.
     Committed,
-    /// The store held another row, which this host has now merged. The row was not written.
+    /// The store holds another row or none, or the answer to the write was lost. This host has
+    /// merged what the store holds, and must decide again whether to write.
     Superseded,
     /// The store is unavailable to this host and to its live peers.
     StoreUnavailable,
@@ -361,7 +364,7 @@
         && !is_gone
         && shared.budgets.borrow().has_grants(program)
     {
-        // A row that cannot be parsed is logged there and left in the store.
+        // If the row cannot be parsed, `apply_rows` logs that, and the row stays in the store.
         let _ = apply_rows(shared, program, &rows);
     }
     if !shared.budgets.borrow().has_grants(program) {
@@ -374,6 +377,7 @@
     shared.budgets.borrow().known_row(program).map_or(QueryReply::Refused, QueryReply::Known)
 }
 
+/// Merges the row of a program among `rows`, or records that the store has none.
 fn apply_rows(shared: &Shared, program: ProgramKey, rows: &[Row]) -> Result<WriteOutcome, Refusal> {
     let key = row_key(program);
     let Some(row) = rows.iter().find(|row| row.key == key) else {
@@ -398,6 +402,7 @@
     }
 }
 
+/// Returns the refusal of a turn whose budget cannot be determined at the moment.
 pub(crate) fn unknown_budget(shared: &Shared) -> Refusal {
     let reason = "the program's budget cannot be told";
 
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -50,7 +50,7 @@
     /// knew.
     pub(crate) load: u32,
     pub(crate) status: StatusCode,
-    /// To how many targets the call was sent.
+    /// How many times the call was sent to a target, including resumptions of a stream.
     pub(crate) offers: u32,
     /// The number of events that were forwarded, for a stream.
     pub(crate) events: Option<u64>,
@@ -149,10 +149,10 @@
             && !self.shared.places.has_run_recently(self.head.program.as_deref())
     }
 
-    /// Logs that a target answered the call, and the load that the target had when the call was
-    /// sent.
+    /// Logs that a target answered the call, with the target's load at the end of the answer, unless
+    /// the log sampler skips the call.
     pub(crate) fn log_answer(&self, answered: &TargetAnswer<'_>) {
-        if !self.shared.log_sampler.selects(&self.head.request_id) {
+        if !self.shared.log_sampler.count_and_select(&self.head.request_id) {
             return;
         }
 
@@ -185,7 +185,8 @@
         self.attempts.set(attempts);
     }
 
-    /// Replaces a refusal that promises that the call has not run, if a target may have run it.
+    /// Replaces a refusal by one that does not promise that the call has not run, if a target may
+    /// have run it.
     pub(crate) fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         match self.may_have_run() {
             true => Refusal::answer_lost(refusal.reason),
@@ -307,7 +308,7 @@
     let hostname = hostname(&parts.headers, &parts.uri);
     let (routing, route) = find_route(shared, hostname, parts.uri.path())?;
     let tenant = find_tenant(&routing, &routing.routes[route], &head)?;
-    let service = routes::service(&routing.routes[route], Call::routing_key(&head))
+    let service = routes::choose_service(&routing.routes[route], Call::routing_key(&head))
         .ok_or_else(|| Refusal::retry_later("the route has no service", NO_MANIFEST_RETRY_AFTER))?
         .into();
     let timeout = routing.routes[route].timeout.unwrap_or(DEFAULT_TIMEOUT);
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -40,17 +40,19 @@
         Some(read(bytes))
     }
 
-    /// Returns whether the received bytes end within an event.
+    /// Returns whether bytes of an unfinished event remain. Must be called after all complete events
+    /// have been removed.
     pub fn is_within_event(&self) -> bool {
         self.buf.has_remaining()
     }
 
-    /// Returns whether the unfinished event exceeds the maximum size.
+    /// Returns whether the received bytes that [`EventParser::next`] has not removed yet exceed the
+    /// maximum size of an event. They may include complete events.
     pub fn is_overlong(&self) -> bool {
         self.buf.len() > MAX_EVENT_BYTES
     }
 
-    /// Discards the unfinished event.
+    /// Discards the received bytes that have not been removed yet.
     pub fn reset(&mut self) {
         self.buf.clear();
     }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -35,10 +35,11 @@
 /// How often a host writes its own row and reads the rows of the others.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(5);
 
-/// How many heartbeats after the start follow each other with a short pause.
+/// The number of heartbeats after the start that are only a short pause apart.
 const FAST_HEARTBEATS: u64 = 4;
 
-/// After how long without a status update the in-flight calls of a host no longer count.
+/// The in-flight and waiting calls of a host no longer count after this long without a status update
+/// of it. A connection whose other end owes an answer for this long is closed.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a status update is valid. A host is live while its latest one is valid.
@@ -186,8 +187,8 @@
         live.map(|(_, status)| status).collect()
     }
 
-    /// Returns the live hosts, including this one, in an order that is fixed for each item
-    /// (rendezvous hashing).
+    /// Returns the live hosts, including this one, in an order that is fixed for each item, such as
+    /// a program (rendezvous hashing).
     pub(crate) fn live_hosts_in_order(&self, item: u64) -> Vec<HostId> {
         let live = self.live_hosts().into_iter().map(|(host, _)| host.0);
 
@@ -197,9 +198,9 @@
     /// Returns the live hosts of other zones, in the fixed order of an item. In a fleet with a
     /// single zone it returns the other live hosts.
     ///
-    /// An acknowledgement by one of them shows that the data is known outside of this host's zone,
-    /// so that the zone was not partitioned off yet. The liveness of hosts would show the partition
-    /// only after most of a second.
+    /// If one of them acknowledges data, the data is known outside of this host's zone, so the zone
+    /// was not partitioned off yet. The liveness of hosts would show the partition only after most
+    /// of a second.
     pub(crate) fn live_replicas(&self, item: u64) -> Vec<HostId> {
         let candidates = self.replica_candidates();
 
@@ -209,7 +210,8 @@
             .collect()
     }
 
-    /// Returns the known hosts that may hold copies for this one, live or not.
+    /// Returns the known hosts that may hold replicas for this host, live or not: those of other
+    /// zones, or in a fleet with a single zone all other hosts.
     fn replica_candidates(&self) -> Set<HostId> {
         let known = self.known.borrow();
         let has_other_zones = known.values().any(|known| known.zone != self.zone);
@@ -298,8 +300,8 @@
         known.keys().partition(|host| known[*host].zone == self.zone)
     }
 
-    /// Stores the status update of another host. Returns whether the host was silent before or its
-    /// process has restarted.
+    /// Records the latest status of another host. Returns whether the previous one is missing (see
+    /// [`drop_silent_hosts`]) or came from an earlier run of the host's process.
     pub(crate) fn record_status(&self, host: HostId, status: HostStatus) -> bool {
         let before = self.statuses.borrow_mut().insert(host, status);
 
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -222,8 +222,8 @@
     SendOutcome::Unknown { reason, crashed: is_down(shared, key, attempt.call).await }
 }
 
-/// Returns whether nothing listens at the address of a target. If so, a background task checks
-/// whether the target crashed because of the call.
+/// Returns whether a target has been removed or nothing listens at its address. In the latter case
+/// a background task checks whether the target crashed, and counts the crash for the call.
 pub(crate) async fn is_down(shared: &Rc<Shared>, key: TargetKey, call: &Call) -> bool {
     let target = {
         let targets = shared.targets.borrow();
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -1,5 +1,6 @@
-//! Granting tokens of a program while the store is slow, unavailable or unsettled, and replicating
-//! those grants to other hosts.
+//! Granting tokens of a program while the store is unsettled, and replicating those grants to other
+//! hosts. The store is unsettled while it is slow or unavailable for any host, and for a while
+//! afterwards (see `Shared::is_settled`).
 //!
 //! A grant that was made without the store and is not written to it yet is an unstored grant.
 //! Replicas of it are placed at hosts of other zones, and it is written to the store as soon as
@@ -26,8 +27,8 @@
 use crate::queries::{self, GrantQuery, Query, QueryReply};
 use crate::{clock, store};
 
-/// How many hosts keep a copy of a program's row besides those that run the program. Two survive
-/// the loss of one.
+/// How many hosts keep a copy of a program's row besides those that run the program. With two, a
+/// copy survives the loss of one host.
 pub(crate) const ROW_REPLICAS: usize = 2;
 
 /// How many hosts of other zones hold replicas of an unstored grant. With this many, the grant
@@ -42,7 +43,8 @@
 /// store that is slow or has just stopped answering.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// How many writes of one grant are awaited beyond the hedging delay.
+/// How many overdue writes a host awaits, one after the other, while it handles one grant query. A
+/// write is overdue if the store has not answered it within the hedging delay.
 const MAX_OVERDUE_WRITES: u32 = 2;
 
 /// How long another host may take to send or store a row: several round trips, and less than what
@@ -238,9 +240,9 @@
 ///
 /// The host must reach a majority, so that at most one side of a network partition grants. Isolated
 /// hosts do not grant even as a majority, because their grants would be lost if all machines lost
-/// power. A process that the store has never answered has no earlier state. A process that
-/// restarted together with all others does not know what was granted before, by the store or
-/// without it, to programs that are still running.
+/// power. A process that the store has never answered does not grant, because it has no earlier
+/// state. Nor does a process that restarted together with all others: it does not know what was
+/// granted before, by the store or without it, to programs that are still running.
 async fn grant_without_store(shared: &Rc<Shared>, query: &GrantQuery) -> Option<QueryReply> {
     let GrantQuery { program, claim, known, .. } = query;
     let is_entitled = shared.fleet.reaches_majority() && !shared.is_isolated();
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -62,18 +62,18 @@
 /// connections elsewhere.
 const BALANCER_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long the store must have answered all hosts before each host writes grants by itself again.
-/// Within this time the unstored grants are written back.
+/// How long the store must have been neither slow nor unavailable for any host before each host
+/// writes grants by itself again. Within this time the hosts write the unstored grants back.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Within this time each live host has reported whether it has unstored grants. It is longer than a
 /// status update is valid.
 const REPORT_TIME: Duration = Duration::from_secs(1);
 
-/// Retry-After of a caller that a host without access to the store cannot serve. The load balancer
-/// checks readiness every second and acts on the second failed check, so it moves new connections
-/// at most two seconds after the host notices that it is isolated. Callers retry two or three times
-/// within that.
+/// Retry-After of a caller that an isolated host cannot serve. The load balancer checks readiness
+/// every second and acts on the second failed check, so it moves new connections at most two
+/// seconds after the host notices that it is isolated. Callers retry two or three times within that
+/// time.
 const MOVE_RETRY_AFTER: Duration = Duration::from_millis(800);
 
 /// How long a host accepts calls after its shutdown began. By then the load balancer sends new
@@ -110,7 +110,7 @@
     grant_history: RefCell<GrantHistory>,
     /// When any host was last known to grant tokens without the store, or to have unstored grants.
     pub(crate) unstored_grants_at: Cell<Option<Instant>>,
-    /// Held while tokens of a program's budget are requested.
+    /// The lock of each program, which is held while tokens of its budget are requested.
     pub(crate) budget_locks: RefCell<Map<ProgramKey, Rc<Mutex<()>>>>,
     pub(crate) turns: RefCell<TurnCache>,
     /// The host that ran the last turn of a conversation, by the id of the conversation's prompt
@@ -123,7 +123,7 @@
     pub(crate) log_sampler: LogSampler,
     /// When the shutdown began.
     shutdown_began: Cell<Option<Instant>>,
-    /// When the host became isolated, as far as that was checked.
+    /// When a check first found that the host is isolated; `None` if it was not at the last check.
     isolated_since: Cell<Option<Instant>>,
     /// The number of requests that were received and are not answered yet.
     open_requests: Cell<usize>,
@@ -135,19 +135,19 @@
         !self.is_shutting_down() && self.routes.borrow().is_some() && !self.is_isolated()
     }
 
-    /// Returns whether the host is isolated: it reaches neither the store, directly or through
-    /// another host, nor any host of another zone, or in a fleet with a single zone any host at
-    /// all.
+    /// Returns whether the host is isolated: it reaches the store neither directly nor through
+    /// another host, and no host of another zone is live. In a fleet with a single zone, no other
+    /// host at all is live.
     pub(crate) fn is_isolated(&self) -> bool {
-        // This runs for each answer, so the live hosts are only looked at if the store does not
-        // answer.
+        // This runs for each answer, so the live hosts are only looked at if the store or a part of
+        // it does not answer.
         let isolated =
-            !self.store.is_fully_available() && isolation::is_isolated(self.surroundings());
+            !self.store.is_fully_available() && isolation::is_isolated(self.reachability());
 
         if self.isolated_since.get().is_some() != isolated {
             self.isolated_since.set(isolated.then(clock::now));
             self.metrics.isolated.set(i64::from(isolated));
-            info!(isolated, around = ?self.surroundings(), "host: cut off, or no longer");
+            info!(isolated, around = ?self.reachability(), "host: cut off, or no longer");
         }
         isolated
     }
@@ -179,7 +179,8 @@
         self.store.is_available() || self.fleet.live_peer_with_store().is_some()
     }
 
-    fn surroundings(&self) -> Surroundings {
+    /// Returns what this host can reach: the store, other zones, and other hosts.
+    fn reachability(&self) -> Surroundings {
         Surroundings {
             store_in_reach: self.store.is_fully_available()
                 || self.fleet.live_peer_with_store().is_some(),
@@ -204,17 +205,18 @@
     }
 
     /// Returns whether an empty read of the store proves that there was no such turn within the
-    /// last `retention`. It does not if the store was unavailable in that time, or if an earlier
-    /// run of this process may have known of the turn.
+    /// last `retention`. It does not if the store was slow or unavailable for any host in that
+    /// time. Nor does it if the process has run for less than that, since an earlier run may have
+    /// known of the turn, except at the first start of a deployment.
     pub(crate) fn can_prove_turn_absent(&self, retention: Duration) -> bool {
         let is_old = clock::now().since(self.started_at) > retention;
 
         (is_old || self.settings.is_first_start) && self.store.was_available_for(retention)
     }
 
-    /// Returns whether the store has answered all hosts for a while, according to their status
-    /// updates. This is false for a process that has just started and received none, except at the
-    /// first start of a deployment.
+    /// Returns whether the store is settled: for a while it was neither slow nor unavailable for
+    /// any host, as far as status updates show. This is false for a process that has just
+    /// started and received none, except at the first start of a deployment.
     pub(crate) fn is_settled(&self) -> bool {
         self.had_time_for_reports() && self.store.was_available_for(SETTLE_TIME)
     }
@@ -252,7 +254,7 @@
     }
 
     /// Returns whether this host knows of grants without the store to programs that may still be
-    /// running.
+    /// running. Programs are assumed to run for at most [`HISTORY_COMPLETE_AFTER`].
     pub(crate) fn knows_of_unstored_grants(&self) -> bool {
         self.unstored_grants_at
             .get()
@@ -294,7 +296,8 @@
         self.shutdown_began.get().is_some()
     }
 
-    /// Returns whether a call that arrives now might still be running when the process ends.
+    /// Returns whether the shutdown began so long ago that a call that arrives now might still be
+    /// running when the process ends.
     pub(crate) fn refuses_new_calls(&self) -> bool {
         let longest = ACCEPT_TIME.min(self.settings.shutdown_grace.mul_f64(ACCEPT_TIME_PART));
 
--- a/crates/entry/src/log_sampler.rs
+++ b/crates/entry/src/log_sampler.rs
@@ -19,13 +19,15 @@
 /// The highest sampling level: one call in two to the power of the level is logged.
 const MAX_LEVEL: u32 = 10;
 
-/// Samples whole calls: either all lines of a call are logged or none. Failures are always logged.
-/// All hosts select the same calls at the same level.
+/// Samples whole calls: at one level, either all lines of a call are logged or none, and all hosts
+/// select the same calls. Failures are always logged.
 pub(crate) struct LogSampler {
     /// One call in two to the power of this is logged.
     level: Cell<u32>,
     period_began: Cell<Instant>,
+    /// The number of lines selected in the current period.
     lines: Cell<u32>,
+    /// The number of lines skipped since the start of the process.
     skipped: Cell<u64>,
 }
 
@@ -40,9 +42,10 @@
         }
     }
 
-    /// Returns whether the lines of a call are logged.
-    pub(crate) fn selects(&self, request_id: &str) -> bool {
-        self.end_period();
+    /// Counts a line of a call, and returns whether to log it. Also adjusts the sampling level if a
+    /// period has ended. Must be called once for each line.
+    pub(crate) fn count_and_select(&self, request_id: &str) -> bool {
+        self.end_period_if_over();
         let mask = (1u64 << self.level.get()) - 1;
         let is_selected = stable_hash(&[request_id.as_bytes()]) & mask == 0;
 
@@ -53,7 +56,8 @@
         is_selected
     }
 
-    fn end_period(&self) {
+    /// If the current period has ended, sets the level for the next one by the number of lines.
+    fn end_period_if_over(&self) {
         let now = clock::now();
         if now.since(self.period_began.get()) < PERIOD {
             return;
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Handles the manifest version that another host has reported. If it is newer than the one in
-/// force and does not arrive from the store, it is requested from a host.
+/// Handles the manifest version that another host has reported. If the version is newer than the one
+/// in force and does not arrive from the store, this host requests it from another one.
 ///
 /// The store may refuse some hosts while it answers others. If all of the others sent their
 /// manifest unasked, a refused host would receive it from each of them with each status update,
@@ -71,7 +71,8 @@
     });
 }
 
-/// Waits for a newer manifest, and requests it from a host if it does not arrive from the store.
+/// Waits for a newer manifest, and requests it from another host if it does not arrive from the
+/// store.
 async fn fetch_newer(shared: &Shared, version: u64) {
     let announced_at = clock::now();
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -36,7 +36,7 @@
     pub(crate) rate_wait: Histogram,
     /// Ejections: targets that get no calls for a while after failures.
     pub(crate) ejections: IntCounter,
-    /// New connections to targets.
+    /// Attempts to open a new connection to a target.
     pub(crate) connects: IntCounter,
     /// The version of the manifest in force.
     pub(crate) manifest_version: IntGauge,
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -49,7 +49,7 @@
     recent_programs: RefCell<RecentMap<u64, ()>>,
 }
 
-/// How many running programs are remembered.
+/// A host remembers at least this many of the programs that last ran a turn on it.
 const MAX_RECENT_PROGRAMS: usize = 8_192;
 
 impl Default for Places {
@@ -102,9 +102,9 @@
     taken_at: Instant,
     /// The estimated prompt tokens that the target must process for the call.
     uncached_tokens: u32,
-    /// The number of events that the target has generated, and when the first and the last of them
-    /// came.
+    /// The number of events that the target has generated.
     events: u32,
+    /// When the first and the last of these events arrived.
     event_times: Option<(Instant, Instant)>,
     is_ended: bool,
 }
@@ -212,7 +212,9 @@
     }
 }
 
-/// Takes a place at a target of a service. Waits for one until the deadline in `urgency`.
+/// Takes a place at a target of a service. If none is free, waits for one until the deadline in
+/// `urgency`, or for at most [`MAX_NEW_WAIT`] if the program is new. Refuses the call at once if no
+/// target is usable, or if it would probably wait in vain.
 pub(crate) async fn take(
     shared: &Rc<Shared>,
     service: &str,
@@ -247,10 +249,10 @@
             expected.min(MAX_RETRY_AFTER),
         ));
     }
-    wait(shared, service, placement, urgency).await
+    wait_for_place(shared, service, placement, urgency).await
 }
 
-/// Refuses a new program if no target has room for it.
+/// Refuses a new program if targets are usable but none has room for it.
 pub(crate) fn check_room_for_new(
     shared: &Shared,
     service: &str,
@@ -289,7 +291,8 @@
     Place::new(shared, service, key, placement)
 }
 
-async fn wait(
+/// Queues a call, and waits until it is assigned a place.
+async fn wait_for_place(
     shared: &Rc<Shared>,
     service: &str,
     placement: &PlacementRequest,
--- a/crates/entry/src/queries.rs
+++ b/crates/entry/src/queries.rs
@@ -21,27 +21,28 @@
 use crate::host::Shared;
 use crate::{budget, clock, grants, manifests, store, turns};
 
-/// A query to another host.
+/// A query to another host. The comment on each variant says what the receiver does.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Query {
     /// Runs an operation on the store.
     Store(PlatformOp),
-    /// Grants the tokens of a turn while the store is unavailable.
+    /// Grants the tokens of a turn while the store is not settled (see `Shared::is_settled`).
     Grant(GrantQuery),
-    /// Reports the row that the store holds for a program.
+    /// Merges the row that the store holds for a program.
     Stored(ProgramKey, BudgetRow, RowVersion),
-    /// Records unstored grants, and writes them to the store later if their owner does not.
+    /// Records unstored grants, and writes them to the store later if the hosts that were granted
+    /// the tokens do not.
     Loose(ProgramKey, KnownRow),
     /// Returns a program's row as the receiver knows it.
     KnownRow(ProgramKey),
     /// Returns a program's row as the store holds it, if the receiver knows that.
     StoredRow(ProgramKey),
-    /// Returns the receiver's unused tokens of a program to the row.
+    /// Gives the receiver's unused tokens of a program back to the budget.
     Yield(ProgramKey),
     /// Transfers unused tokens of a program to a run, until the run has this total from the
     /// receiver. The row includes grants to the receiver that it may not know of yet.
     Give(ProgramKey, KnownRow, RunId, u64),
-    /// Returns a turn.
+    /// Returns a turn if the receiver has it in memory.
     Find(TurnKey),
     /// Returns a turn and the earlier turns of its conversation, as far as the receiver has them in
     /// memory.
@@ -154,8 +155,8 @@
     const UNUSED_ID: u64 = u64::MAX;
 
     if let Some(question) = encode(query) {
-        // Whatever is sent this way also reaches the other host in another way if this message is
-        // lost.
+        // A lost message does no harm, because the other host later gets the same data in another
+        // way.
         shared.fleet.send(host, Body::PeerQuery(wire::PeerQuery { id: UNUSED_ID, question }));
     }
 }
--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -26,7 +26,7 @@
 /// The maximum number of rows that one transaction deletes.
 const SWEEP_BATCH: usize = 50;
 
-/// The rows that this host has written, oldest first.
+/// The rows of turns that this host has written, oldest first.
 #[derive(Default)]
 pub(crate) struct WrittenTurns {
     rows: VecDeque<(Instant, TurnKey)>,
@@ -52,8 +52,8 @@
 async fn sweep(shared: &Rc<Shared>) {
     let retention = longest_retention(shared).unwrap_or(DEFAULT_RETENTION);
 
-    // A budget is needed as long as its program may continue, which is as long as its turns are
-    // kept.
+    // A budget is needed as long as its program may continue, which is as long as the turns of the
+    // program are stored.
     let checked_at = clock::now();
     let expired = shared.budgets.borrow_mut().take_idle(checked_at, retention + SWEEP_MARGIN);
     for (program, version) in expired {
@@ -69,7 +69,8 @@
     }
 }
 
-/// Removes and returns the oldest expired rows that are in the same part of the store.
+/// Removes and returns up to [`SWEEP_BATCH`] expired rows: the oldest one, and others in the same
+/// part of the store.
 fn take_expired(shared: &Shared, age: Duration) -> Vec<RowKey> {
     let now = clock::now();
     let mut written = shared.written_turns.borrow_mut();
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -82,13 +82,13 @@
         is_slow || self.health.borrow().any_part_unavailable()
     }
 
-    /// Returns whether a part of the store that was tried within `lately` does not answer this
-    /// host.
+    /// Returns whether the store as a whole does not answer this host, or an unavailable part failed
+    /// to answer an operation that began within the last `lately`.
     pub(crate) fn any_part_failed_within(&self, lately: Duration) -> bool {
         self.health.borrow().any_part_failed_within(clock::now(), lately)
     }
 
-    /// Records that an answer of the store is overdue.
+    /// Records that the store answered this host late or not at all.
     pub(crate) fn record_slow(&self, now: Instant) {
         self.slow_at.set(Some(now));
         self.trouble_at.set(Some(now));
@@ -97,11 +97,12 @@
     /// Waits until a part of the store recovers, for this host or a live peer, for at most
     /// `longest`.
     pub(crate) async fn wait_for_recovery(&self, longest: Duration) {
-        // After a timeout the caller checks again as well.
+        // The caller tries again after a recovery and after the time-out alike.
         let _ = timeout(longest, self.recovered.notified()).await;
     }
 
-    /// Records that the store answers another host again.
+    /// Records that the store answers another host again, through which this host can reach it.
+    /// Wakes the tasks that wait for a recovery if the store does not answer this host directly.
     pub(crate) fn record_recovery_elsewhere(&self) {
         if !self.is_available() {
             self.recovered.notify_waiters();
@@ -119,12 +120,14 @@
         self.health.borrow().has_answered()
     }
 
-    /// Records that the store does not answer some host.
+    /// Records that the store, or a part of it, was slow or unavailable for this host or another
+    /// one.
     pub(crate) fn record_trouble(&self, now: Instant) {
         self.trouble_at.set(Some(now));
     }
 
-    /// Returns whether all hosts, as far as is known, could use the store for this long.
+    /// Returns whether the store was neither slow nor unavailable for any host within the last
+    /// `time`, as far as this host knows.
     pub(crate) fn was_available_for(&self, time: Duration) -> bool {
         self.trouble_at.get().is_none_or(|at| clock::now().since(at) > time)
     }
@@ -208,7 +211,7 @@
 }
 
 /// Starts the task that writes unstored grants back to the store: as soon as a part recovers, and
-/// periodically, since this host may hold grants that their owners could not write.
+/// periodically, since this host may have to write grants of other hosts that cannot write them.
 pub(crate) fn start_write_back(shared: &Rc<Shared>) {
     let shared = Rc::clone(shared);
 
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -21,7 +21,7 @@
 use crate::unary::rejection_reason;
 use crate::{clock, places, turn_storage};
 
-/// To how many targets a turn is sent, as long as each of them has certainly not run it.
+/// The maximum number of targets to which a turn is sent until one of them starts the stream.
 const MAX_OFFERS: u32 = 4;
 
 /// How often a broken stream is resumed before the answer is broken off.
@@ -35,11 +35,12 @@
 struct Progress {
     /// The id of the last event that was forwarded.
     last_event: Option<u64>,
-    /// The number of events received from targets.
+    /// The number of events that were forwarded.
     events: u64,
     /// The data of the forwarded events, each followed by a line feed.
     output: Vec<u8>,
-    /// To how many targets the turn was sent until one started the stream.
+    /// The number of targets to which the turn was sent, up to and including the one that started
+    /// the stream.
     offers: u32,
     resumes: u32,
 }
@@ -121,9 +122,9 @@
     Ok(answer)
 }
 
-/// Returns whether a stream may start again at another target although one may have run it. Nothing
-/// was received so far. The stream must be resumable, and the target that may have run it must have
-/// crashed.
+/// Returns whether a stream of which nothing was received may start again at another target although
+/// one may have run it. The stream must be resumable, the target must have crashed, and the call
+/// must not be blocked because it crashed too many targets.
 fn may_restart(call: &Call, crashed: bool) -> bool {
     call.route().retry_policy == RetryPolicy::Stream { resumable: true }
         && crashed
@@ -215,7 +216,7 @@
     }
 }
 
-/// Waits for complete events.
+/// Waits until complete events have arrived, or the stream has ended or broken.
 async fn next_item(
     started: &mut Started,
     parser: &mut EventParser,
@@ -260,8 +261,8 @@
     }
 }
 
-/// Resumes a broken stream: at the same target if its process still runs, and otherwise at another
-/// one. Returning to the same target does not count as sending the call to another one.
+/// Resumes a broken stream: at another target if the process of the previous one is down, and
+/// otherwise at the same target. Returns `None` if the stream cannot be resumed.
 async fn resume(
     call: &Rc<Call>,
     body: &Bytes,
--- a/crates/entry/src/turn_storage.rs
+++ b/crates/entry/src/turn_storage.rs
@@ -44,9 +44,9 @@
 }
 
 /// Writes a turn whose stream has ended to the store, if its route stores turns. The end of the
-/// stream must not be forwarded before, because the caller could then continue the turn at another
-/// host, or after all hosts lost power. For the same reason copies in the memory of other hosts do
-/// not count.
+/// stream must not be forwarded before: a caller that has received it may continue the turn at
+/// another host, or after all hosts lost power, and the turn must then be in the store. Copies in
+/// the memory of other hosts do not suffice, because a loss of power destroys them.
 ///
 /// # Errors
 ///
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -60,8 +60,9 @@
 ///
 /// Answering the turn promises that it can be continued, which requires it to be in the store. An
 /// isolated host refuses at once, because other zones can still reach the store and the load
-/// balancer moves callers there. During an outage of the store for all hosts, a target would run
-/// the turn for a caller that gives up before its end.
+/// balancer moves callers there. During an outage of the store for all hosts, this host refuses the
+/// turn if the outage will probably last longer than the caller waits for the end of a stream: a
+/// target would run the turn for a caller that gives up before its end.
 pub(crate) fn check_can_store(call: &Call) -> Result<(), Refusal> {
     let shared = &call.shared;
     if call.route().turn_retention.is_none() {
--- a/crates/entry/src/unary.rs
+++ b/crates/entry/src/unary.rs
@@ -14,7 +14,8 @@
 use crate::forward::{self, CallAttempt, SendOutcome, Started};
 use crate::{clock, places};
 
-/// To how many targets a call is sent, as long as each of them has certainly not run it.
+/// The maximum number of targets to which a call is sent. The route's `max_targets` further limits
+/// how many of them may have run it.
 const MAX_OFFERS: u32 = 4;
 
 /// An idempotent call is sent to another target if the answer's head takes longer than this many
@@ -121,8 +122,9 @@
 
 /// Returns why an answer must not be passed to the caller, if so.
 ///
-/// A successful answer must be signed. Some statuses promise that the call has not run. They are
-/// only passed on if the target made that promise explicitly in the head, which was handled before.
+/// A successful answer must be signed. Some statuses promise callers that the call has not run. A
+/// target that can promise this also says so in a header, and `forward::send` has handled such an
+/// answer already. Any other answer with one of these statuses is rejected.
 pub(crate) fn rejection_reason(
     status: StatusCode,
     head: &head::AnswerHead,
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -44,7 +44,7 @@
     Failed,
 }
 
-/// Follows the manifest: reads its row once, and again whenever the table changes.
+/// Follows the manifest: reads the operators' table once, and then waits for changes to it.
 async fn follow_manifest(shared: Rc<Shared>) {
     let mut after = None;
 
--- a/crates/policy/src/entry/budgets.rs
+++ b/crates/policy/src/entry/budgets.rs
@@ -6,12 +6,14 @@
 //! grants, and so the tokens that all hosts spend, never exceed the budget, even across restarts,
 //! network partitions and lost answers: whatever a dead host was granted counts as spent.
 //!
-//! During an outage of the store, one host at a time grants tokens in its place: the first live
-//! host in a fixed order per program, provided that a majority of the fleet is live from its point
-//! of view. A host is live if a status update of it has arrived recently. Such grants are
-//! *unstored* until they are written to the store. They come from a share of the budget that the
-//! store does not grant (see `shares`). The figures in a row only ever grow, so rows that were
-//! changed independently are merged by taking the highest figure for each run.
+//! During an outage of the store, one host at a time grants a program's tokens in its place: the
+//! first live host in a fixed order per program, provided that a majority of the fleet is live from
+//! its point of view. A host is live if a status update of it has arrived recently. Hosts that may
+//! not know of all earlier grants without the store come last in the order, and do not grant.
+//! Grants made without the store are *unstored* until they are written to it. They come from a
+//! share of the budget that the store does not grant (see `shares`). The figures in a row only ever
+//! grow, so rows that were changed independently are merged by taking the highest figure for each
+//! run.
 //!
 //! A host can also hand unused tokens directly to another host without changing the row: each
 //! transfer reduces the sender's balance by what it adds to the receiver's.
@@ -36,8 +38,8 @@
 const SPARE_DIVISOR: u64 = 4;
 
 /// A host that keeps spending from an existing grant rewrites the row after this time, so that
-/// other hosts do not delete it as idle. Rows are kept for more than this beyond the time within
-/// which a program may return, counted from their last write.
+/// other hosts do not delete it as idle. They delete a row only if it has not been written for the
+/// time within which its program may return, plus a margin that is longer than this time.
 const REFRESH_AFTER: Duration = Duration::from_secs(20);
 
 /// Result of reserving a turn's tokens.
@@ -161,8 +163,8 @@
         if version < account.version {
             return;
         }
-        // Another host was granted tokens just now, and the program may return there later than the
-        // last turn on this host.
+        // Another host may have written the row. Its program then still runs there, and is not idle
+        // although its last turn on this host may be long ago.
         if version > account.version {
             account.last_used = now;
         }
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Records that the store has no row for a program. All that this host knows of then has to be
+    /// Records that the store has no row for a program. The row as this host knows it then has to be
     /// written again.
     pub fn record_missing_row(&mut self, now: Instant, program: ProgramKey) {
         if let Some(account) = self.accounts.get_mut(&program) {
@@ -285,8 +287,8 @@
         Some(account.row.clone())
     }
 
-    /// Merges a row with unstored grants to this host, after a host of another zone has
-    /// acknowledged it. The grants may be spent from now on.
+    /// Merges a row that contains unstored grants to this host, after a host of another zone has
+    /// acknowledged the row. This host may spend the grants from now on.
     pub fn accept_unstored_grant(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         self.merge_unstored_row(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
@@ -306,8 +308,8 @@
         }
     }
 
-    /// Merges a row that another host has written to the store with a grant to this host. The grant
-    /// may be spent from now on.
+    /// Merges a row that another host has written to the store and that contains a grant to this
+    /// host. This host may spend the grant from now on.
     pub fn accept_stored_grant(&mut self, now: Instant, program: ProgramKey, row: &BudgetRow) {
         self.merge_row(now, program, row);
         if let Some(account) = self.accounts.get_mut(&program) {
@@ -335,8 +337,8 @@
         }
     }
 
-    /// Returns this host's unused tokens to the budget, and returns the resulting row. Requested by
-    /// a host that finds the budget spent.
+    /// Gives this host's unused tokens back to the budget, and returns the resulting row. Another
+    /// host requests this when it finds the budget spent.
     ///
     /// The returned total of a run only grows and is changed by that run alone, so rows still merge
     /// by the highest figure. If the requesting host does not write the row, the tokens are lost
@@ -503,10 +505,10 @@
     /// Returns the rows that this host has to write now, with the versions that they replace: rows
     /// with unstored grants that are due, and rows to refresh.
     ///
-    /// The host that spends a grant writes it, because several hosts that write the same row at
-    /// once make each other's writes fail. The other hosts write it only if it is still unstored
-    /// after a while: soon if one of the runs in the row is not live (`is_live`), and after a
-    /// longer time in any case.
+    /// A host writes the rows that contain a grant to itself. It writes another row only if that is
+    /// still unstored after a while: soon if one of the runs in the row is not live (`is_live`), and
+    /// after a longer time in any case. Several hosts that write the same row at once would make
+    /// each other's writes fail.
     pub fn rows_to_write(
         &self,
         now: Instant,
@@ -562,7 +564,7 @@
     }
 
     /// Records that a program's row has been deleted because the program was idle at `idle_at`. If
-    /// it has run since, what this host knows of it has to be written again.
+    /// the program has run since, the row as this host knows it has to be written again.
     pub fn record_deletion(&mut self, now: Instant, program: ProgramKey, idle_at: Instant) {
         match self.accounts.get(&program) {
             Some(account) if account.last_used > idle_at => self.record_missing_row(now, program),
--- a/crates/policy/src/entry/budgets/account.rs
+++ b/crates/policy/src/entry/budgets/account.rs
@@ -21,8 +21,8 @@
     pub(super) written_at: Instant,
     /// Whether the row has to be written again so that other hosts do not delete it as idle.
     pub(super) refresh_due: bool,
-    /// How many of the tokens granted to this run it may spend, because the store or a host of
-    /// another zone has recorded the grant.
+    /// How many of the tokens granted to this run it may spend. The store or a host of another zone
+    /// has recorded that much of the grant.
     pub(super) assured: u64,
     /// Total tokens that this run has given to each other run.
     pub(super) transferred_to: Map<RunId, u64>,
--- a/crates/policy/src/entry/budgets/row.rs
+++ b/crates/policy/src/entry/budgets/row.rs
@@ -46,18 +46,18 @@
     }
 }
 
-/// A host's request for the tokens of a turn that it does not have yet.
+/// A host's request for the tokens that it still lacks for a turn.
 ///
-/// It states a total, so that a host that gave up waiting can repeat it: tokens that were granted
-/// meanwhile, without this host learning of it, are not granted twice.
+/// The claim amounts to a total, so a host that gave up waiting can repeat it: tokens that were
+/// granted meanwhile without the knowledge of that host are not granted twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The run of the requesting host.
     pub run: RunId,
-    /// The total granted to this run that it may spend, because it knows the grant to be recorded
-    /// by the store or by a host of another zone.
+    /// The total of granted tokens that the run may spend, because the requesting host knows that
+    /// the store or a host of another zone has recorded the grant.
     pub assured: u64,
-    /// The tokens that it lacks for the turn.
+    /// The tokens that the run lacks for the turn.
     pub missing: u64,
     /// The maximum number of tokens that the turn may generate.
     pub most: u64,
--- a/crates/policy/src/entry/crashes.rs
+++ b/crates/policy/src/entry/crashes.rs
@@ -6,7 +6,7 @@
 use camphorwalk_core::messages::entry::CrashReport;
 use camphorwalk_core::time::Instant;
 
-/// A hash that identifies a call when it is retried: of its route, path, caller and body.
+/// A hash of a call's method, path, tenant and body, which identifies the call when it is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub u64);
 
--- a/crates/policy/src/entry/isolation.rs
+++ b/crates/policy/src/entry/isolation.rs
@@ -4,18 +4,18 @@
 /// recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// It knows of no such host.
+    /// The group is empty: this host knows of no such host.
     NoneKnown,
-    /// It knows of such hosts, and none of them is live.
+    /// This host knows of such hosts, and none of them is live.
     Silent,
     /// At least one of them is live.
     Heard,
 }
 
-/// What a host can reach.
+/// What a host can reach: the store, other zones, and other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Surroundings {
-    /// Whether the store answers this host or a live one.
+    /// Whether the store answers the host itself or a live one.
     pub store_in_reach: bool,
     /// Contact with hosts in other availability zones.
     pub other_zones: Contact,
@@ -41,11 +41,11 @@
 /// assert!(is_isolated(partitioned));
 /// assert!(!is_isolated(Surroundings { store_in_reach: true, ..partitioned }));
 /// ```
-pub fn is_isolated(surroundings: Surroundings) -> bool {
-    match (surroundings.store_in_reach, surroundings.other_zones) {
+pub fn is_isolated(reachable: Surroundings) -> bool {
+    match (reachable.store_in_reach, reachable.other_zones) {
         (true, _) | (false, Contact::Heard) => false,
         (false, Contact::Silent) => true,
         // With only one zone, a host is isolated if no other host is live.
-        (false, Contact::NoneKnown) => surroundings.others == Contact::Silent,
+        (false, Contact::NoneKnown) => reachable.others == Contact::Silent,
     }
 }
--- a/crates/policy/src/entry/manifests.rs
+++ b/crates/policy/src/entry/manifests.rs
@@ -67,8 +67,8 @@
     if newer.version <= newer.in_force {
         return FetchStep::Nothing;
     }
-    let heard = newer.store_answers.then_some(newer.announced_at);
-    let Some(since) = heard.max(newer.last_progress) else { return FetchStep::AskPeer };
+    let announced = newer.store_answers.then_some(newer.announced_at);
+    let Some(since) = announced.max(newer.last_progress) else { return FetchStep::AskPeer };
     let until = (since + STORE_STALL_TIMEOUT).min(newer.announced_at + STORE_TRANSFER_TIMEOUT);
     let left = until.since(now);
 
@@ -87,8 +87,8 @@
     GiveUp,
 }
 
-/// Returns what to do about a request that was sent at `asked` to a host whose last status update
-/// arrived at `heard`, if any did.
+/// Returns what to do about a request that was sent at `requested_at` to a host whose last status
+/// update arrived at `last_status_at`, if any did.
 ///
 /// Messages from a host arrive in order, so no status updates arrive while it sends a long answer.
 /// Status updates that were sent after the host received the request therefore show that no answer
@@ -101,10 +101,15 @@
 /// assert_eq!(check_pending(at(2_000), at(0), Some(at(100))), PendingRequest::Wait);
 /// assert_eq!(check_pending(at(2_000), at(0), Some(at(1_900))), PendingRequest::GiveUp);
 /// ```
-pub fn check_pending(now: Instant, asked: Instant, heard: Option<Instant>) -> PendingRequest {
-    let is_overtaken = heard.is_some_and(|at| at.since(asked) >= UPDATE_DELIVERY_TIME);
+pub fn check_pending(
+    now: Instant,
+    requested_at: Instant,
+    last_status_at: Option<Instant>,
+) -> PendingRequest {
+    let is_overtaken =
+        last_status_at.is_some_and(|at| at.since(requested_at) >= UPDATE_DELIVERY_TIME);
 
-    match is_overtaken || now.since(asked) >= REQUEST_TIMEOUT {
+    match is_overtaken || now.since(requested_at) >= REQUEST_TIMEOUT {
         true => PendingRequest::GiveUp,
         false => PendingRequest::Wait,
     }
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -41,8 +41,7 @@
 /// of by rank.
 const MAX_QUEUED_AT_TARGET: u32 = 2;
 
-/// The number of consecutive failures after which a target is ejected, that is gets no calls for a
-/// while.
+/// The number of consecutive failures after which a target is ejected: it gets no calls for a while.
 const FAILURES_TO_EJECT: u32 = 2;
 
 /// The duration of the first ejection of a target, and the maximum. A target that crashed is back
@@ -109,7 +108,8 @@
         self.parts.last().map_or(self.seed, |(id, _)| *id)
     }
 
-    /// Returns the number of calls below which a target with `slots` slots accepts this one.
+    /// Returns the limit on the calls in flight at a target with `slots` slots: this call may only
+    /// be sent there while fewer are in flight.
     fn limit(&self, slots: u32) -> u32 {
         match self.new_program_rank {
             None => slots + MAX_QUEUED_AT_TARGET,
@@ -127,7 +127,8 @@
 pub enum Choice {
     /// Send the call to this target.
     Target(TargetKey),
-    /// All usable targets are full; the call has to wait.
+    /// Targets are usable, but each of them, or the service as a whole, is too busy for the call,
+    /// which has to wait.
     Full,
     /// No target of the service is usable.
     NoTarget,
@@ -308,11 +309,12 @@
     }
 
     /// Chooses the target of a service for a call: the one with the lowest cost, to the call itself
-    /// and to the calls that run there, among the targets that hold its prompt and two others.
+    /// and to the calls that run there, among the targets that hold its prompt or object and two
+    /// drawn targets.
     ///
     /// The load that other hosts cause is known only from status updates, which are about as old as
     /// a call is long. If all hosts chose the target that seems best, they would all choose the
-    /// same one until the next status update. The two others are therefore drawn at random,
+    /// same one until the next status update. The two targets are therefore drawn at random,
     /// weighted by their free slots.
     pub fn choose(&self, now: Instant, service: &str, request: &PlacementRequest) -> Choice {
         let usable = |(key, target): &(TargetKey, &Target)| {
--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -189,7 +189,7 @@
 #[derive(Clone, Debug, Default)]
 struct HostReport {
     received_at: Instant,
-    /// The time up to which its admitted calls have been reported or estimated.
+    /// The time up to which the host's admitted calls have been reported or estimated.
     counted_until: Instant,
     /// The run of its process from which a full status update has arrived. Before that, it is not
     /// known which of the calls it reports were already counted.
@@ -211,7 +211,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantReport {
     status: TenantStatus,
-    /// Until when the share that it reserves for silent hosts is valid.
+    /// Until when the share that the host reserves for silent hosts is valid.
     reserved_until: Instant,
     /// The tokens charged for this host since it went silent.
     estimated: f64,
@@ -290,8 +290,8 @@
         self.others = others;
     }
 
-    /// Applies a status update from the process run `run` of a host. It covers all of its tenants
-    /// if `all` is set, and otherwise those with changes.
+    /// Applies a status update from the process run `run` of a host. If `all` is set, the update
+    /// covers all tenants that had calls at that host, and otherwise those with changes.
     pub fn apply_update(
         &mut self,
         now: Instant,
@@ -457,7 +457,7 @@
         })
     }
 
-    /// Returns the token of a call that has not run and never will.
+    /// Puts the token of a call that has not run and never will back into the tenant's bucket.
     pub fn refund(&mut self, tenant: &str) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             account.level = (account.level + 1.0).min(account.capacity());
--- a/crates/policy/src/entry/recent.rs
+++ b/crates/policy/src/entry/recent.rs
@@ -15,7 +15,7 @@
 }
 
 impl<K: Eq + Hash, V: Copy> RecentMap<K, V> {
-    /// Creates a map that keeps at least the `capacity` capacity recent entries, and up to twice as
+    /// Creates a map that keeps at least the `capacity` most recent entries, and less than twice as
     /// many.
     ///
     /// ```
--- a/crates/policy/src/entry/routes.rs
+++ b/crates/policy/src/entry/routes.rs
@@ -67,11 +67,12 @@
     }
 }
 
-/// Returns the service of a call, chosen by weight. All calls with the same `conversation` get the
-/// same service, so that a conversation keeps its cached prompt when a route is split.
+/// Chooses the service of a call among those of its route, by their weights. All calls with the same
+/// `conversation` get the same service, so that a conversation keeps its cached prompt when a route
+/// is split.
 ///
 /// Returns `None` if no service of the route has a weight.
-pub fn service<'a>(route: &'a Route, conversation: &str) -> Option<&'a str> {
+pub fn choose_service<'a>(route: &'a Route, conversation: &str) -> Option<&'a str> {
     let total: u64 = route.services.iter().map(|s| u64::from(s.weight)).sum();
 
     if total == 0 {
@@ -80,10 +81,10 @@
 
     let mut point = stable_hash(&[conversation.as_bytes()]) % total;
 
-    for share in &route.services {
-        let weight = u64::from(share.weight);
+    for candidate in &route.services {
+        let weight = u64::from(candidate.weight);
         if point < weight {
-            return Some(&share.service);
+            return Some(&candidate.service);
         }
         point -= weight;
     }
--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -72,15 +72,16 @@
 pub enum Doubt {
     /// Some host may hold grants that the store does not have, or no majority of the hosts is live.
     Unsettled,
-    /// Most hosts started too recently to know of all grants. What may have been granted before
-    /// counts as spent.
+    /// The hosts that know of all grants are no majority: the others started too recently or are
+    /// silent. What may have been granted before counts as spent.
     Forgotten,
 }
 
 /// What a host knows of the fleet, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetView {
-    /// Whether no host has reported grants without the store for a while.
+    /// Whether, for a while, neither this host nor a status update of another one has indicated
+    /// unstored grants.
     pub is_all_stored: bool,
     /// The number of hosts.
     pub known_hosts: usize,
--- a/crates/policy/src/entry/target_table.rs
+++ b/crates/policy/src/entry/target_table.rs
@@ -6,9 +6,9 @@
 //! arrival does not matter.
 //!
 //! A missing row means that its target has left, unless the store was silent for so long that rows
-//! of running targets may have expired. Such targets stay in use until [`LAPSE_GRACE`] after the
-//! store's recovery. Hosts that have just started are sent the time that is left of this grace
-//! period.
+//! of running targets may have expired. Such *lapsed* targets stay in use for a grace period after
+//! the store's recovery ([`LAPSE_GRACE`]). The copy that a host sends to another one contains the
+//! remaining grace period of each, since a host that has just started never read their rows.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -41,8 +41,8 @@
 /// detects the store's recovery: two seconds, and some time for the next request.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_100);
 
-/// How long after the store's recovery a host may detect it: an attempt that is still awaited, plus
-/// a pause.
+/// How long a host may take to detect the store's recovery: an attempt that is still awaited, plus a
+/// pause.
 pub const RETURN_DETECTION_DELAY: Duration = Duration::from_millis(700);
 
 /// The length of a silence of the store from which on rows of running targets may have expired, in
@@ -133,7 +133,8 @@
     WholeRead,
     /// Another host's copy.
     Peer,
-    /// The end of a grace period.
+    /// None: a row that expired during an outage of the store did not reappear within its grace
+    /// period (see [`LAPSE_GRACE`]).
     Grace,
 }
 
@@ -262,8 +263,9 @@
         changes: Vec<EntryChange>,
         as_of: RowVersion,
     ) -> Vec<Effect> {
-        // Another source may have supplied a later version in the meantime. The answer holds the
-        // last change of each key as of its own version, whatever was received from in between.
+        // Another source may have advanced this copy past `after` in the meantime. The answer still
+        // applies, since it holds the last change of each key up to `as_of`. It does not apply if
+        // this copy is older than `after` (changes would be missing) or newer than `as_of`.
         if after > self.as_of || as_of < self.as_of {
             return Vec::new();
         }
--- a/crates/policy/src/entry/turns.rs
+++ b/crates/policy/src/entry/turns.rs
@@ -49,10 +49,10 @@
 pub struct Turn {
     /// The earlier turns of its conversation, oldest first. Each of them continues the one before.
     pub line: Vec<TurnKey>,
-    /// Its input and the lines of its answer, if they are valid UTF-8.
+    /// What it adds to the prompt (see [`Turn::transcript`]), if that is valid UTF-8.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     text: Box<str>,
-    /// The same, if they are not valid UTF-8.
+    /// The same, if it is not valid UTF-8.
     #[serde_as(as = "Base64")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     raw: Vec<u8>,
@@ -79,7 +79,8 @@
         if self.raw.is_empty() { self.text.as_bytes() } else { &self.raw }
     }
 
-    /// Returns the earlier turns of a turn that continues from this one, whose key is `own`.
+    /// Returns the earlier turns of a turn that continues from this one. `own` is the key of this
+    /// turn.
     pub fn conversation_with(&self, own: TurnKey) -> Vec<TurnKey> {
         let mut line = Vec::with_capacity(self.line.len() + 1);
         line.extend_from_slice(&self.line);
--- a/crates/policy/src/entry/waiting.rs
+++ b/crates/policy/src/entry/waiting.rs
@@ -19,10 +19,10 @@
 /// The urgency of a waiting call. Lower values are served first, compared field by field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Whether its program has missed its deadline. It is worth little now, and would make others
-    /// late that wait behind it.
+    /// Whether the call's program has missed its deadline. Its result is worth little now, and
+    /// programs that wait behind it would become late too.
     pub is_late: bool,
-    /// Whether its program is new. Nothing is lost yet if it is refused.
+    /// Whether the call's program is new. If the call is refused, no work is lost.
     pub is_new: bool,
     /// The rank of the call.
     pub rank: u32,
--- a/crates/policy/src/entry/write_back.rs
+++ b/crates/policy/src/entry/write_back.rs
@@ -9,15 +9,17 @@
 
 use std::time::Duration;
 
-/// How long a host waits before it writes a row on behalf of an owner that is not live. Within this
-/// time the owner has usually written the row and reported it.
+/// How long a host waits before it writes a row on behalf of the row's owners if one of them is not
+/// live. The owners of a row are the hosts whose grants it contains. Within this time they have
+/// usually written the row and reported it.
 const WRITE_FOR_SILENT_OWNER_AFTER: Duration = Duration::from_millis(700);
 
-/// How long it waits if the owner is live, which then writes the row itself. If five hosts wrote
-/// each row, a slow store would be five times slower still.
+/// How long a host waits before it writes a row on behalf of owners that are all live. They normally
+/// write the row themselves; a write by each other host as well would overload a slow store.
 const WRITE_FOR_LIVE_OWNER_AFTER: Duration = Duration::from_secs(5);
 
-/// Returns whether a host should write a row that it has held for another host for the time `held`.
+/// Returns whether a host should write an unstored row that it does not own and has known for the
+/// time `held`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -26,8 +28,8 @@
 /// assert!(writes_for_others(second, || false));
 /// assert!(!writes_for_others(second, || true));
 /// ```
-pub fn writes_for_others(held: Duration, owner_is_live: impl FnOnce() -> bool) -> bool {
-    held >= WRITE_FOR_LIVE_OWNER_AFTER || held >= WRITE_FOR_SILENT_OWNER_AFTER && !owner_is_live()
+pub fn writes_for_others(held: Duration, owners_are_live: impl FnOnce() -> bool) -> bool {
+    held >= WRITE_FOR_LIVE_OWNER_AFTER || held >= WRITE_FOR_SILENT_OWNER_AFTER && !owners_are_live()
 }
 
 /// The number of writes in the first round.
--- a/crates/policy/tests/entry_routes.rs
+++ b/crates/policy/tests/entry_routes.rs
@@ -8,7 +8,7 @@
 use camphorwalk_core::messages::entry::CrashReport;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::crashes::{Crashes, Fingerprint};
-use camphorwalk_policy::entry::routes::{Adoption, RouteTable, adoption, service};
+use camphorwalk_policy::entry::routes::{Adoption, RouteTable, adoption, choose_service};
 use camphorwalk_policy::entry::turns::{Turn, TurnCache, TurnKey};
 
 fn route(hostname: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
@@ -78,12 +78,12 @@
     let split = route("h", "/", &[("old", 90), ("new", 10)]);
 
     let chosen: Vec<_> =
-        (0..1_000).map(|i| service(&split, &format!("line-{i}")).unwrap()).collect();
+        (0..1_000).map(|i| choose_service(&split, &format!("line-{i}")).unwrap()).collect();
     let new = chosen.iter().filter(|s| **s == "new").count();
 
     assert!((60..150).contains(&new), "{new} of 1,000");
-    assert_eq!(service(&split, "line-1"), service(&split, "line-1"));
-    assert_eq!(service(&route("h", "/", &[("none", 0)]), "line"), None);
+    assert_eq!(choose_service(&split, "line-1"), choose_service(&split, "line-1"));
+    assert_eq!(choose_service(&route("h", "/", &[("none", 0)]), "line"), None);
 }
 
 #[test]
