--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -149,8 +149,8 @@
             && !self.shared.places.has_run_recently(self.head.program.as_deref())
     }
 
-    /// Logs that a target answered the call, with the target's load at the end of the answer, unless
-    /// the log sampler skips the call.
+    /// Logs that a target answered the call, with the target's load at the end of the answer,
+    /// unless the log sampler skips the call.
     pub(crate) fn log_answer(&self, answered: &TargetAnswer<'_>) {
         if !self.shared.log_sampler.count_and_select(&self.head.request_id) {
             return;
--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -40,8 +40,8 @@
         Some(read(bytes))
     }
 
-    /// Returns whether bytes of an unfinished event remain. Must be called after all complete events
-    /// have been removed.
+    /// Returns whether bytes of an unfinished event remain. Must be called after all complete
+    /// events have been removed.
     pub fn is_within_event(&self) -> bool {
         self.buf.has_remaining()
     }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -38,8 +38,8 @@
 /// The number of heartbeats after the start that are only a short pause apart.
 const FAST_HEARTBEATS: u64 = 4;
 
-/// The in-flight and waiting calls of a host no longer count after this long without a status update
-/// of it. A connection whose other end owes an answer for this long is closed.
+/// The in-flight and waiting calls of a host no longer count after this long without a status
+/// update of it. A connection whose other end owes an answer for this long is closed.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a status update is valid. A host is live while its latest one is valid.
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -69,9 +69,10 @@
     order
 }
 
-/// Sends a row that the store has accepted to the hosts that would grant if the store failed, which
-/// need it at that moment. Also sends it to the replicas of unstored grants, so that they do not
-/// write those grants again.
+/// Sends a row that the store has accepted to the next granters: the hosts that would grant the
+/// program's tokens if the store failed, and would then need the row. Also sends it to the hosts
+/// that hold replicas of the program's unstored grants, so that they do not write those grants
+/// again.
 pub(crate) fn notify_stored(
     shared: &Shared,
     program: ProgramKey,
@@ -387,8 +388,8 @@
     QueryReply::Done
 }
 
-/// Records unstored grants of another host. This host writes them if the host that spends them does
-/// not, which may become isolated.
+/// Records unstored grants that another host reports. This host writes them to the store later if
+/// the hosts that spend them do not, for example because they became isolated.
 pub(crate) fn record_unstored(
     shared: &Shared,
     program: ProgramKey,
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -254,7 +254,7 @@
     }
 
     /// Returns whether this host knows of grants without the store to programs that may still be
-    /// running. Programs are assumed to run for at most [`HISTORY_COMPLETE_AFTER`].
+    /// running. After [`HISTORY_COMPLETE_AFTER`], such programs are assumed to have ended.
     pub(crate) fn knows_of_unstored_grants(&self) -> bool {
         self.unstored_grants_at
             .get()
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Handles the manifest version that another host has reported. If the version is newer than the one
-/// in force and does not arrive from the store, this host requests it from another one.
+/// Handles the manifest version that another host has reported. If the version is newer than the
+/// one in force and does not arrive from the store, this host requests it from another one.
 ///
 /// The store may refuse some hosts while it answers others. If all of the others sent their
 /// manifest unasked, a refused host would receive it from each of them with each status update,
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -24,8 +24,9 @@
 /// The page size of a full read of the table.
 const PAGE_ROWS: u32 = 500;
 
-/// The shortest pause between two checks for lapsed entries that expire. No entry expires while the
-/// store does not answer, so an overdue expiry must not cause a busy loop.
+/// The shortest pause between two checks for lapsed entries whose grace period has ended. While the
+/// store is silent, such entries stay in use although their grace period is over; without this
+/// pause, the checks would then become a busy loop.
 const MIN_EXPIRE_PAUSE: Duration = Duration::from_millis(20);
 
 /// Starts the tasks that follow the table.
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -29,9 +29,10 @@
 /// unavailable.
 const NO_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a call waits for a write before it continues in another way, while the write stays in
-/// progress. The store usually answers a transaction in about 10 ms. A slow store takes a quarter
-/// of a second or more per transaction, which would cost a program a whole second.
+/// How long a call waits for the write of a grant before it requests the grant in another way,
+/// while the write stays in progress. The store usually answers a transaction in about 10 ms. A
+/// slow store takes a quarter of a second or more per transaction, which would cost a program a
+/// whole second.
 pub(crate) const HEDGE_AFTER: Duration = Duration::from_millis(60);
 
 /// How long status updates report that the store was slow: several broadcast periods.
@@ -82,8 +83,8 @@
         is_slow || self.health.borrow().any_part_unavailable()
     }
 
-    /// Returns whether the store as a whole does not answer this host, or an unavailable part failed
-    /// to answer an operation that began within the last `lately`.
+    /// Returns whether the store as a whole does not answer this host, or an unavailable part
+    /// failed to answer an operation that began within the last `lately`.
     pub(crate) fn any_part_failed_within(&self, lately: Duration) -> bool {
         self.health.borrow().any_part_failed_within(clock::now(), lately)
     }
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -122,9 +122,9 @@
     Ok(answer)
 }
 
-/// Returns whether a stream of which nothing was received may start again at another target although
-/// one may have run it. The stream must be resumable, the target must have crashed, and the call
-/// must not be blocked because it crashed too many targets.
+/// Returns whether a stream of which nothing was received may start again at another target
+/// although one may have run it. The stream must be resumable, the target must have crashed, and
+/// the call must not be blocked because it crashed too many targets.
 fn may_restart(call: &Call, crashed: bool) -> bool {
     call.route().retry_policy == RetryPolicy::Stream { resumable: true }
         && crashed
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -169,7 +169,8 @@
                 unknown_turn(shared)
             })?
         }
-        // Without an answer from the store, hosts that ran or read the turn may still have it.
+        // If the store does not answer or has no such row, hosts that ran or read the turn may
+        // still have it.
         _ => match find_at_peers(shared, key).await {
             SearchResult::Found(turn) => turn,
             SearchResult::Absent if is_absent => return Ok(None),
--- a/crates/policy/src/entry/budgets.rs
+++ b/crates/policy/src/entry/budgets.rs
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Records that the store has no row for a program. The row as this host knows it then has to be
-    /// written again.
+    /// Records that the store has no row for a program. The row as this host knows it then has to
+    /// be written again.
     pub fn record_missing_row(&mut self, now: Instant, program: ProgramKey) {
         if let Some(account) = self.accounts.get_mut(&program) {
             account.version = RowVersion::ABSENT;
@@ -394,7 +394,8 @@
     /// use camphorwalk_core::time::Instant;
     /// let (now, program) = (Instant(0), ProgramKey(9));
     /// let (mut from, mut to) = (Budgets::new(RunId(1)), Budgets::new(RunId(2)));
-    /// let row = BudgetRow { budget: 500, granted: [(RunId(1), 300)].into(), ..BudgetRow::default() };
+    /// let row =
+    ///     BudgetRow { budget: 500, granted: [(RunId(1), 300)].into(), ..BudgetRow::default() };
     /// from.merge_stored_row(now, program, row.clone(), RowVersion(5));
     /// to.merge_stored_row(now, program, row, RowVersion(5));
     /// let wanted = to.transferred_from(program, RunId(1)) + 100;
@@ -506,9 +507,9 @@
     /// with unstored grants that are due, and rows to refresh.
     ///
     /// A host writes the rows that contain a grant to itself. It writes another row only if that is
-    /// still unstored after a while: soon if one of the runs in the row is not live (`is_live`), and
-    /// after a longer time in any case. Several hosts that write the same row at once would make
-    /// each other's writes fail.
+    /// still unstored after a while: soon if one of the runs in the row is not live (`is_live`),
+    /// and after a longer time in any case. Several hosts that write the same row at once would
+    /// make each other's writes fail.
     pub fn rows_to_write(
         &self,
         now: Instant,
--- a/crates/policy/src/entry/budgets/account.rs
+++ b/crates/policy/src/entry/budgets/account.rs
@@ -28,8 +28,11 @@
     pub(super) transferred_to: Map<RunId, u64>,
     /// Total tokens that this run has received from each other run.
     pub(super) transferred_from: Map<RunId, u64>,
+    /// Total tokens that turns at this host have generated.
     pub(super) spent: u64,
+    /// The tokens reserved for turns that run at this host now.
     pub(super) reserved: u64,
+    /// When the program was last known to run, at this host or another one.
     pub(super) last_used: Instant,
 }
 
--- a/crates/policy/src/entry/manifests.rs
+++ b/crates/policy/src/entry/manifests.rs
@@ -57,11 +57,13 @@
 /// use camphorwalk_core::time::Instant;
 /// use camphorwalk_policy::entry::manifests::{FetchStep, NewerManifest, next_fetch_step};
 /// let at = Instant::from_millis;
-/// let newer =
-///     NewerManifest { version: 2, in_force: 1, announced_at: at(0), store_answers: true, last_progress: None };
+/// let newer = NewerManifest {
+///     version: 2, in_force: 1, announced_at: at(0), store_answers: true, last_progress: None
+/// };
 /// assert_eq!(next_fetch_step(at(0), &newer), FetchStep::Wait(Duration::from_millis(250)));
 /// assert_eq!(next_fetch_step(at(250), &newer), FetchStep::AskPeer);
-/// assert_eq!(next_fetch_step(at(250), &NewerManifest { in_force: 2, ..newer }), FetchStep::Nothing);
+/// let adopted = NewerManifest { in_force: 2, ..newer };
+/// assert_eq!(next_fetch_step(at(250), &adopted), FetchStep::Nothing);
 /// ```
 pub fn next_fetch_step(now: Instant, newer: &NewerManifest) -> FetchStep {
     if newer.version <= newer.in_force {
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -41,7 +41,8 @@
 /// of by rank.
 const MAX_QUEUED_AT_TARGET: u32 = 2;
 
-/// The number of consecutive failures after which a target is ejected: it gets no calls for a while.
+/// The number of consecutive failures after which a target is ejected: it gets no calls for a
+/// while.
 const FAILURES_TO_EJECT: u32 = 2;
 
 /// The duration of the first ejection of a target, and the maximum. A target that crashed is back
--- a/crates/policy/src/entry/rates/estimates.rs
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -73,8 +73,8 @@
         account.non_live_share =
             non_live.max(account.reserved.share).min(self.max_non_live_share());
 
-        // Each silent host's estimate is recorded, and corrected when it reports its admitted
-        // calls.
+        // The estimate of each silent host is recorded, and corrected when that host reports its
+        // admitted calls.
         let scale = (account.non_live_share / non_live.max(f64::MIN_POSITIVE)).min(1.0);
         let unrecorded = account.non_live_share - silent * scale;
         let mut charged = account.rate * unrecorded * self.elapsed.as_secs_f64();
@@ -99,7 +99,7 @@
         1.0 - DEMAND_FLOOR * live / self.fleet_size
     }
 
-    /// Returns the demand, in calls per second, that each host counts with at least.
+    /// Returns the minimum demand, in calls per second, that is assumed for each host.
     fn demand_floor(&self, account: &Account) -> f64 {
         DEMAND_FLOOR * account.rate / self.fleet_size
     }
--- a/crates/policy/src/entry/routes.rs
+++ b/crates/policy/src/entry/routes.rs
@@ -67,9 +67,9 @@
     }
 }
 
-/// Chooses the service of a call among those of its route, by their weights. All calls with the same
-/// `conversation` get the same service, so that a conversation keeps its cached prompt when a route
-/// is split.
+/// Chooses the service of a call among those of its route, by their weights. All calls with the
+/// same `conversation` get the same service, so that a conversation keeps its cached prompt when a
+/// route is split.
 ///
 /// Returns `None` if no service of the route has a weight.
 pub fn choose_service<'a>(route: &'a Route, conversation: &str) -> Option<&'a str> {
--- a/crates/policy/src/entry/target_table.rs
+++ b/crates/policy/src/entry/target_table.rs
@@ -41,8 +41,8 @@
 /// detects the store's recovery: two seconds, and some time for the next request.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_100);
 
-/// How long a host may take to detect the store's recovery: an attempt that is still awaited, plus a
-/// pause.
+/// How long a host may take to detect the store's recovery: an attempt that is still awaited, plus
+/// a pause.
 pub const RETURN_DETECTION_DELAY: Duration = Duration::from_millis(700);
 
 /// The length of a silence of the store from which on rows of running targets may have expired, in
--- a/crates/policy/src/entry/write_back.rs
+++ b/crates/policy/src/entry/write_back.rs
@@ -14,8 +14,9 @@
 /// usually written the row and reported it.
 const WRITE_FOR_SILENT_OWNER_AFTER: Duration = Duration::from_millis(700);
 
-/// How long a host waits before it writes a row on behalf of owners that are all live. They normally
-/// write the row themselves; a write by each other host as well would overload a slow store.
+/// How long a host waits before it writes a row on behalf of owners that are all live. They
+/// normally write the row themselves; a write by each other host as well would overload a slow
+/// store.
 const WRITE_FOR_LIVE_OWNER_AFTER: Duration = Duration::from_secs(5);
 
 /// Returns whether a host should write an unstored row that it does not own and has known for the
