--- a/crates/policy/src/entry/rates/estimates.rs
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -66,7 +66,7 @@
             return;
         }
 
-        let newly_silent = self.fix_shares(tenant, account, reports);
+        let newly_silent = self.determine_shares(tenant, account, reports);
         let silent: f64 = self.silent.iter().map(|host| reports[host].share(tenant)).sum();
         let non_live = silent + self.unknown * self.even_share(account);
         account.reserved = self.reserved_share(tenant, silent, reports);
@@ -92,7 +92,7 @@
     }
 
     /// Returns the largest fraction of a rate that may be charged for hosts that are not live.
-    /// Shares that were fixed at different times may add up to more than the whole rate.
+    /// Shares that were determined at different times may add up to more than the whole rate.
     fn max_non_live_share(&self) -> f64 {
         let live = self.live.len() as f64 + 1.0;
 
@@ -140,8 +140,9 @@
         self.reports_of(tenant, reports).any(|t| t.reserved_until > self.now)
     }
 
-    /// Fixes the shares of hosts that have just gone silent, and returns these hosts.
-    fn fix_shares(
+    /// Determines the shares of hosts that have just gone silent, and returns these hosts. A share
+    /// stays the same until the host is live again.
+    fn determine_shares(
         &self,
         tenant: &str,
         account: &Account,
--- a/crates/policy/src/entry/target_table.rs
+++ b/crates/policy/src/entry/target_table.rs
@@ -400,6 +400,7 @@
         })
     }
 
+    /// Replaces the copy by a complete one whose version is not older.
     fn replace(
         &mut self,
         now: Instant,
@@ -447,6 +448,7 @@
         self.recent_silences.iter().map(|(_, silence)| *silence).sum()
     }
 
+    /// Extends the grace periods of all lapsed targets to `end`.
     fn extend_grace_periods(&mut self, end: Instant) {
         for known in self.rows.values_mut() {
             if let State::Lapsed(_, until) = &mut known.state {
@@ -500,6 +502,7 @@
         }
     }
 
+    /// Adds a target that another host reports as lapsed.
     fn lapse(&mut self, now: Instant, row: LapsedRow) -> Effect {
         let state = State::Lapsed(row.entry.clone(), now + row.left.min(LAPSE_GRACE));
         self.rows.insert(row.entry.id.clone(), KnownTarget { version: self.as_of, state });
