--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -137,13 +137,13 @@
 
     fn end_oldest(&mut self) {
         let Some(request_id) = self.granted.pop_front() else { return };
-        let end = PlaceRelease {
+        let release = PlaceRelease {
             outcome: PlaceOutcome::Finished,
             computed_prompt: Tokens(200),
             output: Tokens(100),
             program_ended: false,
         };
 
-        self.step(QueueEvent::Release { request_id, end });
+        self.step(QueueEvent::Release { request_id, release });
     }
 }
--- a/crates/bench/src/drive.rs
+++ b/crates/bench/src/drive.rs
@@ -365,14 +365,14 @@
     }
 
     fn vacate(&mut self, number: u64, outcome: PlaceOutcome, computed: u64, output: u64) {
-        let end = PlaceRelease {
+        let release = PlaceRelease {
             outcome,
             computed_prompt: Tokens(computed),
             output: Tokens(output),
             program_ended: outcome == PlaceOutcome::Failed || outcome == PlaceOutcome::NotSent,
         };
 
-        self.tell(QueueEvent::Release { request_id: request_id(number), end });
+        self.tell(QueueEvent::Release { request_id: request_id(number), release });
     }
 
     fn after_turn(&mut self, program: usize, turn: usize) {
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -247,8 +247,8 @@
         // Only the traffic side knows how much was streamed before an answer. One that is sent
         // again has the number already.
         if let Some(Body::Answer(answer)) = &mut message.body {
-            let ticket = RequestOrigin { entry: to, request: RequestId(answer.request) };
-            answer.chunks = answer.chunks.max(self.shared.streams.take_sent(ticket));
+            let origin = RequestOrigin { entry: to, request: RequestId(answer.request) };
+            answer.chunks = answer.chunks.max(self.shared.streams.take_sent(origin));
         }
 
         if !self.peers.send(to, message.clone()) {
@@ -266,8 +266,8 @@
             let stands = read(&shared.keys).stands(dispatch.key);
             let outcome = if stands { targets.run(dispatch).await } else { key_withdrawn() };
             // A cancelled attempt may be answered to nobody: what was counted for the answer goes.
-            if let (AttemptOutcome::Cancelled, Some(ticket)) = (&outcome, stream) {
-                shared.streams.take_sent(ticket);
+            if let (AttemptOutcome::Cancelled, Some(origin)) = (&outcome, stream) {
+                shared.streams.take_sent(origin);
             }
             shared.metrics.attempts.with_label_values(&[end_label(&outcome)]).inc();
             shared.control.send(Event::AttemptEnded { attempt, outcome });
@@ -359,19 +359,19 @@
     let me = HostId::from_name(name);
     let (shared, peers) = (shared.clone(), peers.clone());
 
-    Targets::new(Box::new(move |ticket, number, text| {
+    Targets::new(Box::new(move |origin, number, text| {
         let (shared, peers) = (shared.clone(), peers.clone());
         Box::pin(async move {
-            if ticket.entry == me {
-                shared.streams.expect(ticket.request, number + 1);
-                return match shared.streams.parts(ticket.request) {
+            if origin.entry == me {
+                shared.streams.expect(origin.request, number + 1);
+                return match shared.streams.parts(origin.request) {
                     Some(parts) => parts.send(Part { number, text }).await.is_ok(),
                     None => false,
                 };
             }
-            shared.streams.note_sent(ticket, number + 1);
-            let chunk = Chunk { request: ticket.request.0, number, text };
-            peers.send(ticket.entry, Body::Chunk(chunk).into())
+            shared.streams.note_sent(origin, number + 1);
+            let chunk = Chunk { request: origin.request.0, number, text };
+            peers.send(origin.entry, Body::Chunk(chunk).into())
         })
     }))
 }
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -99,13 +99,13 @@
     }
 
     /// Notes how many parts were streamed towards a caller of another host.
-    pub fn note_sent(&self, ticket: RequestOrigin, parts: u32) {
-        lock(&self.sent).insert(ticket, parts);
+    pub fn note_sent(&self, origin: RequestOrigin, parts: u32) {
+        lock(&self.sent).insert(origin, parts);
     }
 
     /// Takes the number of parts that were streamed towards a caller of another host.
-    pub fn take_sent(&self, ticket: RequestOrigin) -> u32 {
-        lock(&self.sent).remove(&ticket).unwrap_or(0)
+    pub fn take_sent(&self, origin: RequestOrigin) -> u32 {
+        lock(&self.sent).remove(&origin).unwrap_or(0)
     }
 }
 
--- a/crates/node/src/targets/engine.rs
+++ b/crates/node/src/targets/engine.rs
@@ -98,14 +98,14 @@
                 if event.name == "done" {
                     return done(&event);
                 }
-                let Some(ticket) = stream else {
+                let Some(origin) = stream else {
                     continue;
                 };
                 let Ok(Text { text }) = serde_json::from_str(&event.data) else {
                     return AttemptOutcome::Failed { message: "a malformed part".into() };
                 };
                 streamed.store(true, Ordering::Relaxed);
-                if !(self.shared.send_part)(ticket, parts, text).await {
+                if !(self.shared.send_part)(origin, parts, text).await {
                     // The caller's end counts the parts, so a lost one is noticed there.
                     tracing::debug!("target: a part could not be passed on");
                 }
--- a/crates/policy/src/configs.rs
+++ b/crates/policy/src/configs.rs
@@ -2,8 +2,9 @@
 //!
 //! A configuration is an immutable object; one pointer row names the object in force and is updated
 //! by compare-and-set. A host adopts only a higher version than the one it has, so it never goes
-//! back to an older one, however late or often that arrives. A withdrawal is a tombstone that is
-//! never removed, so any host may accept one, and the order between hosts does not matter.
+//! back to an older one, however late or often the older one arrives. The withdrawal of a key is
+//! stored as a row that is never removed, a tombstone. So any host may accept a withdrawal, and the
+//! order in which hosts receive withdrawals does not matter.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -113,8 +114,8 @@
     Conflict(Option<Arc<Config>>),
     /// The platform is unavailable; nothing was published.
     Unavailable,
-    /// The platform's answer was lost, so the outcome is unknown; `status` shows the version in
-    /// force.
+    /// The platform's answer was lost, so the outcome is unknown; the operator's command `status`
+    /// shows the version in force.
     Unknown,
 }
 
--- a/crates/policy/src/host_state.rs
+++ b/crates/policy/src/host_state.rs
@@ -26,7 +26,7 @@
     pub config: Option<Arc<Config>>,
     /// The zone of each other host that is live and not leaving.
     pub live_hosts: Map<HostId, ZoneId>,
-    /// The last known holder of each partition.
+    /// The last known holder of each partition's lease.
     pub holders: Map<PartitionId, Holder>,
     /// The partitions whose lease this host holds, which makes it the home of their programs.
     pub held_partitions: Set<PartitionId>,
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -1,5 +1,5 @@
 //! Leases on partitions of programs and on columns of rate-limit slices, stored as rows in the
-//! platform.
+//! platform. A column consists of the slice with the same number of every tenant.
 //!
 //! A host has one *session* row, which it renews periodically. A lease row names the session that
 //! holds the lease, and an epoch. A lease is free when its session's row no longer exists. If a
@@ -37,7 +37,8 @@
 const MAX_STORAGE_WAIT: Duration = Duration::from_secs(60);
 
 /// The delay between asking the programs of a partition to release unused budget grants and
-/// releasing the partition's lease.
+/// releasing the partition's lease. A grant is the total that programs may spend; the next home of
+/// the programs has to treat all of it as spent.
 const GRANT_RELEASE_DELAY: Duration = Duration::from_millis(100);
 
 /// The margin that is added to a session's lifetime before the session is ended, as a divisor of
@@ -118,7 +119,8 @@
     Busy(Busy),
     /// The host is leaving: it releases its leases as soon as they are not in use.
     Leave,
-    /// The holder of a lease may have failed: the tables are to be read without delay.
+    /// The holder of some lease may have failed: [`Leases`] reads the sessions and leases now
+    /// instead of at the next poll.
     HolderSuspected,
     /// The time returned by [`Leases::wake_at`] was reached.
     Wake,
@@ -171,8 +173,8 @@
         /// The sessions of the hosts.
         hosts: Vec<SessionRow>,
     },
-    /// A partition's lease is about to be released: its programs should release their unused budget
-    /// grants first.
+    /// This host is about to release a partition's lease: the partition's programs should release
+    /// their unused budget grants first.
     ReleaseGrants {
         /// The partition.
         partition: PartitionId,
@@ -267,7 +269,7 @@
     ending_in_doubt: bool,
     /// When the host began to leave.
     leaving_since: Option<Instant>,
-    left: bool,
+    has_left: bool,
 }
 
 impl Leases {
@@ -291,7 +293,7 @@
             promised_until: Instant::default(),
             ending_in_doubt: false,
             leaving_since: None,
-            left: false,
+            has_left: false,
         }
     }
 
@@ -314,7 +316,7 @@
 
     /// Returns when the next [`LeaseEvent::Wake`] is due, or `None` after the host has left.
     pub fn wake_at(&self) -> Option<Instant> {
-        if self.left {
+        if self.has_left {
             return None;
         }
 
@@ -379,12 +381,12 @@
 
     /// Starts a renewal of the session and a read of the tables if they are due.
     fn start_due(&mut self, now: Instant, out: &mut Vec<LeaseAction>) {
-        if self.left {
+        if self.has_left {
             return;
         }
 
         if self.can_exit_without_release(now) {
-            self.left = true;
+            self.has_left = true;
             out.push(LeaseAction::ShutdownReady);
             return;
         }
@@ -409,7 +411,8 @@
     /// While the platform is unavailable, leases cannot be released, and waiting for it could keep
     /// the process from ever exiting. Once no call runs here and the session has expired, other
     /// hosts can take the leases over anyway. Journal entries that are not stored get some extra
-    /// time; after that, their turns survive only in the sealed tails that the callers hold.
+    /// time. After that, their turns survive only in the sealed copies (tails) that the callers
+    /// received with the answers.
     fn can_exit_without_release(&self, now: Instant) -> bool {
         let Some(since) = self.leaving_since else {
             return false;
@@ -515,7 +518,7 @@
                 self.poll_step = PollStep::Idle;
             }
             SessionOutcome::Ended => {
-                self.left = true;
+                self.has_left = true;
                 out.push(LeaseAction::ShutdownReady);
             }
         }
@@ -567,7 +570,7 @@
         let mine = self.session.key();
         let is_mine = |name: &LeaseName| rows.get(name).is_some_and(|(row, _)| row.session == mine);
 
-        // HeldLease according to local state, but not according to the table.
+        // Held according to local state, but not according to the table.
         let mut lost: Vec<_> = self.held.keys().copied().filter(|name| !is_mine(name)).collect();
         lost.sort_unstable();
         for name in lost {
@@ -575,7 +578,7 @@
             out.push(LeaseAction::Lost { name });
         }
 
-        // HeldLease according to the table, but not according to local state. This also covers a
+        // Held according to the table, but not according to local state. This also covers a
         // transaction that took leases and whose answer was lost.
         let mut gained: Vec<_> = rows.keys().copied().filter(|name| is_mine(name)).collect();
         gained.retain(|name| !self.held.contains_key(name));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,8 @@
 //! All scheduling decisions of camphorwalk, as state machines without I/O, clocks or randomness.
 //!
-//! Each controller is a plain struct with a `step(now, event, out)` method: time and random seeds
-//! are passed in, and the actions to perform are returned as enum values. This allows tests and
+//! Each controller is a plain struct. Most have a single method `step(now, event, out)`; the others
+//! have one method for each kind of input. The caller passes in the time and random seeds, and
+//! performs the actions that the controller returns or appends to `out`. This allows tests and
 //! benchmarks to drive the controllers event by event in virtual time. [`shared_types`] holds the
 //! types that the controllers exchange.
 
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,8 +1,8 @@
 //! Tracks the hosts of the fleet and which of them are live, by gossip.
 //!
-//! Membership only decides where messages are sent. Whatever grants a right is protected by a lease
-//! epoch in the platform or by a lent slice, so a wrong view costs time but never breaks a
-//! guarantee.
+//! Membership only decides where messages are sent. The right to run a program is protected by a
+//! lease epoch in the platform, and the right to admit calls by the loan of a rate-limit slice. So
+//! a wrong view of the fleet costs time but never breaks a guarantee.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 /// In a large fleet, one message covers this fraction of all hosts, as a divisor. Each heartbeat
 /// has to reach every host within the suspicion timeout. With a fixed number of hosts per message,
-/// most of a large fleet was considered silent.
+/// most of a large fleet would be considered silent.
 const HOSTS_PER_MESSAGE_DIVISOR: usize = 2;
 
 /// How many messages contain the full information about a host before they contain only its
@@ -45,7 +45,7 @@
     pub session: u64,
     /// The interval between rounds of gossip.
     pub gossip_interval: Duration,
-    /// The number of peers that it sends gossip to in each round.
+    /// The number of peers that the host sends gossip to in each round.
     pub fanout: usize,
     /// The suspicion timeout: a host without a new heartbeat for longer is considered silent.
     pub suspect_after: Duration,
@@ -404,9 +404,9 @@
     /// one that is not picked yet.
     ///
     /// The distance changes with each round and is the same on all hosts, so that hardly any two
-    /// hosts pick the same recipient in one round. When all hosts walked the list from its start,
-    /// they sent gossip to the same three hosts at a time, and the others received nothing for
-    /// seconds.
+    /// hosts pick the same recipient in one round. If all hosts walked the list from its start,
+    /// they would send gossip to the same three hosts at a time, and the others would receive
+    /// nothing for seconds.
     fn pick_recipient(&self, hosts: &[HostId], i: usize, picked: &[HostId]) -> Option<HostId> {
         let round = self.heartbeat * self.options.fanout as u64 + i as u64;
         let distance =
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -43,9 +43,9 @@
 use slotmap::SlotMap;
 
 use self::budget::{Account, AccountKey};
-use self::compaction::{CHECKPOINT_BYTES, Compaction};
+use self::compaction::{Compaction, DEFAULT_CHECKPOINT_THRESHOLD};
 use self::config_index::ConfigIndex;
-use self::journal::{Journal, LeaseTerm};
+use self::journal::{JournalWriter, LeaseTerm};
 use self::requests::IncomingRequest;
 use self::retry::{RetryBudget, Suspects};
 use self::state::{Call, Program, ProgramKey, ProgramState, Recovery};
@@ -71,8 +71,9 @@
         /// The version of the lease row; every journal write checks it.
         lease: RowVersion,
     },
-    /// A partition is about to be released. Budget grants that its program families have not
-    /// spent are journaled as free; the partition is busy until those entries are durable.
+    /// This host is about to release a partition. [`Programs`] journals the unspent part of each
+    /// program family's budget grant as free; the partition is busy until those entries are
+    /// durable.
     ReleaseGrants {
         /// The partition to be released.
         partition: PartitionId,
@@ -85,7 +86,7 @@
     /// A caller sent a request for a program whose home may be this host.
     Request {
         /// Identifies the request in the answer.
-        ticket: RequestOrigin,
+        origin: RequestOrigin,
         /// The tenant that the API key belongs to.
         tenant: TenantId,
         /// The API key that the caller sent.
@@ -95,8 +96,8 @@
     },
     /// A caller disconnected before it was answered.
     CallerGone {
-        /// Identifies its request.
-        ticket: RequestOrigin,
+        /// Identifies the caller's request.
+        origin: RequestOrigin,
     },
     /// The result of [`ProgramAction::Admit`].
     Verdict {
@@ -133,7 +134,7 @@
         /// The platform's reply.
         reply: PlatformReply,
     },
-    /// An API key was withdrawn. Its calls that wait or stream are ended.
+    /// An API key was withdrawn. [`Programs`] refuses the callers that use it.
     KeyWithdrawn(KeyId),
     /// Another host quarantined the request with this digest because it crashes targets.
     Quarantined(Digest),
@@ -147,7 +148,7 @@
     /// Answer a request; each request is answered exactly once.
     Answer {
         /// Identifies the request.
-        ticket: RequestOrigin,
+        origin: RequestOrigin,
         /// The answer to send.
         reply: Reply,
     },
@@ -158,7 +159,7 @@
         /// The tenant whose rate applies.
         tenant: TenantId,
     },
-    /// Request a place at a target from the pool's queue.
+    /// Request a place, the right to have one call in flight at a target, from the pool's queue.
     Place {
         /// The call that needs a place.
         call: CallId,
@@ -171,11 +172,11 @@
         /// The call that held or requested the place.
         call: CallId,
         /// How the place was used.
-        end: PlaceRelease,
+        release: PlaceRelease,
     },
     /// Send an attempt to a target.
     Dispatch(Dispatch),
-    /// Cancel an attempt. Its end is still reported as `Ended`.
+    /// Cancel an attempt. Its end is still reported as [`ProgramEvent::Ended`].
     Cancel {
         /// The attempt to cancel.
         attempt: AttemptId,
@@ -234,18 +235,19 @@
     recovering: BTreeMap<PartitionId, Recovery>,
     /// Reads in progress, each with its partition and lease term.
     reads: Map<ProgramOp, (PartitionId, u64)>,
-    /// Checkpoint objects that are being written.
+    /// Writes of checkpoint objects in progress, each with its partition.
     object_writes: Map<ProgramOp, PartitionId>,
     /// Partitions that are about to be released: their unspent grants are journaled as free
     /// whenever the partition is idle.
     releasing_grants: BTreeSet<PartitionId>,
     /// Journal growth and checkpoint state of each partition.
     compactions: BTreeMap<PartitionId, Compaction>,
-    /// Journal bytes after which a checkpoint is made.
-    checkpoint_bytes: usize,
+    /// Journal bytes after which a partition gets a new checkpoint.
+    checkpoint_threshold: usize,
     /// The commit in progress.
     commit_op: Option<ProgramOp>,
-    /// All programs, including orphans.
+    /// All programs, including orphans: programs whose partition this host lost while one of
+    /// their calls was running.
     programs: SlotMap<ProgramKey, Program>,
     /// Programs by id, excluding orphans.
     index: BTreeMap<ProgramId, ProgramKey>,
@@ -256,9 +258,9 @@
     /// The call of each attempt that was sent and has not ended.
     attempts: Map<AttemptId, CallId>,
     /// The call that each caller is waiting for.
-    tickets: Map<RequestOrigin, CallId>,
+    calls_by_origin: Map<RequestOrigin, CallId>,
     /// Journal entries that are not durable yet.
-    journal: Journal,
+    journal: JournalWriter,
     /// Pending timers.
     timers: Timers,
     /// Limits retries to a fraction of first attempts.
@@ -298,7 +300,7 @@
     /// ```
     pub fn new(options: ProgramOptions) -> Self {
         Self {
-            journal: Journal::new(options.session, options.commit_interval),
+            journal: JournalWriter::new(options.session, options.commit_interval),
             options,
             cfg: None,
             terms: BTreeMap::new(),
@@ -307,14 +309,14 @@
             object_writes: Map::default(),
             releasing_grants: BTreeSet::new(),
             compactions: BTreeMap::new(),
-            checkpoint_bytes: CHECKPOINT_BYTES,
+            checkpoint_threshold: DEFAULT_CHECKPOINT_THRESHOLD,
             commit_op: None,
             programs: SlotMap::with_key(),
             index: BTreeMap::new(),
             accounts: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             attempts: Map::default(),
-            tickets: Map::default(),
+            calls_by_origin: Map::default(),
             timers: Timers::default(),
             retries: RetryBudget::new(),
             suspects: Suspects::default(),
@@ -340,9 +342,9 @@
     /// use camphorwalk_core::time::Instant;
     /// use camphorwalk_policy::programs::{ProgramEvent, ProgramAction};
     ///
-    /// let ticket = RequestOrigin { entry: HostId::from_name("a1"), request: RequestId(1) };
+    /// let origin = RequestOrigin { entry: HostId::from_name("a1"), request: RequestId(1) };
     /// let event = ProgramEvent::Request {
-    ///     ticket,
+    ///     origin,
     ///     tenant: TenantId::from_name("inkwick"),
     ///     key: KeyId::from_name("front-desk"),
     ///     request: Request::View { program: ProgramId(7) },
@@ -371,10 +373,10 @@
             }
             ProgramEvent::ReleaseGrants { partition } => self.start_grant_release(partition),
             ProgramEvent::Lost { partition } => self.partition_lost(cx, partition),
-            ProgramEvent::Request { ticket, tenant, key, request } => {
-                self.request(cx, IncomingRequest { ticket, tenant, key, request });
+            ProgramEvent::Request { origin, tenant, key, request } => {
+                self.request(cx, IncomingRequest { origin, tenant, key, request });
             }
-            ProgramEvent::CallerGone { ticket } => self.caller_gone(cx, ticket),
+            ProgramEvent::CallerGone { origin } => self.caller_gone(cx, origin),
             ProgramEvent::Verdict { call, verdict } => self.on_admission(cx, call, verdict),
             ProgramEvent::Placed { call, target } => self.on_placed(cx, call, target),
             ProgramEvent::Unplaced { call, retry_after } => {
@@ -433,7 +435,7 @@
     }
 
     /// Returns whether a program is open, or `None` if this host is not its home or has not
-    /// finished reading its journal.
+    /// finished reading the journal of its partition.
     pub fn is_open(&self, program: ProgramId) -> Option<bool> {
         let partition = self.cfg.as_ref()?.partition(program);
         self.terms.get(&partition)?;
@@ -463,14 +465,14 @@
     }
 
     /// Emits the answer to a request.
-    fn answer(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin, reply: Reply) {
-        self.tickets.remove(&ticket);
-        cx.out.push(ProgramAction::Answer { ticket, reply });
+    fn answer(&mut self, cx: &mut StepContext<'_>, origin: RequestOrigin, reply: Reply) {
+        self.calls_by_origin.remove(&origin);
+        cx.out.push(ProgramAction::Answer { origin, reply });
     }
 
     /// Answers a request with a refusal.
-    fn refuse(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin, refusal: Refusal) {
-        self.answer(cx, ticket, Reply::Refused(refusal));
+    fn refuse(&mut self, cx: &mut StepContext<'_>, origin: RequestOrigin, refusal: Refusal) {
+        self.answer(cx, origin, Reply::Refused(refusal));
     }
 
     /// Starts a platform operation and returns its number.
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -16,8 +16,8 @@
 use super::{ProgramAction, Programs, StepContext, refusals};
 use crate::shared_types::{AttemptOutcome, CallId, PlaceOutcome};
 
-/// How long an answer is delayed until its outcome is durable; after that it is marked as not
-/// stored.
+/// The maximum time that an answer waits for the call's outcome to become durable. After that the
+/// answer is sent, marked as not stored.
 const MAX_STORE_WAIT: Duration = Duration::from_millis(500);
 
 /// How long a caller should wait after a target refused its call.
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Records that a target crashed under a call. Returns whether the request is now
+    /// Records that a target crashed while it ran a call. Returns whether the request is now
     /// quarantined.
     fn record_crash(&mut self, cx: &mut StepContext<'_>, id: CallId) -> bool {
         let digest = self.calls[id].digest;
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Starts another attempt if the deadline, the retry budget and the program's state allow
-    /// it.
+    /// Starts another attempt if a caller still waits and if the deadline, the retry budget and the
+    /// program's state allow it.
     fn retry(&mut self, cx: &mut StepContext<'_>, id: CallId) -> bool {
         let call = &self.calls[id];
         let program = &self.programs[call.program];
@@ -197,7 +197,7 @@
             refusal.ran = Ran::Maybe;
         }
 
-        self.answer_callers(cx, id, &refusal);
+        self.refuse_callers(cx, id, &refusal);
         self.remove_call(id);
         self.remove_orphan(program);
     }
@@ -309,7 +309,7 @@
             let reply = self.call_result_reply(program, number);
 
             for caller in callers {
-                self.answer(cx, caller.ticket, reply.clone());
+                self.answer(cx, caller.origin, reply.clone());
             }
         }
 
--- a/crates/policy/src/programs/budget.rs
+++ b/crates/policy/src/programs/budget.rs
@@ -72,7 +72,7 @@
         Reservation::Reserved
     }
 
-    /// Returns the reserved tokens of an attempt that was never sent.
+    /// Cancels the reservation of an attempt that did not run.
     pub fn release(&mut self, reserved: Tokens) {
         self.reserved = self.reserved.minus(reserved);
     }
@@ -91,7 +91,8 @@
         wanted.min(self.budget).max(self.granted)
     }
 
-    /// Raises the grant once it is durable.
+    /// Raises the grant to the total `granted`. The caller must already have stored the journal
+    /// entry that contains this grant.
     pub fn raise_grant(&mut self, granted: Tokens) {
         self.granted = self.granted.max(granted);
     }
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -1,7 +1,7 @@
 //! Acceptance of calls: repeats, order and limits.
 //!
-//! Repeats are looked up before any check can refuse the call, so an idempotency key that ran
-//! is never reported as "not run".
+//! Repeats are looked up before any check can refuse the call, so a call that
+//! already ran is never reported as "not run".
 
 use std::sync::Arc;
 
@@ -33,15 +33,15 @@
     pub(super) fn call(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: RequestOrigin,
+        origin: RequestOrigin,
         tenant: TenantId,
         key: KeyId,
         mut req: CallRequest,
     ) {
         let Some(program) = self.tenant_program(tenant, req.program) else {
-            return self.refuse(cx, ticket, refusals::not_found());
+            return self.refuse(cx, origin, refusals::not_found());
         };
-        let caller = Caller { ticket, key, stream: req.stream };
+        let caller = Caller { origin, key, stream: req.stream };
 
         let tail = req.tail.take();
         let adopted = tail.map_or(Ok(()), |tail| self.adopt_tail(cx, program, &tail));
@@ -49,16 +49,16 @@
         match self.classify(program, &req) {
             Ok(KeyLookup::Repeat(number)) => {
                 let reply = self.call_result_reply(program, number);
-                self.answer(cx, ticket, reply);
+                self.answer(cx, origin, reply);
             }
             Ok(KeyLookup::Join) => self.join(program, caller),
             Ok(KeyLookup::New) => {
                 match adopted.and_then(|()| self.check_new_call(cx, program, &req)) {
                     Ok(call) => self.start(cx, caller, call),
-                    Err(refusal) => self.refuse(cx, ticket, refusal),
+                    Err(refusal) => self.refuse(cx, origin, refusal),
                 }
             }
-            Err(refusal) => self.refuse(cx, ticket, refusal),
+            Err(refusal) => self.refuse(cx, origin, refusal),
         }
     }
 
@@ -86,7 +86,7 @@
         let Some(id) = self.programs[program].running else { return };
 
         self.calls[id].callers.push(caller);
-        self.tickets.insert(caller.ticket, id);
+        self.calls_by_origin.insert(caller.origin, id);
     }
 
     /// Checks whether a new call may start, and creates it.
@@ -208,12 +208,12 @@
         program.running = Some(id);
         let tenant = program.tenant;
 
-        self.tickets.insert(caller.ticket, id);
+        self.calls_by_origin.insert(caller.origin, id);
         self.retries.earn();
         cx.out.push(ProgramAction::Admit { call: id, tenant });
     }
 
-    /// Adopts the calls in a tail that a caller returned.
+    /// Adopts the calls in a tail that a caller sent back; see the `tail` module.
     fn adopt_tail(
         &mut self,
         cx: &StepContext<'_>,
@@ -224,8 +224,9 @@
         let tail = tail::unseal(&self.options.seal_key, program, text)
             .map_err(|_| refusals::bad_request("the tail is not one of this program"))?;
 
-        // While a call is running here, it continues this host's own history, so the tail is
-        // older or has diverged.
+        // A program that is not open accepts no calls. A running call continues this host's own
+        // history, so the tail is older or has diverged. While an intent is in doubt, no later
+        // entry of the program may be journaled.
         if program.state != ProgramState::Open || program.running.is_some() || program.in_doubt {
             return Ok(());
         }
--- a/crates/policy/src/programs/checkpoint.rs
+++ b/crates/policy/src/programs/checkpoint.rs
@@ -50,7 +50,8 @@
     pub openings: u32,
     /// Finished calls, in order.
     pub calls: Vec<ImageCall>,
-    /// An intent after the last finished call whose outcome is not journaled, with its name.
+    /// The name and the request of an intent that follows the last finished call, if the journal
+    /// does not hold the intent's outcome.
     pub intent: Option<(Box<str>, CallText)>,
     /// Whether the program has ended.
     pub ended: bool,
@@ -65,7 +66,7 @@
     pub outcome: RecordedOutcome,
 }
 
-/// A transaction that shortens a journal.
+/// A transaction that replaces a checkpoint row, or deletes journal rows that a checkpoint covers.
 #[derive(Clone, Debug)]
 pub(super) enum Maintenance {
     /// Replaces the checkpoint row.
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -11,11 +11,11 @@
 use crate::shared_types::CallId;
 
 impl Programs {
-    /// Queues an entry for a program's journal.
+    /// Queues an entry for the journal of a program's partition.
     pub(super) fn append(&mut self, key: ProgramKey, entry: Entry, waiter: Waiter) {
         let program = &self.programs[key];
 
-        // The journal of an orphan's partition belongs to another host.
+        // An orphan's partition was lost, so its journal belongs to another host.
         let Some(term) = self.terms.get(&program.partition).filter(|_| !program.orphan) else {
             return;
         };
@@ -158,7 +158,8 @@
         self.answer_recorded(cx, call);
     }
 
-    /// Handles an entry that the platform rejected. Facts are written again later.
+    /// Handles an entry that the platform rejected. The journal writer keeps entries that record
+    /// facts and writes them again.
     fn entry_rejected(&mut self, cx: &mut StepContext<'_>, pending: Pending) {
         match pending.waiter {
             Waiter::Open(key) => self.opening_rejected(cx, key),
--- a/crates/policy/src/programs/compaction.rs
+++ b/crates/policy/src/programs/compaction.rs
@@ -13,9 +13,10 @@
 use super::state::{Program, ProgramKey, ProgramState, Stage, WorkKind};
 use super::{ProgramOp, Programs, StepContext};
 
-/// Journal bytes after which a checkpoint is made. If the last checkpoint was larger, its size
-/// is the threshold instead, so that checkpoints at most double the bytes written.
-pub(super) const CHECKPOINT_BYTES: usize = 1024 * 1024;
+/// The default number of journal bytes after which a partition gets a new checkpoint. If the last
+/// checkpoint was larger, its size is the threshold instead, so that checkpoints at most double the
+/// bytes written.
+pub(super) const DEFAULT_CHECKPOINT_THRESHOLD: usize = 1024 * 1024;
 
 /// The maximum bytes of images in one object, unless a single program's image is larger.
 const PART_BYTES: usize = 256 * 1024;
@@ -54,7 +55,10 @@
 }
 
 impl Programs {
-    /// Sets after how many journal bytes a checkpoint is made; the default is 1 MiB.
+    /// Sets after how many journal bytes a partition gets a new checkpoint; the default is 1 MiB.
+    ///
+    /// A threshold that is smaller than the usual size of a checkpoint's objects also limits that
+    /// size.
     ///
     /// ```
     /// # use camphorwalk_core::ids::HostId;
@@ -66,10 +70,10 @@
     /// #     commit_interval: std::time::Duration::from_millis(10),
     /// # };
     /// let mut programs = Programs::new(options);
-    /// programs.set_checkpoint_bytes(64 * 1024);
+    /// programs.set_checkpoint_threshold(64 * 1024);
     /// ```
-    pub fn set_checkpoint_bytes(&mut self, bytes: usize) {
-        self.checkpoint_bytes = bytes;
+    pub fn set_checkpoint_threshold(&mut self, bytes: usize) {
+        self.checkpoint_threshold = bytes;
     }
 
     /// Counts rows appended to a journal and starts a checkpoint if they exceed the threshold.
@@ -83,7 +87,7 @@
         let compaction = self.compactions.entry(partition).or_default();
         compaction.bytes_since_checkpoint += bytes;
         let due = compaction.bytes_since_checkpoint
-            > compaction.last_checkpoint_bytes.max(self.checkpoint_bytes);
+            > compaction.last_checkpoint_bytes.max(self.checkpoint_threshold);
 
         if !due || compaction.build.is_some() || cx.now < compaction.not_before {
             return;
@@ -136,7 +140,7 @@
         let upto = self.terms.get(&partition)?.next_row - 1;
         let mut content = Vec::new();
 
-        while content.len() < PART_BYTES.min(self.checkpoint_bytes) {
+        while content.len() < PART_BYTES.min(self.checkpoint_threshold) {
             let build = self.compactions.get_mut(&partition)?.build.as_mut()?;
             let Some(id) = build.programs.pop_front() else { break };
 
@@ -177,7 +181,7 @@
                 parent: program.parent,
                 root: program.root,
                 depth: program.depth,
-                body: program.body,
+                body: program.parameters_digest,
                 repeatable: program.repeatable,
                 budget: account.budget,
                 granted: account.granted,
--- a/crates/policy/src/programs/entries.rs
+++ b/crates/policy/src/programs/entries.rs
@@ -52,10 +52,11 @@
     pub entries: Vec<Entry>,
 }
 
-/// The only field read from a row to find out which transaction wrote it.
+/// The part of a journal or checkpoint row that tells which transaction wrote the row; the other
+/// fields are ignored.
 #[derive(Debug, Deserialize)]
-pub(super) struct TransactionId {
-    /// The unique id of the transaction.
+pub(super) struct RowTransactionId {
+    /// The unique id of the transaction that wrote the row.
     pub witness: Box<str>,
 }
 
--- a/crates/policy/src/programs/grant_release.rs
+++ b/crates/policy/src/programs/grant_release.rs
@@ -20,9 +20,9 @@
         }
     }
 
-    /// Journals unspent grants as free in partitions that are about to be released and are
-    /// idle. A later call must be granted tokens again; its unspent grant is released once the
-    /// partition is idle again.
+    /// Journals the unspent part of each family's grant as free, in partitions that are about to be
+    /// released and are idle. A later call must be granted tokens again; the unspent part of that
+    /// grant is released once the partition is idle again.
     pub(super) fn release_idle_grants(&mut self) {
         if self.releasing_grants.is_empty() {
             return;
@@ -42,10 +42,10 @@
         }
     }
 
-    /// Returns the root programs with unspent grants in idle partitions that are about to be
-    /// released.
+    /// Returns the open root programs whose families have unspent grants, in partitions that are
+    /// about to be released and are not `busy`.
     fn roots_with_unspent_grants(&self, busy: &Set<PartitionId>) -> Vec<ProgramKey> {
-        let settles = |key: &ProgramKey| {
+        let has_unspent_grant = |key: &ProgramKey| {
             let program = &self.programs[*key];
             let account = &self.accounts[program.account];
 
@@ -56,6 +56,6 @@
                 && account.granted > account.spent
         };
 
-        self.index.values().copied().filter(settles).collect()
+        self.index.values().copied().filter(has_unspent_grant).collect()
     }
 }
--- a/crates/policy/src/programs/in_flight.rs
+++ b/crates/policy/src/programs/in_flight.rs
@@ -4,7 +4,7 @@
 use camphorwalk_core::platform::{Row, RowKey, RowVersion, Transaction};
 
 use super::checkpoint::Maintenance;
-use super::entries::TransactionId;
+use super::entries::RowTransactionId;
 use super::journal::{LeaseTerm, Pending};
 
 /// A row that a transaction in flight writes.
@@ -52,7 +52,7 @@
     transaction_id: &str,
 ) -> Option<RowVersion> {
     let row = found.iter().find(|row| row.key == *key)?;
-    let written = serde_json::from_str::<TransactionId>(&row.value).ok()?;
+    let written = serde_json::from_str::<RowTransactionId>(&row.value).ok()?;
 
     (*written.witness == *transaction_id).then_some(row.version)
 }
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -68,7 +68,7 @@
 pub(super) struct Pending {
     /// The partition whose journal it belongs to.
     pub partition: PartitionId,
-    /// The id of the lease term in which it was made. It is void in any other.
+    /// The id of the lease term in which the entry was made. The entry is void in any other term.
     pub term: u64,
     /// The entry to write.
     pub entry: Entry,
@@ -106,9 +106,10 @@
     pub maintenance: Option<(Maintenance, RowVersion)>,
 }
 
-/// The queued entries and the one transaction in flight.
+/// Collects the journal entries of all partitions, and writes them with one transaction in flight
+/// at a time.
 #[derive(Debug)]
-pub(super) struct Journal {
+pub(super) struct JournalWriter {
     /// Identifies this run of the process in transaction ids.
     session: u64,
     /// The number of transactions created so far.
@@ -132,7 +133,7 @@
     single_partition_rounds: usize,
 }
 
-impl Journal {
+impl JournalWriter {
     /// Creates a journal with nothing to write.
     pub fn new(session: u64, commit_interval: Duration) -> Self {
         Self {
@@ -198,7 +199,7 @@
     }
 
     /// Drops queued entries and maintenance of a partition; the transaction in flight stays.
-    pub fn drop_partition(&mut self, partition: PartitionId) {
+    pub fn drop_queued(&mut self, partition: PartitionId) {
         self.queued.retain(|pending| pending.partition != partition);
         self.maintenance.retain(|maintenance| maintenance.partition() != partition);
     }
@@ -442,7 +443,10 @@
             }
         }
 
-        // The transaction cannot take effect later either, because a row version never recurs.
+        // The entries may be written again, because an earlier sending of this transaction can no
+        // longer add them to the journal. A row that changed never gets its old version back. A
+        // journal row that should have been absent is deleted only after a checkpoint covers it,
+        // and recovery skips the rows that a checkpoint covers.
         self.requeue(in_flight);
         resolved
     }
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -9,14 +9,14 @@
 
 impl Programs {
     /// Handles a caller that disconnected.
-    pub(super) fn caller_gone(&mut self, cx: &mut StepContext<'_>, ticket: RequestOrigin) {
+    pub(super) fn caller_gone(&mut self, cx: &mut StepContext<'_>, origin: RequestOrigin) {
         for recovering in self.recovering.values_mut() {
-            recovering.parked.retain(|parked| parked.ticket != ticket);
+            recovering.parked.retain(|parked| parked.origin != origin);
         }
 
-        let Some(id) = self.tickets.remove(&ticket) else { return };
+        let Some(id) = self.calls_by_origin.remove(&origin) else { return };
         let Some(call) = self.calls.get_mut(id) else { return };
-        call.callers.retain(|caller| caller.ticket != ticket);
+        call.callers.retain(|caller| caller.origin != origin);
 
         self.caller_left(cx, id);
     }
@@ -33,7 +33,7 @@
             .collect();
 
         for id in calls {
-            self.withdraw(cx, id, key);
+            self.refuse_callers_of_key(cx, id, key);
         }
     }
 
@@ -47,12 +47,12 @@
 
         for parked in withdrawn {
             let ran = refusals::ran_if_not_looked_up(&parked.request);
-            self.refuse(cx, parked.ticket, refusals::unauthorized(ran));
+            self.refuse(cx, parked.origin, refusals::unauthorized(ran));
         }
     }
 
     /// Refuses the callers of a call that use this API key; the call continues for the others.
-    fn withdraw(&mut self, cx: &mut StepContext<'_>, id: CallId, key: KeyId) {
+    fn refuse_callers_of_key(&mut self, cx: &mut StepContext<'_>, id: CallId, key: KeyId) {
         let call = &mut self.calls[id];
         let gone: Vec<_> = call.callers.extract_if(.., |caller| caller.key == key).collect();
         let unsent = call.callers.is_empty()
@@ -61,7 +61,7 @@
         let ran = if unsent { Ran::No } else { Ran::Maybe };
 
         for caller in gone {
-            self.refuse(cx, caller.ticket, refusals::unauthorized(ran));
+            self.refuse(cx, caller.origin, refusals::unauthorized(ran));
         }
 
         self.caller_left(cx, id);
@@ -78,7 +78,8 @@
         }
 
         match call.stage {
-            // Work that must not be repeated runs to its end, so that its outcome is recorded.
+            // Only model turns are cancelled. Service operations run to their end, so that the
+            // outcome of one that must not be repeated is recorded.
             Stage::Running if matches!(call.kind, WorkKind::Turn { .. }) => {
                 self.cancel_unwanted(cx, id);
             }
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -22,21 +22,21 @@
     pub(super) fn end(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: RequestOrigin,
+        origin: RequestOrigin,
         tenant: TenantId,
         program: ProgramId,
     ) {
         let Some(key) = self.tenant_program(tenant, program) else {
-            return self.refuse(cx, ticket, refusals::not_found());
+            return self.refuse(cx, origin, refusals::not_found());
         };
 
         match self.programs[key].state {
-            ProgramState::Opening => self.refuse(cx, ticket, refusals::home_moving()),
+            ProgramState::Opening => self.refuse(cx, origin, refusals::home_moving()),
             ProgramState::Ended if self.programs[key].end_stored => {
-                self.answer(cx, ticket, Reply::Ended);
+                self.answer(cx, origin, Reply::Ended);
             }
             ProgramState::Open | ProgramState::Ended => {
-                self.programs[key].ending_tickets.push(ticket);
+                self.programs[key].ending_origins.push(origin);
                 self.end_family(cx, key, &refusals::not_found());
 
                 if self.journal.is_unavailable(cx.now) {
@@ -81,13 +81,14 @@
             return self.abandon_call(cx, id, reason.clone());
         }
 
-        // The call was sent. If it must not be repeated, it runs to its end and is recorded.
+        // The call was sent. A model turn is cancelled; a service operation runs to its end, and is
+        // recorded if it must not be repeated.
         let reason = reason.clone().ran(Ran::Maybe);
-        self.answer_callers(cx, id, &reason);
+        self.refuse_callers(cx, id, &reason);
         self.cancel_unwanted(cx, id);
     }
 
-    /// Cancels a call that has no callers left, if its kind allows that.
+    /// Cancels a call that has no callers left, if it is a model turn.
     pub(super) fn cancel_unwanted(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let call = &self.calls[id];
 
@@ -101,23 +102,24 @@
         let Some(program) = self.programs.get_mut(key) else { return };
         program.end_stored = true;
 
-        for ticket in std::mem::take(&mut program.ending_tickets) {
-            self.answer(cx, ticket, Reply::Ended);
+        for origin in std::mem::take(&mut program.ending_origins) {
+            self.answer(cx, origin, Reply::Ended);
         }
     }
 
-    /// Refuses the callers that wait for an end that is not durable; it is written later.
+    /// Refuses the callers that wait for an end that is not durable; the journal writer stores the
+    /// end later.
     pub(super) fn end_not_stored(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.ending_tickets);
+        let origins = std::mem::take(&mut program.ending_origins);
         let after = self.journal.retry_after();
 
-        for ticket in tickets {
+        for origin in origins {
             let refusal = Refusal::not_run(
                 Code::PlatformUnavailable,
                 "the program is over here, but the platform has no record of it yet",
             );
-            self.refuse(cx, ticket, refusal.ran(Ran::Maybe).retry_after(after));
+            self.refuse(cx, origin, refusal.ran(Ran::Maybe).retry_after(after));
         }
     }
 
@@ -138,7 +140,8 @@
             return;
         }
 
-        // A call that must not be repeated is still running and must be recorded.
+        // The program's call is still running. If it must not be repeated, its outcome has to be
+        // recorded.
         if program.running.is_some() {
             return self.timers.set(cx.now + ENDED_RETENTION, Timer::Program(key));
         }
@@ -168,7 +171,8 @@
         }
     }
 
-    /// Removes an orphan after its last call was answered.
+    /// Removes a program after its last call was answered, if it is an orphan: its partition was
+    /// lost while that call was running.
     pub(super) fn remove_orphan(&mut self, key: ProgramKey) {
         if self.programs.get(key).is_some_and(|program| program.orphan) {
             self.remove_program(key);
@@ -181,14 +185,14 @@
             self.reads.retain(|_, (of, _)| *of != partition);
 
             for parked in recovering.parked {
-                self.refuse(cx, parked.ticket, refusals::not_served(&parked.request));
+                self.refuse(cx, parked.origin, refusals::not_served(&parked.request));
             }
         }
 
         self.terms.remove(&partition);
         self.compactions.remove(&partition);
         self.releasing_grants.remove(&partition);
-        self.journal.drop_partition(partition);
+        self.journal.drop_queued(partition);
         self.drop_programs(cx, partition);
     }
 
@@ -224,14 +228,14 @@
         let program = &mut self.programs[key];
         let id = program.id;
         let waiting: Vec<_> =
-            program.opening_tickets.drain(..).chain(program.ending_tickets.drain(..)).collect();
+            program.opening_origins.drain(..).chain(program.ending_origins.drain(..)).collect();
         let running = program.running;
         program.orphan = true;
         self.index.remove(&id);
 
         // The opening or end may have become durable.
-        for ticket in waiting {
-            self.refuse(cx, ticket, refusals::home_moving().ran(Ran::Maybe));
+        for origin in waiting {
+            self.refuse(cx, origin, refusals::home_moving().ran(Ran::Maybe));
         }
 
         match running {
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -1,9 +1,10 @@
 //! Opening of programs.
 //!
-//! A sub-agent is always in its parent's partition: the entry host chooses its id accordingly,
-//! and a child elsewhere is refused. So a whole family has one home host, one journal and one
-//! budget account. A separate reservation for each child was rejected: its size is not known in
-//! advance, and an idle child would hold back tokens that others need.
+//! A sub-agent is always in its parent's partition. The entry host, to which the caller is
+//! connected, chooses the sub-agent's id accordingly, and the home host refuses a child in another
+//! partition. So a whole family has one home host, one journal and one budget account. The children
+//! have no reservations of their own: the size of a reservation would not be known in advance, and
+//! an idle child would hold back tokens that others need.
 
 use camphorwalk_core::calls::{Code, OpenRequest, Opened, Ran, Refusal, Reply};
 use camphorwalk_core::hash::{Digest, digest};
@@ -35,17 +36,17 @@
     pub(super) fn open(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: RequestOrigin,
+        origin: RequestOrigin,
         tenant: TenantId,
         open: OpenRequest,
     ) {
         if let Some(known) = self.index.get(&open.program) {
-            return self.reopen(cx, ticket, tenant, &open, *known);
+            return self.reopen(cx, origin, tenant, &open, *known);
         }
 
         match self.prepare(cx, tenant, &open) {
-            Ok(entry) => self.start_opening(cx, ticket, entry),
-            Err(refusal) => self.refuse(cx, ticket, refusal),
+            Ok(entry) => self.start_opening(cx, origin, entry),
+            Err(refusal) => self.refuse(cx, origin, refusal),
         }
     }
 
@@ -53,24 +54,26 @@
     fn reopen(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: RequestOrigin,
+        origin: RequestOrigin,
         tenant: TenantId,
         open: &OpenRequest,
         known: ProgramKey,
     ) {
         let program = &mut self.programs[known];
-        let repeat = program.repeatable && open.repeatable && program.body == body_digest(open);
+        let repeat = program.repeatable
+            && open.repeatable
+            && program.parameters_digest == parameters_digest(open);
 
         if program.tenant != tenant || !repeat {
-            return self.refuse(cx, ticket, refusals::key_reused());
+            return self.refuse(cx, origin, refusals::key_reused());
         }
 
         if program.state != ProgramState::Opening {
             let reply = self.opened_reply(cx, known);
-            return self.answer(cx, ticket, reply);
+            return self.answer(cx, origin, reply);
         }
 
-        program.opening_tickets.push(ticket);
+        program.opening_origins.push(origin);
 
         if self.journal.in_doubt() {
             self.opening_in_doubt(cx, known);
@@ -121,7 +124,7 @@
             parent: open.parent,
             root: lineage.root,
             depth: lineage.depth,
-            body: body_digest(open),
+            body: parameters_digest(open),
             repeatable: open.repeatable,
             budget: account.budget,
             granted: account.grant_for(need),
@@ -177,13 +180,13 @@
     fn start_opening(
         &mut self,
         cx: &mut StepContext<'_>,
-        ticket: RequestOrigin,
+        origin: RequestOrigin,
         entry: OpenedEntry,
     ) {
         let key = self.insert_program(cx, &entry);
         let program = &mut self.programs[key];
         program.state = ProgramState::Opening;
-        program.opening_tickets.push(ticket);
+        program.opening_origins.push(origin);
 
         self.append(key, Entry::Opened(entry), Waiter::Open(key));
     }
@@ -217,7 +220,7 @@
             root: entry.root,
             depth: entry.depth,
             account,
-            body: entry.body,
+            parameters_digest: entry.body,
             repeatable: entry.repeatable,
             deadline,
             state: ProgramState::Open,
@@ -234,8 +237,8 @@
             in_doubt: false,
             open_intent: None,
             orphan: false,
-            opening_tickets: Vec::new(),
-            ending_tickets: Vec::new(),
+            opening_origins: Vec::new(),
+            ending_origins: Vec::new(),
             end_stored: false,
             forget_at: None,
         });
@@ -277,7 +280,7 @@
         }
 
         let (account, deadline) = (program.account, program.deadline);
-        let tickets = std::mem::take(&mut program.opening_tickets);
+        let origins = std::mem::take(&mut program.opening_origins);
 
         // The timer may have fired while the opening was in doubt, so it is set again.
         self.timers.set(deadline, Timer::Program(key));
@@ -286,20 +289,20 @@
             account.raise_grant(granted);
         }
 
-        for ticket in tickets {
+        for origin in origins {
             let reply = self.opened_reply(cx, key);
-            self.answer(cx, ticket, reply);
+            self.answer(cx, origin, reply);
         }
     }
 
     /// Handles an opening that the platform rejected and certainly did not store.
     pub(super) fn opening_rejected(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.opening_tickets);
+        let origins = std::mem::take(&mut program.opening_origins);
         let refusal = refusals::platform_unavailable(self.journal.retry_after());
 
-        for ticket in tickets {
-            self.refuse(cx, ticket, refusal.clone());
+        for origin in origins {
+            self.refuse(cx, origin, refusal.clone());
         }
 
         self.remove_program(key);
@@ -308,21 +311,21 @@
     /// Handles an opening whose outcome is unknown; the waiting callers are refused.
     pub(super) fn opening_in_doubt(&mut self, cx: &mut StepContext<'_>, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else { return };
-        let tickets = std::mem::take(&mut program.opening_tickets);
+        let origins = std::mem::take(&mut program.opening_origins);
         let after = self.journal.retry_after();
 
         // The refusal must not say "not run": the program may exist, and a repeat finds it.
         let mut refusal = refusals::platform_unavailable(after).ran(Ran::Maybe);
         refusal.code = Code::OutcomeUnknown;
 
-        for ticket in tickets {
-            self.refuse(cx, ticket, refusal.clone());
+        for origin in origins {
+            self.refuse(cx, origin, refusal.clone());
         }
     }
 }
 
 /// Returns the digest of an opening's parameters, to recognize a repeat.
-fn body_digest(open: &OpenRequest) -> Digest {
+fn parameters_digest(open: &OpenRequest) -> Digest {
     let parent = open.parent.map_or(0, |id| id.0);
     let deadline = open.deadline.as_millis();
 
--- a/crates/policy/src/programs/recovery.rs
+++ b/crates/policy/src/programs/recovery.rs
@@ -229,7 +229,7 @@
 
     /// Handles a page of journal rows.
     fn on_rows(&mut self, cx: &mut StepContext<'_>, partition: PartitionId, rows: Vec<Row>) {
-        let whole = rows.len() < PAGE_ROWS as usize;
+        let is_last_page = rows.len() < PAGE_ROWS as usize;
 
         for row in rows {
             if self.on_row(cx, partition, row).is_none() {
@@ -237,7 +237,7 @@
             }
         }
 
-        if whole { self.finish_recovery(cx, partition) } else { self.read(cx, partition) }
+        if is_last_page { self.finish_recovery(cx, partition) } else { self.read(cx, partition) }
     }
 
     /// Replays one journal row; returns `None` if it cannot be parsed.
@@ -319,7 +319,7 @@
         let Some(key) = self.index.get(&entry.program) else { return };
         let program = &mut self.programs[*key];
 
-        // An outcome that arrives after its intent was closed changes nothing.
+        // An outcome whose intent was already closed by another entry changes nothing.
         let Some((_, call)) = program.open_intent.take_if(|(name, _)| *name == entry.attempt)
         else {
             return;
@@ -395,20 +395,20 @@
         &mut self,
         cx: &mut StepContext<'_>,
         partition: PartitionId,
-        asked: IncomingRequest,
+        incoming: IncomingRequest,
     ) {
         let Some(recovering) = self.recovering.get_mut(&partition) else { return };
 
         if recovering.parked.len() >= MAX_PARKED {
-            return self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
+            return self.refuse(cx, incoming.origin, refusals::not_served(&incoming.request));
         }
 
         let until = cx.now + MAX_PARK_TIME;
         recovering.parked.push(ParkedRequest {
-            ticket: asked.ticket,
-            tenant: asked.tenant,
-            key: asked.key,
-            request: asked.request,
+            origin: incoming.origin,
+            tenant: incoming.tenant,
+            key: incoming.key,
+            request: incoming.request,
             until,
         });
         self.timers.set(until, Timer::Partition(partition));
@@ -422,7 +422,7 @@
         let retry = recovering.retry_at.is_some_and(|at| at <= cx.now);
 
         for parked in late {
-            self.refuse(cx, parked.ticket, refusals::not_served(&parked.request));
+            self.refuse(cx, parked.origin, refusals::not_served(&parked.request));
         }
 
         if retry {
--- a/crates/policy/src/programs/requests.rs
+++ b/crates/policy/src/programs/requests.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(super) struct IncomingRequest {
     /// Identifies the request in the answer.
-    pub ticket: RequestOrigin,
+    pub origin: RequestOrigin,
     /// The tenant that sent it.
     pub tenant: TenantId,
     /// The API key it was sent with.
@@ -27,43 +27,43 @@
 
 impl Programs {
     /// Serves a request, parks it while its partition is being read, or refuses it.
-    pub(super) fn request(&mut self, cx: &mut StepContext<'_>, asked: IncomingRequest) {
-        let program = asked.request.program();
+    pub(super) fn request(&mut self, cx: &mut StepContext<'_>, incoming: IncomingRequest) {
+        let program = incoming.request.program();
 
         let Some(partition) = self.cfg.as_ref().map(|cfg| cfg.partition(program)) else {
-            return self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
+            return self.refuse(cx, incoming.origin, refusals::not_served(&incoming.request));
         };
 
         if self.terms.contains_key(&partition) {
-            return self.serve(cx, asked);
+            return self.serve(cx, incoming);
         }
 
         if self.recovering.contains_key(&partition) {
-            return self.park(cx, partition, asked);
+            return self.park(cx, partition, incoming);
         }
 
-        self.refuse(cx, asked.ticket, refusals::not_served(&asked.request));
+        self.refuse(cx, incoming.origin, refusals::not_served(&incoming.request));
     }
 
     /// Serves a request for a program whose home is this host.
-    pub(super) fn serve(&mut self, cx: &mut StepContext<'_>, asked: IncomingRequest) {
-        let IncomingRequest { ticket, tenant, key, request } = asked;
+    pub(super) fn serve(&mut self, cx: &mut StepContext<'_>, incoming: IncomingRequest) {
+        let IncomingRequest { origin, tenant, key, request } = incoming;
 
         match request {
-            Request::Open(open) => self.open(cx, ticket, tenant, open),
-            Request::Call(call) => self.call(cx, ticket, tenant, key, call),
-            Request::End { program } => self.end(cx, ticket, tenant, program),
+            Request::Open(open) => self.open(cx, origin, tenant, open),
+            Request::Call(call) => self.call(cx, origin, tenant, key, call),
+            Request::End { program } => self.end(cx, origin, tenant, program),
             Request::View { program } => {
                 let reply = self.view(cx, tenant, program);
-                self.answer(cx, ticket, reply);
+                self.answer(cx, origin, reply);
             }
             Request::Outcome { program, key } => {
                 let reply = self.outcome(tenant, program, &key);
-                self.answer(cx, ticket, reply);
+                self.answer(cx, origin, reply);
             }
             Request::History { program, from } => {
                 let reply = self.history(tenant, program, from);
-                self.answer(cx, ticket, reply);
+                self.answer(cx, origin, reply);
             }
         }
     }
@@ -173,7 +173,7 @@
     /// Restores the request from a parked one.
     pub fn unparked(parked: ParkedRequest) -> Self {
         Self {
-            ticket: parked.ticket,
+            origin: parked.origin,
             tenant: parked.tenant,
             key: parked.key,
             request: parked.request,
--- a/crates/policy/src/programs/retry.rs
+++ b/crates/policy/src/programs/retry.rs
@@ -8,7 +8,7 @@
 /// attempts.
 const EARNED_MILLIS: u64 = 100;
 
-/// The maximum that can be saved, in thousandths of a retry.
+/// The maximum level of the bucket, in thousandths of a retry.
 const MAX_MILLIS: u64 = 10_000;
 
 /// The cost of one retry, in thousandths of a retry.
@@ -58,7 +58,7 @@
 pub(super) enum CrashResult {
     /// The request is a suspect. It may be tried once more, alone at its target.
     Suspect,
-    /// A second target crashed under the request. It is never sent again.
+    /// A second target crashed while it ran the request. The request is never sent again.
     Quarantine,
 }
 
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(super) struct ParkedRequest {
     /// Identifies the request in the answer.
-    pub ticket: RequestOrigin,
+    pub origin: RequestOrigin,
     /// The tenant that sent it.
     pub tenant: TenantId,
     /// The API key it was sent with.
@@ -113,8 +113,8 @@
     pub depth: u8,
     /// The account that holds the family's budget.
     pub account: AccountKey,
-    /// The digest of the opening request, to recognize a repeat of it.
-    pub body: Digest,
+    /// The digest of the opening's parameters, to recognize a repeat of the opening.
+    pub parameters_digest: Digest,
     /// Whether the caller may repeat the opening.
     pub repeatable: bool,
     /// When the program is ended by force.
@@ -147,9 +147,9 @@
     /// that call is answered.
     pub orphan: bool,
     /// Callers that wait for the opening to become durable.
-    pub opening_tickets: Vec<RequestOrigin>,
+    pub opening_origins: Vec<RequestOrigin>,
     /// Callers that wait for the end to become durable.
-    pub ending_tickets: Vec<RequestOrigin>,
+    pub ending_origins: Vec<RequestOrigin>,
     /// Whether the end of the program is durable.
     pub end_stored: bool,
     /// When an ended program is removed from memory.
@@ -308,7 +308,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Caller {
     /// Identifies the request in the answer.
-    pub ticket: RequestOrigin,
+    pub origin: RequestOrigin,
     /// The API key that the request was sent with.
     pub key: KeyId,
     /// Whether the caller wants the answer streamed.
@@ -349,7 +349,7 @@
     /// Whether an attempt failed or was lost, so that the call can no longer be reported as not
     /// run.
     pub may_have_run: bool,
-    /// Digest that identifies requests that crash targets.
+    /// Digest that identifies the request if it crashes targets.
     pub digest: Digest,
     /// When the current stage times out.
     pub stage_until: Option<Instant>,
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -15,8 +15,8 @@
     AttemptPayload, CallId, Dispatch, PlaceOutcome, PlaceRelease, PlaceRequest, Verdict,
 };
 
-/// How long a call waits for its intent or grant to become durable.
-const JOURNAL_WAIT: Duration = Duration::from_secs(1);
+/// The maximum time that a call waits for its intent or grant to become durable.
+const MAX_JOURNAL_WAIT: Duration = Duration::from_secs(1);
 
 impl Programs {
     /// Handles the result of the rate check.
@@ -50,7 +50,7 @@
             Reservation::NeedsGrant => {
                 let granted = self.accounts[account].grant_for(tokens);
                 let root = self.programs[program].root;
-                self.set_stage(cx, id, Stage::AwaitingGrant, Some(JOURNAL_WAIT));
+                self.set_stage(cx, id, Stage::AwaitingGrant, Some(MAX_JOURNAL_WAIT));
                 let entry = GrantedEntry { program: root, granted };
                 self.append(program, Entry::Granted(entry), Waiter::Grant(program, id));
             }
@@ -123,7 +123,7 @@
 
     /// Journals the intent to send a call.
     fn journal_intent(&mut self, cx: &mut StepContext<'_>, id: CallId, attempt: AttemptId) {
-        self.set_stage(cx, id, Stage::JournalingIntent, Some(JOURNAL_WAIT));
+        self.set_stage(cx, id, Stage::JournalingIntent, Some(MAX_JOURNAL_WAIT));
         let call = &self.calls[id];
         let key = call.program;
         let program = &mut self.programs[key];
@@ -170,7 +170,7 @@
             program: program.id,
             number: call.number,
             payload,
-            stream: call.callers.iter().find(|caller| caller.stream).map(|c| c.ticket),
+            stream: call.callers.iter().find(|caller| caller.stream).map(|c| c.origin),
             timeout: program.time_left(cx.now),
         }));
         self.attempts.insert(attempt, id);
@@ -206,7 +206,7 @@
             self.release_place(cx, id, PlaceOutcome::NotSent, None);
         }
 
-        self.answer_callers(cx, id, &refusal);
+        self.refuse_callers(cx, id, &refusal);
         self.remove_call(id);
     }
 
@@ -224,7 +224,7 @@
 
         cx.out.push(ProgramAction::ReleasePlace {
             call: id,
-            end: PlaceRelease {
+            release: PlaceRelease {
                 outcome,
                 computed_prompt: usage.prompt_tokens.minus(usage.cached_tokens),
                 output: usage.output_tokens,
@@ -234,7 +234,7 @@
     }
 
     /// Refuses all callers of a call.
-    pub(super) fn answer_callers(
+    pub(super) fn refuse_callers(
         &mut self,
         cx: &mut StepContext<'_>,
         id: CallId,
@@ -243,7 +243,7 @@
         let callers = std::mem::take(&mut self.calls[id].callers);
 
         for caller in callers {
-            self.refuse(cx, caller.ticket, refusal.clone());
+            self.refuse(cx, caller.origin, refusal.clone());
         }
     }
 
@@ -258,11 +258,11 @@
         }
 
         for caller in call.callers {
-            self.tickets.remove(&caller.ticket);
+            self.calls_by_origin.remove(&caller.origin);
         }
     }
 
-    /// Returns the tokens reserved for an attempt that was not sent.
+    /// Cancels the token reservation of an attempt that did not run.
     pub(super) fn release_tokens(&mut self, id: CallId) {
         let call = &self.calls[id];
 
@@ -276,7 +276,7 @@
         self.calls.get(id).map(|call| call.stage)
     }
 
-    /// Moves a call to a stage that may last for at most `limit`.
+    /// Moves a call to a stage that may last for at most `limit`, or any time if it is `None`.
     pub(super) fn set_stage(
         &mut self,
         cx: &StepContext<'_>,
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -22,7 +22,7 @@
 /// The length of the message authentication code before the content.
 const MAC_BYTES: usize = 32;
 
-/// Separates these codes from other uses of the same secret.
+/// Separates these authentication codes from other uses of the same secret.
 const MAC_DOMAIN: &[u8] = b"camphorwalk tail 1";
 
 /// The calls of a program that are not durable yet.
@@ -54,7 +54,8 @@
 /// The reason why a tail was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TailError {
-    /// The authentication code is wrong, or the tail belongs to another program.
+    /// The tail cannot be decoded, its authentication code is wrong, or it belongs to another
+    /// program.
     Forged,
     /// The program's history differs from the one the tail continues.
     Diverged,
@@ -63,7 +64,8 @@
 /// The result of adopting a tail.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Adopted {
-    /// Whether the tail supplied the outcome of the last call, an intent without one.
+    /// Whether the tail supplied the outcome of the last call, which this host had recorded as
+    /// unknown.
     pub outcome_found: bool,
     /// The numbers of the calls that were appended.
     pub appended: Vec<u32>,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -77,7 +77,7 @@
         /// Identifies the place request.
         request_id: PlaceRequestId,
         /// How the place was used.
-        end: PlaceRelease,
+        release: PlaceRelease,
     },
     /// A host is gone: its requests are withdrawn and its places released.
     HostGone(HostId),
@@ -110,7 +110,7 @@
         /// The target to use.
         target: TargetId,
     },
-    /// The call cannot be served before its deadline, or no target can serve it.
+    /// The queue is full, the call cannot be served before its deadline, or no target can serve it.
     Refuse {
         /// Identifies the place request.
         request_id: PlaceRequestId,
@@ -203,8 +203,8 @@
             QueueEvent::Request { request_id, request } => {
                 self.handle_request(now, request_id, request, out)
             }
-            QueueEvent::Release { request_id, end } => {
-                self.handle_release(now, request_id, end, out)
+            QueueEvent::Release { request_id, release } => {
+                self.handle_release(now, request_id, release, out)
             }
             QueueEvent::HostGone(host) => self.handle_host_gone(now, host, out),
             QueueEvent::Load { target, report } => {
@@ -281,7 +281,7 @@
 
         // A different request with the same number means that the host has restarted. The old
         // process's request is dropped.
-        self.handle_release(now, request_id, UNKNOWN_END, out);
+        self.handle_release(now, request_id, UNKNOWN_RELEASE, out);
 
         match self.admit(now, request_id, request) {
             Admission::Wait(call) => {
@@ -294,7 +294,8 @@
         }
     }
 
-    /// Decides whether a call is queued, or refused because it cannot be served in time.
+    /// Decides whether a call is queued. It is refused if the queue is full, if the call cannot be
+    /// served in time, or if no target can serve it.
     fn admit(
         &mut self,
         now: Instant,
@@ -341,7 +342,7 @@
     fn enqueue(&mut self, request_id: PlaceRequestId, call: WaitingCall) {
         let pool = self.pools.entry(call.request.pool).or_default();
 
-        pool.shares.add_waiting(call.request.tenant);
+        pool.accounts.add_waiting(call.request.tenant);
         pool.lanes.insert(call.lane, call.position);
         pool.demand.add_waiting(call.request.tenant, prefix_demand(&call.request));
         self.targets.set_waiting_call(&call.request, true);
@@ -356,7 +357,7 @@
         if let Some(pool) = self.pools.get_mut(&call.request.pool) {
             pool.lanes.remove(call.lane, &call.position);
             pool.demand.remove_waiting(call.request.tenant, prefix_demand(&call.request));
-            pool.shares.remove_waiting(call.request.tenant);
+            pool.accounts.remove_waiting(call.request.tenant);
         }
 
         Some(call)
@@ -374,14 +375,14 @@
         &mut self,
         now: Instant,
         request_id: PlaceRequestId,
-        end: PlaceRelease,
+        release: PlaceRelease,
         out: &mut Vec<QueueAction>,
     ) {
         let withdrawn = self.withdraw(request_id).map(|call| call.request);
-        let freed = self.release_place(now, request_id, end).map(|place| place.request);
+        let freed = self.release_place(now, request_id, release).map(|place| place.request);
         let Some(request) = withdrawn.or(freed) else { return };
 
-        if end.program_ended {
+        if release.program_ended {
             self.targets.remove_program(request.program);
         }
 
@@ -394,7 +395,7 @@
         }
 
         for request_id in self.places.requests_of_host(host) {
-            self.release_place(now, request_id, UNKNOWN_END);
+            self.release_place(now, request_id, UNKNOWN_RELEASE);
         }
 
         self.serve_all(now, out);
@@ -406,7 +407,7 @@
         }
 
         while let Some(request_id) = self.places.expired(now) {
-            self.release_place(now, request_id, UNKNOWN_END);
+            self.release_place(now, request_id, UNKNOWN_RELEASE);
         }
 
         self.serve_all(now, out);
@@ -420,31 +421,36 @@
         out.push(QueueAction::Refuse { request_id, retry_after });
     }
 
-    /// Releases a place, and corrects the tenant's account by what the call really used.
+    /// Releases a place, and corrects the tenant's service account by what the call really used.
     fn release_place(
         &mut self,
         now: Instant,
         request_id: PlaceRequestId,
-        end: PlaceRelease,
+        release: PlaceRelease,
     ) -> Option<Place> {
         let place = self.places.remove(request_id)?;
         let PlaceRequest { pool, tenant, class, .. } = place.request;
-        let used = match end.outcome {
+        let used = match release.outcome {
             PlaceOutcome::NotSent => Tokens(0),
-            _ => CALL_OVERHEAD.plus(end.computed_prompt).plus(end.output),
+            _ => CALL_OVERHEAD.plus(release.computed_prompt).plus(release.output),
         };
         let weight = self.weights.get(tenant);
 
-        self.targets.record_end(now, &place, end);
+        self.targets.record_release(now, &place, release);
         self.targets.end_call(place.target, request_id);
 
         if let Some(pool) = self.pools.get_mut(&pool) {
-            pool.shares.refund(tenant, weight, place.charged.minus(used));
-            pool.shares.charge(tenant, weight, used.minus(place.charged));
+            pool.accounts.refund(tenant, weight, place.charged.minus(used));
+            pool.accounts.charge(tenant, weight, used.minus(place.charged));
 
-            if end.outcome == PlaceOutcome::Finished {
+            if release.outcome == PlaceOutcome::Finished {
                 let time = now.since(place.granted_at);
-                pool.estimates.record_finished(class, end.computed_prompt, end.output, time);
+                pool.estimates.record_finished(
+                    class,
+                    release.computed_prompt,
+                    release.output,
+                    time,
+                );
             }
         }
 
@@ -501,9 +507,9 @@
             let is_first = request.attained == Tokens(0);
             pool.estimates.record_grant(now, call.lane, is_first, call.waiting_since);
             pool.lanes.record_grant(call.lane);
-            pool.shares.raise_floor();
+            pool.accounts.raise_floor();
             pool.demand.add_placed(request.tenant, request.prompt.plus(output));
-            pool.shares.charge(request.tenant, weight, charged);
+            pool.accounts.charge(request.tenant, weight, charged);
             self.targets.start_call(now, target, candidate, output);
             self.places.insert(request_id, place);
         }
@@ -513,8 +519,8 @@
     }
 }
 
-/// The end that is assumed for a place whose use was not reported.
-const UNKNOWN_END: PlaceRelease = PlaceRelease {
+/// The release that is assumed for a place whose user did not report one.
+const UNKNOWN_RELEASE: PlaceRelease = PlaceRelease {
     outcome: PlaceOutcome::Failed,
     computed_prompt: Tokens(0),
     output: Tokens(0),
--- a/crates/policy/src/queue/lanes.rs
+++ b/crates/policy/src/queue/lanes.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::ids::{HostId, TenantId};
 use camphorwalk_core::time::Instant;
 
-use super::shares::Shares;
+use super::shares::ServiceAccounts;
 use crate::shared_types::PlaceRequestId;
 
 /// One grant in this many goes to the lane that has waited longest for one.
@@ -17,13 +17,13 @@
 pub const AGED_GRANT_INTERVAL: u32 = 8;
 
 /// How far a tenant's service may exceed that of the least served tenant before its class rank is
-/// ignored, in units of [`Shares::service`].
+/// ignored, in units of [`ServiceAccounts::service`].
 ///
 /// Without this limit, a tenant could send all its work in the first class and be served first,
 /// however much service it has already received.
 const MAX_SERVICE_LEAD: u64 = 4_000_000;
 
-/// The waiting calls of one tenant in one class.
+/// Identifies a lane: the waiting calls of one tenant whose classes have the same rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LaneId {
     /// The rank of the class; lower ranks go first.
@@ -59,8 +59,10 @@
 /// How many calls of started programs are considered in each lane.
 const MAX_STARTED_CANDIDATES: usize = 4;
 
+/// The waiting calls of one lane.
 #[derive(Debug)]
 struct Lane {
+    /// The calls in order.
     calls: BTreeSet<Position>,
     /// The logical clock at the lane's last grant, or when its first call was inserted.
     waiting_since: u64,
@@ -125,19 +127,30 @@
     }
 
     /// Returns the lane that follows `last` in the order, or the first lane if `last` is `None`.
-    pub fn next_after(&self, last: Option<LaneOrder>, shares: &Shares) -> Option<LaneOrder> {
-        let min_service = shares.min_service();
-        let orders = self.lanes.iter().map(|(id, lane)| self.order(*id, lane, shares, min_service));
+    pub fn next_after(
+        &self,
+        last: Option<LaneOrder>,
+        accounts: &ServiceAccounts,
+    ) -> Option<LaneOrder> {
+        let min_service = accounts.min_service();
+        let orders =
+            self.lanes.iter().map(|(id, lane)| self.order(*id, lane, accounts, min_service));
 
         orders.filter(|order| last.is_none_or(|last| *order > last)).min()
     }
 
-    fn order(&self, id: LaneId, lane: &Lane, shares: &Shares, min_service: u64) -> LaneOrder {
+    fn order(
+        &self,
+        id: LaneId,
+        lane: &Lane,
+        accounts: &ServiceAccounts,
+        min_service: u64,
+    ) -> LaneOrder {
         if self.is_aged_grant_next() {
             return (lane.waiting_since, 0, id);
         }
 
-        let service = shares.service(id.tenant);
+        let service = accounts.service(id.tenant);
         let is_within_lead = service <= min_service.saturating_add(MAX_SERVICE_LEAD);
         let rank = if is_within_lead { u64::from(id.rank) } else { u64::from(u8::MAX) };
 
--- a/crates/policy/src/queue/pool.rs
+++ b/crates/policy/src/queue/pool.rs
@@ -9,7 +9,7 @@
 use super::demand::{CacheDemand, UPDATE_INTERVAL};
 use super::estimates::Estimates;
 use super::lanes::{LaneId, Lanes, Position};
-use super::shares::{Shares, Weights};
+use super::shares::{ServiceAccounts, Weights};
 use super::targets::{Candidate, Choice, Targets};
 use super::waiting::{WaitingCall, WaitingCalls};
 use crate::shared_types::{PlaceRequest, PlaceRequestId};
@@ -36,7 +36,7 @@
     /// The waiting calls, in order.
     pub lanes: Lanes,
     /// The service accounts of the tenants.
-    pub shares: Shares,
+    pub accounts: ServiceAccounts,
     /// Statistics of the pool's calls.
     pub estimates: Estimates,
     /// The demand for cache space.
@@ -50,7 +50,8 @@
 pub enum Pick {
     /// The request, the target to grant, and the number of prompt tokens that it will compute.
     Grant(PlaceRequestId, TargetId, Tokens),
-    /// No call can be placed before this time unless an event occurs.
+    /// No call can be placed before this time unless an event occurs; with `None`, only an event
+    /// can change that.
     Nothing(Option<Instant>),
 }
 
@@ -88,7 +89,7 @@
         let mut considered = 0;
 
         while let Some(order) =
-            self.lanes.next_after(last, &self.shares).filter(|_| considered < MAX_CANDIDATES)
+            self.lanes.next_after(last, &self.accounts).filter(|_| considered < MAX_CANDIDATES)
         {
             for request_id in self.lanes.candidates(order.2) {
                 let Some(call) = waiting.get(request_id) else { continue };
@@ -192,7 +193,7 @@
         }
 
         let weight = |tenant: TenantId| f64::from(weights.get(tenant));
-        let others = self.shares.waiting_tenants().filter(|tenant| *tenant != lane.tenant);
+        let others = self.accounts.waiting_tenants().filter(|tenant| *tenant != lane.tenant);
         let others: f64 = others.map(weight).sum();
         let share = weight(lane.tenant) / (weight(lane.tenant) + others);
         let places = f64::from(limit.max(1)) * share;
--- a/crates/policy/src/queue/shares.rs
+++ b/crates/policy/src/queue/shares.rs
@@ -54,12 +54,12 @@
 /// therefore saves no credit with which it could block the others later, and a tenant that sends
 /// more than its share delays only its own calls.
 #[derive(Debug, Default)]
-pub struct Shares {
+pub struct ServiceAccounts {
     accounts: Map<TenantId, Account>,
     floor: u64,
 }
 
-impl Shares {
+impl ServiceAccounts {
     /// Adds a waiting call.
     pub fn add_waiting(&mut self, tenant: TenantId) {
         let account = self.accounts.entry(tenant).or_default();
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -1,7 +1,8 @@
 //! The targets of each pool, and the selection of the best target for a call.
 //!
 //! A suspect call was in flight when a target crashed, and may have caused the crash. It has to run
-//! alone at its target, so a target is reserved for it and receives no other calls until then.
+//! alone at its target. So a target is reserved for it: the target receives no new calls until its
+//! earlier calls have ended, and then receives the suspect call.
 
 use std::time::Duration;
 
@@ -97,7 +98,7 @@
     }
 }
 
-/// The decision for the call that is first in the order.
+/// The decision for one waiting call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
     /// Place the call at this target, which will compute this number of prompt tokens.
@@ -248,8 +249,8 @@
         local.map(|(_, state)| state.prefixes.capacity()).fold(Tokens(0), Tokens::plus)
     }
 
-    /// Returns, for each prefix in those caches, its tenant and the number of its tokens that are
-    /// expected to be used again.
+    /// Returns, for each prefix in the caches of the pool's targets in this zone, its tenant and
+    /// the number of its tokens that are expected to be used again.
     ///
     /// Prefixes of waiting calls are left out.
     pub fn expected_reuse<'a>(
@@ -400,19 +401,19 @@
         }
     }
 
-    /// Updates the target's health and cached prefixes from the end of a call.
-    pub fn record_end(&mut self, now: Instant, place: &Place, end: PlaceRelease) {
+    /// Updates the target's health and cached prefixes when a call's place is released.
+    pub fn record_release(&mut self, now: Instant, place: &Place, release: PlaceRelease) {
         let Some(state) = self.states.get_mut(&place.target) else { return };
         let prompt = place.request.prompt;
 
-        match end.outcome {
+        match release.outcome {
             PlaceOutcome::NotSent => {
                 let before = prompt.minus(place.computed_prompt);
                 state.prefixes.record(now, &place.request, before, false);
             }
             PlaceOutcome::Finished => {
                 state.health.record_answer();
-                state.prefixes.record(now, &place.request, prompt.plus(end.output), false);
+                state.prefixes.record(now, &place.request, prompt.plus(release.output), false);
             }
             PlaceOutcome::Failed => state.prefixes.record(now, &place.request, prompt, false),
             PlaceOutcome::Crashed => {
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -4,6 +4,10 @@
 //! each resulting action into an event for another controller or into an [`Action`] for the
 //! runtime. It does no I/O and reads no clock, so many schedulers can run against each other in
 //! virtual time.
+//!
+//! The entry host of a request is the host that the caller is connected to. The home of a program
+//! is the host that holds the lease of the program's partition and runs its calls. The entry host
+//! forwards each request to the program's home.
 
 mod controllers;
 mod extension;
@@ -61,7 +65,7 @@
 pub enum Event {
     /// A caller sent a request to this host, with a key that was found valid.
     ///
-    /// A request to open a program that is not repeatable gets its program id here.
+    /// If the request opens a program and is not repeatable, the scheduler assigns the program id.
     Request {
         /// The request's id, never used before on this host.
         request: RequestId,
@@ -81,7 +85,7 @@
         /// The message.
         message: PeerMessage,
     },
-    /// A message could not be queued for sending and was not sent.
+    /// The runtime could not queue a message for sending, so the message was not sent.
     SendFailed {
         /// The recipient.
         to: HostId,
@@ -134,7 +138,7 @@
         /// The content of the request.
         request: OperatorRequest,
     },
-    /// This host has to leave: it hands over what it holds as soon as that is not in use.
+    /// This host has to leave: it releases each of its leases as soon as the lease is not in use.
     Drain,
     /// The time returned by [`Scheduler::wake_at`] was reached.
     Wake,
@@ -197,7 +201,7 @@
         /// The answer.
         reply: Box<OperatorReply>,
     },
-    /// Everything is handed over; the process may exit.
+    /// This host has released all its leases, or its session has expired; the process may exit.
     ShutdownReady,
 }
 
--- a/crates/policy/src/scheduler/controllers.rs
+++ b/crates/policy/src/scheduler/controllers.rs
@@ -257,7 +257,7 @@
 
     fn on_program(&mut self, now: Instant, action: ProgramAction, out: &mut Vec<Action>) {
         match action {
-            ProgramAction::Answer { ticket, reply } => self.answer(ticket, reply, out),
+            ProgramAction::Answer { origin, reply } => self.answer(origin, reply, out),
             ProgramAction::Admit { call, tenant } => {
                 self.next_take += 1;
                 let take = TakeId(self.next_take);
@@ -265,7 +265,7 @@
                 self.events.push_back(ControllerEvent::Slice(SliceEvent::Take { take, tenant }));
             }
             ProgramAction::Place { call, request } => self.request_place(now, call, request, out),
-            ProgramAction::ReleasePlace { call, end } => self.release_place(call, end, out),
+            ProgramAction::ReleasePlace { call, release } => self.release_place(call, release, out),
             ProgramAction::Dispatch(dispatch) => out.push(Action::Dispatch(Box::new(dispatch))),
             ProgramAction::Cancel { attempt } => out.push(Action::Cancel(attempt)),
             ProgramAction::Platform { op, request } => {
@@ -329,8 +329,8 @@
         self.state.live_hosts = live.iter().filter(not_leaving).map(|m| (m.host, m.zone)).collect();
 
         let me = SliceHost { host: self.state.this_host, zone: self.state.zone };
-        // A leaving host does not pool slices of any tenant: its slices are recalled, including
-        // their levels, while it is still there to return them.
+        // A leaving host is not the admission host of any tenant. The owners therefore recall the
+        // slices that it borrowed, while it can still return them with their remaining tokens.
         let others = self.state.live_hosts.iter();
         let mut hosts: Vec<_> =
             others.map(|(host, zone)| SliceHost { host: *host, zone: *zone }).collect();
@@ -341,16 +341,16 @@
     }
 
     /// Answers a request, either directly or through its entry host.
-    pub(super) fn answer(&mut self, ticket: RequestOrigin, reply: Reply, out: &mut Vec<Action>) {
-        if ticket.entry == self.state.this_host {
-            self.answer_caller(ticket.request, reply, out);
+    pub(super) fn answer(&mut self, origin: RequestOrigin, reply: Reply, out: &mut Vec<Action>) {
+        if origin.entry == self.state.this_host {
+            self.answer_caller(origin.request, reply, out);
             return;
         }
 
         let body = serde_json::to_vec(&reply).expect("a reply is plain data").into();
-        let answer = Answer { request: ticket.request.0, chunks: 0, body };
+        let answer = Answer { request: origin.request.0, chunks: 0, body };
         let message: PeerMessage = Body::Answer(answer).into();
-        out.push(Action::Send { to: ticket.entry, message });
+        out.push(Action::Send { to: origin.entry, message });
     }
 
     /// Answers a caller of this host, unless its request was already answered.
--- a/crates/policy/src/scheduler/extension.rs
+++ b/crates/policy/src/scheduler/extension.rs
@@ -22,7 +22,7 @@
 use crate::slices::SliceEvent;
 
 /// How long a host that cannot reach the platform promises not to end any session.
-pub(super) const PROMISE: Duration = Duration::from_secs(10);
+pub(super) const PROMISE_DURATION: Duration = Duration::from_secs(10);
 
 /// How long a promise is relied on: shorter than the promise by a margin for clock drift.
 const PROMISE_VALID_FOR: Duration = Duration::from_secs(8);
--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -11,16 +11,16 @@
 use camphorwalk_core::units::ConfigVersion;
 
 use super::controllers::ControllerEvent;
-use super::extension::PROMISE;
+use super::extension::PROMISE_DURATION;
 use super::{Action, Scheduler};
 use crate::configs::{ConfigEvent, Pointer};
 use crate::leases::Holder;
 use crate::membership::HostUpdates;
 use crate::programs::ProgramEvent;
 
-/// How long after the adoption of a configuration a peer with an older version is left to read it
-/// from the platform, before it is sent the whole configuration. Also the minimum interval between
-/// two such sendings to one peer.
+/// How long after the adoption of a configuration this host waits before it sends the whole
+/// configuration to a peer with an older version: the peer can usually read it from the platform.
+/// Also the minimum interval between two such sendings to one peer.
 const SEND_CONFIG_AFTER: Duration = Duration::from_millis(1_500);
 
 /// The maximum number of withdrawn keys, and of quarantined digests, in one message.
@@ -35,7 +35,7 @@
         updates: HostUpdates,
         out: &mut Vec<Action>,
     ) {
-        let without_platform = self.leases.promise_to_keep_sessions(now + PROMISE);
+        let without_platform = self.leases.promise_to_keep_sessions(now + PROMISE_DURATION);
         let (echo_session, echo) = self.membership.latest_heartbeat(to);
         let pointer = self.configs.pointer();
         let mut quarantined: Vec<_> = self.quarantined.iter().map(|d| d.to_vec()).collect();
--- a/crates/policy/src/scheduler/place_requests.rs
+++ b/crates/policy/src/scheduler/place_requests.rs
@@ -1,4 +1,5 @@
-//! Requests for places at targets, from a program's home to the host that runs a pool's queue.
+//! Requests for places, from a program's home to the host that runs a pool's queue. A place is the
+//! right to have one call in flight at a target.
 
 use std::time::Duration;
 
@@ -99,7 +100,12 @@
     }
 
     /// Releases the place of a call, or withdraws its request for one.
-    pub(super) fn release_place(&mut self, call: CallId, end: PlaceRelease, out: &mut Vec<Action>) {
+    pub(super) fn release_place(
+        &mut self,
+        call: CallId,
+        release: PlaceRelease,
+        out: &mut Vec<Action>,
+    ) {
         let Some(number) = self.place_requests.numbers.remove(&call) else {
             return;
         };
@@ -109,10 +115,14 @@
 
         if pending.queue_host == self.state.this_host {
             let request_id = PlaceRequestId { host: self.state.this_host, number };
-            self.events.push_back(ControllerEvent::Queue(QueueEvent::Release { request_id, end }));
+            self.events
+                .push_back(ControllerEvent::Queue(QueueEvent::Release { request_id, release }));
             return;
         }
-        out.push(send(pending.queue_host, QueueBody::ReleasePlace(release_message(number, &end))));
+        out.push(send(
+            pending.queue_host,
+            QueueBody::ReleasePlace(release_message(number, &release)),
+        ));
     }
 
     /// Sends overdue requests again, to another host if the one that ran the queue is no longer
@@ -219,9 +229,9 @@
             }
             Some(QueueBody::ReleasePlace(release)) => {
                 let request_id = PlaceRequestId { host: from, number: release.number };
-                let end = place_release(&release);
+                let release = place_release(&release);
                 self.events
-                    .push_back(ControllerEvent::Queue(QueueEvent::Release { request_id, end }));
+                    .push_back(ControllerEvent::Queue(QueueEvent::Release { request_id, release }));
             }
             Some(QueueBody::Grant(grant)) => {
                 self.on_grant(from, grant.number, TargetId(grant.target), out);
@@ -235,14 +245,15 @@
 
     fn on_grant(&mut self, from: HostId, number: u64, target: TargetId, out: &mut Vec<Action>) {
         let Some(pending) = self.place_requests.pending.get_mut(&number) else {
-            // The request was withdrawn or moved to another host: the place is released at once.
+            // The request was withdrawn or moved to another host, so this host releases the place
+            // at once.
             if from != self.state.this_host {
                 out.push(send(from, QueueBody::ReleasePlace(release_message(number, &not_sent()))));
             }
             return;
         };
 
-        // The grant of a repeated request may arrive twice; both stand for the same place.
+        // If the request was sent again, its grant may arrive twice; both are for the same place.
         if pending.granted {
             return;
         }
@@ -279,15 +290,15 @@
 const OUTCOMES: [PlaceOutcome; 4] =
     [PlaceOutcome::NotSent, PlaceOutcome::Finished, PlaceOutcome::Failed, PlaceOutcome::Crashed];
 
-fn release_message(number: u64, end: &PlaceRelease) -> ReleasePlace {
-    let position = OUTCOMES.iter().position(|outcome| *outcome == end.outcome).unwrap_or(0);
+fn release_message(number: u64, release: &PlaceRelease) -> ReleasePlace {
+    let position = OUTCOMES.iter().position(|outcome| *outcome == release.outcome).unwrap_or(0);
 
     ReleasePlace {
         number,
         end: position as u32,
-        computed_tokens: end.computed_prompt.0,
-        output_tokens: end.output.0,
-        program_over: end.program_ended,
+        computed_tokens: release.computed_prompt.0,
+        output_tokens: release.output.0,
+        program_over: release.program_ended,
     }
 }
 
--- a/crates/policy/src/scheduler/requests.rs
+++ b/crates/policy/src/scheduler/requests.rs
@@ -59,8 +59,8 @@
         let partition = body.program().partition(self.state.partitions());
         match self.home_of(partition) {
             Some(home) if home == self.state.this_host => {
-                let ticket = RequestOrigin { entry: self.state.this_host, request };
-                let event = ProgramEvent::Request { ticket, tenant, key, request: body };
+                let origin = RequestOrigin { entry: self.state.this_host, request };
+                let event = ProgramEvent::Request { origin, tenant, key, request: body };
                 self.events.push_back(ControllerEvent::Program(event));
             }
             Some(home) => {
@@ -146,8 +146,8 @@
         };
 
         if waiting.home == self.state.this_host {
-            let ticket = RequestOrigin { entry: self.state.this_host, request };
-            self.events.push_back(ControllerEvent::Program(ProgramEvent::CallerGone { ticket }));
+            let origin = RequestOrigin { entry: self.state.this_host, request };
+            self.events.push_back(ControllerEvent::Program(ProgramEvent::CallerGone { origin }));
         } else {
             let gone = CallerGone { request: request.0 };
             out.push(Action::Send { to: waiting.home, message: Body::CallerGone(gone).into() });
@@ -173,9 +173,9 @@
                 }
             }
             Some(Body::CallerGone(gone)) => {
-                let ticket = RequestOrigin { entry: from, request: RequestId(gone.request) };
+                let origin = RequestOrigin { entry: from, request: RequestId(gone.request) };
                 self.events
-                    .push_back(ControllerEvent::Program(ProgramEvent::CallerGone { ticket }));
+                    .push_back(ControllerEvent::Program(ProgramEvent::CallerGone { origin }));
             }
             Some(Body::Gossip(gossip)) => self.on_gossip(now, from, gossip, out),
             Some(Body::Slices(message)) => {
@@ -203,22 +203,22 @@
     }
 
     fn on_forward(&mut self, from: HostId, forward: &Forward, out: &mut Vec<Action>) {
-        let ticket = RequestOrigin { entry: from, request: RequestId(forward.request) };
+        let origin = RequestOrigin { entry: from, request: RequestId(forward.request) };
         let key = KeyId(forward.key);
         let Ok(request) = serde_json::from_slice::<Request>(&forward.body) else {
             let refusal = Refusal::not_run(Code::BadRequest, "the request cannot be read here");
-            return self.answer(ticket, Reply::Refused(refusal), out);
+            return self.answer(origin, Reply::Refused(refusal), out);
         };
 
         // The entry host may not have received a withdrawal or a new configuration yet.
         if self.configs.is_withdrawn(key) || self.state.removed_keys.contains(&key) {
             let refusal = Refusal::not_run(Code::Unauthorized, "the key is not accepted");
-            return self.answer(ticket, Reply::Refused(refusal), out);
+            return self.answer(origin, Reply::Refused(refusal), out);
         }
 
         let tenant = TenantId(forward.tenant);
         self.events.push_back(ControllerEvent::Program(ProgramEvent::Request {
-            ticket,
+            origin,
             tenant,
             key,
             request,
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -1,10 +1,10 @@
 //! Frees what engines hold for programs that have ended.
 //!
-//! A program's home orders this when the program ends, but the order can be lost and the home can
-//! fail. So the host that runs an engine's queue also compares, periodically, the programs that the
-//! engine lists with the programs that their homes know to be open. The order to free a program is
-//! repeated for as long as the engine lists it. Cache events are not relied on, because they can be
-//! late or missing.
+//! A program's home orders the engines to free the program when it ends, but the order can be lost
+//! and the home can fail. So the host that runs an engine's queue also periodically compares the
+//! programs that the engine lists with the programs that their homes know to be open. That host
+//! repeats the order to free a program for as long as the engine lists the program. Cache events
+//! are not relied on, because they can be late or missing.
 
 use std::collections::BTreeMap;
 
--- a/crates/policy/src/scheduler/unsent_answers.rs
+++ b/crates/policy/src/scheduler/unsent_answers.rs
@@ -1,9 +1,9 @@
 //! Sends answers again that could not be sent to the entry host that waits for them.
 //!
-//! A home may be unable to reach an entry host that can reach the home. If the answer were dropped,
-//! the entry host and its caller would wait until the deadline. So the answer is sent again until a
-//! connection can be made. After a while this stops: by then the entry host has considered this
-//! home silent and has answered the request itself.
+//! A program's home may be unable to reach an entry host that can reach the home. If the home
+//! dropped the answer, the entry host and its caller would wait until the deadline. So the home
+//! sends the answer again until a connection can be made. After a while it stops: by then the entry
+//! host has considered this home silent and has answered the request itself.
 
 use std::time::Duration;
 
--- a/crates/policy/src/shared_types.rs
+++ b/crates/policy/src/shared_types.rs
@@ -10,7 +10,8 @@
 use camphorwalk_core::units::Tokens;
 
 slotmap::new_key_type! {
-    /// Identifies a call that is in progress at its program's home.
+    /// Identifies a call that is in progress at its program's home, the host that runs the
+    /// program's calls.
     pub struct CallId;
 }
 
@@ -26,7 +27,8 @@
     },
 }
 
-/// Identifies a request for a place at a target. The home of any program on any host may send one.
+/// Identifies a request for a place: the right to have one call in flight at a target. The home of
+/// the call's program sends the request to the host that runs the queue of the target's pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PlaceRequestId {
     /// The requesting host.
@@ -81,9 +83,10 @@
     NotSent,
     /// The target answered.
     Finished,
-    /// The target answered with a failure, or the attempt was cancelled.
+    /// The target refused the attempt or answered with a failure, or the attempt was cancelled or
+    /// timed out.
     Failed,
-    /// The target crashed during the attempt.
+    /// The target crashed during the attempt or could not be reached.
     Crashed,
 }
 
@@ -106,7 +109,7 @@
     pub number: u32,
     /// The content to send.
     pub payload: AttemptPayload,
-    /// The caller's request to stream the output to, if the caller asked for streaming.
+    /// The request whose caller receives the output as a stream, if a caller asked for that.
     pub stream: Option<camphorwalk_core::ids::RequestOrigin>,
     /// The time limit of the attempt.
     pub timeout: Duration,
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -1,8 +1,10 @@
 //! Fleet-wide rate limits. Each tenant's rate and burst are split into slices, and each slice is
 //! used by one host at a time.
 //!
-//! An owner of slices lends them to the tenant's admission host, which decides on the tenant's
-//! calls. Other hosts send it a take request for each call.
+//! The slices with the same number of all tenants form a column. One host owns a column at a time,
+//! by a lease. The owner lends each slice for a limited time (a loan) to the tenant's admission
+//! host, which decides on the tenant's calls. The other hosts send the admission host a take
+//! request, that is, a request for one token, for each call.
 
 mod admission_hosts;
 mod borrower;
@@ -52,13 +54,14 @@
 pub enum SliceEvent {
     /// A new configuration is in force.
     Config(Arc<Config>),
-    /// The hosts that are known to be alive and reachable, including this one.
+    /// The hosts that are live and not leaving, including this one unless it is leaving.
     Hosts(Vec<SliceHost>),
     /// This host owns a column until a time on its own clock, unless the ownership is renewed.
     ///
-    /// The margin for clock drift is already subtracted from that time. `fresh` says that the
-    /// column came from another owner or from an earlier process of this host. Its slices then
-    /// start empty, and may still be on loan from the former owner for up to one loan lifetime.
+    /// The margin for clock drift is already subtracted from that time. If the ownership is
+    /// `fresh`, another host, an earlier process of this host, or this process before it lost the
+    /// lease was the former owner. The slices then start empty, and may still be on loan from the
+    /// former owner for up to one loan lifetime.
     Owned {
         /// The column.
         column: ColumnId,
--- a/crates/policy/src/slices/borrower.rs
+++ b/crates/policy/src/slices/borrower.rs
@@ -1,4 +1,4 @@
-//! The slices that this host has borrowed.
+//! The slices that this host has borrowed from the owners of their columns, its lenders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -38,8 +38,8 @@
     loans: BTreeMap<u64, SliceKey>,
     /// When the loans of each column expire.
     expiries: BTreeMap<ColumnId, Instant>,
-    /// Columns that the lender took over from another owner. Running loans in them are claimed in
-    /// the next request.
+    /// Columns that the lender took over from another owner. In its next request, this host claims
+    /// its running loans in these columns.
     columns_to_claim: BTreeSet<ColumnId>,
     /// Returned loans that the lender may not know about yet.
     pending_returns: Vec<LoanReturn>,
--- a/crates/policy/src/slices/lender.rs
+++ b/crates/policy/src/slices/lender.rs
@@ -1,9 +1,9 @@
 //! The slices of the columns that this host owns, and their loans.
 //!
 //! A slice has one user at a time: this host, or the borrower it is lent to. Each request of a
-//! borrower shows exactly which loans it holds. A borrower applies a grant only if it answers its
-//! latest request. A loan in a grant that the request does not acknowledge was therefore never
-//! applied, and never will be.
+//! borrower shows exactly which loans the borrower holds. A borrower applies a grant only if the
+//! grant answers its latest request. If a request does not acknowledge a grant, the borrower has
+//! therefore not applied the loans in that grant, and never will.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -41,7 +41,9 @@
     previously_owned: BTreeSet<ColumnId>,
     slices: BTreeMap<(TenantId, ColumnId), Slice>,
     accounts: BTreeMap<BorrowerRun, BorrowerAccount>,
+    /// The earliest time of the next offer to each host that was sent one recently.
     next_offer_to: BTreeMap<HostId, Instant>,
+    /// When [`Lender::due_offers`] next examines all slices.
     next_offers_at: Instant,
     /// The last number given to a grant, loan or ownership.
     last_number: u64,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Sets the share of each owned slice according to `cfg`.
+    /// Sets the share of each owned slice according to `config`.
     pub(super) fn configure(&mut self, config: &Config, now: Instant) {
         let mut shares = BTreeMap::new();
 
@@ -77,8 +79,8 @@
             slice.set_share(shares.remove(key).unwrap_or_default(), now);
         }
 
-        // A tenant that is new here may have been withdrawn a moment ago, after it had used its
-        // burst. Its slices therefore start empty.
+        // A tenant that is new here may have been removed from the configuration a moment ago,
+        // after it had used its burst. Its slices therefore start empty.
         for (key, share) in shares {
             let column = self.columns[&key.1];
             let level = if column.starts_full { share.burst } else { 0 };
@@ -310,10 +312,10 @@
 
         for (loan, key) in &account.loans {
             let Some(slice) = self.slices.get_mut(key) else { continue };
-            let is_withdrawn = slice.is_withdrawn();
+            let is_tenant_removed = slice.is_tenant_removed();
             let SliceHolder::Borrower(lent) = &mut slice.holder else { continue };
 
-            if admission_hosts.get(key.0) != borrower.host || is_withdrawn {
+            if admission_hosts.get(key.0) != borrower.host || is_tenant_removed {
                 grant.recalls.push(*loan);
                 continue;
             }
@@ -340,7 +342,7 @@
         let Some(account) = self.accounts.get_mut(&borrower) else { return };
 
         for ((tenant, column), slice) in &mut self.slices {
-            if admission_hosts.get(*tenant) != borrower.host || slice.is_withdrawn() {
+            if admission_hosts.get(*tenant) != borrower.host || slice.is_tenant_removed() {
                 continue;
             }
 
--- a/crates/policy/src/slices/slice.rs
+++ b/crates/policy/src/slices/slice.rs
@@ -117,18 +117,18 @@
         matches!(self.holder, SliceHolder::Owner(_)) && now < self.usable_from
     }
 
-    /// Returns whether the tenant was removed from the configuration.
-    pub(super) fn is_withdrawn(&self) -> bool {
+    /// Returns whether the tenant was removed from the configuration, or has no rate and no burst.
+    pub(super) fn is_tenant_removed(&self) -> bool {
         self.share == Share::default()
     }
 
     /// Returns whether the tenant was removed and no borrower uses the slice.
     pub(super) fn is_removable(&self) -> bool {
-        self.is_withdrawn() && matches!(self.holder, SliceHolder::Owner(_))
+        self.is_tenant_removed() && matches!(self.holder, SliceHolder::Owner(_))
     }
 
-    /// Returns the host that should send a request because of this slice, given the tenant's
-    /// admission host.
+    /// Returns the host that should send a loan request, so that this slice can be lent to it,
+    /// recalled from it, or given its new share there. `admission_host` is that of the tenant.
     pub(super) fn pending_host(&self, admission_host: HostId) -> Option<HostId> {
         match &self.holder {
             SliceHolder::Owner(_) => Some(admission_host),
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -13,9 +13,9 @@
 
 /// Returns the tokens that a program may still spend.
 fn left(home: &mut HomeHost, platform: &mut Platform, program: ProgramId) -> u64 {
-    let ticket = home.send(platform, Request::View { program });
+    let origin = home.send(platform, Request::View { program });
 
-    match home.reply(ticket) {
+    match home.reply(origin) {
         Reply::View(view) => view.budget_left_tokens.0,
         reply => panic!("expected a view, got {reply:?}"),
     }
@@ -51,10 +51,10 @@
     let (mut ran, mut spent) = (0, 0);
 
     loop {
-        let ticket = home.send(platform, call("model", &format!("k{ran}"), ran));
+        let origin = home.send(platform, call("model", &format!("k{ran}"), ran));
 
         if home.dispatches.len() as u32 == ran {
-            return (home.refusal(ticket), ran, spent);
+            return (home.refusal(origin), ran, spent);
         }
 
         let place = home.placed.last().expect("the call must have requested a place");
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -13,9 +13,9 @@
 fn a_turn_that_nobody_waits_for_is_cancelled() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    let ticket = home.send(platform, call("model", "k1", 0));
+    let origin = home.send(platform, call("model", "k1", 0));
 
-    home.process(platform, ProgramEvent::CallerGone { ticket });
+    home.process(platform, ProgramEvent::CallerGone { origin });
     let cancelled = home.cancelled;
     home.end_attempt(platform, AttemptOutcome::Cancelled);
     let next = home.run_call(platform, call("model", "k2", 0), "\"text\"");
@@ -31,9 +31,9 @@
 fn a_deposit_that_nobody_waits_for_is_recorded() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let origin = home.send(platform, call("deposit", "k1", 0));
 
-    home.process(platform, ProgramEvent::CallerGone { ticket });
+    home.process(platform, ProgramEvent::CallerGone { origin });
     home.end_attempt(platform, done("\"paid\""));
     let outcome = home.send(platform, Request::Outcome { program: PROGRAM, key: "k1".into() });
 
--- a/crates/policy/tests/programs_home/checkpoints.rs
+++ b/crates/policy/tests/programs_home/checkpoints.rs
@@ -15,7 +15,7 @@
 fn a_checkpoint_replaces_journal_rows() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    home.programs.set_checkpoint_bytes(4_000);
+    home.programs.set_checkpoint_threshold(4_000);
 
     for number in 0..30 {
         home.run_call(platform, call("look", &format!("k{number}"), number), "\"seen\"");
@@ -38,7 +38,7 @@
     let other = ProgramId(8);
     let ask = |key, after| CallRequest { program: other, ..call_request("look", key, after) };
     home.send(platform, open(other));
-    home.programs.set_checkpoint_bytes(1);
+    home.programs.set_checkpoint_threshold(1);
     platform.hold_objects = true;
 
     home.run_call(platform, call("look", "k1", 0), "\"seen\"");
@@ -60,7 +60,7 @@
 fn a_late_copy_of_an_old_checkpoint_changes_nothing() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    home.programs.set_checkpoint_bytes(1);
+    home.programs.set_checkpoint_threshold(1);
     let moves = |request: &PlatformOp| match request {
         PlatformOp::Commit(tx) if tx.writes.iter().any(|w| &*w.key.table == "checkpoint") => {
             Some(tx.clone())
--- a/crates/policy/tests/programs_home/fixture.rs
+++ b/crates/policy/tests/programs_home/fixture.rs
@@ -204,7 +204,7 @@
     /// The epoch and row version of the partition's lease.
     pub lease: (Epoch, RowVersion),
     host: HostId,
-    tickets: u64,
+    requests_made: u64,
 }
 
 impl HomeHost {
@@ -233,7 +233,7 @@
             hold_places: false,
             lease: (Epoch(0), RowVersion(0)),
             host,
-            tickets: 0,
+            requests_made: 0,
         };
 
         home.process(platform, ProgramEvent::Config(config()));
@@ -276,7 +276,7 @@
 
     fn execute(&mut self, platform: &mut Platform, action: ProgramAction) -> Option<ProgramEvent> {
         match action {
-            ProgramAction::Answer { ticket, reply } => self.answers.push((ticket, reply)),
+            ProgramAction::Answer { origin, reply } => self.answers.push((origin, reply)),
             ProgramAction::Admit { call, .. } if !self.hold_places => {
                 return Some(ProgramEvent::Verdict { call, verdict: Verdict::Admitted });
             }
@@ -327,23 +327,23 @@
         self.now = until;
     }
 
-    /// Sends a request with a tenant and API key, and returns its ticket.
+    /// Sends a request with a tenant and API key, and returns its origin.
     pub fn send_as(
         &mut self,
         platform: &mut Platform,
         who: (&str, u64),
         request: Request,
     ) -> RequestOrigin {
-        self.tickets += 1;
-        let ticket = RequestOrigin { entry: self.host, request: RequestId(self.tickets) };
+        self.requests_made += 1;
+        let origin = RequestOrigin { entry: self.host, request: RequestId(self.requests_made) };
         let (tenant, key) = (tenant(who.0), KeyId(who.1));
-        self.process(platform, ProgramEvent::Request { ticket, tenant, key, request });
+        self.process(platform, ProgramEvent::Request { origin, tenant, key, request });
         self.advance(platform, 10);
 
-        ticket
+        origin
     }
 
-    /// Sends a request of tenant `inkwick` and returns its ticket.
+    /// Sends a request of tenant `inkwick` and returns its origin.
     pub fn send(&mut self, platform: &mut Platform, request: Request) -> RequestOrigin {
         self.send_as(platform, ("inkwick", 1), request)
     }
@@ -357,15 +357,15 @@
 
     /// Runs a call to its outcome; the target answers with `output`.
     pub fn run_call(&mut self, platform: &mut Platform, request: Request, output: &str) -> Called {
-        let ticket = self.send(platform, request);
+        let origin = self.send(platform, request);
         self.end_attempt(platform, done(output));
 
-        self.called(ticket)
+        self.called(origin)
     }
 
     /// Returns the reply to a request, and checks that there is exactly one.
-    pub fn reply(&self, ticket: RequestOrigin) -> &Reply {
-        let mut replies = self.answers.iter().filter(|(to, _)| *to == ticket);
+    pub fn reply(&self, origin: RequestOrigin) -> &Reply {
+        let mut replies = self.answers.iter().filter(|(to, _)| *to == origin);
         let (_, reply) = replies.next().expect("the request was answered");
         assert!(replies.next().is_none(), "the request was answered twice");
 
@@ -373,16 +373,16 @@
     }
 
     /// Returns the refusal of a request; panics on any other reply.
-    pub fn refusal(&self, ticket: RequestOrigin) -> Refusal {
-        match self.reply(ticket) {
+    pub fn refusal(&self, origin: RequestOrigin) -> Refusal {
+        match self.reply(origin) {
             Reply::Refused(refusal) => refusal.clone(),
             reply => panic!("expected a refusal, got {reply:?}"),
         }
     }
 
     /// Returns the result of a call; panics on any other reply.
-    pub fn called(&self, ticket: RequestOrigin) -> Called {
-        match self.reply(ticket) {
+    pub fn called(&self, origin: RequestOrigin) -> Called {
+        match self.reply(origin) {
             Reply::Called(called) => called.clone(),
             reply => panic!("expected the result of a call, got {reply:?}"),
         }
@@ -390,9 +390,9 @@
 
     /// Returns the finished calls of `PROGRAM`.
     pub fn history(&mut self, platform: &mut Platform) -> Vec<HistoryCall> {
-        let ticket = self.send(platform, Request::History { program: PROGRAM, from: 1 });
+        let origin = self.send(platform, Request::History { program: PROGRAM, from: 1 });
 
-        match self.reply(ticket) {
+        match self.reply(origin) {
             Reply::History { calls } => calls.clone(),
             reply => panic!("expected a history, got {reply:?}"),
         }
--- a/crates/policy/tests/programs_home/intent.rs
+++ b/crates/policy/tests/programs_home/intent.rs
@@ -17,14 +17,14 @@
     let mut home = HomeHost::with_program(platform, 1);
     platform.mode = Mode::Hang;
 
-    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let origin = home.send(platform, call("deposit", "k1", 0));
     let sent_before = home.dispatches.len();
     platform.mode = Mode::Normal;
     home.release(platform);
     home.end_attempt(platform, done("\"paid\""));
 
     assert_eq!(sent_before, 0);
-    assert_eq!(home.called(ticket).call, 1);
+    assert_eq!(home.called(origin).call, 1);
 }
 
 /// The platform rejects the intent, so nothing was sent. The caller is refused at once with
@@ -41,8 +41,8 @@
     home.advance(platform, 5_000);
     let third = home.run_call(platform, call("deposit", "k1", 0), "\"paid\"");
 
-    for ticket in [first, second] {
-        let refusal = home.refusal(ticket);
+    for origin in [first, second] {
+        let refusal = home.refusal(origin);
         assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
         assert!(refusal.retry_after.is_some());
     }
@@ -59,7 +59,7 @@
     let mut home = HomeHost::with_program(platform, 1);
     platform.mode = Mode::DropAnswers;
 
-    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let origin = home.send(platform, call("deposit", "k1", 0));
     let blocked = home.send(platform, call("model", "k2", 0));
     platform.mode = Mode::Unavailable;
     home.advance(platform, 1_000);
@@ -69,7 +69,7 @@
     let mut new = HomeHost::new(platform, 2);
     let again = new.run_call(platform, call("deposit", "k1", 1), "\"paid\"");
 
-    assert_eq!(home.refusal(ticket).ran, Ran::No);
+    assert_eq!(home.refusal(origin).ran, Ran::No);
     assert_eq!(home.refusal(blocked).code, Code::PlatformUnavailable);
     assert_eq!((unblocked.stored, home.fenced), (true, 0));
     assert_eq!((home.dispatches.len(), new.dispatches.len()), (1, 1));
@@ -100,12 +100,12 @@
 fn a_fenced_home_passes_the_answer_on_with_a_tail() {
     let platform = &mut Platform::new();
     let mut old = HomeHost::with_program(platform, 1);
-    let ticket = old.send(platform, call("deposit", "k1", 0));
+    let origin = old.send(platform, call("deposit", "k1", 0));
     let mut new = HomeHost::new(platform, 2);
 
     old.end_attempt(platform, done("\"paid\""));
     old.advance(platform, 1_000);
-    let answer = old.called(ticket);
+    let answer = old.called(origin);
     let request = call_with_tail("model", "k2", 1, answer.tail.clone());
     new.run_call(platform, request, "\"text\"");
     let repeat = new.send(platform, call("deposit", "k1", 0));
@@ -159,11 +159,11 @@
 fn an_outcome_is_written_when_the_platform_is_available_again() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let origin = home.send(platform, call("deposit", "k1", 0));
     platform.mode = Mode::Unavailable;
 
     home.end_attempt(platform, done("\"paid\""));
-    let answer = home.called(ticket);
+    let answer = home.called(origin);
     platform.mode = Mode::Normal;
     home.advance(platform, 5_000);
     let mut new = HomeHost::new(platform, 2);
@@ -179,13 +179,13 @@
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
     platform.mode = Mode::Hang;
-    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let origin = home.send(platform, call("deposit", "k1", 0));
 
     home.process(platform, ProgramEvent::Lost { partition: PARTITION });
     platform.mode = Mode::Normal;
     home.release(platform);
 
-    let refusal = home.refusal(ticket);
+    let refusal = home.refusal(origin);
     assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::No));
     assert!(home.dispatches.is_empty());
     assert_eq!(home.released.len(), 1);
--- a/crates/policy/tests/programs_home/opening.rs
+++ b/crates/policy/tests/programs_home/opening.rs
@@ -30,9 +30,9 @@
     let mut home = HomeHost::new(platform, 1);
     platform.mode = Mode::Unavailable;
 
-    let ticket = home.send(platform, open(PROGRAM));
+    let origin = home.send(platform, open(PROGRAM));
 
-    let refusal = home.refusal(ticket);
+    let refusal = home.refusal(origin);
     assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
     assert_eq!(home.programs.open_programs().count(), 0);
 }
--- a/crates/policy/tests/programs_home/order.rs
+++ b/crates/policy/tests/programs_home/order.rs
@@ -57,9 +57,9 @@
     let mut other = call_request("deposit", "k1", 1);
     other.body = [1; 32];
 
-    let ticket = home.send(platform, Request::Call(other));
+    let origin = home.send(platform, Request::Call(other));
 
-    assert_eq!(home.refusal(ticket).code, Code::KeyReused);
+    assert_eq!(home.refusal(origin).code, Code::KeyReused);
 }
 
 #[test]
--- a/crates/policy/tests/programs_home/retries.rs
+++ b/crates/policy/tests/programs_home/retries.rs
@@ -15,11 +15,11 @@
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
 
-    let ticket = home.send(platform, call("model", "k1", 0));
+    let origin = home.send(platform, call("model", "k1", 0));
     home.end_attempt(platform, connection_lost(false));
     home.end_attempt(platform, done("\"text\""));
 
-    assert_eq!(home.called(ticket).call, 1);
+    assert_eq!(home.called(origin).call, 1);
     assert_eq!(home.placed[1].avoid, Some(home.dispatches[0].target));
     assert_eq!((home.placed.len(), home.released.len()), (2, 2));
 }
@@ -31,10 +31,10 @@
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
 
-    let ticket = home.send(platform, call("model", "k1", 0));
+    let origin = home.send(platform, call("model", "k1", 0));
     home.end_attempt(platform, AttemptOutcome::Lost { streamed: true, crashed: false });
 
-    let refusal = home.refusal(ticket);
+    let refusal = home.refusal(origin);
     assert_eq!((refusal.code, refusal.ran), (Code::OutcomeUnknown, Ran::Maybe));
     assert_eq!(home.dispatches.len(), 1);
 }
@@ -70,7 +70,7 @@
 fn not_run_is_not_reported_after_a_lost_attempt() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    let ticket = home.send(platform, call("model", "k1", 0));
+    let origin = home.send(platform, call("model", "k1", 0));
     home.end_attempt(platform, connection_lost(false));
 
     home.end_attempt(platform, AttemptOutcome::Refused { message: "full".into() });
@@ -78,7 +78,7 @@
         home.end_attempt(platform, AttemptOutcome::NotSent);
     }
 
-    let refusal = home.refusal(ticket);
+    let refusal = home.refusal(origin);
     assert_eq!((refusal.code, refusal.ran), (Code::Overloaded, Ran::Maybe));
 }
 
@@ -114,10 +114,10 @@
     let mut home = HomeHost::with_program(platform, 1);
 
     for number in 0..3 {
-        let ticket = home.send(platform, call("look", &format!("k{number}"), number));
+        let origin = home.send(platform, call("look", &format!("k{number}"), number));
         home.end_attempt(platform, connection_lost(true));
         home.end_attempt(platform, done("\"seen\""));
-        assert_eq!(home.called(ticket).call, number + 1);
+        assert_eq!(home.called(origin).call, number + 1);
     }
 
     assert!(home.quarantined.is_empty());
@@ -135,8 +135,8 @@
     let mut home = HomeHost::new(platform, 2);
 
     home.process(platform, ProgramEvent::Quarantined(digest));
-    let ticket = home.send(platform, call("model", "k1", 0));
+    let origin = home.send(platform, call("model", "k1", 0));
 
-    assert_eq!(home.refusal(ticket).code, Code::Quarantined);
+    assert_eq!(home.refusal(origin).code, Code::Quarantined);
     assert!(home.dispatches.is_empty());
 }
--- a/crates/policy/tests/programs_home/tails.rs
+++ b/crates/policy/tests/programs_home/tails.rs
@@ -60,10 +60,10 @@
     let mut new = HomeHost::new(platform, 2);
     new.run_call(platform, call("model", "other", 0), "\"other\"");
 
-    let ticket = new.send(platform, call_with_tail("model", "k3", 2, tail.clone()));
+    let origin = new.send(platform, call_with_tail("model", "k3", 2, tail.clone()));
     let repeat = new.send(platform, call_with_tail("model", "other", 0, tail));
 
-    let refusal = new.refusal(ticket);
+    let refusal = new.refusal(origin);
     assert_eq!((refusal.code, refusal.ran), (Code::OutOfOrder, Ran::No));
     assert_eq!(refusal.head, Some(1));
     assert_eq!(new.called(repeat).call, 1);
@@ -96,11 +96,11 @@
     home.send(platform, open(PROGRAM));
     home.run_call(platform, call("model", "other", 0), "\"other\"");
 
-    let ticket = home.send(platform, call_with_tail("model", "k3", 2, tail));
+    let origin = home.send(platform, call_with_tail("model", "k3", 2, tail));
     let history = home.history(platform);
     let mut new = HomeHost::new(platform, 2);
 
-    assert_eq!(home.refusal(ticket).code, Code::OutOfOrder);
+    assert_eq!(home.refusal(origin).code, Code::OutOfOrder);
     assert_eq!(history.len(), 1);
     assert_eq!(new.history(platform), history);
 }
@@ -120,8 +120,8 @@
     let elsewhere = CallRequest { program: other, tail, ..call_request("model", "k3", 2) };
     let elsewhere = new.send(platform, Request::Call(elsewhere));
 
-    for ticket in [changed, elsewhere] {
-        let refusal = new.refusal(ticket);
+    for origin in [changed, elsewhere] {
+        let refusal = new.refusal(origin);
         assert_eq!((refusal.code, refusal.ran), (Code::BadRequest, Ran::No));
     }
     assert!(new.history(platform).is_empty());
@@ -133,15 +133,15 @@
 fn a_slow_platform_does_not_delay_the_answer() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    let ticket = home.send(platform, call("model", "k1", 0));
+    let origin = home.send(platform, call("model", "k1", 0));
     platform.mode = Mode::Hang;
 
     home.end_attempt(platform, crate::fixture::done("\"one\""));
-    let early = home.answers.iter().any(|(to, _)| *to == ticket);
+    let early = home.answers.iter().any(|(to, _)| *to == origin);
     home.advance(platform, 500);
 
     assert!(!early);
-    let answer = home.called(ticket);
+    let answer = home.called(origin);
     assert!(!answer.stored && answer.tail.is_some());
 }
 
@@ -153,9 +153,9 @@
     home_with_unstored_turns(platform);
     let mut new = HomeHost::new(platform, 2);
 
-    let ticket = new.send(platform, call("model", "k3", 2));
+    let origin = new.send(platform, call("model", "k3", 2));
 
-    assert_eq!(new.refusal(ticket).head, Some(0));
+    assert_eq!(new.refusal(origin).head, Some(0));
     let view = new.send(platform, Request::View { program: PROGRAM });
     assert!(matches!(new.reply(view), camphorwalk_core::calls::Reply::View(v) if v.head == 0));
 }
--- a/crates/policy/tests/programs_home/world.rs
+++ b/crates/policy/tests/programs_home/world.rs
@@ -31,7 +31,7 @@
 const DEADLINE: Duration = Duration::from_secs(600);
 
 /// Journal bytes after which a checkpoint is made: low, so that every case makes many.
-const CHECKPOINT_BYTES: usize = 250;
+const CHECKPOINT_THRESHOLD: usize = 250;
 
 /// How the platform treats transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -117,7 +117,7 @@
         };
         let mailbox = VecDeque::from([ProgramEvent::Config(config())]);
         let mut programs = Programs::new(options);
-        programs.set_checkpoint_bytes(CHECKPOINT_BYTES);
+        programs.set_checkpoint_threshold(CHECKPOINT_THRESHOLD);
 
         Host { programs, session: self.sessions, mailbox, paused: false, places: BTreeSet::new() }
     }
@@ -199,9 +199,9 @@
             Request::Call(call) => Some(call.key.clone()),
             _ => None,
         };
-        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
+        let origin = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let event = ProgramEvent::Request {
-            ticket,
+            origin,
             tenant: tenant("inzira"),
             key: KeyId(number % 4),
             request,
@@ -256,13 +256,13 @@
         }
 
         let number = *open[index % open.len()].0;
-        let ticket = RequestOrigin { entry: HostId(0), request: RequestId(number) };
+        let origin = RequestOrigin { entry: HostId(0), request: RequestId(number) };
         let Some(sent) = self.requests.get_mut(&number) else { return };
         sent.disconnected = true;
         let host = &mut self.hosts[sent.host];
 
         if host.session == sent.session {
-            host.mailbox.push_back(ProgramEvent::CallerGone { ticket });
+            host.mailbox.push_back(ProgramEvent::CallerGone { origin });
         }
     }
 
@@ -313,7 +313,7 @@
 
     fn execute(&mut self, host: usize, action: ProgramAction) {
         match action {
-            ProgramAction::Answer { ticket, reply } => self.record_answer(ticket.request.0, reply),
+            ProgramAction::Answer { origin, reply } => self.record_answer(origin.request.0, reply),
             ProgramAction::Admit { call, .. } => {
                 let retry_after = Duration::from_secs(1);
                 let verdict = match std::mem::take(&mut self.deny_next) {
--- a/crates/policy/tests/queue_fuzz.rs
+++ b/crates/policy/tests/queue_fuzz.rs
@@ -275,15 +275,10 @@
 
     fn release(&mut self, request_id: PlaceRequestId, outcome: PlaceOutcome, program_ended: bool) {
         let computed_prompt = self.requests[&request_id].request.prompt;
-        let end = PlaceRelease {
-            outcome,
-            computed_prompt,
-            output: Tokens(50),
-            program_ended,
-        };
+        let release = PlaceRelease { outcome, computed_prompt, output: Tokens(50), program_ended };
 
         self.requests.get_mut(&request_id).unwrap().answer = Answer::Ended;
-        self.step(QueueEvent::Release { request_id, end });
+        self.step(QueueEvent::Release { request_id, release });
     }
 
     fn host_gone(&mut self, host: HostId) {
@@ -381,7 +376,7 @@
                 let request_id = *index.get(&asked);
 
                 if !active.contains(&request_id) {
-                    state.step(QueueEvent::Release { request_id, end: REPEATED_RELEASE });
+                    state.step(QueueEvent::Release { request_id, release: REPEATED_RELEASE });
                 }
             }
             Transition::HostGone(host) => state.host_gone(HostId(host.into())),
--- a/crates/policy/tests/queue_support/mod.rs
+++ b/crates/policy/tests/queue_support/mod.rs
@@ -134,8 +134,8 @@
         self.release_with(number, end(PlaceOutcome::Finished))
     }
 
-    pub fn release_with(&mut self, number: u64, end: PlaceRelease) -> Vec<QueueAction> {
-        self.step(QueueEvent::Release { request_id: request_id(number), end })
+    pub fn release_with(&mut self, number: u64, release: PlaceRelease) -> Vec<QueueAction> {
+        self.step(QueueEvent::Release { request_id: request_id(number), release })
     }
 
     pub fn report_load(&mut self, target: &str, waiting: u32) -> Vec<QueueAction> {
