--- a/crates/policy/src/leases/tables.rs
+++ b/crates/policy/src/leases/tables.rs
@@ -67,7 +67,7 @@
         transaction.checks.push(Check { key: name.row_key(), version });
 
         // The session of the previous holder must still not exist when the lease is written. The
-        // scan of the sessions alone may miss a session that was created after it.
+        // scan of the sessions alone may miss a session that was created after the scan.
         if let Some((row, _)) = row.filter(|(row, _)| !row.session.is_empty()) {
             let key = RowKey::new(rows::SESSION_TABLE, row.session.clone());
             let check = Check { key, version: RowVersion::ABSENT };
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -180,8 +180,8 @@
         self.leaving = true;
     }
 
-    /// Adds a host from the platform's list or from the table of sessions. It becomes live only
-    /// once a heartbeat of it arrives.
+    /// Adds or updates a host from the platform's list, the table of sessions or gossip. A new host
+    /// becomes live only once a heartbeat of it arrives.
     pub fn add_listed(
         &mut self,
         name: &str,
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -160,8 +160,8 @@
         self.maintenance.push_back(maintenance);
     }
 
-    /// Returns whether the last transaction failed, or its answer was lost, and no retry is
-    /// due.
+    /// Returns whether the outcome of the transaction in flight is unknown, or the last transaction
+    /// failed and its retry is not due yet.
     pub fn is_unavailable(&self, now: Instant) -> bool {
         self.in_doubt() || (!self.backoff.is_zero() && now < self.not_before)
     }
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -44,7 +44,7 @@
     pub key: KeyId,
     /// The request itself.
     pub request: Request,
-    /// When the request is refused if the journal has still not been read.
+    /// When this host refuses the request, if it has not read the journal by then.
     pub until: Instant,
 }
 
@@ -117,7 +117,7 @@
     pub parameters_digest: Digest,
     /// Whether the caller may repeat the opening.
     pub repeatable: bool,
-    /// When the program is ended by force.
+    /// When this host ends the program, if it is still open then.
     pub deadline: Instant,
     /// The lifecycle state.
     pub state: ProgramState,
@@ -330,7 +330,7 @@
     pub number: u32,
     /// Callers that wait for the answer.
     pub callers: Vec<Caller>,
-    /// The API key that is checked again before the call is sent.
+    /// The API key that the runtime checks again before it sends the call.
     pub key: KeyId,
     /// The stage that the call has reached.
     pub stage: Stage,
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -3,8 +3,8 @@
 //! While the platform is unavailable, model turns continue and their answers carry a *tail*:
 //! all calls of the program that are not durable. The caller sends it back with its next call,
 //! so that the home host's memory is not the only copy. A tail is bound to its program, its
-//! tenant, the number of the call before it and the hash of the history up to that call. A home
-//! host adopts it only if its own history matches.
+//! tenant, the number of the call before its first one and the hash of the history up to that call.
+//! A home host adopts a tail only if the host's own history matches.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -10,7 +10,7 @@
 
 use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
-/// How long after its call's deadline a place is released automatically.
+/// How long after the deadline of a call the queue releases the call's place by itself.
 ///
 /// A release message can be lost with its connection, and a request can arrive after its own
 /// withdrawal on another connection. Either would occupy a place forever and reduce the target's
@@ -36,7 +36,7 @@
 }
 
 impl Place {
-    /// Returns when the place is released automatically.
+    /// Returns when the queue releases the place by itself.
     fn expiry(&self) -> Instant {
         self.deadline + RELEASE_GRACE
     }
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -114,7 +114,8 @@
     pub request_id: PlaceRequestId,
     /// The requirements of the call.
     pub request: &'a PlaceRequest,
-    /// Since when the call has been passed over to wait for a busy target that has its prefix.
+    /// Since when the queue has passed over the call, so that it waits for a busy target that has
+    /// its prefix cached.
     pub passed_over_since: Option<Instant>,
 }
 
--- a/crates/policy/src/queue/waiting.rs
+++ b/crates/policy/src/queue/waiting.rs
@@ -16,7 +16,8 @@
     pub request: PlaceRequest,
     /// When the call started to wait.
     pub waiting_since: Instant,
-    /// Since when the call has been passed over to wait for a busy target that has its prefix.
+    /// Since when the queue has passed over the call, so that it waits for a busy target that has
+    /// its prefix cached.
     pub passed_over_since: Option<Instant>,
     /// The deadline of the call's program.
     pub deadline: Instant,
@@ -52,7 +53,8 @@
         self.calls.get(&request_id)
     }
 
-    /// Records that a call is passed over to wait for a busy target that has its prefix.
+    /// Records that the queue passes over a call, so that it waits for a busy target that has its
+    /// prefix cached.
     pub fn mark_passed_over(&mut self, now: Instant, request_id: PlaceRequestId) {
         if let Some(call) = self.calls.get_mut(&request_id) {
             call.passed_over_since.get_or_insert(now);
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -217,7 +217,8 @@
     /// The number of this run of the process: seconds since 1970 in the upper half, so that a later
     /// run has a higher number, and random bits in the lower half.
     pub session: u64,
-    /// The fleet's secret for sealing turns that are handed to callers before they are stored.
+    /// The fleet's secret for sealing the turns that answers carry to callers before the platform
+    /// has stored them.
     pub seal_key: [u8; 32],
     /// The intervals and timeouts of the host.
     pub times: SchedulerTimes,
--- a/crates/policy/src/shared_types.rs
+++ b/crates/policy/src/shared_types.rs
@@ -101,7 +101,7 @@
     pub target: TargetId,
     /// The tenant.
     pub tenant: TenantId,
-    /// The API key of the call, checked once more just before the attempt is sent.
+    /// The API key of the call. The runtime checks it once more just before it sends the attempt.
     pub key: KeyId,
     /// The program.
     pub program: ProgramId,
--- a/crates/policy/src/slices/lender.rs
+++ b/crates/policy/src/slices/lender.rs
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Lends the borrower the slices held here of tenants whose admission host it is.
+    /// Lends the borrower the usable slices of the tenants whose admission host the borrower is.
     fn add_loans(
         &mut self,
         borrower: BorrowerRun,
--- a/crates/policy/src/slices/slice.rs
+++ b/crates/policy/src/slices/slice.rs
@@ -51,7 +51,7 @@
     pub(super) borrower: BorrowerRun,
     /// The number of the grant that contained the loan.
     pub(super) grant: u64,
-    /// The bucket at the time of the loan. It is restored if the grant is lost.
+    /// The bucket at the time of the loan. The owner restores it if the grant is lost.
     pub(super) bucket: Bucket,
     /// The share that was last sent to the borrower.
     pub(super) reported_share: Share,
@@ -89,7 +89,7 @@
         self.holder = SliceHolder::Owner(Bucket::new(self.share, level, from));
     }
 
-    /// Lends the slice. `bucket` is restored if the grant is lost.
+    /// Lends the slice. The owner restores `bucket` if the grant is lost.
     pub(super) fn lend(&mut self, borrower: BorrowerRun, bucket: Bucket, grant: u64) {
         let (reported_share, reported_in) = (self.share, grant);
 
