--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -374,14 +374,14 @@
     }
 
     fn release_place(&mut self, number: u64, outcome: PlaceOutcome, computed: u64, output: u64) {
-        let end = PlaceRelease {
+        let release = PlaceRelease {
             outcome,
             computed_prompt: Tokens(computed),
             output: Tokens(output),
             program_ended: outcome == PlaceOutcome::Failed || outcome == PlaceOutcome::NotSent,
         };
 
-        self.step_scheduler(QueueEvent::Release { request_id: request_id(number), end });
+        self.step_scheduler(QueueEvent::Release { request_id: request_id(number), release });
     }
 
     fn finish_turn(&mut self, program: usize, turn: usize) {
--- a/crates/policy/src/slices/slice.rs
+++ b/crates/policy/src/slices/slice.rs
@@ -51,7 +51,7 @@
     pub(super) borrower: BorrowerRun,
     /// The number of the grant that contained the loan.
     pub(super) grant: u64,
-    /// The bucket at the time of the loan. It is restored if the grant is lost.
+    /// The bucket at the time of the loan. The owner restores it if the grant is lost.
     pub(super) bucket: Bucket,
     /// The share that was last sent to the borrower.
     pub(super) reported_share: Share,
@@ -89,7 +89,7 @@
         self.holder = SliceHolder::Owner(Bucket::new(self.share, level, from));
     }
 
-    /// Lends the slice. `bucket` is restored if the grant is lost.
+    /// Lends the slice. The owner restores `bucket` if the grant is lost.
     pub(super) fn lend(&mut self, borrower: BorrowerRun, bucket: Bucket, grant: u64) {
         let (reported_share, reported_in) = (self.share, grant);
 
@@ -117,18 +117,18 @@
         matches!(self.holder, SliceHolder::Owner(_)) && now < self.usable_from
     }
 
-    /// Returns whether the tenant was removed from the configuration.
-    pub(super) fn is_withdrawn(&self) -> bool {
+    /// Returns whether the tenant was removed from the configuration, or has no rate and no burst.
+    pub(super) fn is_tenant_removed(&self) -> bool {
         self.share == Share::default()
     }
 
     /// Returns whether the tenant was removed and no borrower uses the slice.
     pub(super) fn is_removable(&self) -> bool {
-        self.is_withdrawn() && matches!(self.holder, SliceHolder::Owner(_))
+        self.is_tenant_removed() && matches!(self.holder, SliceHolder::Owner(_))
     }
 
-    /// Returns the host that should send a request because of this slice, given the tenant's
-    /// admission host.
+    /// Returns the host that should send a loan request, so that this slice can be lent to it,
+    /// recalled from it, or given its new share there. `admission_host` is that of the tenant.
     pub(super) fn pending_host(&self, admission_host: HostId) -> Option<HostId> {
         match &self.holder {
             SliceHolder::Owner(_) => Some(admission_host),
