--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -37,8 +37,8 @@
     /// Whether the sender knows of grants without the store to programs that may still send calls.
     #[prost(bool, tag = "14")]
     pub knows_of_loose: bool,
-    /// Whether the sender grants tokens to programs without the store, or made such grants that
-    /// are not all written to the store yet.
+    /// Whether the sender may be granting tokens to programs without the store, or knows of such
+    /// grants to itself or to a silent host that are not written to the store yet.
     #[prost(bool, tag = "13")]
     pub grants_loose: bool,
     /// The number of calls queued at the sender, for each service whose targets are full.
@@ -47,7 +47,7 @@
     /// The prompts that the sender sent to targets since its last update. They show which prompt
     /// parts each target has cached.
     #[prost(message, repeated, tag = "11")]
-    pub prompts: Vec<Prompts>,
+    pub prompts: Vec<SentPrompts>,
 }
 
 /// The number of calls queued at one host for a service.
@@ -101,7 +101,7 @@
 
 /// The prompts that a host sent to a target since its last status update.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Prompts {
+pub struct SentPrompts {
     /// Id of the target.
     #[prost(string, tag = "1")]
     pub target: String,
@@ -143,7 +143,7 @@
     pub question: Vec<u8>,
 }
 
-/// The reply to an [`PeerQuery`].
+/// The reply to a [`PeerQuery`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerQueryReply {
     /// Number of the query that it answers.
--- a/crates/policy/src/entry/budgets/account.rs
+++ b/crates/policy/src/entry/budgets/account.rs
@@ -21,15 +21,18 @@
     pub(super) written_at: Instant,
     /// Whether the row has to be written again so that other hosts do not delete it as idle.
     pub(super) refresh_due: bool,
-    /// How many of the tokens granted to this run it may spend, because the store or a host of
-    /// another zone has recorded the grant.
+    /// How many of the tokens granted to this run it may spend. The store or a host of another zone
+    /// has recorded that much of the grant.
     pub(super) assured: u64,
     /// Total tokens that this run has given to each other run.
     pub(super) transferred_to: Map<RunId, u64>,
     /// Total tokens that this run has received from each other run.
     pub(super) transferred_from: Map<RunId, u64>,
+    /// Total tokens that turns at this host have generated.
     pub(super) spent: u64,
+    /// The tokens reserved for turns that run at this host now.
     pub(super) reserved: u64,
+    /// When the program was last known to run, at this host or another one.
     pub(super) last_used: Instant,
 }
 
--- a/crates/policy/src/entry/manifests.rs
+++ b/crates/policy/src/entry/manifests.rs
@@ -57,18 +57,20 @@
 /// use camphorwalk_core::time::Instant;
 /// use camphorwalk_policy::entry::manifests::{FetchStep, NewerManifest, next_fetch_step};
 /// let at = Instant::from_millis;
-/// let newer =
-///     NewerManifest { version: 2, in_force: 1, announced_at: at(0), store_answers: true, last_progress: None };
+/// let newer = NewerManifest {
+///     version: 2, in_force: 1, announced_at: at(0), store_answers: true, last_progress: None
+/// };
 /// assert_eq!(next_fetch_step(at(0), &newer), FetchStep::Wait(Duration::from_millis(250)));
 /// assert_eq!(next_fetch_step(at(250), &newer), FetchStep::AskPeer);
-/// assert_eq!(next_fetch_step(at(250), &NewerManifest { in_force: 2, ..newer }), FetchStep::Nothing);
+/// let adopted = NewerManifest { in_force: 2, ..newer };
+/// assert_eq!(next_fetch_step(at(250), &adopted), FetchStep::Nothing);
 /// ```
 pub fn next_fetch_step(now: Instant, newer: &NewerManifest) -> FetchStep {
     if newer.version <= newer.in_force {
         return FetchStep::Nothing;
     }
-    let heard = newer.store_answers.then_some(newer.announced_at);
-    let Some(since) = heard.max(newer.last_progress) else { return FetchStep::AskPeer };
+    let announced = newer.store_answers.then_some(newer.announced_at);
+    let Some(since) = announced.max(newer.last_progress) else { return FetchStep::AskPeer };
     let until = (since + STORE_STALL_TIMEOUT).min(newer.announced_at + STORE_TRANSFER_TIMEOUT);
     let left = until.since(now);
 
@@ -87,8 +89,8 @@
     GiveUp,
 }
 
-/// Returns what to do about a request that was sent at `asked` to a host whose last status update
-/// arrived at `heard`, if any did.
+/// Returns what to do about a request that was sent at `requested_at` to a host whose last status
+/// update arrived at `last_status_at`, if any did.
 ///
 /// Messages from a host arrive in order, so no status updates arrive while it sends a long answer.
 /// Status updates that were sent after the host received the request therefore show that no answer
@@ -101,10 +103,15 @@
 /// assert_eq!(check_pending(at(2_000), at(0), Some(at(100))), PendingRequest::Wait);
 /// assert_eq!(check_pending(at(2_000), at(0), Some(at(1_900))), PendingRequest::GiveUp);
 /// ```
-pub fn check_pending(now: Instant, asked: Instant, heard: Option<Instant>) -> PendingRequest {
-    let is_overtaken = heard.is_some_and(|at| at.since(asked) >= UPDATE_DELIVERY_TIME);
+pub fn check_pending(
+    now: Instant,
+    requested_at: Instant,
+    last_status_at: Option<Instant>,
+) -> PendingRequest {
+    let is_overtaken =
+        last_status_at.is_some_and(|at| at.since(requested_at) >= UPDATE_DELIVERY_TIME);
 
-    match is_overtaken || now.since(asked) >= REQUEST_TIMEOUT {
+    match is_overtaken || now.since(requested_at) >= REQUEST_TIMEOUT {
         true => PendingRequest::GiveUp,
         false => PendingRequest::Wait,
     }
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -15,7 +15,7 @@
 use slotmap::SlotMap;
 
 use crate::entry::call_stats::CallStats;
-use crate::entry::prompts::{Part, Prompts};
+use crate::entry::prompts::{CachedPart, Prompts};
 
 slotmap::new_key_type! {
     /// Identifies one run of a target within this host.
@@ -41,7 +41,7 @@
 /// of by rank.
 const MAX_QUEUED_AT_TARGET: u32 = 2;
 
-/// The number of consecutive failures after which a target is ejected, that is gets no calls for a
+/// The number of consecutive failures after which a target is ejected: it gets no calls for a
 /// while.
 const FAILURES_TO_EJECT: u32 = 2;
 
@@ -72,7 +72,7 @@
     prompts: Prompts,
     /// The last parts of the prompts that this host sent there, not yet reported to the other
     /// hosts.
-    unreported_parts: Vec<Part>,
+    unreported_parts: Vec<CachedPart>,
 }
 
 /// The fraction of a target's slots up to which new programs may start there: for the first rank,
@@ -93,7 +93,7 @@
     /// The rank of the call if it starts a program.
     pub new_program_rank: Option<u32>,
     /// The prompt parts, in order. While a target reads a prompt, its other calls make no progress.
-    pub parts: Vec<Part>,
+    pub parts: Vec<CachedPart>,
     /// The object that the call refers to, for a call without a prompt.
     pub object: Option<u64>,
     /// The targets that the call was already sent to.
@@ -109,7 +109,8 @@
         self.parts.last().map_or(self.seed, |(id, _)| *id)
     }
 
-    /// Returns the number of calls below which a target with `slots` slots accepts this one.
+    /// Returns the limit on the calls in flight at a target with `slots` slots: this call may only
+    /// be sent there while fewer are in flight.
     fn limit(&self, slots: u32) -> u32 {
         match self.new_program_rank {
             None => slots + MAX_QUEUED_AT_TARGET,
@@ -127,7 +128,8 @@
 pub enum Choice {
     /// Send the call to this target.
     Target(TargetKey),
-    /// All usable targets are full; the call has to wait.
+    /// Targets are usable, but each of them, or the service as a whole, is too busy for the call,
+    /// which has to wait.
     Full,
     /// No target of the service is usable.
     NoTarget,
@@ -290,7 +292,7 @@
     }
 
     /// Records the last parts of prompts that another host sent to a target.
-    pub fn record_remote_prompts(&mut self, id: &str, parts: &[Part]) {
+    pub fn record_remote_prompts(&mut self, id: &str, parts: &[CachedPart]) {
         let target = self.by_id.get(id).and_then(|key| self.targets.get_mut(*key));
 
         if let Some(target) = target {
@@ -300,7 +302,7 @@
 
     /// Takes the last parts of the prompts that this host sent to each target since the previous
     /// call, by target id.
-    pub fn take_updates(&mut self) -> Vec<(Box<str>, Vec<Part>)> {
+    pub fn take_updates(&mut self) -> Vec<(Box<str>, Vec<CachedPart>)> {
         let targets =
             self.targets.values_mut().filter(|target| !target.unreported_parts.is_empty());
 
@@ -308,11 +310,12 @@
     }
 
     /// Chooses the target of a service for a call: the one with the lowest cost, to the call itself
-    /// and to the calls that run there, among the targets that hold its prompt and two others.
+    /// and to the calls that run there, among the targets that hold its prompt or object and two
+    /// drawn targets.
     ///
     /// The load that other hosts cause is known only from status updates, which are about as old as
     /// a call is long. If all hosts chose the target that seems best, they would all choose the
-    /// same one until the next status update. The two others are therefore drawn at random,
+    /// same one until the next status update. The two targets are therefore drawn at random,
     /// weighted by their free slots.
     pub fn choose(&self, now: Instant, service: &str, request: &PlacementRequest) -> Choice {
         let usable = |(key, target): &(TargetKey, &Target)| {
@@ -393,7 +396,7 @@
     }
 
     /// Returns the mean time for which a call occupies a slot at a service's targets.
-    pub fn mean_hold(&self, service: &str) -> Duration {
+    pub fn mean_service_time(&self, service: &str) -> Duration {
         Duration::from_secs_f64(self.stats(service).slot_ms() / 1_000.0)
     }
 
--- a/crates/policy/src/entry/rates/estimates.rs
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -66,15 +66,15 @@
             return;
         }
 
-        let newly_silent = self.fix_shares(tenant, account, reports);
+        let newly_silent = self.determine_shares(tenant, account, reports);
         let silent: f64 = self.silent.iter().map(|host| reports[host].share(tenant)).sum();
         let non_live = silent + self.unknown * self.even_share(account);
         account.reserved = self.reserved_share(tenant, silent, reports);
         account.non_live_share =
             non_live.max(account.reserved.share).min(self.max_non_live_share());
 
-        // Each silent host's estimate is recorded, and corrected when it reports its admitted
-        // calls.
+        // The estimate of each silent host is recorded, and corrected when that host reports its
+        // admitted calls.
         let scale = (account.non_live_share / non_live.max(f64::MIN_POSITIVE)).min(1.0);
         let unrecorded = account.non_live_share - silent * scale;
         let mut charged = account.rate * unrecorded * self.elapsed.as_secs_f64();
@@ -92,14 +92,14 @@
     }
 
     /// Returns the largest fraction of a rate that may be charged for hosts that are not live.
-    /// Shares that were fixed at different times may add up to more than the whole rate.
+    /// Shares that were determined at different times may add up to more than the whole rate.
     fn max_non_live_share(&self) -> f64 {
         let live = self.live.len() as f64 + 1.0;
 
         1.0 - DEMAND_FLOOR * live / self.fleet_size
     }
 
-    /// Returns the demand, in calls per second, that each host counts with at least.
+    /// Returns the minimum demand, in calls per second, that is assumed for each host.
     fn demand_floor(&self, account: &Account) -> f64 {
         DEMAND_FLOOR * account.rate / self.fleet_size
     }
@@ -140,8 +140,9 @@
         self.reports_of(tenant, reports).any(|t| t.reserved_until > self.now)
     }
 
-    /// Fixes the shares of hosts that have just gone silent, and returns these hosts.
-    fn fix_shares(
+    /// Determines the shares of hosts that have just gone silent, and returns these hosts. A share
+    /// stays the same until the host is live again.
+    fn determine_shares(
         &self,
         tenant: &str,
         account: &Account,
--- a/crates/policy/src/programs/refusals.rs
+++ b/crates/policy/src/programs/refusals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use camphorwalk_core::calls::{Code, Ran, Refusal, Request};
+use camphorwalk_core::calls::{Code, Executed, Refusal, Request};
 
 /// How long a caller should wait while a program's home host changes.
 const MOVING_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -21,10 +21,10 @@
 ///
 /// The call's idempotency key may have run in an earlier request. If a caller that repeats a
 /// deposit were told "not run", it could pay a second time by other means.
-pub(super) fn ran_if_not_looked_up(request: &Request) -> Ran {
+pub(super) fn ran_if_not_looked_up(request: &Request) -> Executed {
     match request {
-        Request::Call(_) => Ran::Maybe,
-        _ => Ran::No,
+        Request::Call(_) => Executed::Maybe,
+        _ => Executed::No,
     }
 }
 
@@ -60,21 +60,22 @@
 /// The call may have run.
 pub(super) fn outcome_unknown() -> Refusal {
     Refusal::not_run(Code::OutcomeUnknown, "the call may have run; it is not repeated")
-        .ran(Ran::Maybe)
+        .ran(Executed::Maybe)
 }
 
 /// The target ran the call and reported a failure.
 pub(super) fn target_failed(message: &str) -> Refusal {
-    Refusal::not_run(Code::OutcomeUnknown, format!("the target failed: {message}")).ran(Ran::Yes)
+    Refusal::not_run(Code::OutcomeUnknown, format!("the target failed: {message}"))
+        .ran(Executed::Yes)
 }
 
 /// The program's deadline has passed.
-pub(super) fn deadline_passed(ran: Ran) -> Refusal {
+pub(super) fn deadline_passed(ran: Executed) -> Refusal {
     Refusal::not_run(Code::Deadline, "the program's deadline has passed").ran(ran)
 }
 
 /// The API key was withdrawn.
-pub(super) fn unauthorized(ran: Ran) -> Refusal {
+pub(super) fn unauthorized(ran: Executed) -> Refusal {
     Refusal::not_run(Code::Unauthorized, "the key is not valid").ran(ran)
 }
 
@@ -84,6 +85,6 @@
 }
 
 /// The request is quarantined because it crashes targets.
-pub(super) fn quarantined(ran: Ran) -> Refusal {
+pub(super) fn quarantined(ran: Executed) -> Refusal {
     Refusal::not_run(Code::Quarantined, "the request brought targets down before").ran(ran)
 }
--- a/crates/policy/tests/programs_home/budget.rs
+++ b/crates/policy/tests/programs_home/budget.rs
@@ -1,6 +1,6 @@
 //! The budget of a family of programs.
 
-use camphorwalk_core::calls::{CallRequest, Code, Ran, Refusal, Reply, Request, Usage};
+use camphorwalk_core::calls::{CallRequest, Code, Executed, Refusal, Reply, Request, Usage};
 use camphorwalk_core::ids::ProgramId;
 use camphorwalk_core::units::Tokens;
 use camphorwalk_policy::programs::ProgramEvent;
@@ -13,9 +13,9 @@
 
 /// Returns the tokens that a program may still spend.
 fn left(home: &mut HomeHost, platform: &mut Platform, program: ProgramId) -> u64 {
-    let ticket = home.send(platform, Request::View { program });
+    let origin = home.send(platform, Request::View { program });
 
-    match home.reply(ticket) {
+    match home.reply(origin) {
         Reply::View(view) => view.budget_left_tokens.0,
         reply => panic!("expected a view, got {reply:?}"),
     }
@@ -51,10 +51,10 @@
     let (mut ran, mut spent) = (0, 0);
 
     loop {
-        let ticket = home.send(platform, call("model", &format!("k{ran}"), ran));
+        let origin = home.send(platform, call("model", &format!("k{ran}"), ran));
 
         if home.dispatches.len() as u32 == ran {
-            return (home.refusal(ticket), ran, spent);
+            return (home.refusal(origin), ran, spent);
         }
 
         let place = home.placed.last().expect("the call must have requested a place");
@@ -73,7 +73,7 @@
 
     let (refusal, _, spent) = turns_until_refused(&mut home, platform);
 
-    assert_eq!((refusal.code, refusal.ran), (Code::BudgetExhausted, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::BudgetExhausted, Executed::No));
     assert_eq!(left(&mut home, platform, PROGRAM), BUDGET - spent);
 }
 
@@ -131,7 +131,7 @@
 
     let (refusal, ran, spent) = turns_until_refused(&mut home, platform);
 
-    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Ran::No));
+    assert_eq!((refusal.code, refusal.ran), (Code::PlatformUnavailable, Executed::No));
     assert_eq!(ran, 2);
     assert!(spent <= BUDGET / 8);
 }
--- a/crates/policy/tests/programs_home/callers.rs
+++ b/crates/policy/tests/programs_home/callers.rs
@@ -1,6 +1,6 @@
 //! Callers that disconnect and API keys that are withdrawn.
 
-use camphorwalk_core::calls::{CallOutcome, Code, Ran, Reply, Request};
+use camphorwalk_core::calls::{CallOutcome, Code, Executed, Reply, Request};
 use camphorwalk_core::ids::KeyId;
 use camphorwalk_policy::programs::ProgramEvent;
 use camphorwalk_policy::shared_types::AttemptOutcome;
@@ -13,9 +13,9 @@
 fn a_turn_that_nobody_waits_for_is_cancelled() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    let ticket = home.send(platform, call("model", "k1", 0));
+    let origin = home.send(platform, call("model", "k1", 0));
 
-    home.process(platform, ProgramEvent::CallerGone { ticket });
+    home.process(platform, ProgramEvent::CallerGone { origin });
     let cancelled = home.cancelled;
     home.end_attempt(platform, AttemptOutcome::Cancelled);
     let next = home.run_call(platform, call("model", "k2", 0), "\"text\"");
@@ -31,9 +31,9 @@
 fn a_deposit_that_nobody_waits_for_is_recorded() {
     let platform = &mut Platform::new();
     let mut home = HomeHost::with_program(platform, 1);
-    let ticket = home.send(platform, call("deposit", "k1", 0));
+    let origin = home.send(platform, call("deposit", "k1", 0));
 
-    home.process(platform, ProgramEvent::CallerGone { ticket });
+    home.process(platform, ProgramEvent::CallerGone { origin });
     home.end_attempt(platform, done("\"paid\""));
     let outcome = home.send(platform, Request::Outcome { program: PROGRAM, key: "k1".into() });
 
@@ -57,8 +57,8 @@
 
     assert_eq!(home.cancelled, 1);
     let (running, waiting) = (home.refusal(running), home.refusal(waiting));
-    assert_eq!((running.code, running.ran), (Code::Unauthorized, Ran::Maybe));
-    assert_eq!((waiting.code, waiting.ran), (Code::Unauthorized, Ran::No));
+    assert_eq!((running.code, running.ran), (Code::Unauthorized, Executed::Maybe));
+    assert_eq!((waiting.code, waiting.ran), (Code::Unauthorized, Executed::No));
 }
 
 /// Withdrawing an API key refuses its caller at once, but a deposit runs to its end and is
@@ -74,6 +74,6 @@
     let refusal = home.refusal(first);
     home.end_attempt(platform, done("\"paid\""));
 
-    assert_eq!((refusal.code, refusal.ran), (Code::Unauthorized, Ran::Maybe));
+    assert_eq!((refusal.code, refusal.ran), (Code::Unauthorized, Executed::Maybe));
     assert_eq!(home.called(joined).call, 1);
 }
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -1,99 +1,99 @@
-//! What a client starts with.
+//! The options of a client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::dialect::Dialect;
+use crate::protocol::StoreProtocol;
 
-/// What a client starts with.
+/// The options of a client.
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
-    /// Where the platform listens.
+    /// The platform's address.
     pub address: SocketAddr,
-    /// The host's availability zone, which the platform is told.
+    /// The host's availability zone, sent with each request.
     pub zone: Box<str>,
-    /// The longest that one try waits for the head of its answer, and how long it then waits for
-    /// each further piece; an answer may take ten of these, and an operation some tries.
+    /// The longest wait of an attempt for the response head, and then for each piece of the body.
+    /// A whole body may take ten times as long, and an operation may make several attempts.
     pub deadline: Duration,
-    /// The least time that a try waits for the head. It waits a few times what the heads of answers took of
-    /// late, at least this and at most `deadline`, and twice as long after each lost answer: one
-    /// lost answer then costs an operation milliseconds instead of the whole deadline.
-    pub least_deadline: Duration,
-    /// When an operation is tried again.
+    /// The shortest wait of an attempt for the response head. The wait is a multiple of the recent
+    /// average, between this and `deadline`, and doubles after each lost response. With a value
+    /// below `deadline`, a lost response costs an operation milliseconds instead of the deadline.
+    pub min_deadline: Duration,
+    /// Limits on retries.
     pub retry: RetryOptions,
-    /// How much the host may ask of the platform.
-    pub share: ShareOptions,
-    /// The seed of the jitter between tries.
+    /// The host's request quota.
+    pub quota: QuotaOptions,
+    /// The seed of the jitter between attempts.
     pub seed: u64,
-    /// How operations are put to the platform.
-    pub dialect: Dialect,
+    /// The protocol of the platform.
+    pub protocol: StoreProtocol,
 }
 
 impl ClientOptions {
-    /// Makes the options for the platform at `address`, with defaults for the rest.
+    /// Creates the options for the platform at `address`, with defaults for the rest.
     ///
     /// ```
     /// use camphorwalk_store::ClientOptions;
     /// let options = ClientOptions::new("127.0.0.1:9000".parse().unwrap(), "a");
-    /// assert_eq!(options.retry.most_tries, 3);
+    /// assert_eq!(options.retry.max_attempts, 3);
     /// ```
     pub fn new(address: SocketAddr, zone: &str) -> Self {
         Self {
             address,
             zone: zone.into(),
             deadline: Duration::from_millis(500),
-            least_deadline: Duration::from_millis(500),
+            min_deadline: Duration::from_millis(500),
             retry: RetryOptions::default(),
-            share: ShareOptions::default(),
+            quota: QuotaOptions::default(),
             seed: 0,
-            dialect: Dialect::default(),
+            protocol: StoreProtocol::default(),
         }
     }
 }
 
-/// When an operation is tried again.
+/// Limits on retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryOptions {
-    /// The most tries of one operation, the first included.
-    pub most_tries: u32,
-    /// How many retries each first try allows, over all operations.
+    /// The most attempts of one operation, including the first.
+    pub max_attempts: u32,
+    /// How many retries each first attempt adds to the budget, which all operations share.
     pub ratio: f64,
-    /// The most retries that are saved up; the budget starts with these.
-    pub saved: f64,
-    /// The mean pause before the first retry; it doubles with each further one.
-    pub pause: Duration,
-    /// How long after its first try an operation may still be tried again, and after a lost
-    /// answer its rows be taken for a sign of what became of it. Rows that are written with
-    /// an absent-check have to stay as they are for longer.
-    pub window: Duration,
+    /// The capacity of the retry budget, which starts full.
+    pub max_saved: f64,
+    /// The mean pause before the first retry. It doubles with each further retry.
+    pub base_backoff: Duration,
+    /// How long after its first attempt an operation may be retried, and a conflict may be used to
+    /// determine the outcome of an attempt whose response was lost. Rows that were written with the
+    /// condition that they are absent must stay unchanged for longer than this.
+    pub retry_window: Duration,
 }
 
 impl Default for RetryOptions {
     fn default() -> Self {
         Self {
-            most_tries: 3,
+            max_attempts: 3,
             ratio: 0.2,
-            saved: 10.0,
-            pause: Duration::from_millis(10),
-            window: Duration::from_secs(2),
+            max_saved: 10.0,
+            base_backoff: Duration::from_millis(10),
+            retry_window: Duration::from_secs(2),
         }
     }
 }
 
-/// How much a host may ask of the platform, as its operators declare.
+/// A host's request quota at the platform, as configured by the operators.
 #[derive(Clone, Copy, Debug)]
-pub struct ShareOptions {
-    /// Reads, scans, object reads and host lists a second.
+pub struct QuotaOptions {
+    /// Reads, scans, object reads and host lists per second.
     pub reads_per_second: f64,
-    /// Transactions and object writes a second.
+    /// Transactions and object writes per second.
     pub writes_per_second: f64,
-    /// For how many seconds an unused share is saved up.
-    pub saved_seconds: f64,
+    /// How many seconds' worth of unused quota is kept for bursts.
+    pub burst_seconds: f64,
 }
 
-impl Default for ShareOptions {
-    /// A host's share where eleven hosts share what the platform handles.
+impl Default for QuotaOptions {
+    /// The quota of a host when eleven hosts share the capacity of the platform.
     fn default() -> Self {
-        Self { reads_per_second: 180.0, writes_per_second: 30.0, saved_seconds: 2.0 }
+        Self { reads_per_second: 180.0, writes_per_second: 30.0, burst_seconds: 2.0 }
     }
 }
