--- a/crates/core/src/entry/routing.rs
+++ b/crates/core/src/entry/routing.rs
@@ -77,7 +77,7 @@
 pub struct EngineSpec {
     /// Number of generations that run concurrently.
     pub slots: u32,
-    /// Number of tokens that fit into its KV cache.
+    /// Number of tokens that fit into the engine's KV cache. Entry hosts do not use it.
     pub memory_tokens: u64,
     /// Number of generated tokens that one event of a stream counts for.
     pub tokens_per_event: u32,
@@ -88,7 +88,7 @@
 pub struct ServiceSpec {
     /// Its name, which routes and target entries refer to.
     pub name: Box<str>,
-    /// Upper limit of the connections of one target, over all hosts.
+    /// Upper limit of the connections of one target, over all hosts. Entry hosts do not apply it.
     pub max_connections: Option<u32>,
     /// Capacity of an engine, if the service generates tokens.
     pub engine: Option<EngineSpec>,
--- a/crates/core/src/messages/entry.rs
+++ b/crates/core/src/messages/entry.rs
@@ -41,7 +41,8 @@
     /// grants to itself or to a silent host that are not written to the store yet.
     #[prost(bool, tag = "13")]
     pub grants_loose: bool,
-    /// The number of calls queued at the sender, for each service whose targets are full.
+    /// The number of calls queued at the sender for a place at a target, for each service that has
+    /// any.
     #[prost(message, repeated, tag = "9")]
     pub waiting: Vec<WaitingCalls>,
     /// The prompts that the sender sent to targets since its last update. They show which prompt
@@ -119,7 +120,8 @@
     /// Hash of the call's method, path, tenant and body, by which a repeated call is recognized.
     #[prost(fixed64, tag = "1")]
     pub call: u64,
-    /// Number of further crashes since the sender last reported the call.
+    /// Number of crashes that this report adds to earlier ones. A status update may contain several
+    /// reports of a call.
     #[prost(uint32, tag = "2")]
     pub crashes: u32,
 }
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -8,7 +8,7 @@
     Check, PlatformOp, PlatformReply, Row, RowKey, RowVersion, Transaction, Write,
 };
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::budgets::{BudgetRow, KnownRow, ProgramKey, Reservation, RunId};
+use camphorwalk_policy::entry::budgets::{BudgetRow, KnownRow, ProgramKey, ReserveOutcome, RunId};
 use camphorwalk_policy::entry::shares::{Doubt, Limit};
 use camphorwalk_policy::entry::turn_writes;
 use camphorwalk_policy::entry::turns::PARTS;
@@ -108,7 +108,7 @@
         );
 
         match reservation {
-            Reservation::Reserved => {
+            ReserveOutcome::Reserved => {
                 let shared = Rc::clone(shared);
                 return Ok(Some(TokenReservation {
                     shared,
@@ -119,14 +119,16 @@
                 }));
             }
             // Other hosts may hold tokens that they do not need.
-            Reservation::Spent { certain: false } | Reservation::Withheld(_) if !has_collected => {
+            ReserveOutcome::Spent { certain: false } | ReserveOutcome::Withheld(_)
+                if !has_collected =>
+            {
                 has_collected = true;
                 collect_unused(shared, program, max_tokens, is_settled).await;
             }
-            Reservation::Withheld(doubt) => {
+            ReserveOutcome::Withheld(doubt) => {
                 return Err(refuse_withheld(call, program, max_tokens, doubt));
             }
-            Reservation::Spent { certain } => {
+            ReserveOutcome::Spent { certain } => {
                 info!(
                     request = %call.head.request_id, program = %program.0, budget,
                     most = max_tokens, certain,
@@ -134,7 +136,7 @@
                 );
                 return Err(budget_spent());
             }
-            Reservation::Write(row, version) if is_settled => {
+            ReserveOutcome::Write(row, version) if is_settled => {
                 match grants::write_hedged(shared, program, row, version).await {
                     HedgedWrite::Done(Ok(WriteOutcome::Committed)) => {}
                     HedgedWrite::Done(Ok(WriteOutcome::Superseded)) => is_first = false,
@@ -145,7 +147,7 @@
                     }
                 }
             }
-            Reservation::Write(..) => {
+            ReserveOutcome::Write(..) => {
                 if !shared.budgets.borrow().has_grants(program) {
                     grants::fetch_known_rows(shared, program, 1).await;
                 }
--- a/crates/policy/src/entry/budgets.rs
+++ b/crates/policy/src/entry/budgets.rs
@@ -33,8 +33,9 @@
 use account::Account;
 pub use row::{BudgetRow, Claim, KnownRow, ProgramKey, RunId};
 
-/// A grant may exceed what the turn needs by the free budget divided by this. A smaller divisor
-/// saves writes; a larger one strands fewer tokens on a host that dies or that the program leaves.
+/// A grant may exceed what the turn needs by the rest of the budget divided by this, but by no more
+/// than the turn's own maximum. A smaller divisor saves writes; a larger one strands fewer tokens
+/// on a host that dies or that the program leaves.
 const SPARE_DIVISOR: u64 = 4;
 
 /// A host that keeps spending from an existing grant rewrites the row after this time, so that
@@ -44,7 +45,7 @@
 
 /// Result of reserving a turn's tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reservation {
+pub enum ReserveOutcome {
     /// The tokens are reserved.
     Reserved,
     /// The caller has to write this row, provided that the stored one still has this version, and
@@ -83,16 +84,16 @@
     /// Creates an instance for a run of a host, without any programs.
     ///
     /// ```
-    /// use camphorwalk_policy::entry::budgets::{Budgets, ProgramKey, Reservation, RunId};
+    /// use camphorwalk_policy::entry::budgets::{Budgets, ProgramKey, ReserveOutcome, RunId};
     /// use camphorwalk_core::platform::RowVersion;
     /// use camphorwalk_core::time::Instant;
     /// let mut budgets = Budgets::new(RunId(1));
     /// let program = ProgramKey(9);
-    /// let Reservation::Write(row, _) = budgets.reserve(Instant(0), program, 1_000, 100) else {
+    /// let ReserveOutcome::Write(row, _) = budgets.reserve(Instant(0), program, 1_000, 100) else {
     ///     panic!("nothing is granted yet");
     /// };
     /// budgets.merge_stored_row(Instant(0), program, row, RowVersion(5));
-    /// assert_eq!(budgets.reserve(Instant(0), program, 1_000, 100), Reservation::Reserved);
+    /// assert_eq!(budgets.reserve(Instant(0), program, 1_000, 100), ReserveOutcome::Reserved);
     /// ```
     pub fn new(run: RunId) -> Self {
         Self { run, accounts: Map::default() }
@@ -105,7 +106,7 @@
         program: ProgramKey,
         budget: u64,
         most: u64,
-    ) -> Reservation {
+    ) -> ReserveOutcome {
         self.reserve_within(now, program, budget, most, Limit::Whole)
     }
 
@@ -118,7 +119,7 @@
         budget: u64,
         most: u64,
         limit: Limit,
-    ) -> Reservation {
+    ) -> ReserveOutcome {
         let run = self.run;
         let account = self.accounts.entry(program).or_insert_with(|| Account::new(now, budget));
         account.last_used = now;
@@ -127,13 +128,13 @@
         if account.spendable(run) >= needed {
             account.reserved += most;
             account.refresh_due |= now.since(account.written_at) > REFRESH_AFTER;
-            return Reservation::Reserved;
+            return ReserveOutcome::Reserved;
         }
         let missing = needed.saturating_sub(account.balance(run));
         let total = account.row.held() + missing;
         if total > account.row.budget {
             let others = account.row.held() - account.row.held_by(run);
-            return Reservation::Spent {
+            return ReserveOutcome::Spent {
                 certain: others == 0 && account.transferred_to.is_empty(),
             };
         }
@@ -141,16 +142,17 @@
         if let Limit::Share(doubt) = limit
             && total > limited
         {
-            return Reservation::Withheld(doubt);
+            return ReserveOutcome::Withheld(doubt);
         }
 
         let mut row = account.row.clone();
         *row.granted.entry(run).or_default() += missing + spare(limited, total, most);
 
-        Reservation::Write(row, account.version)
+        ReserveOutcome::Write(row, account.version)
     }
 
-    /// Merges a program's row as the store holds it, obtained by a write, a conflict or a read.
+    /// Merges a program's row as the store holds it, obtained by a write, a conflict or a read. A
+    /// row with a lower version than the latest known one is ignored.
     pub fn merge_stored_row(
         &mut self,
         now: Instant,
@@ -163,7 +165,7 @@
         if version < account.version {
             return;
         }
-        // Another host may have written the row. Its program then still runs there, and is not idle
+        // Another host may have written the row. The program then still runs there, and is not idle
         // although its last turn on this host may be long ago.
         if version > account.version {
             account.last_used = now;
@@ -190,8 +192,8 @@
         }
     }
 
-    /// Records that the store has no row for a program. The row as this host knows it then has to
-    /// be written again.
+    /// Records that the store has no row for a program. If this host knows the program, the row as
+    /// it is known here then has to be written again.
     pub fn record_missing_row(&mut self, now: Instant, program: ProgramKey) {
         if let Some(account) = self.accounts.get_mut(&program) {
             account.version = RowVersion::ABSENT;
@@ -338,11 +340,11 @@
     }
 
     /// Gives this host's unused tokens back to the budget, and returns the resulting row. Another
-    /// host requests this when it finds the budget spent.
+    /// host requests this when the rest of the budget does not cover its turn or is withheld.
     ///
     /// The returned total of a run only grows and is changed by that run alone, so rows still merge
-    /// by the highest figure. If the requesting host does not write the row, the tokens are lost
-    /// but never granted twice.
+    /// by the highest figure. If the requesting host does not write the row, nobody can spend the
+    /// tokens until some other write contains the returned total; they are never granted twice.
     pub fn return_unused(&mut self, program: ProgramKey) -> Option<BudgetRow> {
         let account = self.accounts.get_mut(&program)?;
         let rest = account.balance(self.run).saturating_sub(account.spent + account.reserved);
@@ -384,12 +386,15 @@
     }
 
     /// Transfers unused tokens to the run `to` of another host, until it has received `total` from
-    /// this host. Returns how many it has received in all.
+    /// this host or no unused ones are left. Returns how many it has received from this host in
+    /// all.
     ///
     /// Requests and replies carry totals, so a lost or repeated message does no harm.
     ///
     /// ```
-    /// use camphorwalk_policy::entry::budgets::{BudgetRow, Budgets, ProgramKey, Reservation, RunId};
+    /// use camphorwalk_policy::entry::budgets::{
+    ///     BudgetRow, Budgets, ProgramKey, ReserveOutcome, RunId,
+    /// };
     /// use camphorwalk_core::platform::RowVersion;
     /// use camphorwalk_core::time::Instant;
     /// let (now, program) = (Instant(0), ProgramKey(9));
@@ -401,7 +406,7 @@
     /// let wanted = to.transferred_from(program, RunId(1)) + 100;
     /// let total = from.transfer_to(program, RunId(2), wanted);
     /// to.record_transfer_from(program, RunId(1), total);
-    /// assert_eq!(to.reserve(now, program, 500, 100), Reservation::Reserved);
+    /// assert_eq!(to.reserve(now, program, 500, 100), ReserveOutcome::Reserved);
     /// assert_eq!(from.transfer_to(program, RunId(2), 100), 100);
     /// ```
     pub fn transfer_to(&mut self, program: ProgramKey, to: RunId, total: u64) -> u64 {
@@ -421,8 +426,8 @@
         let Some(account) = self.accounts.get_mut(&program) else { return };
         let received = account.transferred_from.entry(from).or_default();
 
-        // Turns that spend these tokens do not write the row, so other hosts would consider it idle
-        // and delete it.
+        // Turns that spend these tokens do not write the row. Without a refresh, other hosts would
+        // consider the program idle and delete its row.
         account.refresh_due |= total > *received;
         *received = total.max(*received);
     }
@@ -448,7 +453,8 @@
         account.into_iter().flat_map(|a| a.transferred_to.keys().copied()).collect()
     }
 
-    /// Returns the other runs that hold tokens of a program.
+    /// Returns the runs of other hosts that hold tokens of a program: granted ones, spent or not,
+    /// that they have not returned.
     pub fn holders(&self, program: ProgramKey) -> Vec<RunId> {
         let row = self.accounts.get(&program).map(|account| &account.row);
         let runs = row.into_iter().flat_map(|row| row.granted.keys().map(move |run| (row, *run)));
@@ -485,8 +491,9 @@
         self.row(program).is_some_and(|row| row.held() + most > row.budget)
     }
 
-    /// Returns whether this host has to report unstored grants: those to itself, and those to runs
-    /// that are not live (`is_live`). Live hosts report their own.
+    /// Returns whether this host has to report that unstored grants exist: it knows of a row with
+    /// such grants that has a grant to this host or to a run that is not live (`is_live`). Live
+    /// hosts report the rows that have a grant to themselves.
     pub fn is_responsible_for_unstored(&self, is_live: impl Fn(RunId) -> bool) -> bool {
         let is_own = |a: &Account| a.row.granted.contains_key(&self.run);
         let any_silent = |a: &Account| !a.row.granted.keys().all(|run| is_live(*run));
@@ -535,12 +542,13 @@
         account.spent += used;
     }
 
-    /// Returns the programs that have been inactive for longer than `idle`, with the versions of
-    /// their rows. The caller deletes these rows and then calls `record_deletion`.
+    /// Returns the programs that have been inactive for longer than `idle` and may have a row in
+    /// the store, with the last known versions of their rows. The caller deletes these rows and
+    /// then calls `record_deletion`.
     ///
-    /// If this host was granted tokens, it keeps what it has spent of them until the row is
-    /// deleted. Otherwise it could find its grant in the row again and spend it a second time. All
-    /// other programs are removed from memory at once.
+    /// A program of which this host was granted or given tokens stays in memory until its row is
+    /// deleted. Otherwise this host could find its grant in the row again and spend it a second
+    /// time. All other inactive programs are removed from memory at once.
     pub fn take_idle(&mut self, now: Instant, idle: Duration) -> Vec<(ProgramKey, RowVersion)> {
         let run = self.run;
         let is_old = |a: &Account| {
@@ -557,7 +565,7 @@
             if is_own || account.version != RowVersion::ABSENT {
                 old.push((*program, account.version));
             }
-            // If the row cannot be deleted, it is returned again after `idle`.
+            // If the row cannot be deleted, the program is returned again after `idle`.
             account.last_used = now;
             is_own
         });
@@ -574,7 +582,9 @@
     }
 }
 
-/// Returns how many tokens to grant beyond what the turn needs.
-fn spare(budget: u64, total: u64, most: u64) -> u64 {
-    (budget.saturating_sub(total) / SPARE_DIVISOR).min(most)
+/// Returns how many tokens to grant beyond what a turn of at most `most` tokens needs. `limit` is
+/// how much of the budget may be granted, `total` the grants of all runs including what the turn
+/// needs.
+fn spare(limit: u64, total: u64, most: u64) -> u64 {
+    (limit.saturating_sub(total) / SPARE_DIVISOR).min(most)
 }
--- a/crates/policy/src/entry/budgets/account.rs
+++ b/crates/policy/src/entry/budgets/account.rs
@@ -9,15 +9,18 @@
 /// A program's account on this host.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
+    /// The row as this host knows it, including grants that are not stored.
     pub(super) row: BudgetRow,
+    /// The latest version of the stored row that this host knows of.
     pub(super) version: RowVersion,
     /// Lower bound of the tokens that the stored row grants.
     pub(super) stored: u64,
-    /// Whether the row contains grants that are not known to be in the store.
+    /// Whether the row contains grants that are not known to be in the store. Grants that another
+    /// host is about to write do not count.
     pub(super) has_unstored: bool,
-    /// When the row came to contain such grants.
+    /// When this host learned of the first of these grants.
     pub(super) unstored_since: Instant,
-    /// When this host last wrote the row.
+    /// When this host last wrote the row; until its first write, when the account was created.
     pub(super) written_at: Instant,
     /// Whether the row has to be written again so that other hosts do not delete it as idle.
     pub(super) refresh_due: bool,
@@ -68,8 +71,8 @@
         self.assured = self.assured.max(row.granted_to(run));
     }
 
-    /// Returns the tokens that this run (`run`) holds, spent ones included: its own grant with
-    /// transfers from and to other runs.
+    /// Returns the tokens that this run (`run`) holds, spent ones included: its own grant without
+    /// what it has returned, plus transfers from other runs, minus transfers to them.
     pub(super) fn balance(&self, run: RunId) -> u64 {
         let received: u64 = self.transferred_from.values().sum();
         let given: u64 = self.transferred_to.values().sum();
--- a/crates/policy/src/entry/call_stats.rs
+++ b/crates/policy/src/entry/call_stats.rs
@@ -11,7 +11,7 @@
 /// The initial estimate of the prompt tokens that a target reads per millisecond.
 const INITIAL_TOKENS_PER_MS: f64 = 50.0;
 
-/// The initial estimate of the prompt tokens that are read for a call.
+/// The initial estimate of the prompt tokens that are read for a call with a prompt.
 const INITIAL_MISSING_TOKENS: f64 = 600.0;
 
 /// The weight of an initial estimate, in calls.
@@ -21,8 +21,8 @@
 const MEMORY_CALLS: f64 = 200.0;
 
 /// The bounds of the delay that a call causes to each neighbour, as a fraction of its own time.
-/// Below the lower bound, calls would not be spread over targets. The upper bound matches a target
-/// on which one call halves the speed of the others.
+/// Below the lower bound, calls would not be spread over targets. At the upper bound, a call with
+/// five neighbours takes twice as long as alone.
 const INTERFERENCE_BOUNDS: (f64, f64) = (0.02, 0.2);
 
 /// The same fraction for calls without a prompt. They do not delay each other, but make it more
--- a/crates/policy/src/entry/crashes.rs
+++ b/crates/policy/src/entry/crashes.rs
@@ -10,10 +10,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// The number of target crashes after which a call is sent to no more targets.
+/// The number of target crashes, seen by any host, after which a call and its retries are sent to
+/// no more targets.
 const MAX_CRASHES: u32 = 3;
 
-/// How long a call is remembered after its last crash.
+/// How long a call is remembered after its last crash, at the least: older records are dropped when
+/// this host next records a crash.
 const RECORD_LIFETIME: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/policy/src/entry/host_rows.rs
+++ b/crates/policy/src/entry/host_rows.rs
@@ -1,14 +1,15 @@
 //! Determines from the rows in the store which hosts are gone.
 //!
 //! A running host rewrites its row as a heartbeat. Nothing removes the row of a host that was
-//! replaced for good.
+//! replaced for good, so other hosts consider a host gone when its row stops changing.
 
 use camphorwalk_core::hash::Map;
 use camphorwalk_core::ids::HostId;
 use camphorwalk_core::platform::RowVersion;
 
-/// After this many reads without a change, a host counts as gone. It has then been unable to write
-/// its row for longer than most network partitions last.
+/// A host counts as gone after this many due reads of its row (see [`HostRows::record_read`]) since
+/// the row last changed. The host has then been unable to write for longer than most network
+/// partitions last.
 pub const UNCHANGED_READS_UNTIL_GONE: u32 = 4;
 
 /// What a read of a host's row says about the host.
@@ -25,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     version: RowVersion,
-    /// How many due reads have found the row unchanged.
+    /// How many due reads have found the row unchanged at this version.
     unchanged: u32,
 }
 
--- a/crates/policy/src/entry/isolation.rs
+++ b/crates/policy/src/entry/isolation.rs
@@ -15,7 +15,7 @@
 /// What a host can reach: the store, other zones, and other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Surroundings {
-    /// Whether the store answers the host itself or a live one.
+    /// Whether the store answers this host or another live one.
     pub store_in_reach: bool,
     /// Contact with hosts in other availability zones.
     pub other_zones: Contact,
@@ -45,7 +45,7 @@
     match (reachable.store_in_reach, reachable.other_zones) {
         (true, _) | (false, Contact::Heard) => false,
         (false, Contact::Silent) => true,
-        // With only one zone, a host is isolated if no other host is live.
+        // With only one zone, a host is isolated if other hosts are known and none of them is live.
         (false, Contact::NoneKnown) => reachable.others == Contact::Silent,
     }
 }
--- a/crates/policy/src/entry/manifests.rs
+++ b/crates/policy/src/entry/manifests.rs
@@ -12,8 +12,9 @@
 /// have. The store normally reaches all hosts within some milliseconds.
 const STORE_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long the store may take in all to deliver a manifest that other hosts have, whatever
-/// progress it makes: a transfer that keeps restarting never ends.
+/// How long the store may take in all to deliver a manifest, counted from when another host
+/// reported having it, whatever progress the store makes: a transfer that keeps restarting never
+/// ends.
 const STORE_TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long a request to another host is kept open. That host may be sending to several hosts, each
--- a/crates/policy/src/entry/outage.rs
+++ b/crates/policy/src/entry/outage.rs
@@ -126,7 +126,7 @@
         is_due
     }
 
-    /// Records an answer of a part.
+    /// Records an answer of a part. Returns [`Change::Regained`] if the part was unavailable.
     pub fn answered(&mut self, now: Instant, part: &str) -> Option<Change> {
         let state = self.state(part);
         state.last_answer = Some(now);
--- a/crates/policy/src/entry/placement.rs
+++ b/crates/policy/src/entry/placement.rs
@@ -36,17 +36,17 @@
 /// slot.
 const FULL_TARGET_WEIGHT: f64 = 0.05;
 
-/// How many calls beyond its slots a target may have before calls wait at the hosts. A few keep a
-/// slot from staying idle between two calls; more would be served in the order of arrival instead
-/// of by rank.
+/// How many calls of all hosts together a target may have beyond its slots before calls of running
+/// programs wait at the hosts. A few keep a slot from staying idle between two calls; more would be
+/// served in the order of arrival instead of by rank.
 const MAX_QUEUED_AT_TARGET: u32 = 2;
 
-/// The number of consecutive failures after which a target is ejected: it gets no calls for a
-/// while.
+/// How many calls of this host must fail at a target, with none answered in between, until the
+/// target is ejected: this host sends it no calls for a while.
 const FAILURES_TO_EJECT: u32 = 2;
 
-/// The duration of the first ejection of a target, and the maximum. A target that crashed is back
-/// after some seconds.
+/// The duration of the first ejection of a target, and the maximum. It doubles with each further
+/// ejection until a call is answered. A target that crashed is back after some seconds.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
@@ -60,13 +60,15 @@
     pub entry: TargetEntry,
     /// A hash of its id.
     id_hash: u64,
-    /// Whether the entry is gone or draining. Such a target gets no new calls.
+    /// Whether the target is draining. It then gets no new calls.
     pub leaving: bool,
     /// The number of calls that this host has in flight there.
     own_calls: u32,
     /// The number of calls that the other hosts have in flight there, by their last status updates.
     others_calls: u32,
+    /// The failed calls of this host since the last answered one.
     failures: u32,
+    /// The ejections since the last answered call of this host.
     ejections: u32,
     ejected_until: Option<Instant>,
     prompts: Prompts,
@@ -80,7 +82,8 @@
 ///
 /// Without this limit, when many users arrive at once, all programs slow down until all are late,
 /// and none is refused. With some slots left to running programs, those finish in time, and a new
-/// one is refused at once. The limit is higher for the first rank, so that it is served first.
+/// one is refused at once. The limit is higher for the first rank, so that its programs still start
+/// when those of other ranks do not.
 const NEW_PROGRAMS_TARGET_LIMIT: [f64; 2] = [0.95, 0.85];
 
 /// The fraction of all slots of a service up to which new programs start, by rank as above. The
@@ -128,8 +131,8 @@
 pub enum Choice {
     /// Send the call to this target.
     Target(TargetKey),
-    /// Targets are usable, but each of them, or the service as a whole, is too busy for the call,
-    /// which has to wait.
+    /// Targets are usable, but the call must not be sent now: each of them, or the service as a
+    /// whole, is too busy for it, or it starts a program and calls wait at other hosts.
     Full,
     /// No target of the service is usable.
     NoTarget,
@@ -156,8 +159,9 @@
     by_service: Map<Box<str>, Vec<TargetKey>>,
     stats: Map<Box<str>, CallStats>,
     zone: Box<str>,
+    /// The number of calls that each other host has in flight, by target id.
     calls_by_host: Map<HostId, Map<Box<str>, u32>>,
-    /// The number of calls of running programs that wait at each other host, by service.
+    /// The number of calls that wait for a place at each other host, by service.
     waiting_by_host: Map<HostId, Map<Box<str>, u32>>,
 }
 
@@ -324,7 +328,7 @@
         let is_postponed = request
             .new_program_rank
             .is_some_and(|rank| self.is_too_busy_to_start(now, service, rank))
-            || request.new_program_rank.is_some() && self.has_turns_waiting_elsewhere(service);
+            || request.new_program_rank.is_some() && self.has_calls_waiting_elsewhere(service);
         let stats = self.stats(service);
         let seed = request.draw_seed();
         let mut any_usable = false;
@@ -338,20 +342,20 @@
                 continue;
             }
             if target.holds_prompt_or_object(request) {
-                keep_cheapest(&mut best_holder, (self.cost(target, &stats, request), key));
+                keep_lowest(&mut best_holder, (self.cost(target, &stats, request), key));
             }
             let zone_weight = if self.is_in_own_zone(target) { 1.0 } else { CROSS_ZONE_WEIGHT };
             let position = target.draw_position(seed, request) / zone_weight;
             if drawn[0].is_none_or(|(first, _)| position < first) {
                 drawn = [Some((position, key)), drawn[0]];
             } else {
-                keep_cheapest(&mut drawn[1], (position, key));
+                keep_lowest(&mut drawn[1], (position, key));
             }
         }
 
         let mut best = best_holder;
         for (_, key) in drawn.into_iter().flatten() {
-            keep_cheapest(&mut best, (self.cost(&self.targets[key], &stats, request), key));
+            keep_lowest(&mut best, (self.cost(&self.targets[key], &stats, request), key));
         }
         match best {
             Some((_, key)) => Choice::Target(key),
@@ -386,9 +390,9 @@
         f64::from(load) >= f64::from(slots) * NEW_PROGRAMS_SERVICE_LIMIT[usize::from(rank > 0)]
     }
 
-    /// Returns whether turns of running programs wait for a service at other hosts. One or two are
-    /// ignored, since they may wait for one target although others are free.
-    fn has_turns_waiting_elsewhere(&self, service: &str) -> bool {
+    /// Returns whether calls wait for a service at other hosts. One or two, over all these hosts,
+    /// are ignored, since they may wait for one target although others are free.
+    fn has_calls_waiting_elsewhere(&self, service: &str) -> bool {
         const MAX_WAITING: u32 = 2;
         let waiting = self.waiting_by_host.values().filter_map(|waiting| waiting.get(service));
 
@@ -540,8 +544,8 @@
     }
 }
 
-/// Keeps the candidate with the lowest cost.
-fn keep_cheapest(best: &mut Option<(f64, TargetKey)>, candidate: (f64, TargetKey)) {
+/// Replaces `best` by a candidate with a lower value: a cost, or a position in the random draw.
+fn keep_lowest(best: &mut Option<(f64, TargetKey)>, candidate: (f64, TargetKey)) {
     if best.is_none_or(|(lowest, _)| candidate.0 < lowest) {
         *best = Some(candidate);
     }
--- a/crates/policy/src/entry/prompts.rs
+++ b/crates/policy/src/entry/prompts.rs
@@ -10,7 +10,7 @@
 pub type CachedPart = (u64, u32);
 
 /// The prompt parts that a target has read, known from the calls that this host sent and from other
-/// hosts' reports.
+/// hosts' reports. The object of a call without a prompt is recorded as a part too.
 #[derive(Clone, Debug)]
 pub struct Prompts {
     parts: RecentMap<u64, u32>,
@@ -23,7 +23,8 @@
 }
 
 impl Prompts {
-    /// Returns the number of prompt tokens that the target would have to read.
+    /// Returns the number of tokens that the target would have to read of a prompt with these
+    /// parts.
     ///
     /// A part is read and reused together with all parts before it. If a part is cached, the parts
     /// before it are therefore cached too, and the last known part is sufficient.
--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -24,7 +24,7 @@
 
 /// How long a silent host is assumed to keep admitting calls within its share. During a network
 /// partition it does; if the others took over its share at once, both sides together would exceed
-/// the rate. This equals the time after which a host whose row does not change stops counting as
+/// the rate. This is about the time after which a host whose row does not change stops counting as
 /// part of the fleet.
 const SILENT_SHARE_LIFETIME: Duration = Duration::from_secs(15);
 
@@ -66,8 +66,8 @@
 const MAX_WAIT_NEW: Duration = Duration::from_millis(50);
 
 /// A tenant's demand is sent again when it has changed by this fraction, and by at least this many
-/// calls per second. The demand only sets the reserve for status updates in transit, which is no
-/// more exact.
+/// calls per second. The other hosts use the demand only for estimates: the reserve for status
+/// updates in transit, and the shares of silent hosts.
 const DEMAND_CHANGE: f64 = 0.1;
 const MIN_DEMAND_CHANGE: f64 = 0.3;
 
@@ -172,7 +172,8 @@
 }
 
 impl Account {
-    /// Returns whether to send a status update: the values that other hosts use have changed.
+    /// Returns whether to send a status update: the values that other hosts use have changed, or
+    /// other hosts need this host's level to correct their estimates.
     fn has_update(&self) -> bool {
         let Some(last) = self.last_sent else { return self.admitted > 0 || self.arrived > 0 };
         let demand_change = (last.demand * DEMAND_CHANGE).max(MIN_DEMAND_CHANGE);
--- a/crates/policy/src/entry/rates/estimates.rs
+++ b/crates/policy/src/entry/rates/estimates.rs
@@ -91,8 +91,9 @@
         account.level = (account.level - charged).max(-account.capacity());
     }
 
-    /// Returns the largest fraction of a rate that may be charged for hosts that are not live.
-    /// Shares that were determined at different times may add up to more than the whole rate.
+    /// Returns the largest fraction of a rate that may be charged for hosts that are not live. Each
+    /// live host, this one included, keeps at least [`DEMAND_FLOOR`] of an even share. Shares that
+    /// were determined at different times could otherwise add up to more than the whole rate.
     fn max_non_live_share(&self) -> f64 {
         let live = self.live.len() as f64 + 1.0;
 
@@ -191,8 +192,9 @@
     }
 
     /// Estimates the calls that a host has admitted since its last status update, assuming that all
-    /// hosts that are not live used their shares to the same degree as the live ones. Together they
-    /// had no more than the tokens in the bucket, whose level all hosts knew.
+    /// hosts that are not live used their shares to the same degree as the live ones. Together the
+    /// former had no more than a full bucket and its refill since then. At the least, the host is
+    /// assumed to have used its share of the refill.
     fn estimate_since_update(&self, account: &Account, report: &HostReport, share: f64) -> f64 {
         let refilled = account.rate * self.now.since(report.counted_until).as_secs_f64();
         let admitted = account.spent - account.sample_at(report.received_at).spent;
--- a/crates/policy/src/entry/shares.rs
+++ b/crates/policy/src/entry/shares.rs
@@ -12,12 +12,13 @@
 use camphorwalk_core::time::Instant;
 use serde::{Deserialize, Serialize};
 
-/// The share for hosts that cannot reach the store is the budget divided by this.
+/// The share for hosts that cannot reach the store is the budget divided by this, plus one turn
+/// (see [`share_without_store`]).
 const WITHOUT_STORE_DIVISOR: u64 = 4;
 
-/// How long a process runs until its grant history counts as complete, that is, until it is assumed
-/// to know of all grants that matter. By then, grants made without the store before the process
-/// started have been written to it, or the programs have mostly ended.
+/// How long a process runs at most until its grant history counts as complete, that is, until the
+/// process is assumed to know of all grants that matter. By then, grants made without the store
+/// before the process started have been written to the store, or their programs have mostly ended.
 pub const HISTORY_COMPLETE_AFTER: Duration = Duration::from_secs(90);
 
 /// Returns how many tokens of a budget the store grants to turns of at most `most` tokens while it
@@ -73,21 +74,22 @@
     /// Some host may hold grants that the store does not have, or no majority of the hosts is live.
     Unsettled,
     /// The hosts that know of all grants are no majority: the others started too recently or are
-    /// silent. What may have been granted before counts as spent.
+    /// silent. The share that may have been granted without the store counts as spent.
     Forgotten,
 }
 
-/// What a host knows of the fleet, itself included.
+/// What a host knows of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetView {
     /// Whether, for a while, neither this host nor a status update of another one has indicated
     /// unstored grants.
     pub is_all_stored: bool,
-    /// The number of hosts.
+    /// The number of hosts, this one included.
     pub known_hosts: usize,
-    /// The number of live hosts, that is, hosts of which a status update has arrived recently.
+    /// The number of live hosts: this one, and those of which a status update has arrived recently.
     pub live_hosts: usize,
     /// How many of the live hosts have a complete history of the grants made without the store.
+    /// This host is counted here and in the next field only after [`FleetView::including_self`].
     pub complete_histories: usize,
     /// How many of the hosts with a complete history know of no grant made without the store to any
     /// program.
@@ -95,7 +97,7 @@
 }
 
 impl FleetView {
-    /// Adds the host itself to the counts, which depends on whether its grant history is complete
+    /// Adds this host to the last two counts, depending on whether its grant history is complete
     /// and on whether it knows of grants made without the store.
     pub fn including_self(self, has_complete_history: bool, knows_of_unstored: bool) -> Self {
         Self {
@@ -114,8 +116,8 @@
     /// Returns whether all hosts with a complete history report that nothing was granted without
     /// the store.
     ///
-    /// A single host is not enough, since it may have been partitioned from the others while these
-    /// made grants.
+    /// A single host with a complete history is not enough, since it may have been partitioned from
+    /// the others while these made grants.
     fn none_granted_without_store(&self) -> bool {
         const MIN_HOSTS: usize = 2;
 
@@ -126,9 +128,9 @@
 
 /// Returns how much of a budget the store may grant on request of a host.
 ///
-/// A grant without the store needs a majority of the hosts and is known to most hosts of a small
-/// fleet. If a majority has a complete history and none of these hosts has made such a grant for a
-/// while, all existing grants are in the store.
+/// A host grants without the store only while a majority of the hosts is live, and in a small fleet
+/// most hosts know of the grant. If a majority has a complete history and none of these hosts has
+/// reported an unstored grant for a while, all existing grants are in the store.
 ///
 /// ```
 /// use camphorwalk_policy::entry::shares::{Doubt, Limit, FleetView, limit};
@@ -171,7 +173,8 @@
         Self { began: now, is_complete: is_first_start }
     }
 
-    /// Returns whether the history is complete. `fleet` does not include this host.
+    /// Returns whether the history is complete. `fleet` is the view before
+    /// [`FleetView::including_self`].
     ///
     /// The history counts as complete once no unstored grants are reported and either a majority
     /// has a complete history, because the store then holds all that this majority knew of, or all
--- a/crates/policy/src/entry/target_table.rs
+++ b/crates/policy/src/entry/target_table.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// How often the store is polled for changes.
+/// The pause between the end of a poll of the store for changes of the table and the next poll.
 pub const POLL_PERIOD: Duration = Duration::from_millis(400);
 
 /// How long a request to the store may be unanswered before another host is asked for its copy. The
@@ -38,16 +38,18 @@
 pub const RELIST_PERIOD: Duration = Duration::from_secs(10);
 
 /// How long a row that expired during an outage may take to reappear, counted from when a host
-/// detects the store's recovery: two seconds, and some time for the next request.
+/// detects the store's recovery: two seconds for the target, and some time for the host's next
+/// request to the store.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2_100);
 
-/// How long a host may take to detect the store's recovery: an attempt that is still awaited, plus
-/// a pause.
+/// How long a host may take to detect the store's recovery: an attempt that is still awaited (up to
+/// 500 ms), plus a pause ([`FAILED_PAUSE`]).
 pub const RETURN_DETECTION_DELAY: Duration = Duration::from_millis(700);
 
 /// The length of a silence of the store from which on rows of running targets may have expired, in
 /// heartbeat intervals of the targets. A row expires three intervals after the last heartbeat,
-/// which is at most one interval older than the start of the silence.
+/// which is at most one interval older than the start of the silence, so not within the first two
+/// intervals of a silence. The lower figure leaves a margin.
 const LAPSE_HEARTBEATS: f64 = 1.25;
 
 /// The window over which silences are added up, in heartbeat intervals of the targets. A store that
@@ -58,7 +60,7 @@
 const MIN_SILENCE: Duration = POLL_PERIOD.saturating_mul(2);
 
 /// How long a removal is remembered. It must exceed [`LAPSE_GRACE`], during which another host may
-/// still report the target as one whose row may reappear.
+/// still report the target as lapsed.
 const REMOVAL_MEMORY: Duration = Duration::from_secs(10);
 
 /// The longest time from a change of the table until a host acts on it, for a host that the store
@@ -220,7 +222,7 @@
     }
 
     /// Returns whether the store has been silent for so long that rows of running targets may have
-    /// expired.
+    /// expired, or has never confirmed a copy to this process, directly or through another host.
     pub fn is_store_silent(&self, now: Instant) -> bool {
         self.confirmed_at.is_none_or(|at| now.since(at) >= self.lapse_silence())
     }
@@ -469,7 +471,7 @@
 
         let effect = match row.entry.clone() {
             Some(entry) => Some(Effect::Use(entry)),
-            // Only a target that is in use can be dropped.
+            // A target that this host has never known needs no removal.
             None => before.map(|_| Effect::Drop(row.id.clone(), RemovalReason::Unreadable)),
         };
         let known = KnownTarget { version: row.version, state: State::Present(row.entry) };
@@ -480,7 +482,8 @@
     /// Records that a row is missing from the store.
     fn remove(&mut self, now: Instant, id: &str, grace_end: Option<Instant>) -> Option<Effect> {
         let Some(known) = self.rows.get_mut(id) else {
-            // A host with an older copy may still report it as one that may reappear.
+            // Another host with an older copy may still report this target as lapsed. The record
+            // keeps it from being added.
             let removed = KnownTarget { version: self.as_of, state: State::Removed(now) };
             self.rows.insert(id.into(), removed);
             return None;
--- a/crates/policy/src/entry/turn_writes.rs
+++ b/crates/policy/src/entry/turn_writes.rs
@@ -69,10 +69,12 @@
 /// The longest gap in a stream that callers accept, including the gap before its end.
 pub const MAX_STREAM_GAP: Duration = Duration::from_secs(2);
 
-/// The longest time after which a refused caller is told to retry while the store is unavailable.
+/// The Retry-After of callers that are refused because the store is unavailable. A caller of a turn
+/// that has little time left gets a shorter one.
 pub const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A refused caller is told to retry after at most its remaining time divided by this.
+/// The Retry-After of a turn that is refused because the store is unavailable is at most the time
+/// that its caller still waits, divided by this.
 const RETRY_DIVISOR: u32 = 3;
 
 /// An outage of the store, at the time of a call whose turn has to be stored.
--- a/crates/policy/src/entry/turns.rs
+++ b/crates/policy/src/entry/turns.rs
@@ -79,8 +79,8 @@
         if self.raw.is_empty() { self.text.as_bytes() } else { &self.raw }
     }
 
-    /// Returns the earlier turns of a turn that continues from this one. `own` is the key of this
-    /// turn.
+    /// Returns the value of `line` for a turn that continues from this one: the earlier turns of
+    /// this one, then its own key, `own`.
     pub fn conversation_with(&self, own: TurnKey) -> Vec<TurnKey> {
         let mut line = Vec::with_capacity(self.line.len() + 1);
         line.extend_from_slice(&self.line);
@@ -90,7 +90,7 @@
     }
 }
 
-/// A cache of turns, limited by size in bytes. The oldest turns are evicted first.
+/// A cache of turns, limited by size in bytes. The turns that were cached first are evicted first.
 #[derive(Debug)]
 pub struct TurnCache {
     turns: Map<TurnKey, Rc<Turn>>,
--- a/crates/policy/src/entry/waiting.rs
+++ b/crates/policy/src/entry/waiting.rs
@@ -26,7 +26,7 @@
     pub is_new: bool,
     /// The rank of the call.
     pub rank: u32,
-    /// The time after which the call is too late.
+    /// The deadline of the call, or that of its program if that is earlier and not missed yet.
     pub deadline: Instant,
 }
 
--- a/crates/policy/src/entry/write_back.rs
+++ b/crates/policy/src/entry/write_back.rs
@@ -19,8 +19,8 @@
 /// store.
 const WRITE_FOR_LIVE_OWNER_AFTER: Duration = Duration::from_secs(5);
 
-/// Returns whether a host should write an unstored row that it does not own and has known for the
-/// time `held`.
+/// Returns whether a host should write a row that it does not own and has known to be unstored for
+/// the time `held`.
 ///
 /// ```
 /// use std::time::Duration;
@@ -33,15 +33,16 @@
     held >= WRITE_FOR_LIVE_OWNER_AFTER || held >= WRITE_FOR_SILENT_OWNER_AFTER && !owners_are_live()
 }
 
-/// The number of writes in the first round.
+/// The maximum number of writes in a host's first round.
 const INITIAL_WRITES: usize = 32;
 
-/// Bounds on the number of writes in a round. The lower bound keeps even a large fleet far below
-/// the rate of its store, and still lets each host notice when the store has recovered.
+/// Bounds on the maximum number of writes of one host in a round. At the lower bound, even a large
+/// fleet stays far below the rate of its store, and each host still notices when the store has
+/// recovered.
 const MAX_WRITES: usize = 256;
 const MIN_WRITES: usize = 1;
 
-/// How much the number of writes grows after a round without a refusal.
+/// How much the maximum number of writes grows after a round of writes without a refusal.
 const WRITES_INCREMENT: usize = 8;
 
 /// The outcome of a round of writes.
@@ -84,8 +85,8 @@
         self.max_writes
     }
 
-    /// Adjusts the number of writes to the outcome of a round, and returns when to start the next
-    /// one.
+    /// Adjusts the maximum number of writes to the outcome of a round, and returns when to start
+    /// the next round.
     ///
     /// ```
     /// use camphorwalk_policy::entry::write_back::{NextRound, RoundOutcome, WriteBack};
--- a/crates/policy/tests/budget_late_grants.rs
+++ b/crates/policy/tests/budget_late_grants.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_core::time::Instant;
 use camphorwalk_policy::entry::budgets::{
-    BudgetRow, Budgets, KnownRow, ProgramKey, Proposal, Reservation, RunId,
+    BudgetRow, Budgets, KnownRow, ProgramKey, Proposal, ReserveOutcome, RunId,
 };
 use camphorwalk_policy::entry::shares::Limit;
 
@@ -50,7 +50,7 @@
         requester.accept_stored_grant(NOW, PROGRAM, &row);
     }
     let mut spent = 0;
-    while requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS) == Reservation::Reserved {
+    while requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS) == ReserveOutcome::Reserved {
         requester.settle(PROGRAM, MAX_TOKENS, MAX_TOKENS);
         spent += MAX_TOKENS;
     }
@@ -100,5 +100,5 @@
         requester.merge_stored_row(NOW, PROGRAM, row, version);
     }
 
-    assert_ne!(requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS), Reservation::Reserved);
+    assert_ne!(requester.reserve(NOW, PROGRAM, BUDGET, MAX_TOKENS), ReserveOutcome::Reserved);
 }
--- a/crates/policy/tests/entry_budgets.rs
+++ b/crates/policy/tests/entry_budgets.rs
@@ -5,7 +5,7 @@
 
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::budgets::{BudgetRow, Budgets, ProgramKey, Reservation, RunId};
+use camphorwalk_policy::entry::budgets::{BudgetRow, Budgets, ProgramKey, ReserveOutcome, RunId};
 use proptest::prelude::*;
 
 const PROGRAM: ProgramKey = ProgramKey(7);
@@ -36,9 +36,9 @@
 fn reserve(host: &mut Budgets, store: &mut Store, budget: u64, most: u64) -> bool {
     for _ in 0..6 {
         match host.reserve(NOW, PROGRAM, budget, most) {
-            Reservation::Reserved => return true,
-            Reservation::Spent { .. } | Reservation::Withheld(_) => return false,
-            Reservation::Write(row, version) => {
+            ReserveOutcome::Reserved => return true,
+            ReserveOutcome::Spent { .. } | ReserveOutcome::Withheld(_) => return false,
+            ReserveOutcome::Write(row, version) => {
                 store.write(row, version);
                 let (row, version) =
                     store.row.clone().expect("the row exists after a write or a conflict");
@@ -114,7 +114,7 @@
         .grant_turn_without_store(NOW, PROGRAM, RunId(2), 286, &known)
         .expect("the budget covers the turn");
     entry.accept_unstored_grant(NOW, PROGRAM, &row);
-    assert_eq!(entry.reserve(NOW, PROGRAM, 572, 286), Reservation::Reserved);
+    assert_eq!(entry.reserve(NOW, PROGRAM, 572, 286), ReserveOutcome::Reserved);
 
     for (_, row, version) in entry.rows_to_write(NOW, |_| false) {
         assert!(store.write(row, version));
@@ -162,7 +162,7 @@
     for run in [1, 2] {
         let mut host = Budgets::new(RunId(run));
         host.merge_stored_row(NOW, PROGRAM, row.clone(), RowVersion(1));
-        while host.reserve(NOW, PROGRAM, 572, 100) == Reservation::Reserved {
+        while host.reserve(NOW, PROGRAM, 572, 100) == ReserveOutcome::Reserved {
             host.settle(PROGRAM, 100, 100);
             spent += 100;
         }
@@ -309,7 +309,7 @@
 
     let second = host.reserve(NOW, PROGRAM, 572, 286);
 
-    assert!(matches!(second, Reservation::Reserved | Reservation::Write(..)), "{second:?}");
+    assert!(matches!(second, ReserveOutcome::Reserved | ReserveOutcome::Write(..)), "{second:?}");
 }
 
 #[test]
@@ -347,8 +347,8 @@
     let unacknowledged = host.reserve(NOW, PROGRAM, 858, 286);
     host.accept_unstored_grant(NOW, PROGRAM, &row);
 
-    assert!(matches!(unacknowledged, Reservation::Write(..)), "{unacknowledged:?}");
-    assert_eq!(host.reserve(NOW, PROGRAM, 858, 286), Reservation::Reserved);
+    assert!(matches!(unacknowledged, ReserveOutcome::Write(..)), "{unacknowledged:?}");
+    assert_eq!(host.reserve(NOW, PROGRAM, 858, 286), ReserveOutcome::Reserved);
 }
 
 #[test]
@@ -364,7 +364,7 @@
 
     host.merge_unstored_row(NOW, PROGRAM, &row);
 
-    assert!(matches!(host.reserve(NOW, PROGRAM, 858, 286), Reservation::Write(..)));
+    assert!(matches!(host.reserve(NOW, PROGRAM, 858, 286), ReserveOutcome::Write(..)));
 }
 
 #[test]
@@ -404,7 +404,7 @@
     host.settle(PROGRAM, 286, 1);
     let later = Instant::from_millis(40_000);
 
-    assert_eq!(host.reserve(later, PROGRAM, 4_000, 286), Reservation::Reserved);
+    assert_eq!(host.reserve(later, PROGRAM, 4_000, 286), ReserveOutcome::Reserved);
     let due = host.rows_to_write(later, |_| true);
     let (row, version) = store.row.clone().unwrap();
     host.record_write(later, PROGRAM, row, version);
@@ -445,7 +445,7 @@
     busy.take_idle(asked, Duration::from_secs(90));
     let later = Instant::from_millis(100_005);
 
-    assert_eq!(busy.reserve(later, PROGRAM, 858, 286), Reservation::Reserved);
+    assert_eq!(busy.reserve(later, PROGRAM, 858, 286), ReserveOutcome::Reserved);
     busy.record_deletion(later, PROGRAM, asked);
     host.record_deletion(later, PROGRAM, asked);
 
@@ -472,8 +472,8 @@
     let total = next.transfer_to(PROGRAM, RunId(1), first.claim(PROGRAM, 286).missing);
     first.record_transfer_from(PROGRAM, RunId(2), total);
 
-    assert_eq!(without, Reservation::Spent { certain: false });
+    assert_eq!(without, ReserveOutcome::Spent { certain: false });
     assert_eq!(given_to, [RunId(2)]);
-    assert_eq!(first.reserve(NOW, PROGRAM, 500, 286), Reservation::Reserved);
+    assert_eq!(first.reserve(NOW, PROGRAM, 500, 286), ReserveOutcome::Reserved);
     assert!(!reserve(&mut next, &mut store, 500, 286));
 }
--- a/crates/policy/tests/entry_fuzz/budget.rs
+++ b/crates/policy/tests/entry_fuzz/budget.rs
@@ -5,7 +5,7 @@
 use camphorwalk_core::hash::Set;
 use camphorwalk_core::platform::RowVersion;
 use camphorwalk_core::time::Instant;
-use camphorwalk_policy::entry::budgets::{BudgetRow, ProgramKey, Reservation};
+use camphorwalk_policy::entry::budgets::{BudgetRow, ProgramKey, ReserveOutcome};
 use camphorwalk_policy::entry::shares::{Doubt, Limit};
 
 use crate::asks::{self, Query, QueryReply};
@@ -52,20 +52,22 @@
             budgets.borrow_mut().reserve_within(shared.now(), key, budget, MAX_TOKENS, limit);
 
         match reservation {
-            Reservation::Reserved => return TurnAnswer::Tokens,
-            Reservation::Spent { certain: false } | Reservation::Withheld(_) if !collected => {
+            ReserveOutcome::Reserved => return TurnAnswer::Tokens,
+            ReserveOutcome::Spent { certain: false } | ReserveOutcome::Withheld(_)
+                if !collected =>
+            {
                 collected = true;
                 collect_tokens(shared, key, is_settled).await;
             }
-            Reservation::Spent { .. } => return TurnAnswer::Spent,
-            Reservation::Withheld(doubt) => return withheld(doubt),
-            Reservation::Write(row, version) if is_settled => {
+            ReserveOutcome::Spent { .. } => return TurnAnswer::Spent,
+            ReserveOutcome::Withheld(doubt) => return withheld(doubt),
+            ReserveOutcome::Write(row, version) if is_settled => {
                 match grants::write_hedged(shared, key, row, version).await {
                     Hedged::Done(Written::Committed | Written::Merged) => {}
                     Hedged::Done(_) | Hedged::Overdue(_) => shared.record_slow(),
                 }
             }
-            Reservation::Write(..) => {
+            ReserveOutcome::Write(..) => {
                 if !budgets.borrow().has_grants(key) {
                     grants::query_known_rows(shared, key, 1).await;
                 }
