--- a/crates/policy/src/host_state.rs
+++ b/crates/policy/src/host_state.rs
@@ -30,15 +30,15 @@
     pub holders: Map<PartitionId, Holder>,
     /// The partitions whose lease this host holds, which makes it the home of their programs.
     pub held_partitions: Set<PartitionId>,
-    /// The sessions of hosts, as of the last read from the platform.
+    /// The sessions of all hosts, as of the last read from the platform.
     pub sessions: Vec<SessionRow>,
-    /// The configuration version that each host last reported to be in force.
+    /// The configuration version that each other host last reported to be in force there.
     pub config_versions: Map<HostId, ConfigVersion>,
     /// The instant until which this host's leases are guaranteed to be valid.
     pub leases_valid_until: Instant,
     /// Keys that were in an earlier configuration and are not in the one in force.
     pub removed_keys: Set<KeyId>,
-    /// Whether this host is leaving.
+    /// Whether this host is shutting down and hands its leases over.
     pub leaving: bool,
 }
 
--- a/crates/policy/src/programs/retry.rs
+++ b/crates/policy/src/programs/retry.rs
@@ -58,7 +58,7 @@
 pub(super) enum CrashResult {
     /// The request is a suspect. It may be tried once more, alone at its target.
     Suspect,
-    /// A second target crashed while it ran the request. The request is never sent again.
+    /// Targets crashed twice while they ran the request. This host does not send it again.
     Quarantine,
 }
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -129,10 +129,10 @@
 /// Time until a retry is useful if no target can serve a call.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Maximum number of waiting calls of one tenant.
+/// Maximum number of waiting calls of one tenant in all queues of this host.
 const MAX_WAITING_PER_TENANT: usize = 4_096;
 
-/// Maximum number of waiting calls of all tenants together.
+/// Maximum number of waiting calls of all tenants together in all queues of this host.
 const MAX_WAITING: usize = 16_384;
 
 /// Service that each call is charged in addition to its tokens.
@@ -226,17 +226,17 @@
         pools.chain(self.places.next_expiry()).chain(self.waiting.next_refusal()).min()
     }
 
-    /// Returns the number of waiting calls.
+    /// Returns the number of waiting calls in all queues of this host.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the number of places that are granted and not yet released.
+    /// Returns the number of places that this host's queues granted and that are not yet released.
     pub fn granted_places(&self) -> usize {
         self.places.len()
     }
 
-    /// Returns the number of calls that this host has in flight at a target.
+    /// Returns the number of calls in flight at a target whose places this host's queue granted.
     pub fn in_flight(&self, target: TargetId) -> u32 {
         self.targets.get(target).map_or(0, |target| target.in_flight())
     }
--- a/crates/policy/src/queue/cached_prefixes.rs
+++ b/crates/policy/src/queue/cached_prefixes.rs
@@ -29,7 +29,7 @@
     pub last_used: Instant,
     /// Whether a call of the program is in flight at this target.
     pub in_flight: bool,
-    /// Whether a call of the program is waiting.
+    /// Whether a call of the program waits in the pool's queue.
     pub has_waiting_call: bool,
     use_number: u64,
 }
@@ -130,7 +130,8 @@
     }
 
     /// Returns the cost of making space for `more` tokens: the tokens that would be evicted, with
-    /// each prefix weighted by `reuse_probability`, the probability that it is used again.
+    /// each prefix weighted by `reuse_probability`, the probability that it is used again. At most
+    /// [`MAX_VALUED_ENTRIES`] prefixes are counted, the least recently used first.
     pub fn eviction_cost(
         &self,
         more: Tokens,
--- a/crates/policy/src/queue/demand.rs
+++ b/crates/policy/src/queue/demand.rs
@@ -11,19 +11,19 @@
 /// Interval at which the use of the caches is computed anew.
 pub const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The fraction of the cache capacity that started programs may fill.
+/// The fraction of the pool's cache capacity in this zone that started programs may fill.
 ///
 /// The rest is left for calls that are in flight, and because prefixes are not spread evenly over
 /// the targets.
 const MAX_FILL_FRACTION: f64 = 0.65;
 
-/// The demand for cache space in a pool, in tokens.
+/// The demand for cache space in a pool's targets of this zone, in tokens.
 ///
 /// When more programs run than the caches hold, each evicts another one's prefix just before it
 /// is needed again, and most of the work is spent on computing prefixes anew. A new program is
-/// therefore started only while there is space for it, or while its tenant uses less than its own
-/// share. Without the second condition, a tenant far over its rate would hold back all other
-/// tenants.
+/// therefore started only while there is space for it, or while its tenant stays within its own
+/// share of the space with the new program included. Without the second condition, a tenant far
+/// over its rate would hold back all other tenants.
 #[derive(Debug, Default)]
 pub struct CacheDemand {
     waiting: TokensByTenant,
@@ -50,7 +50,8 @@
 }
 
 impl CacheDemand {
-    /// Adds the prompt of a waiting call whose program has already started.
+    /// Adds `prompt`: the tokens of a waiting call's prompt if its program has already started, or
+    /// 0 for the first call of a program.
     pub fn add_waiting(&mut self, tenant: TenantId, prompt: Tokens) {
         self.waiting.add(tenant, prompt.0 as f64);
     }
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Adds a call that was granted a place. It counts until the next [`CacheDemand::update`].
+    /// Adds the tokens of a call that was granted a place. They count until the next
+    /// [`CacheDemand::update`], which finds them in the target's cache.
     pub fn add_placed(&mut self, tenant: TenantId, tokens: Tokens) {
         self.cached.add(tenant, tokens.0 as f64);
     }
@@ -75,8 +77,8 @@
         self.updated_at.is_none_or(|at| now.since(at) >= UPDATE_INTERVAL)
     }
 
-    /// Replaces the cached tokens that are expected to be used again. Prefixes of waiting calls
-    /// are not included.
+    /// Replaces the cached tokens by `cached`, those that are expected to be used again. Prefixes
+    /// of waiting calls must not be in it: [`CacheDemand::add_waiting`] has counted them.
     pub fn update(&mut self, now: Instant, cached: impl Iterator<Item = (TenantId, f64)>) {
         self.updated_at = Some(now);
         self.cached = TokensByTenant::default();
@@ -84,7 +86,7 @@
     }
 
     /// Returns whether a new program of `size` tokens may start, given the total cache capacity
-    /// and `share`, its tenant's fraction of all weights.
+    /// of the pool's targets in this zone, and `share`, the tenant's fraction of all weights.
     pub fn has_room(&self, tenant: TenantId, share: f64, size: Tokens, capacity: Tokens) -> bool {
         let available = capacity.0 as f64 * MAX_FILL_FRACTION;
         let own = self.cached.get(tenant) + self.waiting.get(tenant);
--- a/crates/policy/src/queue/estimates.rs
+++ b/crates/policy/src/queue/estimates.rs
@@ -107,7 +107,8 @@
 }
 
 impl Estimates {
-    /// Records a place request. `pause` is the time since the program's last call.
+    /// Records a place request. `pause` is the time since the program was last served in the pool,
+    /// if that is known.
     pub fn record_request(&mut self, class: ClassId, is_first: bool, pause: Option<Duration>) {
         let estimate = self.classes.entry(class).or_default();
         update_mean(&mut estimate.followup_fraction, f64::from(u8::from(!is_first)));
@@ -160,7 +161,7 @@
     }
 
     /// Returns the number of tokens that a call of the class is expected to generate, at most
-    /// `max`.
+    /// `max`; this is `max` until a call of the class has finished.
     pub fn expected_output(&self, class: ClassId, max: Tokens) -> Tokens {
         let estimate = self.classes.get(&class).filter(|estimate| estimate.samples > 0);
 
@@ -186,7 +187,8 @@
     }
 
     /// Returns the probability that a program of the class sends another call after it has been
-    /// idle for `idle`. It decays as the idle time exceeds the usual pause.
+    /// idle for `idle`. It decays by a factor of e for each [`REUSE_DECAY_PAUSES`] mean pauses of
+    /// idle time.
     pub fn followup_probability(&self, class: ClassId, idle: Duration) -> f64 {
         let Some(estimate) = self.classes.get(&class) else { return 0.0 };
         let usual_pause = estimate.mean_pause.max(f64::MIN_POSITIVE);
--- a/crates/policy/src/queue/health.rs
+++ b/crates/policy/src/queue/health.rs
@@ -4,20 +4,20 @@
 
 use camphorwalk_core::time::Instant;
 
-/// Backoff after the first crash.
+/// Backoff after the first crash. It doubles with each further crash.
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// The health of one target.
+/// The health of one target, as seen by this host's queue.
 ///
 /// A dead target fails its calls at once and therefore always looks the least loaded. Without a
 /// backoff it would attract every call and fail it. After the backoff, one call at a time is sent
 /// to it until one is answered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    /// Number of crashes since the last answer.
+    /// Number of crashes since the last answer; crashes reported during a backoff are not counted.
     crashes: u32,
     /// When calls are sent to the target again.
     retry_at: Instant,
--- a/crates/policy/src/queue/lanes.rs
+++ b/crates/policy/src/queue/lanes.rs
@@ -35,11 +35,12 @@
 /// The sort key of a call within its lane; lower keys go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The level of service that the program has attained; 0 for a new program.
+    /// 0 for a new program, and otherwise higher the more tokens were processed for the program so
+    /// far (`attained_level` in `pool`).
     pub level: u8,
     /// The program's deadline.
     pub deadline: Instant,
-    /// The sequence number of the request's arrival.
+    /// The number of the request in the order in which requests arrived at this host's queues.
     pub arrival: u64,
     /// Identifies the place request.
     pub request_id: PlaceRequestId,
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -10,12 +10,12 @@
 
 use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
-/// How long after the deadline of a call the queue releases the call's place by itself.
+/// How long after the deadline of a call's program the queue releases the call's place by itself.
 ///
-/// A release message can be lost with its connection, and a request can arrive after its own
-/// withdrawal on another connection. Either would occupy a place forever and reduce the target's
-/// window permanently. No attempt runs past its deadline, so a place that is this much older is
-/// certainly unused.
+/// A release message can be lost with its connection. A request can arrive after its own withdrawal
+/// if the two are sent over different connections. Either would occupy a place forever and reduce
+/// the target's window permanently. No attempt runs past its program's deadline, so a place that is
+/// still held this long after the deadline is certainly unused.
 const RELEASE_GRACE: Duration = Duration::from_secs(5);
 
 /// A place that a call holds at a target.
@@ -27,9 +27,10 @@
     pub target: TargetId,
     /// When the place was granted.
     pub granted_at: Instant,
-    /// The number of prompt tokens that the target was expected to compute.
+    /// The number of prompt tokens that the target was expected to compute at the time of the
+    /// grant.
     pub computed_prompt: Tokens,
-    /// The service that the tenant was charged.
+    /// The service that the tenant was charged at the grant.
     pub charged: Tokens,
     /// The deadline of the call's program.
     pub deadline: Instant,
@@ -74,7 +75,7 @@
         Some(place)
     }
 
-    /// Returns the granted requests of a host, sorted.
+    /// Returns the requests that a host sent and that hold a place, sorted.
     pub fn requests_of_host(&self, host: HostId) -> Vec<PlaceRequestId> {
         let mut request_ids: Vec<PlaceRequestId> =
             self.places.keys().copied().filter(|request_id| request_id.host == host).collect();
--- a/crates/policy/src/queue/pool.rs
+++ b/crates/policy/src/queue/pool.rs
@@ -14,7 +14,7 @@
 use super::waiting::{WaitingCall, WaitingCalls};
 use crate::shared_types::{PlaceRequest, PlaceRequestId};
 
-/// How many calls of a pool are considered in one selection.
+/// After this many calls were considered in one selection of a pool, no further lane is considered.
 const MAX_CANDIDATES: usize = 32;
 
 /// Bounds of the retry time that is sent with a refusal.
@@ -30,10 +30,10 @@
 /// The number of levels for started programs.
 const LEVELS: u8 = 4;
 
-/// The queue of one pool.
+/// The queue of one pool in this host's zone.
 #[derive(Debug, Default)]
 pub struct Pool {
-    /// The waiting calls, in order.
+    /// The pool's waiting calls, in order.
     pub lanes: Lanes,
     /// The service accounts of the tenants.
     pub accounts: ServiceAccounts,
@@ -145,7 +145,7 @@
         !self.demand.has_room(request.tenant, weights.fraction(request.tenant), size, capacity)
     }
 
-    /// Returns the sort key of a new call in its lane.
+    /// Returns the sort key that a call gets in its lane when it starts to wait.
     pub fn position(
         request: &PlaceRequest,
         request_id: PlaceRequestId,
@@ -208,7 +208,9 @@
     wait.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1)
 }
 
-/// Returns the level of service that the call's program has attained, or 0 for a new program.
+/// Returns 0 for a new program, and otherwise a level from 1 to [`LEVELS`], which is higher the
+/// more tokens were processed for the call's program so far. Calls of lower levels are served
+/// first.
 fn attained_level(request: &PlaceRequest) -> u8 {
     let Tokens(attained) = request.attained;
 
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -52,12 +52,12 @@
 }
 
 impl TargetState {
-    /// Returns the number of calls in flight.
+    /// Returns the number of calls in flight that this host's queue placed at the target.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns the current maximum number of calls in flight.
+    /// Returns how many calls this host's queue may have in flight at the target now.
     pub fn limit(&self, now: Instant) -> u32 {
         let window = if self.is_local { self.window.size() } else { self.remote_limit() };
 
@@ -77,7 +77,7 @@
         self.exclusive_to.is_some() || self.reserved_for.is_some()
     }
 
-    /// Returns whether the target may serve the call at any time.
+    /// Returns whether the target may serve the call now or later.
     fn is_eligible(&self, id: TargetId, request: &PlaceRequest) -> bool {
         !self.leaving && self.window.configured() > 0 && request.avoid != Some(id)
     }
@@ -114,8 +114,8 @@
     pub request_id: PlaceRequestId,
     /// The requirements of the call.
     pub request: &'a PlaceRequest,
-    /// Since when the queue has passed over the call, so that it waits for a busy target that has
-    /// its prefix cached.
+    /// When the queue first passed over the call to let it wait for a busy target that has the
+    /// call's prefix cached; `None` if it has not.
     pub passed_over_since: Option<Instant>,
 }
 
@@ -206,18 +206,19 @@
         }
     }
 
-    /// Returns whether any target of the pool may serve the call at any time.
+    /// Returns whether any target of the pool may serve the call now or later.
     pub fn can_serve(&self, request: &PlaceRequest) -> bool {
         self.pool_targets(request.pool).any(|(id, state)| state.is_eligible(id, request))
     }
 
-    /// Returns whether any target of the pool has a free place.
+    /// Returns whether any target of the pool, in any zone, has a free place.
     pub fn has_free_place(&self, now: Instant, pool: PoolId) -> bool {
         self.pool_targets(pool)
             .any(|(_, state)| !state.leaving && state.in_flight < state.limit(now))
     }
 
-    /// Returns the total number of calls that the pool's targets in this zone may have in flight.
+    /// Returns how many calls this host's queue may have in flight at the pool's targets in this
+    /// zone, in total.
     pub fn local_limit(&self, now: Instant, pool: PoolId) -> u32 {
         let limits = self.pool_targets(pool).filter(|(_, state)| state.is_local && !state.leaving);
 
@@ -231,7 +232,8 @@
         targets.filter_map(|(_, state)| state.health.backoff_ends_at(now)).min()
     }
 
-    /// Returns the time since a program was last served in the pool.
+    /// Returns the time since a program was last served in the pool, or `None` if no target is
+    /// assumed to have the program's prefix cached.
     pub fn time_since_use(
         &self,
         now: Instant,
@@ -292,7 +294,7 @@
     /// Returns until when the call should wait for a busy target that has its prefix cached, if
     /// that is better than computing the prefix at `target`.
     ///
-    /// The wait is limited to the time that computing the prefix would take.
+    /// The wait is limited to the computing time that it saves, and to [`MAX_PREFIX_WAIT`].
     fn wait_for_prefix(
         &self,
         now: Instant,
@@ -322,8 +324,8 @@
         (saved > next_place && until > now).then_some(until)
     }
 
-    /// Reserves a target for a suspect call, preferably one in this zone. Does nothing if the
-    /// pool already has a reserved target.
+    /// Reserves a target for a suspect call, preferably one in this zone. Does nothing for other
+    /// calls, or if another target of the pool is already reserved for or used by a suspect call.
     pub fn reserve(&mut self, now: Instant, request_id: PlaceRequestId, request: &PlaceRequest) {
         let has_suspect_target =
             self.pool_targets(request.pool).any(|(_, state)| state.has_suspect());
--- a/crates/policy/src/queue/waiting.rs
+++ b/crates/policy/src/queue/waiting.rs
@@ -16,8 +16,8 @@
     pub request: PlaceRequest,
     /// When the call started to wait.
     pub waiting_since: Instant,
-    /// Since when the queue has passed over the call, so that it waits for a busy target that has
-    /// its prefix cached.
+    /// When the queue first passed over the call to let it wait for a busy target that has the
+    /// call's prefix cached; `None` if it has not.
     pub passed_over_since: Option<Instant>,
     /// The deadline of the call's program.
     pub deadline: Instant,
@@ -53,8 +53,8 @@
         self.calls.get(&request_id)
     }
 
-    /// Records that the queue passes over a call, so that it waits for a busy target that has its
-    /// prefix cached.
+    /// Records that the queue passes over a call to let it wait for a busy target that has the
+    /// call's prefix cached. Only the first time is kept.
     pub fn mark_passed_over(&mut self, now: Instant, request_id: PlaceRequestId) {
         if let Some(call) = self.calls.get_mut(&request_id) {
             call.passed_over_since.get_or_insert(now);
@@ -84,12 +84,12 @@
         Some(call)
     }
 
-    /// Returns the waiting requests of a host, sorted.
+    /// Returns the waiting requests that a host sent, sorted.
     pub fn requests_of_host(&self, host: HostId) -> Vec<PlaceRequestId> {
         self.matching(|call| call.position.request_id.host == host)
     }
 
-    /// Returns the waiting requests that match `predicate`, sorted.
+    /// Returns the requests of the waiting calls that match `predicate`, sorted.
     pub fn matching(&self, predicate: impl Fn(&WaitingCall) -> bool) -> Vec<PlaceRequestId> {
         let calls = self.calls.iter().filter(|(_, call)| predicate(call));
         let mut request_ids: Vec<PlaceRequestId> =
--- a/crates/policy/src/queue/window.rs
+++ b/crates/policy/src/queue/window.rs
@@ -1,4 +1,4 @@
-//! The limit of calls in flight at one target.
+//! The limit of the calls that this host's queue may have in flight at one target.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
         self.configured
     }
 
-    /// Sets a new configured size.
+    /// Sets the configured size. If it changes, the window starts again at the new size.
     pub fn set_configured(&mut self, configured: u32) {
         if configured != self.configured {
             *self = Self::new(configured);
--- a/crates/policy/src/scheduler/extension.rs
+++ b/crates/policy/src/scheduler/extension.rs
@@ -31,7 +31,8 @@
 const EXTENSION_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Scheduler {
-    /// Records or clears the promise in a host's gossip.
+    /// Records the promise in another host's gossip, or clears that host's earlier promise if there
+    /// is none or if it echoes no heartbeat of this host.
     pub(super) fn record_promise(&mut self, from: HostId, gossip: &Gossip) {
         let sent = self.membership.heartbeat_sent_at(gossip.echo_session, gossip.echo);
 
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Extends the ownership of this host's columns if no other host can have taken them.
+    /// Extends the ownership of this host's columns if its session cannot be renewed now and no
+    /// other host can have taken them. Does so at most once per [`EXTENSION_INTERVAL`].
     pub(super) fn extend_columns(&mut self, now: Instant) {
         if !self.leases.is_renewal_failing() || now < self.next_extension {
             return;
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Returns the instant until which no host of the zone will end this host's session, or `None`
-    /// if some host has made no promise.
+    /// Returns the instant until which no other host of this zone will end this host's session, or
+    /// `None` if another host of this zone has made no promise.
     fn extended_until(&self, now: Instant) -> Option<Instant> {
         let mut until = now + PROMISE_VALID_FOR;
 
--- a/crates/policy/src/scheduler/gossip.rs
+++ b/crates/policy/src/scheduler/gossip.rs
@@ -23,7 +23,7 @@
 /// Also the minimum interval between two such sendings to one peer.
 const SEND_CONFIG_AFTER: Duration = Duration::from_millis(1_500);
 
-/// The maximum number of withdrawn keys, and of quarantined digests, in one message.
+/// The maximum number of withdrawn keys in one message, and likewise of quarantined digests.
 const MAX_ITEMS: usize = 64;
 
 impl Scheduler {
@@ -59,7 +59,7 @@
         out.push(Action::Send { to, message: Body::Gossip(gossip).into() });
     }
 
-    /// Broadcasts the partitions that this host holds to all live hosts.
+    /// Sends the list of the partitions that this host holds to all other live hosts.
     pub(super) fn broadcast_partitions(&mut self, out: &mut Vec<Action>) {
         let gossip = Gossip { partitions: self.own_partitions(), ..Gossip::default() };
         let message: PeerMessage = Body::Gossip(gossip).into();
@@ -159,7 +159,8 @@
     }
 }
 
-/// Returns as many items as one message may contain, different ones for each `turn`.
+/// Returns at most [`MAX_ITEMS`] of the items, other ones for each `turn`, the number of the
+/// message.
 ///
 /// If every message contained the first items, a withdrawn key with many others before it would
 /// never be gossiped.
--- a/crates/policy/src/shared_types.rs
+++ b/crates/policy/src/shared_types.rs
@@ -55,11 +55,12 @@
     pub prompt: Tokens,
     /// The maximum number of tokens to generate.
     pub output: Tokens,
-    /// The time left until the program's deadline.
+    /// The time left until the program's deadline when the request is sent.
     pub deadline_left: Duration,
     /// A target that must not be chosen, because this call just failed there.
     pub avoid: Option<TargetId>,
-    /// Whether the call was in flight when a target crashed: it must run alone on its next target.
+    /// Whether a target crashed while the call was in flight there: the call must run alone at its
+    /// next target.
     pub suspect: bool,
 }
 
@@ -79,7 +80,8 @@
 /// How an attempt ended, in the detail that queues need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlaceOutcome {
-    /// Nothing was sent; also used when a request is withdrawn before it is granted.
+    /// Nothing was sent to the target; also used when a place request is withdrawn before it is
+    /// granted.
     NotSent,
     /// The target answered.
     Finished,
