--- a/crates/policy/src/configs.rs
+++ b/crates/policy/src/configs.rs
@@ -187,7 +187,7 @@
     pointer: Option<Pointer>,
     object_bytes: Box<[u8]>,
     withdrawn: Set<KeyId>,
-    /// Tombstones that are not confirmed to be stored by the platform.
+    /// Keys withdrawn at this host whose tombstones the platform has not confirmed to be stored.
     unstored_tombstones: Vec<KeyId>,
     pending: Vec<(ConfigOp, Pending)>,
     next_poll: Instant,
@@ -238,7 +238,8 @@
         all
     }
 
-    /// Returns the number of withdrawals that are not confirmed to be stored by the platform.
+    /// Returns the number of withdrawals made at this host that the platform has not confirmed to
+    /// be stored.
     pub fn unstored_tombstones(&self) -> usize {
         self.unstored_tombstones.len()
     }
--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -32,17 +32,18 @@
 /// documentation covers.
 const SCAN_LIMIT: u32 = 10_000;
 
-/// The maximum time that a leaving host waits for the platform to store its remaining journal
-/// entries.
+/// The maximum time that a host waits, from when it began to leave, for the platform to store its
+/// remaining journal entries.
 const MAX_STORAGE_WAIT: Duration = Duration::from_secs(60);
 
-/// The delay between asking the programs of a partition to release unused budget grants and
-/// releasing the partition's lease. A grant is the total that programs may spend; the next home of
-/// the programs has to treat all of it as spent.
+/// The delay between asking the programs of a partition to release unused budget grants and the
+/// next read of the tables, which may release the partition's lease. A grant is the total that
+/// programs may spend; the next home of the programs has to treat all of it as spent.
 const GRANT_RELEASE_DELAY: Duration = Duration::from_millis(100);
 
-/// The margin that is added to a session's lifetime before the session is ended, as a divisor of
-/// the lifetime. It tolerates clocks whose speeds differ by up to one eighth.
+/// The margin for clock drift, as a divisor of a session's lifetime. The session's owner relies on
+/// its leases only until this much before the end of the lifetime, and other hosts end the session
+/// only this much after it. So each host's clock may run up to one eighth too fast or too slow.
 const MARGIN_DIVISOR: u32 = 8;
 
 /// What a lease protects.
@@ -170,7 +171,7 @@
     TablesRead {
         /// The leases with their holders.
         holders: Vec<(LeaseName, Holder)>,
-        /// The sessions of the hosts.
+        /// All sessions that the read found, including this host's own.
         hosts: Vec<SessionRow>,
     },
     /// This host is about to release a partition's lease: the partition's programs should release
@@ -262,10 +263,10 @@
     next_op: u64,
     /// The instant until which the held leases are guaranteed to be valid.
     valid_until: Instant,
-    /// The instant until which this host has promised not to end any session.
+    /// The instant until which this host has promised not to end another host's session.
     promised_until: Instant,
-    /// Whether the answer to a transaction that ends a session may have been lost, so that it may
-    /// still take effect.
+    /// Whether a transaction that ends another host's session is in progress or its answer was
+    /// lost, so that it may still take effect.
     ending_in_doubt: bool,
     /// When the host began to leave.
     leaving_since: Option<Instant>,
@@ -326,8 +327,8 @@
         [poll, self.session.wake_at()].into_iter().flatten().min()
     }
 
-    /// Promises not to end any session before `until`, provided that this host cannot renew its own
-    /// session. Returns whether the promise was made.
+    /// Promises not to end another host's session before `until`, provided that this host cannot
+    /// renew its own session. Returns whether the promise was made.
     ///
     /// No promise is made while an earlier transaction that ends a session may still take effect.
     pub fn promise_to_keep_sessions(&mut self, until: Instant) -> bool {
@@ -410,9 +411,9 @@
     ///
     /// While the platform is unavailable, leases cannot be released, and waiting for it could keep
     /// the process from ever exiting. Once no call runs here and the session has expired, other
-    /// hosts can take the leases over anyway. Journal entries that are not stored get some extra
-    /// time. After that, their turns survive only in the sealed copies (tails) that the callers
-    /// received with the answers.
+    /// hosts can take the leases over anyway. For journal entries that are not stored, the host
+    /// waits up to [`MAX_STORAGE_WAIT`]. After that, their turns survive only in the sealed copies
+    /// (tails) that the callers received with the answers.
     fn can_exit_without_release(&self, now: Instant) -> bool {
         let Some(since) = self.leaving_since else {
             return false;
--- a/crates/policy/src/leases/tables.rs
+++ b/crates/policy/src/leases/tables.rs
@@ -121,7 +121,8 @@
         (!transaction.writes.is_empty()).then_some(transaction)
     }
 
-    /// Returns the held leases that are not in use and that other hosts should hold, sorted.
+    /// Returns the held leases that are not in use and that other hosts should hold, sorted. While
+    /// this host is leaving, other hosts should hold all leases.
     fn leases_to_release(&self, rows: &Map<LeaseName, (LeaseRow, RowVersion)>) -> Vec<LeaseName> {
         let is_busy = |name: &LeaseName| match name {
             LeaseName::Partition(p) => self.busy.partitions.contains(p),
@@ -139,7 +140,8 @@
         names
     }
 
-    /// Returns whether rendezvous hashing over the live sessions assigns the lease to this host.
+    /// Returns whether rendezvous hashing assigns the lease to this host, among the hosts of the
+    /// lease's zone that have a session and are not leaving.
     fn should_hold(&self, required: &RequiredLease) -> bool {
         let may = |c: &&Candidate| required.zone.is_none_or(|zone| zone == c.zone);
         let hosts = self.candidates.iter().filter(may).map(|c| c.host.0);
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -13,23 +13,25 @@
 use camphorwalk_core::messages::gossip::{HostHeartbeat, HostInfo};
 use camphorwalk_core::time::Instant;
 
-/// The maximum number of other hosts that one message covers in a small fleet; see
-/// [`HOSTS_PER_MESSAGE_DIVISOR`].
-const MIN_HOSTS_PER_MESSAGE: usize = 20;
+/// The maximum number of other hosts that one message covers in a small fleet. In a large fleet the
+/// maximum is higher; see [`HOSTS_PER_MESSAGE_DIVISOR`].
+const HOSTS_PER_MESSAGE_SMALL_FLEET: usize = 20;
 
-/// In a large fleet, one message covers this fraction of all hosts, as a divisor. Each heartbeat
-/// has to reach every host within the suspicion timeout. With a fixed number of hosts per message,
-/// most of a large fleet would be considered silent.
+/// In a large fleet, one message covers at most the number of other known hosts divided by this.
+/// Each heartbeat has to reach every host within the suspicion timeout. With a fixed number of
+/// hosts per message, most of a large fleet would be considered silent.
 const HOSTS_PER_MESSAGE_DIVISOR: usize = 2;
 
-/// How many messages contain the full information about a host before they contain only its
-/// heartbeat; enough to reach hundreds of hosts.
+/// How many messages of this host contain the full information about another host before they
+/// contain only that host's heartbeat. Every host that receives the information passes it on as
+/// often, so it reaches hundreds of hosts.
 const FULL_SENDS: u32 = 24;
 
 /// The number of its own heartbeats whose send times a host keeps.
 const KEPT_HEARTBEATS: usize = 64;
 
-/// A silent host is removed after this many suspicion timeouts.
+/// A host is removed when no new heartbeat of it arrived for this many suspicion timeouts. A host
+/// of which no heartbeat ever arrived is kept.
 const FORGET_FACTOR: u32 = 30;
 
 /// Settings of [`Membership`].
@@ -72,10 +74,10 @@
     heartbeat: u64,
     /// When that heartbeat was first received; `None` before the first one.
     heartbeat_at: Option<Instant>,
-    /// How many messages contained its latest heartbeat.
+    /// How many messages of this host contained its latest heartbeat.
     heartbeat_sends: u32,
-    /// How many messages contained the full information about it since anything but its heartbeat
-    /// changed.
+    /// How many messages of this host contained the full information about it since anything but
+    /// its heartbeat changed.
     full_sends: u32,
     /// Whether it was live at the last liveness check.
     live: bool,
@@ -125,7 +127,7 @@
         /// Where its peers reach it.
         address: SocketAddr,
     },
-    /// The set of live hosts has changed, or one of them began to leave.
+    /// The set of live hosts has changed, or a known host began to leave.
     LiveHostsChanged,
     /// A host that was live has become silent.
     HostSilent(HostId),
@@ -369,9 +371,9 @@
         out.extend(silent.into_iter().map(MembershipAction::HostSilent));
     }
 
-    /// Picks the recipients of one round of gossip: one host of this zone, so that a partitioned
-    /// zone still exchanges heartbeats; other live hosts; and one silent host, because the end of a
-    /// network partition is not announced.
+    /// Picks the recipients of one round of gossip: one live host of this zone, so that a
+    /// partitioned zone still exchanges heartbeats; other live hosts; and one silent host, because
+    /// the end of a network partition is not announced.
     ///
     /// All recipients differ, and at most one is silent if enough live hosts exist. Otherwise, in a
     /// small fleet with some failed hosts, two live hosts could go without gossip to each other for
@@ -403,10 +405,10 @@
     /// Picks the host at a pseudo-random distance after this one in the order of ids, or the next
     /// one that is not picked yet.
     ///
-    /// The distance changes with each round and is the same on all hosts, so that hardly any two
-    /// hosts pick the same recipient in one round. If all hosts walked the list from its start,
-    /// they would send gossip to the same three hosts at a time, and the others would receive
-    /// nothing for seconds.
+    /// The distance changes with each round. Hosts that are in the same round and see the same
+    /// number of hosts use the same distance from themselves, so that hardly any two of them pick
+    /// the same recipient. If all hosts walked the list from its start, they would send gossip to
+    /// the same few hosts at a time, and the others would receive nothing for seconds.
     fn pick_recipient(&self, hosts: &[HostId], i: usize, picked: &[HostId]) -> Option<HostId> {
         let round = self.heartbeat * self.options.fanout as u64 + i as u64;
         let distance =
@@ -420,10 +422,11 @@
         ring.iter().cycle().skip(distance).take(ring.len()).find(|h| !picked.contains(h)).copied()
     }
 
-    /// Selects the updates for one recipient: this host's own information, then that of the other
-    /// hosts whose latest heartbeat was sent least often.
+    /// Selects the updates for one recipient: this host's own information, then that of those other
+    /// live hosts whose latest heartbeat this host has sent least often.
     fn updates_for(&mut self, to: HostId) -> HostUpdates {
-        let max_hosts = MIN_HOSTS_PER_MESSAGE.max(self.members.len() / HOSTS_PER_MESSAGE_DIVISOR);
+        let max_hosts =
+            HOSTS_PER_MESSAGE_SMALL_FLEET.max(self.members.len() / HOSTS_PER_MESSAGE_DIVISOR);
         let mut updates = HostUpdates { full: vec![self.own_info()], heartbeats: Vec::new() };
         let mut others: Vec<_> = self
             .members
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -183,7 +183,8 @@
         sent.chain(&self.queued).map(|pending| pending.partition)
     }
 
-    /// Returns how long a caller should wait before it tries again.
+    /// Returns the Retry-After of a request that is refused because the journal cannot be written
+    /// now.
     pub fn retry_after(&self) -> Duration {
         self.backoff.max(Duration::from_millis(500))
     }
--- a/crates/policy/src/programs/retry.rs
+++ b/crates/policy/src/programs/retry.rs
@@ -58,7 +58,8 @@
 pub(super) enum CrashResult {
     /// The request is a suspect. It may be tried once more, alone at its target.
     Suspect,
-    /// Targets crashed twice while they ran the request. This host does not send it again.
+    /// Targets crashed twice while they ran the request. The request is not sent again while it is
+    /// among the quarantined ones that are kept.
     Quarantine,
 }
 
--- a/crates/policy/src/queue/health.rs
+++ b/crates/policy/src/queue/health.rs
@@ -14,18 +14,19 @@
 ///
 /// A dead target fails its calls at once and therefore always looks the least loaded. Without a
 /// backoff it would attract every call and fail it. After the backoff, one call at a time is sent
-/// to it until one is answered.
+/// to it until one succeeds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    /// Number of crashes since the last answer; crashes reported during a backoff are not counted.
+    /// Number of crashes since the last successful call; crashes reported during a backoff are not
+    /// counted.
     crashes: u32,
     /// When calls are sent to the target again.
     retry_at: Instant,
 }
 
 impl Health {
-    /// Records that the target answered a call.
-    pub fn record_answer(&mut self) {
+    /// Records that a call succeeded at the target.
+    pub fn record_success(&mut self) {
         self.crashes = 0;
     }
 
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -415,7 +415,7 @@
                 state.prefixes.record(now, &place.request, before, false);
             }
             PlaceOutcome::Finished => {
-                state.health.record_answer();
+                state.health.record_success();
                 state.prefixes.record(now, &place.request, prompt.plus(release.output), false);
             }
             PlaceOutcome::Failed => state.prefixes.record(now, &place.request, prompt, false),
--- a/crates/policy/src/scheduler/operators.rs
+++ b/crates/policy/src/scheduler/operators.rs
@@ -51,7 +51,7 @@
     Published(Published),
     /// The request was accepted.
     Accepted,
-    /// The key or host does not exist.
+    /// The key is not in the configuration in force, or the host is not live.
     Unknown,
 }
 
@@ -64,9 +64,9 @@
     pub version: ConfigVersion,
     /// The number of withdrawals that are not confirmed to be stored by the platform.
     pub unstored_withdrawals: usize,
-    /// The number of milliseconds for which its leases are still guaranteed to be valid.
+    /// The number of milliseconds for which that host's leases are still guaranteed to be valid.
     pub leases_hold_ms: u64,
-    /// All hosts that it knows, including itself.
+    /// All hosts that it knows, live or not, including itself.
     pub hosts: Vec<HostStatus>,
     /// Digests of requests that crash targets, in hexadecimal.
     pub quarantined: Vec<Box<str>>,
--- a/crates/policy/src/scheduler/place_requests.rs
+++ b/crates/policy/src/scheduler/place_requests.rs
@@ -41,7 +41,7 @@
     granted: bool,
 }
 
-/// The requests for places of this host.
+/// The place requests of this host's programs that are waiting or whose places are in use.
 #[derive(Debug, Default)]
 pub(super) struct PlaceRequests {
     pending: Map<u64, PendingPlace>,
@@ -197,7 +197,7 @@
         out.push(send(request_id.host, QueueBody::Grant(grant)));
     }
 
-    /// Notifies the requesting host that its call cannot be served in time.
+    /// Notifies the requesting host that this host's queue refused its call.
     pub(super) fn send_refusal(
         &mut self,
         request_id: PlaceRequestId,
--- a/crates/policy/src/scheduler/sweep.rs
+++ b/crates/policy/src/scheduler/sweep.rs
@@ -2,7 +2,7 @@
 //!
 //! A program's home orders the engines to free the program when it ends, but the order can be lost
 //! and the home can fail. So the host that runs an engine's queue also periodically compares the
-//! programs that the engine lists with the programs that their homes know to be open. That host
+//! programs that the engine lists with the programs that their homes know to have ended. That host
 //! repeats the order to free a program for as long as the engine lists the program. Cache events
 //! are not relied on, because they can be late or missing.
 
--- a/crates/policy/src/shared_types.rs
+++ b/crates/policy/src/shared_types.rs
@@ -83,7 +83,7 @@
     /// Nothing was sent to the target; also used when a place request is withdrawn before it is
     /// granted.
     NotSent,
-    /// The target answered.
+    /// The target answered with a result.
     Finished,
     /// The target refused the attempt or answered with a failure, or the attempt was cancelled or
     /// timed out.
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -143,12 +143,13 @@
     pub loan_lifetime: Duration,
     /// Added to the lifetime by the lender, because clocks run at different speeds.
     pub drift_margin: Duration,
-    /// Time after which an unanswered message is sent again.
+    /// Time after which an unanswered loan request or offer is sent again.
     pub resend_after: Duration,
     /// The maximum time between two events in a running process. After a longer gap the process
     /// is assumed to have been paused.
     pub max_step_gap: Duration,
-    /// How long to wait for the answer of an admission host.
+    /// How long a host waits for the answer of an admission host before it decides on the call with
+    /// the slices that it holds itself.
     pub take_timeout: Duration,
     /// Time after which an unanswered take request is sent a second time.
     pub take_resend_after: Duration,
@@ -415,8 +416,8 @@
             TakeOutcome::Taken => Verdict::Admitted,
             TakeOutcome::Insufficient(Some(wait)) => Verdict::Refused { retry_after: wait },
 
-            // This host has no slices yet. They become usable when the loans of a former owner
-            // expire or after a change of hosts; both take about one loan lifetime.
+            // This host has no usable slices now. They become usable when the loans of a former
+            // owner expire or after a change of hosts; both take about one loan lifetime.
             TakeOutcome::Insufficient(None) => Verdict::Refused {
                 retry_after: time_until_usable.unwrap_or(self.times.loan_lifetime),
             },
@@ -439,8 +440,8 @@
         }
     }
 
-    /// Decides the take requests that timed out locally, and sends the others again if they are
-    /// due.
+    /// Decides the take requests that timed out with the slices that this host holds itself, and
+    /// sends the others again if they are due.
     fn process_pending_takes(&mut self, now: Instant, out: &mut Vec<SliceAction>) {
         for pending in self.takes.expire(now) {
             let verdict = self.take_local_token(now, pending.tenant);
--- a/crates/policy/src/slices/admission_hosts.rs
+++ b/crates/policy/src/slices/admission_hosts.rs
@@ -3,7 +3,7 @@
 use camphorwalk_core::hash::{Map, rendezvous};
 use camphorwalk_core::ids::{HostId, TenantId};
 
-/// Maximum number of admission hosts.
+/// Maximum number of admission hosts in the fleet.
 ///
 /// Each owner of a column renews its loans with each admission host. Without this limit, nearly
 /// every host of a large fleet would be an admission host, and owners would spend their bandwidth
@@ -28,7 +28,7 @@
         Self { local_host, reachable_hosts: vec![local_host], by_tenant: Map::default() }
     }
 
-    /// Sets the hosts that are reachable.
+    /// Sets the hosts that are live and not leaving.
     pub(super) fn set_hosts(&mut self, mut hosts: Vec<HostId>) {
         hosts.sort_unstable();
         hosts.dedup();
@@ -41,7 +41,7 @@
         self.by_tenant.clear();
     }
 
-    /// Returns whether a host is reachable.
+    /// Returns whether a host is live and not leaving.
     pub(super) fn is_reachable(&self, host: HostId) -> bool {
         self.reachable_hosts.binary_search(&host).is_ok()
     }
--- a/crates/policy/src/slices/borrower.rs
+++ b/crates/policy/src/slices/borrower.rs
@@ -149,7 +149,7 @@
         released
     }
 
-    /// Returns claims for all running loans in the given columns.
+    /// Returns claims for all running loans in the given columns, from any lender.
     fn claims(&self, columns: &BTreeSet<ColumnId>) -> Vec<LoanClaim> {
         let mut claims = Vec::new();
 
--- a/crates/policy/src/slices/lender.rs
+++ b/crates/policy/src/slices/lender.rs
@@ -79,8 +79,9 @@
             slice.set_share(shares.remove(key).unwrap_or_default(), now);
         }
 
-        // A tenant that is new here may have been removed from the configuration a moment ago,
-        // after it had used its burst. Its slices therefore start empty.
+        // A tenant that has no slices here yet may have been removed from the configuration a
+        // moment ago, after it had used its burst, and added again. Its slices therefore start
+        // empty.
         for (key, share) in shares {
             let column = self.columns[&key.1];
             let level = if column.starts_full { share.burst } else { 0 };
@@ -284,7 +285,7 @@
         grant
     }
 
-    /// Renews the loans in all columns that the borrower has loans in.
+    /// Renews the borrower's loans from this host, by listing their columns.
     fn renew_loans(&self, borrower: BorrowerRun, now: Instant, grant: &mut LoanGrant) {
         let Some(account) = self.accounts.get(&borrower) else { return };
         let columns: BTreeSet<ColumnId> = account.loans.values().map(|(_, id)| *id).collect();
@@ -300,7 +301,8 @@
         }
     }
 
-    /// Recalls loans that belong to another host now, and reports changed shares.
+    /// Recalls the borrower's loans whose tenant has another admission host now or was removed, and
+    /// reports changed shares of the other loans.
     fn add_recalls_and_changes(
         &mut self,
         borrower: BorrowerRun,
@@ -400,8 +402,8 @@
             grant.adoptions.push(LoanAdoption { claim: *claim, loan, rate, burst });
             account.loans.insert(loan, key);
 
-            // If the grant is lost, no tokens are taken back: the loan expires as one of the
-            // former owner.
+            // If the grant is lost, this host takes the slice back with an empty bucket: the loan
+            // goes on as one of the former owner until it expires.
             let bucket = Bucket::new(slice.share, 0, slice.usable_from);
             slice.lend(borrower, bucket, grant.number);
         }
@@ -499,7 +501,7 @@
             .map(|(key, _)| *key)
     }
 
-    /// Returns the time until the next column becomes usable, if any is not usable yet.
+    /// Returns the time until the next owned column becomes usable, if any is not usable yet.
     pub(super) fn time_until_usable(&self, now: Instant) -> Option<Duration> {
         let waiting = self.columns.values().filter(|column| now < column.usable_from);
 
