--- a/crates/policy/src/leases.rs
+++ b/crates/policy/src/leases.rs
@@ -203,7 +203,7 @@
     pub zone: Box<str>,
     /// Where its peers reach it.
     pub peer_address: std::net::SocketAddr,
-    /// A random number that identifies this run of the process.
+    /// The number that identifies this run of the process.
     pub session: u64,
     /// The time after which a session expires if it is not renewed.
     pub lifetime: Duration,
--- a/crates/policy/src/leases/session.rs
+++ b/crates/policy/src/leases/session.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(super) struct Session {
     row: SessionRow,
-    /// The random number that identifies this run of the process.
+    /// The number that identifies this run of the process.
     run: u64,
     /// The number of this session within the run: after a session is lost, a new one is started.
     number: u32,
--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -113,7 +113,8 @@
         /// The target where the call has a place.
         target: TargetId,
     },
-    /// The result of [`ProgramAction::Place`]: no target can serve the call in time.
+    /// The result of [`ProgramAction::Place`]: the queue refused the call, because it is full or no
+    /// target can serve the call in time.
     Unplaced {
         /// The call that was waiting for a place.
         call: CallId,
@@ -214,11 +215,11 @@
 pub struct ProgramOptions {
     /// The host that this state machine runs on.
     pub host: HostId,
-    /// A random number that identifies this run of the process; attempt ids contain it.
+    /// The number that identifies this run of the process; attempt ids contain it.
     pub session: u64,
     /// The fleet-wide secret that seals turns which are not stored yet.
     pub seal_key: [u8; 32],
-    /// How long entries are collected before they are written in one transaction.
+    /// The minimum time between two transactions, in which journal entries are collected.
     pub commit_interval: Duration,
 }
 
@@ -265,7 +266,7 @@
     timers: Timers,
     /// Limits retries to a fraction of first attempts.
     retries: RetryBudget,
-    /// Requests that may have crashed targets.
+    /// Requests that may have crashed targets, and those that are quarantined.
     suspects: Suspects,
     /// The id of the most recent lease term.
     last_term: u64,
--- a/crates/policy/src/programs/attempts.rs
+++ b/crates/policy/src/programs/attempts.rs
@@ -20,7 +20,8 @@
 /// answer is sent, marked as not stored.
 const MAX_STORE_WAIT: Duration = Duration::from_millis(500);
 
-/// How long a caller should wait after a target refused its call.
+/// How long a caller should wait after its call was given up because the last target tried refused
+/// it or could not be reached.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Programs {
--- a/crates/policy/src/programs/budget.rs
+++ b/crates/policy/src/programs/budget.rs
@@ -10,9 +10,10 @@
 //! durable grant, and the entry that records a turn also raises the grant for later ones.
 //!
 //! A new home host treats the whole grant as spent, because attempts of the previous one may
-//! still be running. So a change of home costs at most one chunk, and no sequence of crashes
-//! spends more than the budget. Before an orderly release of a partition the home host journals
-//! the unspent part of the grant as free, so planned restarts cost programs nothing.
+//! still be running. So a change of home costs the family at most the unspent part of its grant,
+//! and no sequence of crashes spends more than the budget. Before an orderly release of a partition
+//! the home host journals the unspent part of the grant as free, so planned restarts cost programs
+//! nothing.
 
 use camphorwalk_core::units::Tokens;
 
@@ -21,9 +22,9 @@
     pub(super) struct AccountKey;
 }
 
-/// A new grant exceeds what is spent and reserved by one eighth of the budget, or by the next
-/// need if that is larger. A larger part would let more turns run while the platform is
-/// unavailable, but cost more when a home host crashes.
+/// A new grant exceeds what is spent and reserved by the budget divided by this, or by the next
+/// need if that is larger, but never exceeds the budget. A larger excess would let more turns run
+/// while the platform is unavailable, but cost more when a home host crashes.
 const CHUNK_DIVISOR: u64 = 8;
 
 /// The result of reserving tokens.
--- a/crates/policy/src/programs/calls.rs
+++ b/crates/policy/src/programs/calls.rs
@@ -20,7 +20,7 @@
 
 /// What is known about a call's idempotency key.
 enum KeyLookup {
-    /// The call with this number already ran under the key.
+    /// The program's history contains the call with this number under the key.
     Repeat(u32),
     /// A call is running under the key: the caller waits for the same answer.
     Join,
@@ -224,9 +224,9 @@
         let tail = tail::unseal(&self.options.seal_key, program, text)
             .map_err(|_| refusals::bad_request("the tail is not one of this program"))?;
 
-        // A program that is not open accepts no calls. A running call continues this host's own
-        // history, so the tail is older or has diverged. While an intent is in doubt, no later
-        // entry of the program may be journaled.
+        // The tail is ignored in three cases. A program that is not open accepts no calls. A
+        // running call continues this host's own history, so the tail is older or has diverged.
+        // While an intent is in doubt, no later entry of the program may be journaled.
         if program.state != ProgramState::Open || program.running.is_some() || program.in_doubt {
             return Ok(());
         }
--- a/crates/policy/src/programs/checkpoint.rs
+++ b/crates/policy/src/programs/checkpoint.rs
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Returns the key of the row that holds the transaction id.
+    /// Returns the key of the partition's checkpoint row, which holds the id of the transaction
+    /// that last replaced it.
     pub fn key(&self) -> RowKey {
         checkpoint_key(self.partition())
     }
--- a/crates/policy/src/programs/commits.rs
+++ b/crates/policy/src/programs/commits.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Abandons a call whose intent or grant was not stored.
+    /// Abandons a call whose intent or grant was not stored, or is not known to be stored.
     fn abandon_unstored(&mut self, cx: &mut StepContext<'_>, call: CallId) {
         if matches!(self.stage(call), Some(Stage::JournalingIntent | Stage::AwaitingGrant)) {
             let refusal = refusals::platform_unavailable(self.journal.retry_after());
--- a/crates/policy/src/programs/compaction.rs
+++ b/crates/policy/src/programs/compaction.rs
@@ -18,7 +18,7 @@
 /// bytes written.
 pub(super) const DEFAULT_CHECKPOINT_THRESHOLD: usize = 1024 * 1024;
 
-/// The maximum bytes of images in one object, unless a single program's image is larger.
+/// Once the images in an object have this many bytes, no more are added to it.
 const PART_BYTES: usize = 256 * 1024;
 
 /// The wait before the next checkpoint after the platform failed to store an object.
@@ -27,7 +27,7 @@
 /// How much a partition's journal has grown, and the checkpoint in progress.
 #[derive(Debug, Default)]
 pub(super) struct Compaction {
-    /// Bytes of the rows written since the last checkpoint.
+    /// Bytes of the journal rows that the last checkpoint does not cover.
     pub bytes_since_checkpoint: usize,
     /// Bytes of the last checkpoint.
     pub last_checkpoint_bytes: usize,
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Builds the content of the next object, with one image per line.
+    /// Builds the content of the next object, with one image per line; returns `None` if no image
+    /// is left to write.
     fn next_part_content(
         &mut self,
         cx: &StepContext<'_>,
@@ -196,7 +197,7 @@
         })
     }
 
-    /// Returns the intent whose outcome the journal does not hold.
+    /// Returns the program's intent whose outcome the journal does not hold, if there is one.
     fn stored_intent(&self, program: &Program) -> Option<(Box<str>, CallText)> {
         if program.open_intent.is_some() {
             return program.open_intent.clone();
--- a/crates/policy/src/programs/journal.rs
+++ b/crates/policy/src/programs/journal.rs
@@ -17,7 +17,7 @@
 use super::state::ProgramKey;
 use crate::shared_types::CallId;
 
-/// The maximum bytes of entries in one transaction.
+/// Once the entries of a transaction have this many bytes, no more are added to it.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
 
 /// Bytes counted for each entry in addition to its text.
@@ -27,7 +27,7 @@
 /// time.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest wait between two attempts.
+/// The longest wait between two sendings after such a failure.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// The period during which this host holds a partition's lease, with its write position in the
@@ -81,8 +81,9 @@
 pub(super) enum WriteOutcome {
     /// The platform has stored the entry.
     Durable,
-    /// The platform rejected the entry and certainly stored nothing. Entries that record facts
-    /// are written again later.
+    /// The entry is certainly not stored: the platform rejected its transaction, or the entry was
+    /// still queued when another transaction failed. Entries that record facts are written again
+    /// later; the others are dropped.
     Rejected,
     /// The platform's answer was lost, so the entry may take effect now or later. The same
     /// transaction is sent again until its outcome is known; this outcome is reported only
@@ -134,7 +135,7 @@
 }
 
 impl JournalWriter {
-    /// Creates a journal with nothing to write.
+    /// Creates a writer with nothing to write.
     pub fn new(session: u64, commit_interval: Duration) -> Self {
         Self {
             session,
--- a/crates/policy/src/programs/open.rs
+++ b/crates/policy/src/programs/open.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Answers the opening of a program that already exists.
+    /// Handles a request to open a program that already exists: answers a repeat of its opening
+    /// once the opening is durable, and refuses any other request.
     fn reopen(
         &mut self,
         cx: &mut StepContext<'_>,
--- a/crates/policy/src/programs/state.rs
+++ b/crates/policy/src/programs/state.rs
@@ -63,8 +63,8 @@
     pub last_key: Box<str>,
     /// Requests that arrived while the journal is being read.
     pub parked: Vec<ParkedRequest>,
-    /// Whether reading has not started because a write of this host to the journal is in
-    /// progress.
+    /// Whether reading has not started yet, because a write of this host to the journal is in
+    /// flight or no configuration is known.
     pub blocked: bool,
     /// When to retry a failed read.
     pub retry_at: Option<Instant>,
@@ -135,7 +135,8 @@
     pub children: Vec<ProgramId>,
     /// How many sub-agents the program has opened.
     pub openings: u32,
-    /// The last journal row covered by the program's checkpoint image.
+    /// The last journal row covered by the checkpoint image that the program was loaded from; 0 if
+    /// it was not loaded from one.
     pub image_row: u64,
     /// Whether the write of an intent that will never be sent may still take effect. Until that
     /// is known no later entry of this program may be journaled, so calls are refused.
--- a/crates/policy/src/programs/steps.rs
+++ b/crates/policy/src/programs/steps.rs
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Handles a request for a place that cannot be granted in time.
+    /// Handles a place request that the queue refused.
     pub(super) fn on_unplaced(
         &mut self,
         cx: &mut StepContext<'_>,
--- a/crates/policy/src/programs/tail.rs
+++ b/crates/policy/src/programs/tail.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TailError {
     /// The tail cannot be decoded, its authentication code is wrong, or it belongs to another
-    /// program.
+    /// program or tenant.
     Forged,
     /// The program's history differs from the one the tail continues.
     Diverged,
--- a/crates/policy/src/scheduler/controllers.rs
+++ b/crates/policy/src/scheduler/controllers.rs
@@ -120,8 +120,9 @@
         while let Some(event) = self.events.pop_front() {
             match event {
                 ControllerEvent::Lease(event) => {
-                    // The partitions in use are determined just before each step, not at an earlier
-                    // wake-up: releasing a partition during a call would interrupt that call.
+                    // The partitions in use are determined just before each step of the leases, not
+                    // at an earlier wake-up: releasing a partition during a call would interrupt
+                    // that call.
                     let mut actions = Vec::new();
                     let busy = Busy {
                         partitions: self.programs.busy_partitions(),
--- a/crates/policy/src/scheduler/requests.rs
+++ b/crates/policy/src/scheduler/requests.rs
@@ -225,7 +225,7 @@
         }));
     }
 
-    /// Handles a message that was not sent and never will be.
+    /// Handles a message that the runtime could not queue for sending.
     pub(super) fn on_unsent(
         &mut self,
         now: Instant,
@@ -251,7 +251,8 @@
         }
     }
 
-    /// Handles a broken connection to a host: requests forwarded to it may or may not have arrived.
+    /// Refuses the unanswered requests of this host's callers that were forwarded to a host whose
+    /// connection broke or that became silent: they may or may not have arrived there.
     pub(super) fn on_peer_down(&mut self, host: HostId, out: &mut Vec<Action>) {
         let lost = |w: &WaitingRequest| w.home == host;
         let mut requests: Vec<_> = self
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Handles a host that has become silent.
+    /// Handles another host that has become silent.
     pub(super) fn on_host_silent(&mut self, now: Instant, host: HostId, out: &mut Vec<Action>) {
         self.events.push_back(ControllerEvent::Lease(LeaseEvent::HolderSuspected));
         self.events.push_back(ControllerEvent::Queue(QueueEvent::HostGone(host)));
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -127,7 +127,7 @@
     pub host: HostId,
     /// The host's availability zone.
     pub zone: ZoneId,
-    /// A random number that identifies this run of the process, as in gossip.
+    /// The number that identifies this run of the process, as in gossip.
     pub session: u64,
     /// Durations of loans and requests; must be the same on all hosts of a fleet.
     pub times: SliceTimes,
