--- a/crates/policy/src/programs.rs
+++ b/crates/policy/src/programs.rs
@@ -137,7 +137,8 @@
     },
     /// An API key was withdrawn. [`Programs`] refuses the callers that use it.
     KeyWithdrawn(KeyId),
-    /// Another host quarantined the request with this digest because it crashes targets.
+    /// This host or another one quarantined the request with this digest because it crashes
+    /// targets.
     Quarantined(Digest),
     /// A timer is due; see [`Programs::wake_at`].
     Wake,
--- a/crates/policy/src/programs/keys.rs
+++ b/crates/policy/src/programs/keys.rs
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Refuses the callers of a call that use this API key; the call continues for the others.
+    /// Refuses those callers of a call that use this API key. The call continues for its other
+    /// callers; if there are none, it ends if it can be ended.
     fn refuse_callers_of_key(&mut self, cx: &mut StepContext<'_>, id: CallId, key: KeyId) {
         let call = &mut self.calls[id];
         let gone: Vec<_> = call.callers.extract_if(.., |caller| caller.key == key).collect();
--- a/crates/policy/src/programs/lifecycle.rs
+++ b/crates/policy/src/programs/lifecycle.rs
@@ -88,7 +88,7 @@
         self.cancel_unwanted(cx, id);
     }
 
-    /// Cancels a call that has no callers left, if it is a model turn.
+    /// Cancels the attempt of a call whose callers are gone, if the call is a model turn.
     pub(super) fn cancel_unwanted(&mut self, cx: &mut StepContext<'_>, id: CallId) {
         let call = &self.calls[id];
 
--- a/crates/policy/src/queue/demand.rs
+++ b/crates/policy/src/queue/demand.rs
@@ -67,7 +67,7 @@
     }
 
     /// Adds the tokens of a call that was granted a place. They count until the next
-    /// [`CacheDemand::update`], which finds them in the target's cache.
+    /// [`CacheDemand::update`] computes the cached tokens anew.
     pub fn add_placed(&mut self, tenant: TenantId, tokens: Tokens) {
         self.cached.add(tenant, tokens.0 as f64);
     }
--- a/crates/policy/src/queue/places.rs
+++ b/crates/policy/src/queue/places.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// All granted places, by request.
+/// The places that the queues of this host granted and that are not released yet, by request.
 #[derive(Debug, Default)]
 pub struct Places {
     places: Map<PlaceRequestId, Place>,
--- a/crates/policy/src/queue/targets.rs
+++ b/crates/policy/src/queue/targets.rs
@@ -294,7 +294,8 @@
     /// Returns until when the call should wait for a busy target that has its prefix cached, if
     /// that is better than computing the prefix at `target`.
     ///
-    /// The wait is limited to the computing time that it saves, and to [`MAX_PREFIX_WAIT`].
+    /// The wait is limited to the computing time that it saves all calls at `target`, and to
+    /// [`MAX_PREFIX_WAIT`].
     fn wait_for_prefix(
         &self,
         now: Instant,
--- a/crates/policy/src/queue/waiting.rs
+++ b/crates/policy/src/queue/waiting.rs
@@ -29,7 +29,7 @@
     pub position: Position,
 }
 
-/// All waiting calls.
+/// The waiting calls of all pools whose queue this host runs.
 #[derive(Debug, Default)]
 pub struct WaitingCalls {
     calls: Map<PlaceRequestId, WaitingCall>,
--- a/crates/policy/src/scheduler/unsent_answers.rs
+++ b/crates/policy/src/scheduler/unsent_answers.rs
@@ -13,7 +13,7 @@
 
 use super::{Action, Scheduler};
 
-/// The interval between sendings.
+/// The interval between two sendings of one answer.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long the sending of an answer is retried.
--- a/crates/policy/src/slices/borrower.rs
+++ b/crates/policy/src/slices/borrower.rs
@@ -47,7 +47,7 @@
     /// Whether a request must be sent without waiting for the next renewal.
     send_now: bool,
     next_request_at: Instant,
-    /// When to stop sending requests if the lender sends no grant.
+    /// When to stop sending requests to a lender that sends no grant and has no loans to this host.
     give_up_at: Instant,
 }
 
