--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -1,7 +1,9 @@
 //! Requests of callers and the replies to them.
 //!
 //! These types are encoded as JSON, both for callers and in the messages in which an entry host
-//! forwards a request to the home of its program.
+//! forwards a request to the program's home. The entry host is the host that received the request
+//! from the caller. The home is the host that holds the lease of the program's partition and runs
+//! the program.
 
 use std::time::Duration;
 
@@ -247,7 +249,8 @@
     TooLarge,
     /// The caller's key is missing, unknown or withdrawn.
     Unauthorized,
-    /// The object does not exist or belongs to another tenant.
+    /// The URL path or the program does not exist, or the program has ended or belongs to another
+    /// tenant.
     NotFound,
     /// The call does not follow the program's last finished call (its head).
     OutOfOrder,
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -44,7 +44,7 @@
     pub zones: Vec<Zone>,
     /// The classes of work.
     pub classes: Vec<Class>,
-    /// The number of partitions of programs. Cannot be changed later.
+    /// The number of partitions into which programs are divided. Cannot be changed later.
     #[serde(default = "default_partitions")]
     pub partitions: u16,
     /// The number of slices into which each tenant's rate is divided, in each region. Cannot be
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -164,7 +164,8 @@
     }
 }
 
-/// A partition of the programs. One host at a time is the home of all its programs.
+/// A partition of the programs. The host that holds the partition's lease is the home of its
+/// programs: it runs them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartitionId(pub u16);
 
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -2,6 +2,9 @@
 //!
 //! Each frame holds one [`PeerMessage`]. Fields may only be added, with new tags, because hosts
 //! of two versions communicate during a rollout. Each group of messages has its own module.
+//!
+//! The entry host of a request is the host that received it from a caller. The home of a program is
+//! the host that holds the lease of the program's partition and runs the program.
 
 pub mod ended_programs;
 pub mod entry;
--- a/crates/core/src/messages/ended_programs.rs
+++ b/crates/core/src/messages/ended_programs.rs
@@ -1,4 +1,6 @@
 //! Queries for ended programs, so that engines can free the memory that they hold for them.
+//!
+//! The home of a program is the host that holds the lease of the program's partition.
 
 /// Asks the home of programs which of them have ended.
 #[derive(Clone, PartialEq, prost::Message)]
--- a/crates/core/src/messages/forward.rs
+++ b/crates/core/src/messages/forward.rs
@@ -1,4 +1,7 @@
-//! Requests that an entry host forwards to a program's home, and their answers.
+//! Requests that an entry host forwards to a program's home, and the answers of the home.
+//!
+//! The entry host is the host that received the request from its caller. The home is the host that
+//! holds the lease of the program's partition.
 
 /// A request forwarded to the home of its program.
 #[derive(Clone, PartialEq, prost::Message)]
--- a/crates/core/src/messages/gossip.rs
+++ b/crates/core/src/messages/gossip.rs
@@ -28,8 +28,8 @@
     /// Hosts of which only the heartbeat has changed.
     #[prost(message, repeated, tag = "8")]
     pub beats: Vec<HostHeartbeat>,
-    /// Whether the sender cannot renew its session at the platform. It then promises not to end
-    /// other hosts' sessions for some time after it sent this message.
+    /// Whether the sender cannot renew its session at the platform. If so, the sender promises not
+    /// to end other hosts' sessions for some time after it sent this message.
     #[prost(bool, tag = "9")]
     pub without_platform: bool,
     /// The latest heartbeat of the receiver that the sender knows. The receiver measures the
--- a/crates/core/src/messages/queue.rs
+++ b/crates/core/src/messages/queue.rs
@@ -1,6 +1,7 @@
 //! Requests for a place at a target, the right to have one call in flight there.
 //!
-//! One host of each zone runs the queue of a pool and grants the places.
+//! One host of each zone runs the queue of a pool and grants the places. The home of a program, the
+//! host that holds the lease of the program's partition, requests places for the program's calls.
 
 /// A message between a program's home and the host that runs a pool's queue.
 #[derive(Clone, PartialEq, prost::Message)]
--- a/crates/core/src/messages/slices.rs
+++ b/crates/core/src/messages/slices.rs
@@ -2,7 +2,8 @@
 //!
 //! Each tenant's rate is divided into numbered slices. A column consists of the slices with one
 //! number of all tenants, and one host at a time owns it. The owner lends its slices to other
-//! hosts.
+//! hosts. A loan is one lent slice, and its level is the amount left in it. Each tenant has an
+//! admission host, which borrows the tenant's slices and takes a token from them for each call.
 //!
 //! Each change between a lender and a borrower takes a numbered request of the borrower and a
 //! grant of the lender in reply. One request and one grant cover all tenants. Amounts are in
@@ -57,8 +58,8 @@
 /// Asks a borrower to send a request, because the lender has loans to grant or recall.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoanOffer {
-    /// Columns that the lender took over from another owner whose loans may still be valid. The
-    /// request should claim the borrower's loans among them.
+    /// Columns that the lender took over from another owner whose loans may still be valid. In its
+    /// request, the borrower should claim its loans of these columns.
     #[prost(uint32, repeated, tag = "1")]
     pub columns: Vec<u32>,
 }
@@ -153,7 +154,7 @@
     pub since: Vec<u64>,
 }
 
-/// A claimed loan that the column's new owner has adopted, with its current level.
+/// A claimed loan that the column's new owner has adopted, with its new number, rate and burst.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoanAdoption {
     /// The claim.
--- a/crates/declare/src/checks.rs
+++ b/crates/declare/src/checks.rs
@@ -42,8 +42,8 @@
 /// for the whole life of a deployment.
 ///
 /// Hosts adopt a change at different times. If the number of partitions changed, a program could
-/// have two homes in the meantime; if the number of slices changed, a tenant could be admitted
-/// above its rate.
+/// have two homes (hosts that run it) in the meantime. If the number of slices of a tenant's rate
+/// changed, hosts could admit more calls of the tenant than its rate allows.
 ///
 /// ```
 /// use camphorwalk_declare::{check_change, load};
--- a/crates/declare/src/checks/tenants.rs
+++ b/crates/declare/src/checks/tenants.rs
@@ -13,7 +13,7 @@
 /// The highest rate, in calls per second.
 const MAX_RATE: f64 = 1e6;
 
-/// How many micro-tokens a slice counts for one call.
+/// The micro-tokens that one call takes from a slice, a part of a tenant's rate.
 const MICRO_TOKENS_PER_CALL: f64 = 1e6;
 
 /// The number of hexadecimal digits of a key's digest.
--- a/crates/declare/src/declarations.rs
+++ b/crates/declare/src/declarations.rs
@@ -5,7 +5,7 @@
 use crate::documents::{ROOT, fault};
 use crate::errors::Fault;
 
-/// Stands in faults for the file name if a configuration was not read from a folder.
+/// The file name in the faults of a configuration that was not read from a folder.
 pub(crate) const WHOLE_CONFIG: &str = "config";
 
 /// A declaration and its location.
--- a/crates/declare/src/lib.rs
+++ b/crates/declare/src/lib.rs
@@ -3,7 +3,7 @@
 //! A deployment is declared in a folder under version control:
 //!
 //! ```text
-//! fleet.json          zones, classes, partitions
+//! fleet.json          zones, classes, partitions, slices
 //! targets.json        {"targets": [...]}
 //! templates/*.json    one template each
 //! tenants/*.json      one tenant each
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,7 +1,7 @@
 //! The control thread: runs the scheduler on events from a channel.
 //!
 //! All decisions are made on this thread, one after another, so the scheduler needs no locks. The
-//! thread does no I/O: the [`Action`]s that it returns are executed on tokio's threads.
+//! thread does no I/O: it passes the scheduler's [`Action`]s on, and tokio's threads execute them.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::thread;
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -43,7 +43,7 @@
     Serving,
     /// The host is shutting down and finishes open work.
     Leaving,
-    /// The host has handed over everything that it held.
+    /// The host has handed over its partitions and places.
     Left,
 }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,7 +1,8 @@
 //! The metrics of a host.
 //!
-//! Label values are declared tenants, request kinds, refusal codes and outcomes of attempts. Each
-//! is a small, fixed set, so the configuration bounds the number of series.
+//! Label values are declared tenants, request kinds, refusal codes and outcomes of attempts. The
+//! tenants are those of the configuration and the other sets are fixed, so the number of series is
+//! bounded.
 
 use prometheus::{
     Encoder as _, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -127,7 +127,7 @@
     version: u64,
 }
 
-/// Whether one host has put a version in force, or a later one.
+/// A host, its version, and whether that is the requested version or a later one.
 #[derive(Serialize)]
 struct Confirmation {
     name: Box<str>,
--- a/crates/node/src/streams.rs
+++ b/crates/node/src/streams.rs
@@ -8,8 +8,9 @@
 use camphorwalk_core::ids::{RequestId, RequestOrigin};
 use tokio::sync::{mpsc, oneshot};
 
-/// How many parts of a stream are buffered for a slow caller. When the buffer is full, a target
-/// whose attempt runs on this host is read no further; a part from another host is dropped.
+/// How many parts of a stream are buffered for a slow caller. When the buffer is full, this
+/// host stops reading from the target if it runs the attempt itself, and drops the part if another
+/// host sent it.
 const STREAM_BUFFER: usize = 256;
 
 /// A part of a streamed answer.
--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -1,7 +1,7 @@
 //! Sends attempts to targets, which are model engines and services, over HTTP.
 //!
 //! A request to a target never contains the caller's credentials: it is built from the dispatch of
-//! the program's home and never copied from the caller's request.
+//! the program's home (the host that runs the program), never copied from the caller's request.
 
 mod engine;
 mod service;
@@ -36,7 +36,8 @@
 /// engines hold then frees what is left.
 const MAX_SERVED_PROGRAMS: usize = 65_536;
 
-/// The largest answer that is accepted from a target, in bytes.
+/// The largest answer that is accepted from a target, in bytes. In a stream, this
+/// limits each event.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Forwards a numbered part of a stream to the request that it belongs to, and returns whether that
--- a/crates/node/src/targets/sse.rs
+++ b/crates/node/src/targets/sse.rs
@@ -21,7 +21,8 @@
         self.buf.extend_from_slice(chunk);
     }
 
-    /// Returns how many bytes are buffered because their event is not complete yet.
+    /// Returns the number of buffered bytes. Once `next_event` has returned `None`, these bytes
+    /// belong to an incomplete event.
     pub fn buffered_bytes(&self) -> usize {
         self.buf.len()
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,5 +1,5 @@
-//! Polls the engines whose queues are on this host for their load, the programs that they evicted
-//! from their caches, and the programs that they hold.
+//! Polls the engines of the pools whose queues this host runs. Reads their load, the programs that
+//! they evicted from their caches, and the programs that they hold.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -17,7 +17,8 @@
 /// The content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// No content: requests, or gives, a sign that the connection works.
+    /// A frame without content. The dialler sends it to check the connection, and the listener
+    /// replies with one.
     Keepalive,
     /// A message.
     Message(PeerMessage),
--- a/crates/peer/src/keepalive.rs
+++ b/crates/peer/src/keepalive.rs
@@ -5,7 +5,8 @@
 /// The intervals and the timeout of a [`KeepaliveTracker`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeepaliveTimes {
-    /// The longest time from a message to the keepalive that asks for its confirmation.
+    /// While messages are unconfirmed, the interval from one keepalive to the next, whose reply
+    /// confirms them.
     pub(crate) keepalive: Duration,
     /// The interval between keepalives when nothing else is sent.
     pub(crate) idle_keepalive: Duration,
@@ -40,7 +41,8 @@
     replies: u64,
     /// When the last keepalive was sent.
     last_ping: Instant,
-    /// Since when a reply is outstanding.
+    /// When the oldest keepalive without a reply was sent, or when the last reply arrived if that
+    /// is later. `None` if the peer has replied to all keepalives.
     awaiting_since: Option<Instant>,
 }
 
--- a/crates/peer/src/metrics.rs
+++ b/crates/peer/src/metrics.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Registers the counters.
+    /// Registers the metrics.
     pub(crate) fn register(&self, registry: &Registry) -> prometheus::Result<()> {
         for counter in [&self.frames, &self.bytes, &self.closed, &self.failed, &self.dropped] {
             registry.register(Box::new(counter.clone()))?;
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -37,7 +37,8 @@
     pub send_queue: usize,
     /// How long a connect and its handshake may take.
     pub connect_timeout: Duration,
-    /// The longest time from a message to the keepalive that asks for its confirmation.
+    /// While messages are unconfirmed, the interval from one keepalive to the next, whose reply
+    /// confirms them.
     pub keepalive: Duration,
     /// The interval between keepalives on a connection that sends nothing else. Must be the same
     /// on all hosts.
--- a/crates/peer/src/outgoing.rs
+++ b/crates/peer/src/outgoing.rs
@@ -79,7 +79,7 @@
 
         // If all tasks stop, nobody reads the events any more.
         if !dialler.shared.stop.is_cancelled() {
-            dialler.return_unsent().await;
+            dialler.report_unsent().await;
         }
     });
 
@@ -104,7 +104,7 @@
                 Ok(EndReason::QueueClosed) => return,
                 Err(error) => {
                     self.record_failure(address, &error);
-                    self.return_unsent().await;
+                    self.report_unsent().await;
                     self.back_off(started).await;
                 }
             }
@@ -174,8 +174,9 @@
         }
     }
 
-    /// Returns all queued messages as unsent, since they would be stale after the next connect.
-    async fn return_unsent(&mut self) {
+    /// Reports all queued messages as [`Inbound::SendFailed`] and drops the queued flushes. The
+    /// messages would be stale after the next connect.
+    async fn report_unsent(&mut self) {
         let PeerQueue { rx, batch, .. } = &mut self.queue;
         while let Ok(item) = rx.try_recv() {
             batch.push(item);
@@ -190,7 +191,8 @@
         }
     }
 
-    /// Waits after a failure, with exponential backoff. A connection that lasted resets it.
+    /// Waits after a failure, with exponential backoff. The backoff returns to its minimum if
+    /// the connection lasted longer than a failed connect and its backoff can take.
     async fn back_off(&mut self, started: Instant) {
         let options = &self.shared.options;
         if started.elapsed() > options.connect_timeout + options.max_backoff {
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -88,7 +88,7 @@
     pub(crate) identity: Identity,
     /// The channel that receives events and messages.
     pub(crate) inbound: Sender<Inbound>,
-    /// The counters.
+    /// The metrics.
     pub(crate) metrics: Metrics,
     /// The connection failures that were already logged.
     pub(crate) log_dedup: LogDedup,
@@ -215,8 +215,8 @@
 
     /// Waits until the peers have confirmed all queued messages, for at most `limit`.
     ///
-    /// Returns the number of peers that did not confirm. Messages that were already counted as
-    /// lost are not waited for. A host calls this last when it shuts down, because messages in a
+    /// Returns the number of peers that did not confirm. Messages that were already reported as
+    /// failed or lost do not prolong the wait and do not count. A host calls this last when it shuts down, because messages in a
     /// socket's send buffer may be lost when the process exits.
     pub async fn flush(&self, limit: Duration) -> usize {
         let queues: Vec<_> = self.shared.lock_handles().values().map(|l| l.tx.clone()).collect();
@@ -226,7 +226,7 @@
         confirmed.into_iter().filter(|c| !matches!(c, Ok(true))).count()
     }
 
-    /// Registers the counters.
+    /// Registers the metrics.
     pub fn register(&self, registry: &Registry) -> prometheus::Result<()> {
         self.shared.metrics.register(registry)
     }
--- a/crates/peer/src/sending.rs
+++ b/crates/peer/src/sending.rs
@@ -114,7 +114,7 @@
         Ok(self.keepalive.record_ping(Instant::now()))
     }
 
-    /// Sends a keepalive, or fails, if either is due.
+    /// Sends a keepalive if one is due. Fails if the peer has not replied in time.
     async fn tick(&mut self) -> Result<()> {
         match self.keepalive.next(Instant::now()) {
             KeepaliveAction::Wait => Ok(()),
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -148,7 +148,7 @@
             .await
         {
             Outcome::OverQuota => {
-                self.inner.metrics.over_quota(name);
+                self.inner.metrics.record_over_quota(name);
                 return PlatformReply::Unavailable;
             }
             Outcome::Unanswered { lost } => operations::reply_without_response(&op, lost),
@@ -178,7 +178,7 @@
         );
         let hosts = match outcome.await {
             Outcome::OverQuota => {
-                self.inner.metrics.over_quota(LIST_HOSTS);
+                self.inner.metrics.record_over_quota(LIST_HOSTS);
                 return Err(Error::OverQuota);
             }
             Outcome::Unanswered { .. } => None,
@@ -216,7 +216,7 @@
 
             match attempt {
                 Attempt::Answered { status, body, .. } => {
-                    let earlier = self.earlier(lost, started);
+                    let earlier = self.earlier_attempts(lost, started);
                     return Outcome::Answered { status, body, earlier };
                 }
                 Attempt::NotExecuted => {}
@@ -230,7 +230,7 @@
                 return Outcome::Unanswered { lost };
             }
 
-            let Some(pause) = self.next_pause(attempts, started, access) else {
+            let Some(pause) = self.take_retry(attempts, started, access) else {
                 return Outcome::Unanswered { lost };
             };
 
@@ -260,7 +260,7 @@
     ///
     /// The retry window is checked after the response arrived: while this process was paused, other
     /// hosts may have deleted the rows that would show whether an earlier attempt took effect.
-    fn earlier(&self, lost: bool, started: Instant) -> EarlierAttempts {
+    fn earlier_attempts(&self, lost: bool, started: Instant) -> EarlierAttempts {
         match lost {
             false => EarlierAttempts::NotExecuted,
             true if started.elapsed() > self.inner.retry.retry_window => {
@@ -270,8 +270,9 @@
         }
     }
 
-    /// Returns the pause before the next attempt, or `None` if no further attempt is allowed.
-    fn next_pause(&self, attempts: u32, started: Instant, access: Access) -> Option<Duration> {
+    /// Takes a retry from the retry budget and from the host's quota, and returns the pause before
+    /// it. Returns `None` if the operation may not be retried.
+    fn take_retry(&self, attempts: u32, started: Instant, access: Access) -> Option<Duration> {
         let retry = self.inner.retry;
         let mut limits = self.limits();
 
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -6,10 +6,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The platform refused, could not be reached, or did not response in time.
+    /// The platform refused, could not be reached, or did not respond in time.
     #[error("the platform is unavailable")]
     Unavailable,
-    /// The host has used up its quota of reads.
+    /// The host's quota of reads is used up, so the client sent no request.
     #[error("the host's request quota at the platform is used up")]
     OverQuota,
     /// The availability zone's name is not a valid HTTP header value.
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -143,13 +143,13 @@
         average.max(self.min).saturating_mul(1 << lost.min(8)).min(self.max)
     }
 
-    /// Records the time to the response head of a responseed attempt.
+    /// Records the time to the response head of an attempt that was answered.
     pub(crate) fn record_response(&mut self, took: Duration) {
         self.average += (took.as_secs_f64() - self.average) * NEWEST_SAMPLE_WEIGHT;
     }
 
-    /// Records that an attempt waited this long without a response. This raises the average, since
-    /// the platform may have become slower.
+    /// Records that an attempt waited this long without a response. The platform may have become
+    /// slower, so this raises the average if the next timeout would otherwise be shorter.
     pub(crate) fn record_loss(&mut self, waited: Duration) {
         let bound = waited.as_secs_f64() / TIMEOUT_FACTOR;
         self.average = self.average.max(bound);
--- a/crates/store/src/metrics.rs
+++ b/crates/store/src/metrics.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records an operation that was not sent because the quota was used up.
-    pub(crate) fn over_quota(&self, operation: &str) {
+    pub(crate) fn record_over_quota(&self, operation: &str) {
         self.operations.with_label_values(&[operation, "over_share"]).inc();
     }
 
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -63,8 +63,8 @@
     /// The mean pause before the first retry. It doubles with each further retry.
     pub base_backoff: Duration,
     /// How long after its first attempt an operation may be retried, and a conflict may be used to
-    /// determine the outcome of an attempt whose response was lost. Rows that were written with the
-    /// condition that they are absent must stay unchanged for longer than this.
+    /// determine the outcome of an attempt whose response was lost. Rows whose creation shows that
+    /// outcome (witnesses, see the module `witness`) must stay unchanged for longer than this.
     pub retry_window: Duration,
 }
 
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,4 +1,4 @@
-//! Tests the client against a platform that responses, refuses or is unreachable.
+//! Tests the client against a platform that responds, refuses or is unreachable.
 
 mod support;
 
--- a/crates/store/tests/lost_answers.rs
+++ b/crates/store/tests/lost_answers.rs
@@ -1,4 +1,7 @@
 //! Tests the client against a platform whose responses are lost or late.
+//!
+//! A witness is a row that a transaction creates and whose value identifies the writer. After a
+//! lost response, the witness shows whether the transaction took effect.
 
 mod support;
 
