--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -10,7 +10,7 @@
 
 use dropshot::{ApiDescription, ConfigDropshot, HandlerTaskMode, HttpServer, ServerBuilder};
 
-use crate::errors::{Result, cannot_listen};
+use crate::errors::{Result, cannot_start};
 use crate::host::Shared;
 
 /// The listener for callers.
@@ -33,7 +33,7 @@
         let server = ServerBuilder::new(description(), shared, log)
             .config(config)
             .start()
-            .map_err(|e| cannot_listen("callers", e))?;
+            .map_err(|e| cannot_start("callers", e))?;
 
         Ok(Self { server })
     }
--- a/crates/node/src/errors.rs
+++ b/crates/node/src/errors.rs
@@ -49,7 +49,7 @@
 }
 
 /// Returns the error for a listener, or the control thread, that cannot be started.
-pub(crate) fn cannot_listen(what: &'static str, reason: impl std::fmt::Display) -> Error {
+pub(crate) fn cannot_start(what: &'static str, reason: impl std::fmt::Display) -> Error {
     Error::Listen { what, reason: reason.to_string().into() }
 }
 
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -43,7 +43,8 @@
     Serving,
     /// The host is shutting down and finishes open work.
     Leaving,
-    /// The host has handed over its partitions and places.
+    /// The host has released all its leases and ended its session, or the session expired. The
+    /// process may exit.
     Left,
 }
 
@@ -404,7 +405,7 @@
         let _ = actions.send(action);
     };
     Control::start(options, metrics.events.clone(), send_action)
-        .map_err(|e| crate::errors::cannot_listen("the control thread", e))
+        .map_err(|e| crate::errors::cannot_start("the control thread", e))
 }
 
 fn platform_client(settings: &Settings, seed: u64, metrics: &Metrics) -> Result<Client> {
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -19,7 +19,7 @@
 use subtle::ConstantTimeEq as _;
 use tokio::sync::oneshot;
 
-use crate::errors::cannot_listen;
+use crate::errors::cannot_start;
 use crate::host::{Phase, Shared};
 use crate::responses::json;
 
@@ -51,7 +51,7 @@
         let server = ServerBuilder::new(description(), shared, log)
             .config(config)
             .start()
-            .map_err(|e| cannot_listen("operators", e))?;
+            .map_err(|e| cannot_start("operators", e))?;
 
         Ok(Self { server })
     }
--- a/crates/peer/src/keepalive.rs
+++ b/crates/peer/src/keepalive.rs
@@ -20,7 +20,7 @@
     /// Nothing.
     Wait,
     /// Send a keepalive.
-    Ping,
+    Send,
     /// Close the connection: the peer does not reply.
     Close,
 }
@@ -34,13 +34,13 @@
     /// The intervals and the timeout.
     times: KeepaliveTimes,
     /// The number of the keepalive whose reply confirms the last message.
-    confirming_ping: u64,
+    confirming_keepalive: u64,
     /// The number of keepalives sent.
-    pings: u64,
+    keepalives: u64,
     /// The number of replies received.
     replies: u64,
     /// When the last keepalive was sent.
-    last_ping: Instant,
+    last_keepalive: Instant,
     /// When the oldest keepalive without a reply was sent, or when the last reply arrived if that
     /// is later. `None` if the peer has replied to all keepalives.
     awaiting_since: Option<Instant>,
@@ -49,36 +49,43 @@
 impl KeepaliveTracker {
     /// Creates the tracker of a connection that opens now.
     pub(crate) fn new(times: KeepaliveTimes, now: Instant) -> Self {
-        let (confirming_ping, pings, replies) = (0, 0, 0);
+        let (confirming_keepalive, keepalives, replies) = (0, 0, 0);
 
-        Self { times, confirming_ping, pings, replies, last_ping: now, awaiting_since: None }
+        Self {
+            times,
+            confirming_keepalive,
+            keepalives,
+            replies,
+            last_keepalive: now,
+            awaiting_since: None,
+        }
     }
 
     /// Records that a message was sent.
     pub(crate) fn record_message(&mut self) {
-        self.confirming_ping = self.pings + 1;
+        self.confirming_keepalive = self.keepalives + 1;
     }
 
     /// Records that a keepalive was sent; returns its number.
-    pub(crate) fn record_ping(&mut self, now: Instant) -> u64 {
-        self.pings += 1;
-        self.last_ping = now;
+    pub(crate) fn record_keepalive(&mut self, now: Instant) -> u64 {
+        self.keepalives += 1;
+        self.last_keepalive = now;
         self.awaiting_since.get_or_insert(now);
 
-        self.pings
+        self.keepalives
     }
 
     /// Records a reply; returns the number of the keepalive that it belongs to.
     pub(crate) fn record_reply(&mut self, now: Instant) -> u64 {
-        self.replies = (self.replies + 1).min(self.pings);
-        self.awaiting_since = (self.replies < self.pings).then_some(now);
+        self.replies = (self.replies + 1).min(self.keepalives);
+        self.awaiting_since = (self.replies < self.keepalives).then_some(now);
 
         self.replies
     }
 
     /// Returns whether the peer has confirmed all messages.
     pub(crate) fn is_all_confirmed(&self) -> bool {
-        self.replies >= self.confirming_ping
+        self.replies >= self.confirming_keepalive
     }
 
     /// Returns what to do now.
@@ -89,9 +96,10 @@
             return KeepaliveAction::Close;
         }
 
-        let since_ping = now - self.last_ping;
-        let is_due = self.confirming_ping > self.pings && since_ping >= self.times.keepalive
-            || since_ping >= self.times.idle_keepalive;
-        if is_due { KeepaliveAction::Ping } else { KeepaliveAction::Wait }
+        let since_keepalive = now - self.last_keepalive;
+        let is_due = self.confirming_keepalive > self.keepalives
+            && since_keepalive >= self.times.keepalive
+            || since_keepalive >= self.times.idle_keepalive;
+        if is_due { KeepaliveAction::Send } else { KeepaliveAction::Wait }
     }
 }
--- a/crates/peer/src/peers.rs
+++ b/crates/peer/src/peers.rs
@@ -215,9 +215,9 @@
 
     /// Waits until the peers have confirmed all queued messages, for at most `limit`.
     ///
-    /// Returns the number of peers that did not confirm. Messages that were already reported as
-    /// failed or lost do not prolong the wait and do not count. A host calls this last when it shuts down, because messages in a
-    /// socket's send buffer may be lost when the process exits.
+    /// Returns the number of peers that did not confirm. Messages that were reported as
+    /// failed or lost before this call do not prolong the wait. A host calls this last when it
+    /// shuts down, because messages in a socket's send buffer may be lost when the process exits.
     pub async fn flush(&self, limit: Duration) -> usize {
         let queues: Vec<_> = self.shared.lock_handles().values().map(|l| l.tx.clone()).collect();
         let flushes = queues.into_iter().map(|tx| timeout(limit, flush(tx)));
--- a/crates/peer/src/sending.rs
+++ b/crates/peer/src/sending.rs
@@ -90,7 +90,7 @@
             match item {
                 QueueItem::Message(message) => self.send_message(message).await?,
                 QueueItem::Flush(done) => {
-                    let number = self.ping().await?;
+                    let number = self.send_keepalive().await?;
                     self.flushes.push((number, done));
                 }
             }
@@ -108,10 +108,10 @@
     }
 
     /// Sends a keepalive; returns its number.
-    async fn ping(&mut self) -> Result<u64> {
+    async fn send_keepalive(&mut self) -> Result<u64> {
         self.send_frame(Frame::Keepalive).await?;
 
-        Ok(self.keepalive.record_ping(Instant::now()))
+        Ok(self.keepalive.record_keepalive(Instant::now()))
     }
 
     /// Sends a keepalive if one is due. Fails if the peer has not replied in time.
@@ -119,8 +119,8 @@
         match self.keepalive.next(Instant::now()) {
             KeepaliveAction::Wait => Ok(()),
             KeepaliveAction::Close => Err(Error::Timeout),
-            KeepaliveAction::Ping => {
-                self.ping().await?;
+            KeepaliveAction::Send => {
+                self.send_keepalive().await?;
                 self.flush().await
             }
         }
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -149,7 +149,8 @@
     }
 
     /// Records that an attempt waited this long without a response. The platform may have become
-    /// slower, so this raises the average if the next timeout would otherwise be shorter.
+    /// slower, so this raises the average if the next timeout would otherwise be shorter than
+    /// `waited`.
     pub(crate) fn record_loss(&mut self, waited: Duration) {
         let bound = waited.as_secs_f64() / TIMEOUT_FACTOR;
         self.average = self.average.max(bound);
