--- a/crates/store/tests/fuzz.rs
+++ b/crates/store/tests/fuzz.rs
@@ -94,7 +94,7 @@
 }
 
 /// Returns whether a transaction with this reply may have written the row.
-fn explains(tx: &Transaction, reply: &PlatformReply, row: &Row) -> bool {
+fn may_have_written(tx: &Transaction, reply: &PlatformReply, row: &Row) -> bool {
     let writes =
         tx.writes.contains(&Write { key: row.key.clone(), value: Some(row.value.clone()) });
 
@@ -152,13 +152,13 @@
                 .collect();
 
             for row in &rows {
-                let explained = results.iter().any(|(tx, reply)| explains(tx, reply, row));
+                let explained = results.iter().any(|(tx, reply)| may_have_written(tx, reply, row));
                 prop_assert!(explained, "no reply accounts for {row:?}");
             }
 
             for (tx, reply) in &results {
                 if let PlatformReply::Committed(_) = reply {
-                    let found = rows.iter().filter(|row| explains(tx, reply, row)).count();
+                    let found = rows.iter().filter(|row| may_have_written(tx, reply, row)).count();
                     prop_assert_eq!(found, tx.writes.len(), "rows of {:?} are missing", tx);
                 }
             }
