--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -1,7 +1,7 @@
 //! Sends attempts to targets, which are model engines and services, over HTTP.
 //!
-//! A request to a target never contains the caller's credentials: it is built from the [`Dispatch`] of
-//! the program's home (the host that runs the program), never copied from the caller's request.
+//! A request to a target never contains the caller's credentials: it is built from the [`Dispatch`]
+//! of the program's home (the host that runs the program), never copied from the caller's request.
 
 mod engine;
 mod service;
