--- a/crates/node/src/targets.rs
+++ b/crates/node/src/targets.rs
@@ -36,8 +36,8 @@
 /// engines hold then frees what is left.
 const MAX_SERVED_PROGRAMS: usize = 65_536;
 
-/// The largest answer that is accepted from a target, in bytes. In a stream, this
-/// limits each event.
+/// The largest answer that is accepted from a target, in bytes. In a stream, this limits
+/// each event.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Forwards a numbered part of a stream to the request that it belongs to, and returns whether that
--- a/crates/peer/src/keepalive.rs
+++ b/crates/peer/src/keepalive.rs
@@ -5,8 +5,8 @@
 /// The intervals and the timeout of a [`KeepaliveTracker`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeepaliveTimes {
-    /// While messages are unconfirmed, the interval from one keepalive to the next, whose reply
-    /// confirms them.
+    /// How long after the previous keepalive the next one is sent, if there were messages since.
+    /// Its reply confirms those messages.
     pub(crate) keepalive: Duration,
     /// The interval between keepalives when nothing else is sent.
     pub(crate) idle_keepalive: Duration,
--- a/crates/peer/src/options.rs
+++ b/crates/peer/src/options.rs
@@ -37,8 +37,8 @@
     pub send_queue: usize,
     /// How long a connect and its handshake may take.
     pub connect_timeout: Duration,
-    /// While messages are unconfirmed, the interval from one keepalive to the next, whose reply
-    /// confirms them.
+    /// How long after the previous keepalive the next one is sent, if there were messages since.
+    /// Its reply confirms those messages.
     pub keepalive: Duration,
     /// The interval between keepalives on a connection that sends nothing else. Must be the same
     /// on all hosts.
