--- a/crates/store/src/witness.rs
+++ b/crates/store/src/witness.rs
@@ -66,9 +66,8 @@
 /// This holds if a row no longer has the expected version, because versions are never reused.
 /// Such a row is in `conflict`, or `conflict` is empty because the row was deleted. It also
 /// holds if another writer's witness exists, because no host deletes a witness while the request
-/// may be in flight. It does not hold for a
-/// row that must be absent and is not written: it may be deleted before the delayed request
-/// arrives, which would then commit.
+/// may be in flight. It does not hold for a row that must be absent and that `tx` does not write:
+/// that row may be deleted before the delayed request arrives, which would then commit.
 fn is_final(tx: &Transaction, conflict: &[Row]) -> bool {
     let is_permanent = |check: &Check| {
         check.version != RowVersion::ABSENT
