--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -1,7 +1,7 @@
 //! The baselines: first-in-first-out queues with round-robin or least-loaded target selection.
 //!
-//! They use the same windows as the queues they are compared with, refuse nothing, and ignore
-//! tenants, classes and cached prefixes.
+//! They use the same window (the maximum number of calls in flight at a target) as the queues they
+//! are compared with, refuse nothing, and ignore tenants, classes and cached prefixes.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -18,8 +18,8 @@
 /// The numbers of waiting calls to measure.
 const WAITING_CALLS: [u64; 4] = [10, 100, 1_000, 10_000];
 
-/// The number of rounds of one measurement. In each round a call ends, its place is granted to
-/// another one, and a new call requests a place.
+/// The number of rounds of one measurement. In each round a call ends, the queue grants its place
+/// at a target to a waiting call, and a new call requests a place.
 const ROUNDS: u64 = 20_000;
 
 /// The virtual time between two rounds.
@@ -30,9 +30,9 @@
 pub struct DecisionRate {
     /// The number of calls that wait, constant during the measurement.
     pub waiting: u64,
-    /// The targets of the pool.
+    /// The number of targets in the pool.
     pub targets: usize,
-    /// The tenants whose calls wait.
+    /// The number of tenants whose calls wait.
     pub tenants: usize,
     /// Events processed per second: one request and one release for each grant.
     pub events_per_second: f64,
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -109,8 +109,8 @@
         report.aims.extend(self.aims(report));
     }
 
-    /// Measures finished programs per second with a fixed number of concurrent programs, and
-    /// returns the maximum over several such numbers.
+    /// Measures finished programs per second, not counting sub-agents, with a fixed number of
+    /// concurrent programs. Returns the maximum over several such numbers.
     fn capacity(&self, policy: Policy) -> f64 {
         let windows = self.options.engines.window as usize * self.options.engines.count;
         let rates = CLOSED_WINDOWS.map(|factor| self.closed_loop_rate(policy, factor * windows));
--- a/crates/bench/src/figures.rs
+++ b/crates/bench/src/figures.rs
@@ -14,8 +14,9 @@
 /// The maximum latency that histograms record, in milliseconds.
 const MAX_LATENCY_MS: u64 = 3_600_000;
 
-/// The figures of one run. A program that did not finish in time counts with its whole deadline as
-/// latency, so that refusing programs does not improve the latencies.
+/// The figures of one run. Latencies, slowdowns, refusals and goodput are those of programs that
+/// arrive after the warm-up and are not sub-agents. A program that did not finish in time counts
+/// with its whole deadline as latency, so that refusing programs does not improve the latencies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
     /// Median program latency, in milliseconds.
@@ -38,7 +39,8 @@
     pub hopeless: f64,
     /// Thousands of prompt tokens computed again, after an earlier turn had computed them.
     pub recomputed_kilotokens: f64,
-    /// The largest mean slowdown of a tenant within its rate.
+    /// The largest mean slowdown of a tenant within its rate. The slowdown of a program is its
+    /// latency divided by the time that it takes alone on an engine.
     pub worst_slowdown: f64,
     /// The mean of the mean slowdowns of the tenants within their rate.
     pub mean_slowdown: f64,
@@ -61,7 +63,7 @@
 /// A figure's name in tables, and the function that returns it.
 pub type Column = (&'static str, fn(&Figures) -> f64);
 
-/// The figures in the order of tables.
+/// All figures, in the order in which tables list them.
 pub const COLUMNS: [Column; 18] = [
     ("p50 ms", |f| f.p50_ms),
     ("p95 ms", |f| f.p95_ms),
@@ -118,12 +120,12 @@
     programs: u64,
     refused: u64,
     timed_out: u64,
-    slowdown: f64,
+    slowdown_sum: f64,
 }
 
 impl TenantCount {
     fn mean_slowdown(&self) -> f64 {
-        self.slowdown / self.programs.max(1) as f64
+        self.slowdown_sum / self.programs.max(1) as f64
     }
 }
 
@@ -178,7 +180,7 @@
         tenant.programs += 1;
         tenant.refused += u64::from(end == ProgramEnd::Refused);
         tenant.timed_out += u64::from(end == ProgramEnd::TimedOut);
-        tenant.slowdown += latency as f64 / alone as f64;
+        tenant.slowdown_sum += latency as f64 / alone as f64;
         finished += u64::from(end == ProgramEnd::Finished);
     }
 
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -16,7 +16,7 @@
     pub count: usize,
     /// The properties of each engine.
     pub shape: EngineShape,
-    /// The declared window of each engine.
+    /// The maximum number of calls in flight that the configuration allows for each engine.
     pub window: u32,
     /// The time between load reports, in seconds.
     pub report_every: f64,
@@ -45,7 +45,7 @@
 /// The pool of the engines.
 pub const POOL: &str = "model";
 
-/// The availability zone of the queue host and its engines.
+/// The availability zone of the engines and of the host that holds their queue.
 pub const ZONE: &str = "a";
 
 /// The weight of a tenant with all of the traffic. Weights are integers, so they are scaled by this
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -1,5 +1,6 @@
 //! Compares lent slices with simpler methods of limiting rate and burst, under faults and in
-//! virtual time.
+//! virtual time. A slice is a part of a tenant's rate and burst that only one host at a time may
+//! use.
 
 mod bucket;
 mod checks;
@@ -61,8 +62,9 @@
     /// The maximum number of tokens taken in any window of time t, divided by B + R t (burst and
     /// rate).
     pub worst_window: Spread,
-    /// The same for the times at which callers received their answers. Answers may be delayed by up
-    /// to the timeout of a take request, which brings admissions closer together.
+    /// The same for the times at which callers received their answers. The host that a call enters
+    /// at may have to ask another host for a token, so an answer may be delayed by up to the
+    /// timeout of that request. This brings admissions closer together.
     pub worst_window_at_callers: Spread,
     /// Refused calls that one exact bucket would have admitted, per 1,000 calls that it admits.
     /// Only each tenant's totals are compared, so two calls that swap their outcome do not count.
--- a/crates/bench/src/limits/checks.rs
+++ b/crates/bench/src/limits/checks.rs
@@ -1,4 +1,6 @@
-//! Invariants of token grants and answers to take requests.
+//! Invariants of token grants and answers to take requests. A take request asks for a token for one
+//! call. The host at which the call enters answers it itself, or forwards it to the tenant's
+//! admission host, to which other hosts lend the tenant's slices.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,7 +24,7 @@
 /// receive a new configuration at once, but a loan keeps the former share until it expires.
 const CHANGE_SLACK: u64 = 3 * SECOND + SECOND / 5;
 
-/// A take request at its entry host.
+/// A take request at its entry host, the host at which the call entered.
 #[derive(Clone, Copy, Debug)]
 struct PendingTake {
     host: usize,
@@ -152,8 +154,7 @@
         assert!(open.is_empty(), "take requests without an answer: {open:?}");
     }
 
-    /// Takes a token from one exact bucket with the tenant's rate and burst, and asserts that it
-    /// had one.
+    /// Takes a token from the tenant's exact bucket, and asserts that the bucket had one.
     ///
     /// For some time after a configuration change, slices may have their old or their new share.
     /// The bucket then has the larger of both rates and of both bursts.
--- a/crates/bench/src/limits/fleet.rs
+++ b/crates/bench/src/limits/fleet.rs
@@ -1,5 +1,6 @@
 //! A fleet of [`Slices`] in virtual time, with a network that loses, duplicates, delays and
-//! reorders messages, clocks that run at different speeds, and a platform that grants columns.
+//! reorders messages, clocks that run at different speeds, and a platform that grants columns. A
+//! column is one slice of every tenant.
 //!
 //! After each step it asserts the invariants (the exact bucket, one user of each slice, one answer
 //! to each take request), and panics if one is violated.
@@ -52,7 +53,8 @@
     pub const UNRELIABLE: Self = Self { loss: 0.2, duplication: 0.2, delay: (300, 400 * MILLI) };
 }
 
-/// The messages that hosts sent and received.
+/// The messages that hosts sent and received. Each message counts once for its sender and once for
+/// its receiver, even if the network loses or duplicates it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// The number of messages.
@@ -265,8 +267,8 @@
         }
     }
 
-    /// Moves a column to another owner: the current one gives it up or, if `abruptly`, its lease is
-    /// not renewed.
+    /// Moves a column to another owner: the current one gives it up at once. If `abruptly` is set
+    /// or the owner is paused, the owner keeps the column until its lease expires.
     pub fn move_column(&mut self, column: usize, abruptly: bool) {
         let lease = &mut self.columns[column];
         lease.is_renewed = false;
@@ -355,7 +357,7 @@
         }
     }
 
-    /// Renews columns, and grants those that have expired to another host of their zone.
+    /// Renews columns, and grants each one that has expired to a random running host of its zone.
     fn grant_columns(&mut self) {
         self.next_platform_step = self.now + PLATFORM_PERIOD;
 
--- a/crates/bench/src/limits/methods.rs
+++ b/crates/bench/src/limits/methods.rs
@@ -13,7 +13,7 @@
     Call, DETECTION_DELAY, Plan, RESTART_TIME, SHUTDOWN_TIME, Scenario, WARM_UP,
 };
 
-/// The lease of a leased counter, as long as that of a column.
+/// The duration of the lease of a counter, equal to that of the lease of a column.
 const LEASE: u64 = 4 * SECOND;
 
 /// A method of limiting the rate and burst of tenants.
@@ -25,7 +25,7 @@
     Slices,
     /// Each host has an equal share of each rate and burst.
     StaticSplit,
-    /// One host has each tenant's counter, under a lease granted by the platform.
+    /// For each tenant, one host has a counter, under a lease granted by the platform.
     LeasedCounter,
 }
 
--- a/crates/bench/src/limits/scenario.rs
+++ b/crates/bench/src/limits/scenario.rs
@@ -77,7 +77,8 @@
     SmallBursts,
     /// One zone reaches neither the other zones nor the platform during the middle third.
     ZoneCut,
-    /// The admission host of the largest tenant dies after one third.
+    /// The admission host of the largest tenant (the host that other hosts ask for tokens) dies
+    /// after one third.
     PoolKilled,
     /// The largest tenant sends five times its rate.
     FiveTimes,
@@ -115,8 +116,8 @@
     pub(super) hosts: usize,
     /// The calls in order of time.
     pub(super) calls: Vec<Call>,
-    /// The start and end of the middle third: the time of a network partition, and the start is the
-    /// time of a host's death.
+    /// The start and end of the middle third. A network partition lasts from the start to the end;
+    /// a host that dies does so at the start.
     pub(super) fault_window: (u64, u64),
     pub(super) end: u64,
     pub(super) seed: u64,
@@ -190,7 +191,8 @@
         WARM_UP + interval * host as u64
     }
 
-    /// Callers of a host that is dead or shutting down go to the next one.
+    /// Returns the host that a call enters at: `host`, or the next one while `host` is dead or
+    /// restarting.
     fn serving_host(&self, host: usize, at: u64) -> usize {
         let start = self.shutdown_start(host);
         let is_restarting = self.scenario == Scenario::RollingRestart
@@ -206,8 +208,8 @@
     HostId::from_name(&format!("host-{host}"))
 }
 
-/// The time from the start of a host's shutdown to the end of its process in a rolling restart. It
-/// admits no calls and returns its slices in this time.
+/// The time from the start of a host's shutdown to the end of its process in a rolling restart. In
+/// this time the host receives no calls and returns its slices.
 pub(super) const SHUTDOWN_TIME: u64 = SECOND;
 
 /// The time from the end of the process to its restart in a rolling restart.
--- a/crates/bench/src/limits/slopes.rs
+++ b/crates/bench/src/limits/slopes.rs
@@ -14,7 +14,8 @@
 const PEAK_CALLS: u64 = 2_100;
 const PEAK_HOSTS: u64 = 390;
 
-/// The measured virtual time. The fleet runs for the same time before, so that loans settle.
+/// The measured virtual time. The fleet runs for the same time before, so that the loans of slices
+/// between hosts settle.
 const MEASURED_TIME: u64 = 20 * SECOND;
 
 /// The cost of slices in a healthy fleet of one size, at its share of the peak load.
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -64,14 +64,14 @@
     pub goodput: Spread,
 }
 
-/// The throughput of a policy when all windows are full.
+/// The maximum throughput of a policy, over runs with different numbers of concurrent programs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Capacity {
     /// The workload's name.
     pub workload: &'static str,
     /// The policy that was measured.
     pub policy: Policy,
-    /// Finished programs per second.
+    /// Finished programs per second, not counting sub-agents.
     pub programs_per_second: f64,
 }
 
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -232,7 +232,8 @@
             (None, ArrivalMode::ClosedLoop(_)) => u64::MAX / 4,
         };
 
-        // A sub-agent starts with the tokens that its parent was served, as it continues its work.
+        // A sub-agent continues the work of its parent, so it starts with the tokens that the
+        // parent has been served.
         self.progress[program].attained = parent.map_or(0, |parent| self.progress[parent].attained);
 
         if parent.is_none() {
@@ -357,8 +358,8 @@
 
         self.trace.computed += sequence.computed;
         self.trace.recomputed += sequence.computed.saturating_sub(new_tokens.max(1));
-        // Counts all tokens of the turn as a program's home does, regardless of what the engine had
-        // cached.
+        // Counts all tokens of the turn as a program's home (the host that holds its state) does,
+        // regardless of what the engine had cached.
         self.progress[program].attained += sequence.prompt + sequence.output;
         self.trace.served[program] += sequence.computed + sequence.output;
         self.progress[program].engine = None;
--- a/crates/camphorwalk/src/measure/control.rs
+++ b/crates/camphorwalk/src/measure/control.rs
@@ -11,8 +11,8 @@
 use super::driver::{Counts, Driver};
 use super::fleet_config;
 
-/// The virtual time before counting starts, in which leases, gossip and slices reach a steady
-/// state.
+/// The virtual time before counting starts, in which leases, gossip and slices (parts of the
+/// tenants' rate limits, each used by one host at a time) reach a steady state.
 const SETTLE_TIME: Duration = Duration::from_secs(15);
 
 /// The interval at which the load generator collects answers and sends calls.
@@ -67,9 +67,9 @@
 struct LoadProgram {
     program: ProgramId,
     tenant: usize,
-    /// The number of its last completed call.
+    /// The number of the last completed call, or 0.
     head: u32,
-    /// Its call that has not been answered yet.
+    /// The request of the call that has not been answered yet.
     pending: Option<RequestId>,
 }
 
--- a/crates/camphorwalk/src/measure/driver.rs
+++ b/crates/camphorwalk/src/measure/driver.rs
@@ -56,8 +56,8 @@
     /// Whether the platform stores journals and objects, or discards their contents.
     stores_journals: bool,
     now: Instant,
-    /// The pending events with the host that each is for. The key orders them by time, and events
-    /// of the same time by when they were scheduled.
+    /// The pending events, each with the host that receives it. The key orders them by time, and
+    /// events of the same time by when they were scheduled.
     event_queue: BTreeMap<(Instant, u64), (usize, Event)>,
     /// The time at which each host wants to be woken, by host.
     wake_times: Vec<Instant>,
@@ -165,8 +165,8 @@
     }
 
     /// Makes the platform discard the contents of journals and objects from now on, so that the
-    /// memory of this process is that of the hosts. Hosts do not miss the contents, since a home
-    /// reads its journal only when it takes over a partition.
+    /// memory of this process is that of the hosts. Hosts do not miss the contents: a host reads
+    /// journals only when it takes over a partition of the programs.
     pub fn discard_journals(&mut self) {
         self.stores_journals = false;
     }
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Removes and returns the next event or wake-up up to `end`, with its time and host.
+    /// Returns the next event or wake-up that is due by `end`, with its time and host. An event is
+    /// removed from the queue.
     fn next_before(&mut self, end: Instant) -> Option<(Instant, usize, Event)> {
         let wake = self.wake_times.iter().copied().enumerate().min_by_key(|(_, at)| *at);
         let (host, wake) = wake.expect("there is at least one host");
--- a/crates/camphorwalk/src/platform_host.rs
+++ b/crates/camphorwalk/src/platform_host.rs
@@ -13,7 +13,7 @@
 use crate::exit::Exit;
 use crate::logs;
 
-/// Runs a host until it is asked to stop. With `check`, only validates its settings file.
+/// Runs a host until it is asked to stop. With `check`, only validates the settings file.
 pub fn main(check: bool) -> Exit {
     let Some(path) = settings::path() else {
         eprintln!("camphorwalkd: neither --settings nor the platform's settings file is given");
--- a/crates/camphorwalk/tests/bad_input.rs
+++ b/crates/camphorwalk/tests/bad_input.rs
@@ -12,7 +12,7 @@
 /// tenant's program, out of order, or with an idempotency key that was used with another body. Each
 /// must be refused without an effect on the program, so that a valid call is served afterwards.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_is_refused_and_the_host_goes_on() {
+async fn each_is_refused_and_the_host_keeps_serving() {
     let fleet = Fleet::start(&["a1", "b1"]).await;
     let host = fleet.callers(0);
     let program = fleet.open(0, "open-1").await;
--- a/crates/camphorwalk/tests/faults.rs
+++ b/crates/camphorwalk/tests/faults.rs
@@ -1,5 +1,7 @@
 //! Faults of separate processes: SIGKILL, SIGSTOP and SIGCONT, SIGTERM, and a platform that is
-//! unavailable or whose answers are lost.
+//! unavailable or whose answers are lost. The home of a program is the host that holds its state.
+//! Before it sends a call that must not run twice, it writes an intent to the journal, and the
+//! outcome afterwards.
 
 mod support;
 
@@ -110,10 +112,10 @@
 
 /// While the platform is unavailable, the intent of a deposit cannot be stored, so the deposit must
 /// be refused at once as not run, with a time for a retry. A model turn still runs: its answer is
-/// marked as not stored and carries a sealed tail. After the outage, the next call of the program
-/// presents that tail and succeeds.
+/// marked as not stored and carries a sealed tail, a copy of the turn that the caller cannot alter.
+/// After the outage, the caller sends that tail with the next call of the program, which succeeds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_platform_is_away() {
+async fn the_platform_is_unavailable() {
     let fleet = Fleet::start(&["a1", "b1"]).await;
     let program = open_with_home(&fleet, 0).await;
 
@@ -206,7 +208,7 @@
 /// looks idle. The queue must avoid it after the first refused connection. Otherwise it would send
 /// each call there first, and calls would fail once their retries are used up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_engine_that_refuses_connections_is_left_alone() {
+async fn an_engine_that_refuses_connections_is_avoided() {
     let mut fleet = Fleet::start(&["a1", "b1"]).await;
     let program = open_with_home(&fleet, 0).await;
     let path = format!("{program}/calls");
@@ -312,7 +314,7 @@
 /// The caller closes its connection in the middle of a stream. The request at the engine must be
 /// cancelled, so that the engine does not finish work that nobody reads.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_caller_goes_away() {
+async fn a_caller_disconnects() {
     let fleet = Fleet::start_with(&["a1", "b1"], &["--token-interval-ms", "300"]).await;
     let program = open_with_home(&fleet, 0).await;
     let mut body = call_body(0, "model");
--- a/crates/camphorwalk/tests/offline_commands.rs
+++ b/crates/camphorwalk/tests/offline_commands.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn check_tells_file_path_and_reason() {
+fn check_reports_file_path_and_reason() {
     let folder = tempfile::tempdir().unwrap();
     let dir = modified_example(
         folder.path(),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn usage_errors_end_with_two() {
+fn usage_errors_exit_with_two() {
     let cases: [&[&str]; 6] = [
         &[],
         &["no-such-command"],
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn help_has_examples_and_ends_with_zero() {
+fn help_has_examples_and_exits_with_zero() {
     for command in ["apply", "check", "diff", "drain", "status", "withdraw"] {
         let (code, text) = run_to_exit(&[command, "--help"]);
 
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_host_out_of_reach_ends_with_three() {
+fn an_unreachable_host_exits_with_three() {
     let folder = tempfile::tempdir().unwrap();
     let key = folder.path().join("key");
     std::fs::write(&key, "k").unwrap();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_missing_key_file_ends_with_two() {
+fn a_missing_key_file_exits_with_two() {
     let args = ["status", "--host", "127.0.0.1:1", "--operator-key-file", "no/such/file"];
 
     assert_eq!(run(&args).status.code(), Some(2));
--- a/crates/camphorwalk/tests/operator_commands.rs
+++ b/crates/camphorwalk/tests/operator_commands.rs
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_is_fixed_for_life_is_refused_by_command_and_host() {
+async fn a_change_of_immutable_settings_is_refused_by_command_and_host() {
     let fixture = start_fixture().await;
     let fleet = &fixture.fleet;
     let mut config = fleet.config(&["a".to_owned(), "b".to_owned()]);
--- a/crates/camphorwalk/tests/soak/callers.rs
+++ b/crates/camphorwalk/tests/soak/callers.rs
@@ -20,7 +20,7 @@
     pub hosts: Rc<Vec<SocketAddr>>,
     /// What callers sent and received.
     pub ledger: Rc<RefCell<Ledger>>,
-    /// Set to make the tasks stop.
+    /// Whether the caller tasks must stop.
     pub stop: Rc<std::cell::Cell<bool>>,
 }
 
--- a/crates/camphorwalk/tests/soak/fleet.rs
+++ b/crates/camphorwalk/tests/soak/fleet.rs
@@ -31,10 +31,10 @@
 pub struct Host {
     /// The name of the host.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: &'static str,
     ip: IpAddr,
-    /// The proxy for its connections to the store.
+    /// The proxy for the host's connections to the store.
     pub store_proxy: Proxy,
     /// The proxy for connections from other hosts.
     pub peer_proxy: Proxy,
@@ -43,12 +43,12 @@
 }
 
 impl Host {
-    /// Returns its address for callers.
+    /// Returns the host's address for callers.
     pub fn callers(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CALLERS_PORT)
     }
 
-    /// Returns whether its readiness check succeeds.
+    /// Returns whether the host's readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
         let ready = SocketAddr::new(self.ip, READY_PORT);
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Sends a signal to its process, if there is one.
+    /// Sends a signal to the host's process, if there is one.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.process {
             // The process may have ended by itself. `has_ended` detects that.
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Kills its process and waits until it has ended.
+    /// Kills the host's process and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.process.take() {
             let _ = child.kill();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns whether its process has ended by itself, for example after SIGTERM.
+    /// Returns whether the host's process has ended by itself, for example after SIGTERM.
     fn has_ended(&mut self) -> bool {
         let ended = |child: &mut Child| {
             child.try_wait().expect("the status of the process is readable").is_some()
--- a/crates/camphorwalk/tests/soak/ledger.rs
+++ b/crates/camphorwalk/tests/soak/ledger.rs
@@ -58,7 +58,7 @@
         violations
     }
 
-    /// Finds requests that ran although callers were told that they had not.
+    /// Finds requests that ran although their refusals said that they had not.
     fn refused_that_ran(&self, by_id: &HashMap<&str, Vec<&Run>>) -> Vec<String> {
         let ran = self.refused.iter().filter(|(id, _)| by_id.contains_key(id.as_str()));
 
--- a/crates/camphorwalk/tests/soak/proxy.rs
+++ b/crates/camphorwalk/tests/soak/proxy.rs
@@ -13,7 +13,7 @@
 /// What a proxy does with the bytes that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Forwards them.
+    /// Forwards the bytes.
     None,
     /// Forwards each chunk after a delay.
     Delay(Duration),
@@ -31,7 +31,7 @@
 
 /// A proxy for one address.
 pub struct Proxy {
-    /// The address that it listens at.
+    /// The address at which the proxy listens.
     pub address: SocketAddr,
     fault: Rc<Cell<LinkFault>>,
     /// Changes when all open connections must be closed.
--- a/crates/scenario/src/checks.rs
+++ b/crates/scenario/src/checks.rs
@@ -67,7 +67,8 @@
     Ok(())
 }
 
-/// Checks that all requests for a call that ran got the same outcome, and the call's own output.
+/// Checks that all requests for a call that were answered with an output got the same call number
+/// and output, and that the output belongs to this call.
 pub fn check_same_outcome(record: &Record) -> Result {
     let mut outcomes = BTreeMap::new();
 
--- a/crates/scenario/src/language.rs
+++ b/crates/scenario/src/language.rs
@@ -41,7 +41,7 @@
     pub command: Command,
 }
 
-/// A host by name, or the current home of a program.
+/// A host by name, or the current home of a program (the host that holds its state).
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum HostRef {
     /// The host with this name.
--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -42,6 +42,7 @@
     deadline: Instant,
     /// The number of the last call whose answer the callers received.
     head: u32,
+    /// The sealed turns that are not stored yet, as returned with that answer.
     tail: Option<Box<str>>,
 }
 
--- a/crates/scenario/src/runner/expectations.rs
+++ b/crates/scenario/src/runner/expectations.rs
@@ -16,8 +16,8 @@
 /// How long the answer to a history request may take.
 const HISTORY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The maximum time between taking a call's token and sending the call, if the platform is
-/// available and the targets have free places.
+/// The maximum time between taking a rate-limit token for a call and sending the call, if the
+/// platform is available and the targets have room for more calls.
 const MAX_RATE_LAG: Duration = Duration::from_millis(100);
 
 type Result = std::result::Result<(), String>;
--- a/crates/scenario/src/world.rs
+++ b/crates/scenario/src/world.rs
@@ -58,7 +58,8 @@
     buffered_events: VecDeque<Event>,
     /// Actions that the process had not executed when it was stopped.
     pending_actions: VecDeque<Action>,
-    /// The API keys that the traffic threads accept, and those that they know to be withdrawn.
+    /// The API keys that the host accepts, and those that it knows to be withdrawn. In a real host,
+    /// the threads that serve callers check them.
     accepted_keys: Set<KeyId>,
     withdrawn_keys: Set<KeyId>,
     /// Whether the scheduler has handed over all its work and the process may end.
@@ -68,7 +69,7 @@
 /// Something that happens at a scheduled time.
 #[derive(Debug)]
 enum ScheduledEvent {
-    /// Delivers an event to a host, unless the host was restarted since.
+    /// Delivers an event to a host, unless the process that the event was scheduled for has ended.
     HostEvent { host: usize, session: u64, event: Box<Event> },
     /// Resumes a stopped host.
     Resume { host: usize, session: u64 },
@@ -208,7 +209,8 @@
         };
         let hosts: Vec<_> = self.hosts.iter().enumerate().collect();
 
-        // After a pause two hosts may believe that they hold it; the later lease is the valid one.
+        // After a pause two hosts may believe that they hold the partition. The one whose leases
+        // are valid longer is the actual holder.
         hosts
             .iter()
             .filter(holds)
--- a/crates/scenario/src/world/faults.rs
+++ b/crates/scenario/src/world/faults.rs
@@ -15,11 +15,11 @@
 /// A step of a non-idempotent call at which a fault can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectionPoint {
-    /// The host writes the call's intent to the journal.
+    /// The host writes the call's intent to the journal, before it sends the call.
     Intent,
     /// The host sends the call to its target.
     Send,
-    /// The host writes the call's outcome to the journal.
+    /// The host writes the call's outcome to the journal, after the target has answered.
     Outcome,
 }
 
@@ -37,7 +37,8 @@
 pub struct FaultInjection {
     /// The step of a call.
     pub point: InjectionPoint,
-    /// Whether the step is still executed: its request is sent, but the host reads no answer to it.
+    /// Whether the fault follows the step. Otherwise it precedes the step: a paused host then
+    /// executes the step when it resumes, and a killed host never does.
     pub after: bool,
     /// The fault to inject.
     pub fault: HostFault,
--- a/crates/scenario/src/world/network.rs
+++ b/crates/scenario/src/world/network.rs
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Notifies all other hosts that the connections of a host broke.
+    /// Notifies all other hosts that their connections to a host broke. Hosts behind a network
+    /// partition are notified when it ends.
     pub(super) fn notify_peer_down(&mut self, host: usize) {
         let id = self.hosts[host].id;
         for other in (0..self.hosts.len()).filter(|other| *other != host) {
--- a/crates/scenario/src/world/targets.rs
+++ b/crates/scenario/src/world/targets.rs
@@ -53,7 +53,7 @@
     zone: Box<str>,
     kind: TargetKind,
     mode: Mode,
-    /// When it is available again after a crash.
+    /// When the target is available again after a crash.
     unavailable_until: Instant,
 }
 
@@ -69,7 +69,7 @@
 pub(super) struct Targets {
     targets: Vec<Target>,
     running: BTreeMap<AttemptId, RunningAttempt>,
-    /// The attempts behind the scheduled ends, by the number of the end.
+    /// The attempts whose end is scheduled, by the number of the scheduled event.
     scheduled_ends: BTreeMap<u64, AttemptId>,
 }
 
@@ -101,7 +101,8 @@
         targets.map(|target| target.mode = mode).count() > 0
     }
 
-    /// Sends an attempt to its target. Checks the API key again, as traffic threads do.
+    /// Sends an attempt to its target. Checks the API key again, as a real host does before it
+    /// sends a call.
     pub(super) fn dispatch(&mut self, host: usize, dispatch: Box<Dispatch>) {
         let index = self.targets.targets.iter().position(|t| t.id == dispatch.target);
         let reachable = index.is_some_and(|index| {
--- a/crates/scenario/tests/fuzz/callers.rs
+++ b/crates/scenario/tests/fuzz/callers.rs
@@ -60,7 +60,7 @@
     last_fault_at: Instant,
     /// Whether a platform fault or a network partition is active.
     fault_active: bool,
-    /// Keys that no call may be sent with after the given time.
+    /// The withdrawn keys, each with the time after which hosts may send no call with it.
     pub withdrawn_keys: Vec<(KeyId, Instant)>,
 }
 
--- a/crates/scenario/tests/fuzz/oracle.rs
+++ b/crates/scenario/tests/fuzz/oracle.rs
@@ -16,8 +16,8 @@
     // request, one outcome per call, and increasing configuration versions.
     checks::check_all(record, sut.world.now()).unwrap();
 
-    // Each history is in order, contains only the program's own calls, and all that were reported
-    // as stored.
+    // Each history is in order, contains only the program's own calls, and includes all calls that
+    // were reported as stored.
     for (number, program) in histories {
         match record.submissions[number].answer() {
             Some(Reply::History { calls }) => {
@@ -71,7 +71,8 @@
     }
 }
 
-/// Returns the last call of a program that was reported to a caller as stored by this time.
+/// Returns the number of the last call of a program that was reported to a caller as stored by this
+/// time, or 0.
 fn stored_by(record: &Record, program: ProgramId, by: Instant) -> usize {
     let calls = record.submissions.values().filter_map(|s| match (&s.request, s.answers.first()) {
         (Request::Call(call), Some((at, Reply::Called(called))))
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -84,7 +84,7 @@
 /// The state of an engine stand-in.
 #[derive(Debug)]
 pub(crate) struct State {
-    /// The options that it was started with.
+    /// The options that the stand-in was started with.
     options: EngineOptions,
     /// Stops the server.
     stopper: Stopper,
@@ -94,7 +94,7 @@
     running: u32,
     /// The number of requests that wait for a slot in the batch.
     waiting: u32,
-    /// The cancellation signal of each request, by attempt.
+    /// The cancellation signal of each request, by the id of its attempt.
     attempts: Map<Box<str>, Arc<Notify>>,
     /// The prefix cache.
     cache: Cache,
@@ -167,7 +167,7 @@
         Ok(Self { server, state })
     }
 
-    /// Returns the address that it listens at.
+    /// Returns the address at which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -131,7 +131,7 @@
         self.loads.front().map(|(_, load)| *load).unwrap_or_default()
     }
 
-    /// Drops loads that have been replaced by a later visible one.
+    /// Drops all loads before the last one that is visible at `now`.
     fn drop_replaced(&mut self, now: Instant) {
         while self.loads.get(1).is_some_and(|(from, _)| *from <= now) {
             self.loads.pop_front();
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -72,7 +72,7 @@
 enum Step {
     /// A token was generated.
     Token(&'static str),
-    /// The answer is complete. A cancelled request never gets here.
+    /// The answer is complete. A cancelled request never yields this step.
     Done(Done),
 }
 
@@ -121,10 +121,11 @@
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// Runs a request. Dropping the stream cancels it, which happens when the connection closes.
+/// Runs a request. Dropping the returned stream cancels the request. The server drops the stream
+/// when the connection closes.
 fn run(state: Shared, req: GenerateRequest) -> impl Stream<Item = Step> + Send + 'static {
-    // Created outside of the stream, so that the request counts as waiting before the stream is
-    // first polled.
+    // The request is created outside of the stream, so that the request counts as waiting before
+    // the stream is first polled.
     let mut request = ActiveRequest::enter(state, &req);
 
     stream! {
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -77,7 +77,8 @@
         _ => return error_response(StatusCode::BAD_REQUEST, "the order lacks its object"),
     };
 
-    // A program is not freed while a request runs on it. The order must be repeated later.
+    // The cache does not free a program while one of its requests runs. The sender then has to
+    // repeat the order later.
     let done = changes.is_some();
     engine.record_changes(changes.unwrap_or_default());
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -40,7 +40,7 @@
     pub transactions: u64,
     /// Rows written or deleted by committed transactions.
     pub rows_written: u64,
-    /// Read requests by key.
+    /// Requests to read rows by key.
     pub reads: u64,
     /// Scan requests.
     pub scans: u64,
@@ -94,7 +94,7 @@
         Ok(Self { server, state })
     }
 
-    /// Returns the address that it listens at.
+    /// Returns the address at which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -327,7 +327,7 @@
 struct HostsSetting {
     /// The new list.
     hosts: Vec<HostListing>,
-    /// The time until it becomes visible.
+    /// The time until the new list becomes visible to clients.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "lag_ms", default)]
     lag: Duration,
--- a/crates/standin/src/platform/modes.rs
+++ b/crates/standin/src/platform/modes.rs
@@ -36,12 +36,12 @@
     /// The new mode.
     #[serde(flatten)]
     pub mode: Mode,
-    /// The availability zone that it applies to. If absent, it applies to all zones, and the modes
-    /// of single zones are removed.
+    /// The availability zone that the mode applies to. If absent, the mode applies to all zones,
+    /// and the modes of single zones are removed.
     #[serde(default)]
     pub zone: Option<Box<str>>,
-    /// The number of requests that it applies to, after which the previous mode applies again. If
-    /// absent, it applies until the next change.
+    /// The number of requests that the mode applies to. After them, the mode that was last set
+    /// without `times` applies again. If absent, the mode applies until the next change.
     #[serde(default)]
     pub times: Option<u32>,
 }
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -21,7 +21,8 @@
 }
 
 impl Store {
-    /// Runs an operation as a platform without faults would.
+    /// Runs an operation as a platform without faults would. Snapshots and change feeds are not
+    /// supported and return [`PlatformReply::Unavailable`].
     ///
     /// ```
     /// use camphorwalk_core::platform::{PlatformOp, PlatformReply, RowKey};
--- a/crates/standin/src/program.rs
+++ b/crates/standin/src/program.rs
@@ -94,7 +94,7 @@
 /// The JSON line that is printed when the stand-in is ready.
 #[derive(Serialize)]
 struct Ready {
-    /// The address that it listens at.
+    /// The address at which the stand-in listens.
     address: SocketAddr,
 }
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -18,7 +18,8 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The maximum size of a request body in bytes. A larger one closes the connection.
+/// The maximum size of a request body in bytes. The server closes the connection if a body is
+/// larger.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// The body of a response.
@@ -38,7 +39,7 @@
 /// A running server. It stops when it is dropped.
 #[derive(Debug)]
 pub(crate) struct Server {
-    /// The address that it listens at.
+    /// The address at which the server listens.
     address: SocketAddr,
     /// Stops the accept loop.
     stop: Stopper,
@@ -79,7 +80,7 @@
         Ok(Self { address, stop, closed })
     }
 
-    /// Returns the address that it listens at.
+    /// Returns the address at which the server listens.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -35,11 +35,11 @@
     FailBefore,
     /// Operations run, and their requests then fail with 500.
     FailAfter,
-    /// The connection is closed, and operations do not run.
+    /// The service closes the connection, and operations do not run.
     DropBefore,
-    /// Operations run, and the connection is then closed without an answer.
+    /// Operations run, and the service then closes the connection without an answer.
     DropAfter,
-    /// Like `Ok`. Its name documents that a longer delay is set.
+    /// Like `Ok`. A test sets it together with a longer delay, to say why operations are slow.
     Slow,
     /// Requests are refused with 503, and their operations do not run.
     Refuse,
@@ -52,7 +52,7 @@
     pub operation: Box<str>,
     /// The idempotency key, which this service ignores.
     pub key: Box<str>,
-    /// The program that it runs for.
+    /// The program that the operation runs for.
     pub program: Box<str>,
     /// The number of the call in the program.
     pub call: u32,
@@ -105,7 +105,7 @@
         Ok(Self { server, state })
     }
 
-    /// Returns the address that it listens at.
+    /// Returns the address at which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
--- a/crates/standin/tests/cache.rs
+++ b/crates/standin/tests/cache.rs
@@ -44,7 +44,8 @@
     prompt.iter().map(|part| count_tokens(part)).sum()
 }
 
-/// Evicts idle programs from the model, least recently used first, until it fits the capacity.
+/// Evicts idle programs from the model, least recently used first, until the model fits the
+/// capacity or all its programs have running requests.
 fn evict_to_capacity(model: &mut Model) {
     while model.iter().map(|entry| tokens(&entry.prompt)).sum::<u64>() > CAPACITY {
         match model.iter().position(|entry| entry.running == 0) {
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn the_cache_does_as_the_list() {
+fn the_cache_matches_the_model() {
     let config = Config { cases: 256, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn an_eviction_is_told() {
+fn an_eviction_is_reported() {
     let mut cache = Cache::new(2);
     cache.begin("p1", &["12345678".into()]);
     cache.end("p1");
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn load_and_events_come_late() {
+async fn load_and_events_are_delayed() {
     let late = EngineOptions { load_lag: FOREVER, event_delay: FOREVER, ..without_delays() };
     let engine = engine(late).await;
     let address = engine.address();
@@ -175,7 +175,7 @@
 /// A request crashes the engine. All connections must close without an answer, and new connections
 /// must be refused. A new engine at the same address must start with an empty cache.
 #[tokio::test]
-async fn a_crash_takes_all_connections_with_it() {
+async fn a_crash_closes_all_connections() {
     let mark = EngineOptions { crash_mark: Some("boom".into()), ..without_delays() };
     let slow = EngineOptions { token_interval: FOREVER, ..mark.clone() };
     let engine = engine(slow).await;
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn a_conflict_does_nothing_and_lists_only_rows_that_are_there() {
+async fn a_conflict_changes_nothing_and_lists_only_existing_rows() {
     let platform = platform().await;
     let address = platform.address();
     let both = json!({
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn a_mode_can_hold_for_the_next_requests_only() {
+async fn a_mode_can_apply_to_the_next_requests_only() {
     let platform = platform().await;
     let address = platform.address();
     let read = json!({"keys": []});
