--- a/crates/camphorwalk/src/commands/bench.rs
+++ b/crates/camphorwalk/src/commands/bench.rs
@@ -120,7 +120,8 @@
     json: bool,
 }
 
-/// The maximum number of counted calls per kind in the path measurement. It bounds the load.
+/// The maximum number of counted calls per kind in the path measurement. It bounds the duration of
+/// the measurement, since calls are made one at a time.
 const MAX_CALLS: u32 = 20_000;
 
 impl Bench {
--- a/crates/camphorwalk/tests/faults.rs
+++ b/crates/camphorwalk/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of separate processes: SIGKILL, SIGSTOP and SIGCONT, SIGTERM, and a platform that is
 //! unavailable or whose answers are lost. The home of a program is the host that holds its state.
-//! Before it sends a call that must not run twice, it writes an intent to the journal, and the
-//! outcome afterwards.
+//! Before the home sends a call that must not run twice, it writes an intent to the journal, and
+//! afterwards the outcome.
 
 mod support;
 
--- a/crates/camphorwalk/tests/soak/faults.rs
+++ b/crates/camphorwalk/tests/soak/faults.rs
@@ -12,13 +12,13 @@
 use crate::support::store::Mode;
 use crate::support::target::Behavior;
 
-/// The faults that are active.
+/// Starts random faults, and keeps track of how and when to end them.
 #[derive(Default)]
 pub struct FaultInjector {
     /// The pending recoveries, each with the step at which it is due.
     recoveries: Vec<(u32, Recovery)>,
     /// The number of manifests that were published after the first one.
-    version: u64,
+    manifest_updates: u64,
 }
 
 /// An action that ends a fault. Hosts are numbered by index, and targets by the index of their
@@ -120,8 +120,8 @@
                 Some(Recovery::RestoreTarget(target_index))
             }
             9 => {
-                self.version += 1;
-                fleet.store.put_manifest(1 + self.version, &default_routes());
+                self.manifest_updates += 1;
+                fleet.store.put_manifest(1 + self.manifest_updates, &default_routes());
                 None
             }
             _ => {
@@ -152,8 +152,8 @@
     }
 }
 
-/// Sets the fault of all connections between a zone's hosts and the store, and of those that other
-/// hosts open to them.
+/// Sets a fault on the connections that a zone's hosts open to the store, and on those that other
+/// hosts, also of the same zone, open to them.
 fn set_zone_links(fleet: &Fleet, zone: &str, fault: LinkFault) {
     for host in fleet.hosts.iter().filter(|host| host.zone == zone) {
         host.store_proxy.set(fault);
--- a/crates/scenario/src/language.rs
+++ b/crates/scenario/src/language.rs
@@ -161,7 +161,7 @@
     /// All call sequences of a program are completed.
     SequenceCompleted { program: Box<str> },
     /// A version, or a later one, is in force at all running hosts but the excepted ones, within
-    /// this time after the first host adopted it.
+    /// this time after the first host adopted it, or after its own last start if that was later.
     Config { version: u64, within: Duration, except: Vec<Box<str>> },
     /// A version, or a later one, is in force at a host by this time.
     ConfigAt { version: u64, host: Box<str>, by: Duration },
