--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -15,10 +15,10 @@
 
 /// The numbers of concurrent programs for measuring capacity, in multiples of the sum of all
 /// engines' windows.
-const CLOSED_WINDOWS: [usize; 3] = [1, 2, 4];
+const CLOSED_LOOP_FACTORS: [usize; 3] = [1, 2, 4];
 
 /// The fraction of a capacity run that is warm-up.
-const CLOSED_WARM_UP: f64 = 0.25;
+const CLOSED_LOOP_WARM_UP: f64 = 0.25;
 
 /// The loads of the goodput curve, as fractions of the policy's own capacity.
 const LOADS: [f64; 5] = [0.5, 0.9, 1.0, 1.5, 2.0];
@@ -113,14 +113,15 @@
     /// concurrent programs. Returns the maximum over several such numbers.
     fn capacity(&self, policy: Policy) -> f64 {
         let windows = self.options.engines.window as usize * self.options.engines.count;
-        let rates = CLOSED_WINDOWS.map(|factor| self.closed_loop_rate(policy, factor * windows));
+        let rates =
+            CLOSED_LOOP_FACTORS.map(|factor| self.closed_loop_rate(policy, factor * windows));
 
         rates.into_iter().fold(0.0, f64::max)
     }
 
     fn closed_loop_rate(&self, policy: Policy, concurrent: usize) -> f64 {
         let seconds = self.options.capacity_seconds;
-        let warm_up = CLOSED_WARM_UP * seconds;
+        let warm_up = CLOSED_LOOP_WARM_UP * seconds;
         let seed = self.options.seeds.first().copied().unwrap_or_default();
         // A rate far above capacity, so that the closed loop does not run out of programs.
         let traffic = Traffic { rate: 4.0, seconds, surge: 1.0 };
--- a/crates/bench/tests/bench_runs.rs
+++ b/crates/bench/tests/bench_runs.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn sub_agents_end_before_the_next_turn() {
+fn sub_agents_end_before_their_program() {
     let workload = Workload::inkwick();
     let traffic = Traffic { rate: 1.0, seconds: 60.0, surge: 1.0 };
     let programs: Vec<Program> = workload.draw(1, traffic);
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -199,8 +199,8 @@
     }
 }
 
-/// Locks the state. A lock that a panicked handler has poisoned is used as it is, which is good
-/// enough for a stand-in.
+/// Locks the state, even if a handler has panicked while it held the lock. The state may then be
+/// inconsistent, which is acceptable in a stand-in.
 pub(crate) fn lock(state: &Shared) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
