--- a/crates/bench/src/limits/fleet.rs
+++ b/crates/bench/src/limits/fleet.rs
@@ -32,6 +32,8 @@
 /// its use earlier.
 const LEASE: u64 = 4 * SECOND;
 const LEASE_MARGIN: u64 = 200 * MILLI;
+
+/// The interval at which the platform renews leases and grants expired columns.
 const PLATFORM_PERIOD: u64 = 500 * MILLI;
 
 /// The faults and delays of the network.
--- a/crates/bench/src/limits/methods.rs
+++ b/crates/bench/src/limits/methods.rs
@@ -147,12 +147,15 @@
 /// A fault or recovery step of a scenario.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
+    /// The isolated zone loses its connections, or regains them if false.
     Isolate(bool),
+    /// The process of the host is killed.
     Kill(usize),
     /// The host starts its shutdown, and all hosts notice.
     StartShutdown(usize),
     /// The host gives up its columns and its process ends.
     EndProcess(usize),
+    /// The process of the host starts again.
     Start(usize),
     /// All hosts update their lists of hosts that they can reach.
     UpdateHostLists,
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -64,13 +64,21 @@
 /// An event that will happen at a known time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ScheduledEvent {
+    /// A program arrives.
     Arrival(usize),
+    /// The tool pause of a program ends.
     PauseEnd(usize),
+    /// An iteration of an engine ends.
     Iteration(usize),
+    /// The deadline of a program passes.
     Deadline(usize),
+    /// Each engine takes a sample of its load and sends it as a report.
     SampleLoad,
+    /// A load report arrives at the queue: engine, running and waiting requests, cached tokens.
     LoadReport(usize, u32, u32, u64),
+    /// A report arrives at the queue that an engine evicted the prefix of a program.
     Evicted(usize, usize),
+    /// The scheduler is due to be woken.
     Wake,
 }
 
@@ -78,11 +86,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Progress {
     turn: usize,
+    /// Tokens of the turns that were served, whether cached or not. A sub-agent starts with those
+    /// of its parent.
     attained: u64,
     remaining_children: usize,
+    /// Whether the tool pause after the last turn has ended.
     pause_ended: bool,
-    /// The open place request, and the engine if it was granted.
+    /// The number of the request for a place at an engine, until its turn ends.
     pending_request: Option<u64>,
+    /// The engine that was granted for this request.
     engine: Option<usize>,
     deadline: u64,
 }
