--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -22,7 +22,7 @@
 
 /// The body of an answer.
 pub enum AnswerBody {
-    /// The complete body.
+    /// The complete body; `None` once it was sent.
     Whole(Option<Bytes>),
     /// A body that is forwarded as it arrives.
     Pieces(Pieces),
@@ -74,7 +74,7 @@
 }
 
 impl Refusal {
-    /// Creates a refusal of a call for which a retry would not help.
+    /// Creates a refusal without a Retry-After, for a call that a retry would not help.
     pub fn permanent(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after: None }
     }
--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -1,5 +1,6 @@
-//! Token budgets of programs. Before a turn runs, its tokens must be granted to this host: by a
-//! write to the store, or by another host while the store is unsettled (see `grants`).
+//! Token budgets of programs. Before a turn is sent to a target, its tokens must be granted to this
+//! host: by a write to the store, or while the store is unsettled by the host that then grants the
+//! program's tokens (see `grants`).
 
 use std::rc::Rc;
 
@@ -32,13 +33,14 @@
 /// program usually has a handful of concurrent conversations, so a few attempts suffice.
 pub(crate) const MAX_WRITE_ATTEMPTS: u32 = 6;
 
-/// Retry-After of a turn whose budget cannot be determined at the moment.
+/// Retry-After of a turn whose budget cannot be determined or is contended, while the store can be
+/// reached.
 const UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// How long another host may take to transfer or return tokens: one round trip with some margin.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long the host that ran the program's last turn may take to send the row: several times the
+/// How long the host that forwarded the last turn may take to send the row: several times the
 /// usual round trip, and about as long as the store transaction that the row saves.
 const ROW_FETCH_TIMEOUT: Duration = Duration::from_millis(20);
 
@@ -168,8 +170,8 @@
     Err(Refusal::retry_later("the program's budget is contended", UNKNOWN_RETRY_AFTER))
 }
 
-/// Fetches the row of a running program from the host that ran its last turn, if this host has no
-/// grants for the program.
+/// Fetches the row of a running program from the other host that forwarded the last turn of the
+/// call's conversation, if this host has no grants for the program.
 ///
 /// Otherwise this host would try to create the row, get a conflict with the existing one, and write
 /// again while the caller waits for both transactions. A stale row only causes the same conflict.
@@ -191,7 +193,7 @@
     shared.budget_locks.borrow_mut().entry(program).or_default().clone()
 }
 
-/// Refuses a turn because its tokens may have been granted without the store.
+/// Refuses a turn because the rest of its program's budget may have been granted without the store.
 fn refuse_withheld(call: &Call, program: ProgramKey, max_tokens: u64, doubt: Doubt) -> Refusal {
     info!(
         request = %call.head.request_id, program = %program.0, most = max_tokens, ?doubt,
@@ -200,7 +202,8 @@
 
     match doubt {
         Doubt::Unsettled => unknown_budget(&call.shared),
-        // No host will know what was granted before the program ends, so a retry would not help.
+        // As long as the program runs, no host can find out what was granted without the store, so
+        // a retry would not help.
         Doubt::Forgotten => budget_spent(),
     }
 }
@@ -250,7 +253,8 @@
     }
 }
 
-/// Transfers unused tokens of this host to the run `to` of another host.
+/// Transfers unused tokens of this host to the run `to` of another host, until that run has `total`
+/// tokens of the program from this host.
 pub(crate) fn transfer(
     shared: &Shared,
     program: ProgramKey,
@@ -293,7 +297,7 @@
     /// The store holds another row or none, or the answer to the write was lost. This host has
     /// merged what the store holds, and must decide again whether to write.
     Superseded,
-    /// The store is unavailable to this host and to its live peers.
+    /// The store can be reached neither directly nor through another host.
     StoreUnavailable,
 }
 
@@ -325,8 +329,9 @@
         }
         PlatformReply::Conflict(rows) => apply_rows(shared, program, &rows),
         PlatformReply::Unavailable => Ok(WriteOutcome::StoreUnavailable),
-        // The write may have been applied or may still be applied. Reading the row tells; the next
-        // write changes the version, so that a delayed write then fails its check.
+        // The write may have been applied, or may still be. Reading the row shows whether it has
+        // been. If it reaches the store after the next write of the row, it fails its check,
+        // because that write has changed the version.
         _ => match store::run(shared, PlatformOp::Read(vec![key])).await {
             PlatformReply::Rows(rows) => apply_rows(shared, program, &rows),
             PlatformReply::Unavailable => Ok(WriteOutcome::StoreUnavailable),
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -28,13 +28,14 @@
 use crate::turns::{self, Continuation};
 use crate::{callers, clock, places, stream, unary};
 
-/// The time-out of a call for which neither the caller nor the route sets one.
+/// The time-out of a call whose route sets none. A caller can only shorten it.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long a caller may take to send the body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Retry-After of a call that arrives before the first manifest is known.
+/// Retry-After of a call that arrives before the first manifest is known, or whose route has no
+/// service.
 const NO_MANIFEST_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// Retry-After of a call that arrives at a host which is about to shut down. Another host accepts
@@ -50,7 +51,7 @@
     /// knew.
     pub(crate) load: u32,
     pub(crate) status: StatusCode,
-    /// How many times the call was sent to a target, including resumptions of a stream.
+    /// How many targets were tried, plus the number of attempts to resume a stream.
     pub(crate) offers: u32,
     /// The number of events that were forwarded, for a stream.
     pub(crate) events: Option<u64>,
@@ -72,12 +73,12 @@
     pub(crate) service: Box<str>,
     /// When the request head was read.
     pub(crate) received_at: Instant,
-    /// When the caller or the route gives up.
+    /// The end of the route's time-out, or the caller's deadline if that is earlier.
     pub(crate) deadline: Instant,
     /// Whether an attempt may have run at a target.
     pub(crate) attempts: Cell<Attempts>,
     fingerprint: Fingerprint,
-    /// Whether the call begins a program.
+    /// Whether the call begins a program, as far as this host can tell.
     is_new: Cell<bool>,
     /// Counts the request as open until the answer is complete.
     _open: OpenRequest,
@@ -96,8 +97,8 @@
         engine.map_or(1, |engine| u64::from(engine.tokens_per_event))
     }
 
-    /// Returns the key that selects the service of a call among those of its route. It is the same
-    /// for all calls of a session, or with the same affinity key.
+    /// Returns the key that selects the service of a call among those of its route: the session,
+    /// without one the affinity key, and without both the request id.
     fn routing_key(head: &CallHead) -> &str {
         let named = head.session.as_deref().or(head.affinity_key.as_deref());
 
@@ -200,7 +201,8 @@
     }
 }
 
-/// What is known of a request so far, for the log line and metrics of a refusal.
+/// The route and tenant of a request, as far as they are known: labels of its metrics, and fields
+/// of the log line if it is refused.
 struct RequestLabels {
     route: Box<str>,
     tenant: Box<str>,
@@ -280,7 +282,7 @@
         Err(_) => Err(Refusal::timed_out(call.may_have_run())),
     };
 
-    // Only calls that run count towards a tenant's rate.
+    // A refused call that no target may have run does not count towards its tenant's rate.
     if let (Err(_), false, Some(tenant)) = (&result, call.may_have_run(), &call.tenant) {
         call.shared.rates.borrow_mut().refund(tenant);
     }
@@ -452,7 +454,7 @@
         places::check_room_for_new(&call.shared, &call.service, &call.placement_request())?;
     }
 
-    // The budget and the earlier turns are requested from the store concurrently.
+    // The budget and the earlier turns are requested concurrently.
     let (reservation, continuation) =
         tokio::join!(budget::reserve(&call), turns::load_continuation(&call));
     let reservation: Option<TokenReservation> = reservation?;
--- a/crates/entry/src/connections.rs
+++ b/crates/entry/src/connections.rs
@@ -75,7 +75,9 @@
         None
     }
 
-    /// Returns a connection to the pool after a complete answer.
+    /// Puts a connection on which no answer is outstanding into the pool. Closes it if the target
+    /// would soon close it, if it is not ready in time, or if the pool has [`MAX_IDLE`] connections
+    /// to the target.
     pub async fn put_back(
         &self,
         key: TargetKey,
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -45,7 +45,7 @@
 /// How long a status update is valid. A host is live while its latest one is valid.
 const STATUS_VALID_FOR: Duration = Duration::from_millis(700);
 
-/// The pause after an operation on the store that failed.
+/// The pause after a failed operation on the store, and between the first heartbeats of a process.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// How many received messages may wait to be processed.
@@ -121,12 +121,12 @@
         self.known.borrow().len() + 1
     }
 
-    /// Returns whether a host is live, like [`Fleet::is_live`].
+    /// Returns whether another host is live, like [`Fleet::is_live`].
     fn has_recent_status(&self, host: HostId) -> bool {
         self.statuses.borrow().get(&host).is_some_and(|status| status.is_valid(clock::now()))
     }
 
-    /// Returns the live hosts with their latest status.
+    /// Returns the other live hosts with their latest status, also those whose row is not known.
     fn live_hosts(&self) -> Vec<(HostId, HostStatus)> {
         let now = clock::now();
         let statuses = self.statuses.borrow();
@@ -134,20 +134,20 @@
         statuses.iter().filter(|(_, s)| s.is_valid(now)).map(|(host, s)| (*host, *s)).collect()
     }
 
-    /// Returns a random live host that the store answers, according to its latest status.
+    /// Returns a random other live host that the store answers, according to its latest status.
     pub(crate) fn live_peer_with_store(&self) -> Option<HostId> {
         let reaching = self.live_hosts().into_iter().filter(|(_, status)| status.store_answers);
 
         reaching.map(|(host, _)| host).choose(&mut rand::rng())
     }
 
-    /// Returns the live host that has this run of a process.
+    /// Returns the other live host whose process has this run id.
     pub(crate) fn live_host_of_run(&self, run: u64) -> Option<HostId> {
         self.live_hosts().into_iter().find(|(_, status)| status.run == run).map(|(host, _)| host)
     }
 
-    /// Returns a random live host that has a newer manifest than `version` and that `may_ask`
-    /// accepts. Hosts of the own availability zone are preferred, since a manifest may be far
+    /// Returns a random other live host that has a newer manifest than `version` and that `may_ask`
+    /// accepts. Hosts of this host's availability zone are preferred, since a manifest may be far
     /// longer than all other messages.
     pub(crate) fn live_peer_with_manifest(
         &self,
@@ -165,7 +165,7 @@
             .or_else(|| far.into_iter().choose(&mut rand::rng()))
     }
 
-    /// Returns a random live host.
+    /// Returns a random other live host.
     pub(crate) fn any_live_peer(&self) -> Option<HostId> {
         self.live_hosts().into_iter().map(|(host, _)| host).choose(&mut rand::rng())
     }
@@ -179,7 +179,7 @@
         (live.count() + 1) * 2 > known.len() + 1
     }
 
-    /// Returns the latest status of each known live host.
+    /// Returns the latest status of each other live host whose row in the store is known.
     pub(crate) fn live_statuses(&self) -> Vec<HostStatus> {
         let known = self.known.borrow();
         let live = self.live_hosts().into_iter().filter(|(host, _)| known.contains_key(host));
@@ -221,17 +221,17 @@
         candidates.map(|(host, _)| *host).collect()
     }
 
-    /// Returns when the latest status update of a host arrived.
+    /// Returns when the latest status update of another host arrived.
     pub(crate) fn last_status_at(&self, host: HostId) -> Option<Instant> {
         self.statuses.borrow().get(&host).map(|status| status.received_at)
     }
 
-    /// Returns whether a host is live.
+    /// Returns whether another host is live.
     pub(crate) fn is_live(&self, host: HostId) -> bool {
         self.statuses.borrow().get(&host).is_some_and(|status| status.is_valid(clock::now()))
     }
 
-    /// Returns whether the host that has this run of a process is live.
+    /// Returns whether another host whose process has this run id is live.
     pub(crate) fn is_run_live(&self, run: u64) -> bool {
         self.live_host_of_run(run).is_some()
     }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -38,7 +38,7 @@
     Unknown {
         /// The failure.
         reason: &'static str,
-        /// Whether the target's process crashed while it had the call.
+        /// Whether the target has been removed, or nothing listens at its address any more.
         crashed: bool,
     },
 }
@@ -106,7 +106,7 @@
     Unsent,
     /// The head of an answer was received.
     Answered(Response<Incoming>, Connection),
-    /// The request was sent, but no head was received.
+    /// The request was sent, but no valid head was received in time.
     Lost(&'static str),
 }
 
@@ -195,7 +195,8 @@
     connection: Connection,
     keep: Option<Duration>,
 ) {
-    /// A refusal's body is short and arrives together with its head.
+    /// How long reading the body may take. A refusal's body is short and arrives together with its
+    /// head.
     const LIMIT: Duration = Duration::from_millis(100);
     let shared = Rc::clone(&attempt.call.shared);
     let Some(keep) = keep else { return };
@@ -208,8 +209,7 @@
     });
 }
 
-/// Classifies a call whose answer was lost. If nothing listens at the target's address, its process
-/// has crashed.
+/// Classifies a call whose answer was lost, by whether the target is down (see [`is_down`]).
 async fn classify_lost(
     attempt: &CallAttempt<'_>,
     place: Place,
@@ -263,8 +263,8 @@
 /// the cause. After a short while the two can be told apart: hosts behind a partition have become
 /// silent, while those beside a crashed target still send status updates.
 async fn count_crash(shared: Rc<Shared>, suspected: SuspectedCrash) {
-    /// Longer than a status update is valid, so that hosts behind a new partition are no longer
-    /// live. Shorter than a target takes to restart.
+    /// How long to wait before the check. Longer than a status update is valid, so that hosts
+    /// behind a new partition are no longer live. Shorter than a target takes to restart.
     const DELAY: Duration = Duration::from_millis(900);
     let SuspectedCrash { address, zone, request, fingerprint } = suspected;
     tokio::time::sleep(DELAY).await;
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -27,8 +27,9 @@
 use crate::queries::{self, GrantQuery, Query, QueryReply};
 use crate::{clock, store};
 
-/// How many hosts keep a copy of a program's row besides those that run the program. With two, a
-/// copy survives the loss of one host.
+/// How many other hosts, the first in the order in which hosts grant a program's tokens, this host
+/// sends the program's row to, and asks for their copies of it. With two, one copy is left if this
+/// host and one of them are lost.
 pub(crate) const ROW_REPLICAS: usize = 2;
 
 /// How many hosts of other zones hold replicas of an unstored grant. With this many, the grant
@@ -40,7 +41,8 @@
 const MAX_HOSTS_QUERIED: usize = 12;
 
 /// How long a grant by another host may take: a round trip, and that host's attempts to write to a
-/// store that is slow or has just stopped answering.
+/// store that is slow or has just stopped answering. The granting host also waits for at most this
+/// long for an overdue write.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// How many overdue writes a host awaits, one after the other, while it handles one grant query. A
@@ -54,8 +56,9 @@
 /// How many rows are written concurrently after the store has recovered.
 const CONCURRENT_WRITES: usize = 8;
 
-/// Returns the live hosts in the order in which they grant a program's tokens while the store is
-/// unavailable. Hosts without a complete grant history come last, since they may not grant.
+/// Returns the live hosts, including this one, in the order in which they grant a program's tokens
+/// while the store is unsettled. Hosts without a complete grant history come last, since they may
+/// not grant.
 fn grant_order(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
     let own = shared.fleet.own_id();
     let has_history = |host: &HostId| match *host == own {
@@ -189,7 +192,7 @@
 enum StoreGrant {
     /// The final reply to the querying host.
     Decided(QueryReply),
-    /// The store has not answered in time.
+    /// The store has not answered the write within the hedging delay.
     Overdue(OverdueWrite),
     /// The store is unavailable. The reply applies if nothing is granted without the store either.
     Unavailable(QueryReply),
@@ -258,7 +261,7 @@
     fetch_known_rows(shared, *program, ROW_REPLICAS).await;
     if !shared.budgets.borrow().has_grants(*program) {
         // After a rolling restart the next granters may have no state of the program. The host that
-        // ran it does.
+        // forwarded its last turn does.
         fetch_known_rows(shared, *program, MAX_HOSTS_QUERIED).await;
         if !shared.budgets.borrow().has_grants(*program) && !query.begins {
             info!(program = %program.0, "budget: no row is known for a running program");
@@ -286,7 +289,7 @@
     }
 }
 
-/// Returns which share of budgets this host may have granted by the store.
+/// Returns the share of each budget up to which this host may grant tokens by writes to the store.
 pub(crate) fn limit(shared: &Shared) -> Limit {
     shares::limit(shared.fleet_view())
 }
@@ -351,7 +354,8 @@
     false
 }
 
-/// Returns the other hosts in the order in which they grant a program's tokens without the store.
+/// Returns the other live hosts in the order in which they grant a program's tokens while the store
+/// is unsettled.
 fn next_granters(shared: &Shared, program: ProgramKey) -> impl Iterator<Item = HostId> {
     let own = shared.fleet.own_id();
 
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -40,10 +40,12 @@
 /// milliseconds, and within a third of a second when it is slow.
 const STORE_MAX_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The shortest time-out of one attempt: several times the usual duration of a transaction.
+/// The shortest time-out of one attempt of a store operation: several times the usual duration of a
+/// transaction.
 const STORE_MIN_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How long a store operation is retried. A whole program of a caller takes a second or two.
+/// How long after its start a store operation is still retried. A program takes only a second or
+/// two in all, so longer retries would delay it more than a refusal.
 const STORE_RETRY_WINDOW: Duration = Duration::from_millis(400);
 
 /// The fraction of the store's rate limits that one host may use. No host needs more, and a
@@ -53,9 +55,9 @@
 /// The cache of turns may use the process's memory divided by this number.
 const TURN_CACHE_PART: u64 = 6;
 
-/// For how many conversations a host remembers which host ran the last turn. This covers some
-/// seconds, within which a conversation usually continues.
-const MAX_CONVERSATION_HOSTS: usize = 16_384;
+/// For at least how many conversations a host remembers which other host last forwarded a turn.
+/// This covers some seconds, within which a conversation usually continues.
+const CONVERSATION_HOSTS_KEPT: usize = 16_384;
 
 /// The minimum time for which a host keeps serving after its shutdown began. The load balancer
 /// checks readiness every second and acts on the second failed check, so by then it sends new
@@ -113,8 +115,8 @@
     /// The lock of each program, which is held while tokens of its budget are requested.
     pub(crate) budget_locks: RefCell<Map<ProgramKey, Rc<Mutex<()>>>>,
     pub(crate) turns: RefCell<TurnCache>,
-    /// The host that ran the last turn of a conversation, by the id of the conversation's prompt
-    /// part.
+    /// The other host that last reported a turn of a conversation, by the id of the conversation's
+    /// prompt part.
     pub(crate) conversation_hosts: RefCell<RecentMap<u64, HostId>>,
     pub(crate) written_turns: RefCell<retention::WrittenTurns>,
     pub(crate) crashes: RefCell<Crashes>,
@@ -159,8 +161,8 @@
         self.isolated_since.get().filter(|_| is_isolated).map(|since| clock::now().since(since))
     }
 
-    /// Returns the host that ran the last turn of a call's conversation, or of its parent's, if
-    /// that is another host and live.
+    /// Returns the other host that last reported a turn of a call's conversation, or of its
+    /// parent's, if that host is live.
     pub(crate) fn last_host_of_conversation(&self, head: &CallHead) -> Option<HostId> {
         let conversation_hosts = self.conversation_hosts.borrow();
         // A sub-agent continues the conversation of its parent, whose prompt part precedes its own.
@@ -189,8 +191,9 @@
         }
     }
 
-    /// Returns the Retry-After of a call that cannot be decided now: `usual`, or if the host is
-    /// isolated the time that the load balancer needs to move the caller to another zone.
+    /// Returns the Retry-After of a call that cannot be served now: [`MOVE_RETRY_AFTER`] if the
+    /// host is isolated, so that the caller retries until the load balancer has moved it to another
+    /// zone, and `usual` otherwise.
     pub(crate) fn retry_after_unless_isolated(&self, usual: Duration) -> Duration {
         match self.is_isolated() {
             true => MOVE_RETRY_AFTER,
@@ -198,8 +201,8 @@
         }
     }
 
-    /// Returns whether callers must reconnect, so that the load balancer can assign them to another
-    /// host.
+    /// Returns whether callers must reconnect after their answer, so that the load balancer can
+    /// assign them to another host.
     pub(crate) fn closes_connections(&self) -> bool {
         self.is_shutting_down() || self.is_isolated()
     }
@@ -236,8 +239,9 @@
             || self.budgets.borrow().is_responsible_for_unstored(is_live)
     }
 
-    /// Returns whether no host has granted tokens without the store for a while, according to their
-    /// status updates.
+    /// Returns whether neither this host nor, according to its status updates, any other host has
+    /// had unstored grants or may have made some within [`REPORT_TIME`]. False for a process that
+    /// has just started, like [`Shared::is_settled`].
     fn is_all_stored(&self) -> bool {
         let now = clock::now();
         if self.may_have_unstored_grants() {
@@ -276,6 +280,8 @@
         others_view.including_self(self.has_complete_history(), self.knows_of_unstored_grants())
     }
 
+    /// Returns what this host knows of the fleet. The counts of hosts include this one, but the
+    /// counts of grant histories do not.
     fn fleet_view_of_others(&self) -> shares::FleetView {
         let live = self.fleet.live_statuses();
         let complete_histories = live.iter().filter(|status| status.has_complete_history);
@@ -312,7 +318,7 @@
     }
 }
 
-/// A request that was received and is not answered yet.
+/// Counts a request as open until dropped: it was received and is not answered yet.
 pub(crate) struct OpenRequest(Rc<Shared>);
 
 impl Drop for OpenRequest {
@@ -364,7 +370,7 @@
             grant_history: RefCell::new(GrantHistory::new(clock::now(), settings.is_first_start)),
             budget_locks: RefCell::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
-            conversation_hosts: RefCell::new(RecentMap::new(MAX_CONVERSATION_HOSTS)),
+            conversation_hosts: RefCell::new(RecentMap::new(CONVERSATION_HOSTS_KEPT)),
             written_turns: RefCell::default(),
             crashes: RefCell::default(),
             fleet: Fleet::new(&settings.name, &settings.zone),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,5 +1,5 @@
-//! An entry host on the users' platform. It accepts all calls of callers, determines the route and
-//! the target of each, and forwards it.
+//! An entry host on the users' platform. It accepts the calls that callers send to it, determines
+//! the route and the target of each, and forwards it.
 //!
 //! Everything runs on one thread, because a host has half a core or less and a second thread would
 //! cost a context switch for each call. Decisions are made by `camphorwalk_policy::entry`, which
--- a/crates/entry/src/log_sampler.rs
+++ b/crates/entry/src/log_sampler.rs
@@ -8,9 +8,10 @@
 
 use crate::clock;
 
-/// The maximum number of lines a second about successful calls. A line costs about as much as
-/// sending a small message. At this rate logging stays below a hundredth of a host's work at its
-/// usual load.
+/// If more lines than this are selected in a period, half as many calls are selected in the next
+/// one, so it is about the maximum number of lines a second about successful calls. A line costs
+/// about as much as sending a small message. At this rate logging stays below a hundredth of a
+/// host's work at its usual load.
 const MAX_LINES: u32 = 150;
 
 /// The interval over which lines are counted.
--- a/crates/entry/src/manifests.rs
+++ b/crates/entry/src/manifests.rs
@@ -19,7 +19,7 @@
 use crate::host::Shared;
 use crate::queries::{self, Query, QueryReply};
 
-/// How often a pending query is checked.
+/// How often this host checks whether a pending query for a manifest can still get a reply.
 const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// The state of manifest transfers to and from this host.
@@ -36,7 +36,8 @@
 }
 
 impl Manifests {
-    /// Records that a transfer from the store makes progress.
+    /// Records that a transfer of a manifest from the store, or the processing of one, makes
+    /// progress.
     pub(crate) fn record_progress(&self) {
         self.last_progress.set(Some(clock::now()));
     }
@@ -57,7 +58,7 @@
 ///
 /// The store may refuse some hosts while it answers others. If all of the others sent their
 /// manifest unasked, a refused host would receive it from each of them with each status update,
-/// until its link is saturated. So the host requests it, from one host at a time.
+/// until its link is saturated. So each host requests it itself, from one other host at a time.
 pub(crate) fn handle_reported_version(shared: &Rc<Shared>, from: HostId, version: u64) {
     shared.manifests.record_reported(from, version);
     if version <= shared.manifest_version() || shared.manifests.is_fetching.replace(true) {
@@ -92,8 +93,8 @@
     }
 }
 
-/// Requests the manifest from a host. If it does not arrive, the next status update starts another
-/// query.
+/// Requests a newer manifest from another host. If it does not arrive, the next status update that
+/// reports a newer one starts another query.
 async fn request_from_peer(shared: &Shared, version: u64) {
     let own = shared.manifest_version();
     let may_ask = |host: &HostId| shared.manifests.may_ask(*host);
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -52,9 +52,10 @@
     pub(crate) grants_without_store: IntCounter,
     /// Operations on the store that were relayed through another host.
     pub(crate) relayed_operations: IntCounter,
-    /// Turns that were read from the store because they were not in memory.
+    /// Reads of a turn from the store because this host did not have it in memory.
     pub(crate) turn_reads: IntCounter,
-    /// Turns that were received from another host.
+    /// Turns that were received with a whole conversation from another host. Turns that were
+    /// requested one by one are not counted.
     pub(crate) turns_fetched: IntCounter,
 }
 
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -31,7 +31,8 @@
 /// event. Beyond that a quick refusal serves the caller better than more waiting.
 const MAX_NEW_WAIT: Duration = Duration::from_millis(50);
 
-/// A new program is refused at once while this many calls wait: they would take all places that
+/// A new program is refused at once while this many calls at this host wait for a place at a target
+/// of its service: they would take all places that
 /// become free within [`MAX_NEW_WAIT`].
 const MAX_NEW_WAITING: usize = 4;
 
@@ -40,17 +41,17 @@
     tx: oneshot::Sender<Place>,
 }
 
-/// The calls that wait for a place at this host.
+/// The calls at this host that wait for a place at a target.
 pub(crate) struct Places {
     waiting: RefCell<WaitQueue>,
     waiters: RefCell<Map<WaiterId, Waiter>>,
     next: Cell<u64>,
-    /// Programs that have run a turn at this host.
+    /// The programs of which this host last forwarded a turn.
     recent_programs: RefCell<RecentMap<u64, ()>>,
 }
 
-/// A host remembers at least this many of the programs that last ran a turn on it.
-const MAX_RECENT_PROGRAMS: usize = 8_192;
+/// A host remembers at least this many of the programs of which it last forwarded a turn.
+const RECENT_PROGRAMS_KEPT: usize = 8_192;
 
 impl Default for Places {
     fn default() -> Self {
@@ -58,20 +59,20 @@
             waiting: RefCell::default(),
             waiters: RefCell::default(),
             next: Cell::default(),
-            recent_programs: RefCell::new(RecentMap::new(MAX_RECENT_PROGRAMS)),
+            recent_programs: RefCell::new(RecentMap::new(RECENT_PROGRAMS_KEPT)),
         }
     }
 }
 
 impl Places {
-    /// Records that a program runs a turn at this host.
+    /// Records that this host forwards a turn of a program.
     pub(crate) fn record_running(&self, program: Option<&str>) {
         let Some(program) = program else { return };
 
         self.recent_programs.borrow_mut().put(stable_hash(&[program.as_bytes()]), ());
     }
 
-    /// Returns how many calls wait for each service.
+    /// Returns how many calls at this host wait for a place at a target of each service.
     pub(crate) fn waiting(&self) -> Vec<(Box<str>, u32)> {
         let waiting = self.waiting.borrow();
         let services = waiting.services().into_iter();
@@ -84,7 +85,7 @@
             .collect()
     }
 
-    /// Returns whether a program has run a turn at this host.
+    /// Returns whether this host remembers that it forwarded a turn of a program.
     pub(crate) fn has_run_recently(&self, program: Option<&str>) -> bool {
         let Some(program) = program else { return false };
         let program = stable_hash(&[program.as_bytes()]);
@@ -275,7 +276,7 @@
     targets.mean_service_time(service).mul_f64(ahead as f64 / places)
 }
 
-/// Returns the refusal of a new program while all targets are full.
+/// Returns the refusal of a new program whose service is full.
 fn refuse_full() -> Refusal {
     Refusal::retry_later_jittered("all targets are full", FULL_RETRY_AFTER)
 }
--- a/crates/entry/src/queries.rs
+++ b/crates/entry/src/queries.rs
@@ -155,8 +155,8 @@
     const UNUSED_ID: u64 = u64::MAX;
 
     if let Some(question) = encode(query) {
-        // A lost message does no harm, because the other host later gets the same data in another
-        // way.
+        // These queries send rows of budgets. A lost one does no harm, because a host fetches the
+        // row from other hosts before it grants tokens without the store.
         shared.fleet.send(host, Body::PeerQuery(wire::PeerQuery { id: UNUSED_ID, question }));
     }
 }
--- a/crates/entry/src/status_updates.rs
+++ b/crates/entry/src/status_updates.rs
@@ -26,8 +26,8 @@
 use crate::host::Shared;
 use crate::{clock, manifests, places};
 
-/// The shortest period of status updates. A call takes about a fifth of a second, so no host can
-/// fill a target within this period while the others still think it idle.
+/// The shortest period of status updates. A call takes about a fifth of a second, so the other
+/// hosts know of it while it still runs, and do not take a full target for an idle one.
 const MIN_PERIOD: Duration = Duration::from_millis(100);
 
 /// The period is at least this long for each receiver, so that a host sends no more than a few
@@ -75,8 +75,8 @@
     }
 }
 
-/// The hosts that have received the demand of all tenants, and have not been silent or restarted
-/// since.
+/// The other hosts that have received the demand of all tenants within the current
+/// [`ALL_DEMAND_PERIOD`], and have not been silent or restarted since.
 #[derive(Default)]
 pub(crate) struct FullDemandReceivers(RefCell<Set<HostId>>);
 
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -25,14 +25,14 @@
 /// time: overlapping rounds would use up the writes of a slow store for the same rows.
 const WRITE_BACK_PERIOD: Duration = Duration::from_millis(500);
 
-/// An operation that stays unanswered for this long was tried several times, so the store counts as
-/// unavailable.
+/// A part of the store counts as unavailable after an operation on it that stayed unanswered for
+/// this long, since the client tried that operation several times.
 const NO_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a call waits for the write of a grant before it requests the grant in another way,
-/// while the write stays in progress. The store usually answers a transaction in about 10 ms. A
-/// slow store takes a quarter of a second or more per transaction, which would cost a program a
-/// whole second.
+/// The hedging delay: how long a host waits for the store to answer the write of a grant before it
+/// obtains the grant as it does while the store is unsettled (see `grants`). The write stays in
+/// progress. The store usually answers a transaction in about 10 ms. A slow store takes a quarter
+/// of a second or more, and a program that waits for it at several grants loses a whole second.
 pub(crate) const HEDGE_AFTER: Duration = Duration::from_millis(60);
 
 /// How long status updates report that the store was slow: several broadcast periods.
@@ -98,7 +98,7 @@
     /// Waits until a part of the store recovers, for this host or a live peer, for at most
     /// `longest`.
     pub(crate) async fn wait_for_recovery(&self, longest: Duration) {
-        // The caller tries again after a recovery and after the time-out alike.
+        // The waiting task tries again after a recovery and after the time-out alike.
         let _ = timeout(longest, self.recovered.notified()).await;
     }
 
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -21,26 +21,26 @@
 use crate::unary::rejection_reason;
 use crate::{clock, places, turn_storage};
 
-/// The maximum number of targets to which a turn is sent until one of them starts the stream.
+/// The maximum number of targets that are tried for a turn until one of them starts the stream.
 const MAX_OFFERS: u32 = 4;
 
-/// How often a broken stream is resumed before the answer is broken off.
+/// The maximum number of attempts to resume a stream, however often it breaks. After them the
+/// answer is broken off.
 const MAX_RESUMES: u32 = 3;
 
-/// Retry-After of a turn that all targets refused: about the time until one of them has a free
-/// place.
+/// Retry-After of a turn that none of the [`MAX_OFFERS`] targets that were tried has run: about the
+/// time until a target has a free place.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// The state of a stream.
 struct Progress {
-    /// The id of the last event that was forwarded.
+    /// The id of the last event that was forwarded, or that the caller had before the call.
     last_event: Option<u64>,
     /// The number of events that were forwarded.
     events: u64,
     /// The data of the forwarded events, each followed by a line feed.
     output: Vec<u8>,
-    /// The number of targets to which the turn was sent, up to and including the one that started
-    /// the stream.
+    /// The number of targets that were tried, up to and including the one that started the stream.
     offers: u32,
     resumes: u32,
 }
@@ -123,8 +123,8 @@
 }
 
 /// Returns whether a stream of which nothing was received may start again at another target
-/// although one may have run it. The stream must be resumable, the target must have crashed, and
-/// the call must not be blocked because it crashed too many targets.
+/// although a target may have run the call. The stream must be resumable, the target must be down,
+/// and the call must not be blocked because it crashed too many targets.
 fn may_restart(call: &Call, crashed: bool) -> bool {
     call.route().retry_policy == RetryPolicy::Stream { resumable: true }
         && crashed
--- a/crates/entry/src/turns.rs
+++ b/crates/entry/src/turns.rs
@@ -125,7 +125,8 @@
     Ok(Continuation { earlier, conversation })
 }
 
-/// Fetches a conversation from the host that ran the last turn, if that turn is not cached here.
+/// Fetches a conversation from the other host that forwarded the last turn, if that turn is not
+/// cached here.
 ///
 /// The store has the turns too, but reading them takes one request for each and some milliseconds.
 /// If no such host is known or it does not answer, the turns are read from the store.
@@ -152,7 +153,7 @@
     keys.filter_map(|key| Some((key, Turn::clone(&*turns.get(key)?)))).collect()
 }
 
-/// Reads a turn. Returns `None` if neither the store nor any known host has it.
+/// Reads a turn. Returns `None` if neither this host, the store nor any other known host has it.
 async fn read_turn(shared: &Rc<Shared>, key: TurnKey) -> Result<Option<Rc<Turn>>, Refusal> {
     if let Some(turn) = shared.turns.borrow().get(key) {
         return Ok(Some(turn));
@@ -169,8 +170,8 @@
                 unknown_turn(shared)
             })?
         }
-        // If the store does not answer or has no such row, hosts that ran or read the turn may
-        // still have it.
+        // If the store does not answer or has no such row, other hosts that forwarded or read the
+        // turn may still have it in memory.
         _ => match find_at_peers(shared, key).await {
             SearchResult::Found(turn) => turn,
             SearchResult::Absent if is_absent => return Ok(None),
@@ -185,15 +186,15 @@
 
 /// The result of asking the other hosts for a turn.
 enum SearchResult {
-    /// A host has the turn.
+    /// Another host has the turn in memory.
     Found(Turn),
-    /// All known hosts have answered, and none has the turn.
+    /// All other known hosts have answered, and none has the turn in memory.
     Absent,
     /// Some hosts did not answer.
     Incomplete,
 }
 
-/// Asks all known hosts for a turn that the store did not return.
+/// Asks all other known hosts for a turn that the store did not return.
 ///
 /// Liveness alone does not tell whether a host may hold the turn, because for most of a second
 /// after a partition begins all hosts still count as live. So a missing answer leaves the result
--- a/crates/entry/src/unary.rs
+++ b/crates/entry/src/unary.rs
@@ -14,8 +14,8 @@
 use crate::forward::{self, CallAttempt, SendOutcome, Started};
 use crate::{clock, places};
 
-/// The maximum number of targets to which a call is sent. The route's `max_targets` further limits
-/// how many of them may have run it.
+/// The maximum number of targets that are tried for a call. The route's `max_targets` further
+/// limits how many of them may have run it.
 const MAX_OFFERS: u32 = 4;
 
 /// An idempotent call is sent to another target if the answer's head takes longer than this many
@@ -29,7 +29,8 @@
 /// The maximum size of an answer's body.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Retry-After of a call that all targets refused: about the duration of one call.
+/// Retry-After of a call that none of the [`MAX_OFFERS`] targets that were tried has run: about the
+/// duration of one call.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(120);
 
 /// Sends a call to targets until one of them answers.
@@ -79,7 +80,8 @@
     }
 }
 
-/// Returns how long to wait for an answer's head.
+/// Returns how long to wait for an answer's head: until the call's deadline, or less if the call
+/// may then be sent to another target.
 fn head_timeout(call: &Call, may_try_another: bool) -> Duration {
     let left = clock::until(call.deadline);
 
