--- a/crates/entry/src/budget.rs
+++ b/crates/entry/src/budget.rs
@@ -37,7 +37,7 @@
 /// reached.
 const UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// How long another host may take to transfer or return tokens: one round trip with some margin.
+/// How long another host may take to transfer or return tokens: one round trip with a large margin.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long the host that forwarded the last turn may take to send the row: several times the
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -18,7 +18,7 @@
 /// The pause after a failed accept, which is mostly caused by a lack of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The smallest buffer that the HTTP library accepts.
+/// The smallest buffer that the HTTP library accepts, in bytes.
 const MIN_BUFFER: usize = 8_192;
 
 /// The limits on requests until the first manifest is known.
@@ -29,7 +29,7 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// Starts to accept connections, and returns the address.
+/// Starts to accept connections, and returns the address on which the host listens.
 pub(crate) async fn start(shared: &Rc<Shared>) -> Result<SocketAddr> {
     let address = shared.settings.callers_address;
     let listener = TcpListener::bind(address).await.map_err(|e| Error::listen(address, e))?;
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -32,14 +32,15 @@
 /// The table of settings that all hosts share.
 const FLEET_TABLE: &str = "fleet";
 
-/// How often a host writes its own row and reads the rows of the others.
+/// The pause between two rounds in which a host writes its own row and reads the rows of the
+/// others.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(5);
 
 /// The number of heartbeats after the start that are only a short pause apart.
 const FAST_HEARTBEATS: u64 = 4;
 
 /// The in-flight and waiting calls of a host no longer count after this long without a status
-/// update of it. A connection whose other end owes an answer for this long is closed.
+/// update of it. A connection to another host that owes an answer for this long is closed.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a status update is valid. A host is live while its latest one is valid.
--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -32,8 +32,8 @@
 /// host and one of them are lost.
 pub(crate) const ROW_REPLICAS: usize = 2;
 
-/// How many hosts of other zones hold replicas of an unstored grant. With this many, the grant
-/// survives if half of a small fleet is killed before the store recovers.
+/// The maximum number of hosts of other zones that hold replicas of an unstored grant. With this
+/// many, the grant survives if half of a small fleet is killed before the store recovers.
 const MAX_REPLICAS_ELSEWHERE: usize = 4;
 
 /// How many hosts are queried about a program that the next granters do not know: all of a small
@@ -49,8 +49,9 @@
 /// write is overdue if the store has not answered it within the hedging delay.
 const MAX_OVERDUE_WRITES: u32 = 2;
 
-/// How long another host may take to send or store a row: several round trips, and less than what
-/// remains of [`GRANT_TIMEOUT`].
+/// How long another host may take to send or record a row: several round trips. A grant without the
+/// store needs up to three such exchanges, one after the other. After the hedging delay they all
+/// fit into [`GRANT_TIMEOUT`].
 const ROW_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// How many rows are written concurrently after the store has recovered.
@@ -94,7 +95,8 @@
     }
 }
 
-/// Returns the hosts of other zones that hold replicas of a program's unstored grants.
+/// Returns the live hosts of other zones that hold replicas of a program's unstored grants. In a
+/// fleet with a single zone, they are other hosts of that zone.
 fn replicas_elsewhere(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
     shared.fleet.live_replicas(program.0).into_iter().take(MAX_REPLICAS_ELSEWHERE).collect()
 }
@@ -242,11 +244,12 @@
 
 /// Grants a turn's tokens without the store. Returns `None` if this host may not.
 ///
-/// The host must reach a majority, so that at most one side of a network partition grants. Isolated
-/// hosts do not grant even as a majority, because their grants would be lost if all machines lost
-/// power. A process that the store has never answered does not grant, because it has no earlier
-/// state. Nor does a process that restarted together with all others: it does not know what was
-/// granted before, by the store or without it, to programs that are still running.
+/// The host must reach a majority of the known hosts, so that at most one side of a network
+/// partition grants. Isolated hosts do not grant even as a majority, because their grants would be
+/// lost if all machines lost power. A process that the store has never answered does not grant,
+/// because it has no earlier state. Nor does a process that restarted together with all others: it
+/// does not know what was granted before, by the store or without it, to programs that are still
+/// running.
 async fn grant_without_store(shared: &Rc<Shared>, query: &GrantQuery) -> Option<QueryReply> {
     let GrantQuery { program, claim, known, .. } = query;
     let is_entitled = shared.fleet.reaches_majority() && !shared.is_isolated();
@@ -406,9 +409,10 @@
     QueryReply::Done
 }
 
-/// Writes up to `max_writes` rows with unstored grants: those to this host at once, and those to
-/// other hosts if they have not been written after a while. A row whose write fails or conflicts is
-/// tried again in the next round.
+/// Writes up to `max_writes` rows with unstored grants: those with a grant to this host at once,
+/// and others if they have not been written after a while. Also rewrites rows that are in use, so
+/// that other hosts do not delete them as idle. A row whose write fails or conflicts is tried again
+/// in the next round.
 pub(crate) async fn write_unstored(shared: &Rc<Shared>, max_writes: usize) -> RoundOutcome {
     let mut rows =
         shared.budgets.borrow().rows_to_write(clock::now(), |run| shared.is_run_live(run));
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -48,7 +48,7 @@
 /// two in all, so longer retries would delay it more than a refusal.
 const STORE_RETRY_WINDOW: Duration = Duration::from_millis(400);
 
-/// The fraction of the store's rate limits that one host may use. No host needs more, and a
+/// The fraction of the store's rate limits that this host may use. No host needs more, and a
 /// malfunctioning host leaves the rest to the others.
 const STORE_SHARE: f64 = 0.25;
 
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -32,7 +32,7 @@
     pub(crate) queued_calls: IntCounter,
     /// How long calls waited for the place that they got.
     pub(crate) place_wait: Histogram,
-    /// How long calls waited for a token of their tenant's rate limit.
+    /// How long calls that were then admitted waited for a token of their tenant's rate limit.
     pub(crate) rate_wait: Histogram,
     /// Ejections: targets that get no calls for a while after failures.
     pub(crate) ejections: IntCounter,
--- a/crates/entry/src/places.rs
+++ b/crates/entry/src/places.rs
@@ -265,8 +265,8 @@
     }
 }
 
-/// Estimates how long a call will wait behind the calls ahead of it at this host, which gets an
-/// even share of the places that become free.
+/// Estimates how long a call will wait behind the calls ahead of it at this host, assuming
+/// that the host gets an even share of the places that become free.
 fn expected_wait(shared: &Shared, service: &str, urgency: Urgency) -> Duration {
     let ahead = shared.places.waiting.borrow().ahead(service, urgency);
     let targets = shared.targets.borrow();
--- a/crates/entry/src/queries.rs
+++ b/crates/entry/src/queries.rs
@@ -117,8 +117,8 @@
     }
 }
 
-/// Sends a query to another host. Returns `None` if no reply came within `limit`; the other host
-/// may or may not have carried it out.
+/// Sends a query to another host. Returns `None` if it cannot be sent or no reply comes within
+/// `limit`. The other host may or may not have carried it out.
 pub(crate) async fn send(
     shared: &Shared,
     host: HostId,
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -21,7 +21,7 @@
 use crate::queries::{self, Query, QueryReply};
 use crate::{clock, places, store};
 
-/// The page size of a full read of the table.
+/// The number of rows in a page of a full read of the table.
 const PAGE_ROWS: u32 = 500;
 
 /// The shortest pause between two checks for lapsed entries whose grace period has ended. While the
@@ -95,7 +95,7 @@
 enum PollResult {
     /// The changes were applied.
     Applied,
-    /// The store no longer has all changes since that version.
+    /// The store no longer has all changes since the version of this host's copy.
     HistoryGone,
     /// The store did not answer.
     NoAnswer,
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -35,7 +35,8 @@
 /// of a second or more, and a program that waits for it at several grants loses a whole second.
 pub(crate) const HEDGE_AFTER: Duration = Duration::from_millis(60);
 
-/// How long status updates report that the store was slow: several broadcast periods.
+/// How long this host's status updates report that the store was slow for it: several times the
+/// shortest period of status updates.
 const SLOW_REPORT_TIME: Duration = Duration::from_millis(500);
 
 /// A client of the store that tracks which parts of it are available.
@@ -75,7 +76,7 @@
     }
 
     /// Returns whether status updates report trouble to the other hosts: the store or a part of it
-    /// does not answer this host, or was slow within the last broadcast periods.
+    /// does not answer this host, or was slow for it within [`SLOW_REPORT_TIME`].
     pub(crate) fn reports_trouble(&self) -> bool {
         let now = clock::now();
         let is_slow = self.slow_at.get().is_some_and(|at| now.since(at) < SLOW_REPORT_TIME);
@@ -152,8 +153,9 @@
     }
 }
 
-/// Runs an operation for a call. Returns `Unavailable` without delay if the store is known to be
-/// unavailable both directly and through other hosts.
+/// Runs an operation directly or through another host. Makes no direct attempt while the part that
+/// the operation accesses is known to be unavailable and no retry is due, so that a call does not
+/// wait for it. Returns `Unavailable` without delay if no live host reaches the store either.
 pub(crate) async fn run(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     let is_unavailable = {
         let mut health = shared.store.health.borrow_mut();
@@ -166,8 +168,8 @@
     }
 }
 
-/// Runs an operation of a background task. It always tries the store directly first, and so detects
-/// its recovery.
+/// Runs an operation directly, or through another host if the store does not answer. Background
+/// tasks use this instead of [`run`], because a direct attempt each time detects the recovery.
 pub(crate) async fn run_direct_or_relayed(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     match run_direct(shared, op.clone(), &|_| ()).await {
         PlatformReply::Unavailable => relay(shared, op).await,
--- a/crates/entry/src/watch.rs
+++ b/crates/entry/src/watch.rs
@@ -26,7 +26,7 @@
 /// The pause after a failed request.
 const FAILED_PAUSE: Duration = Duration::from_millis(200);
 
-/// The page size of a read of the table.
+/// The maximum number of rows of the operators' table that are read.
 const PAGE_ROWS: u32 = 500;
 
 /// Starts the task that follows the manifest.
@@ -38,7 +38,7 @@
 enum PollOutcome {
     /// The changes up to this version are known.
     UpTo(RowVersion),
-    /// The store no longer has the changes since that version.
+    /// The store no longer has all changes since the last known version.
     HistoryGone,
     /// The store did not answer.
     Failed,
