--- a/crates/entry/src/retention.rs
+++ b/crates/entry/src/retention.rs
@@ -37,8 +37,8 @@
     shared.written_turns.borrow_mut().rows.push_back((clock::now(), key));
 }
 
-/// Starts the task that deletes the rows of turns that can no longer be continued, and of budgets
-/// whose programs can no longer continue.
+/// Starts the task that deletes the rows of turns that this host wrote longer ago than the longest
+/// retention of all routes, and the rows of budgets that were idle for as long.
 pub(crate) fn start_sweeper(shared: &Rc<Shared>) {
     let shared = Rc::clone(shared);
 
