--- a/crates/entry/src/grants.rs
+++ b/crates/entry/src/grants.rs
@@ -27,12 +27,13 @@
 use crate::queries::{self, GrantQuery, Query, QueryReply};
 use crate::{clock, store};
 
-/// How many hosts keep a copy of a program's row besides those that run the program. With two, a
-/// copy survives the loss of one host.
+/// How many other hosts, the first in the order in which hosts grant a program's tokens, this host
+/// sends the program's row to, and asks for their copies of it. With two, one copy is left if this
+/// host and one of them are lost.
 pub(crate) const ROW_REPLICAS: usize = 2;
 
-/// How many hosts of other zones hold replicas of an unstored grant. With this many, the grant
-/// survives if half of a small fleet is killed before the store recovers.
+/// The maximum number of hosts of other zones that hold replicas of an unstored grant. With this
+/// many, the grant survives if half of a small fleet is killed before the store recovers.
 const MAX_REPLICAS_ELSEWHERE: usize = 4;
 
 /// How many hosts are queried about a program that the next granters do not know: all of a small
@@ -40,22 +41,25 @@
 const MAX_HOSTS_QUERIED: usize = 12;
 
 /// How long a grant by another host may take: a round trip, and that host's attempts to write to a
-/// store that is slow or has just stopped answering.
+/// store that is slow or has just stopped answering. The granting host also waits for at most this
+/// long for an overdue write.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// How many overdue writes a host awaits, one after the other, while it handles one grant query. A
 /// write is overdue if the store has not answered it within the hedging delay.
 const MAX_OVERDUE_WRITES: u32 = 2;
 
-/// How long another host may take to send or store a row: several round trips, and less than what
-/// remains of [`GRANT_TIMEOUT`].
+/// How long another host may take to send or record a row: several round trips. A grant without the
+/// store needs up to three such exchanges, one after the other. After the hedging delay they all
+/// fit into [`GRANT_TIMEOUT`].
 const ROW_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(80);
 
 /// How many rows are written concurrently after the store has recovered.
 const CONCURRENT_WRITES: usize = 8;
 
-/// Returns the live hosts in the order in which they grant a program's tokens while the store is
-/// unavailable. Hosts without a complete grant history come last, since they may not grant.
+/// Returns the live hosts, including this one, in the order in which they grant a program's tokens
+/// while the store is unsettled. Hosts without a complete grant history come last, since they may
+/// not grant.
 fn grant_order(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
     let own = shared.fleet.own_id();
     let has_history = |host: &HostId| match *host == own {
@@ -91,7 +95,8 @@
     }
 }
 
-/// Returns the hosts of other zones that hold replicas of a program's unstored grants.
+/// Returns the live hosts of other zones that hold replicas of a program's unstored grants. In a
+/// fleet with a single zone, they are other hosts of that zone.
 fn replicas_elsewhere(shared: &Shared, program: ProgramKey) -> Vec<HostId> {
     shared.fleet.live_replicas(program.0).into_iter().take(MAX_REPLICAS_ELSEWHERE).collect()
 }
@@ -189,7 +194,7 @@
 enum StoreGrant {
     /// The final reply to the querying host.
     Decided(QueryReply),
-    /// The store has not answered in time.
+    /// The store has not answered the write within the hedging delay.
     Overdue(OverdueWrite),
     /// The store is unavailable. The reply applies if nothing is granted without the store either.
     Unavailable(QueryReply),
@@ -239,11 +244,12 @@
 
 /// Grants a turn's tokens without the store. Returns `None` if this host may not.
 ///
-/// The host must reach a majority, so that at most one side of a network partition grants. Isolated
-/// hosts do not grant even as a majority, because their grants would be lost if all machines lost
-/// power. A process that the store has never answered does not grant, because it has no earlier
-/// state. Nor does a process that restarted together with all others: it does not know what was
-/// granted before, by the store or without it, to programs that are still running.
+/// The host must reach a majority of the known hosts, so that at most one side of a network
+/// partition grants. Isolated hosts do not grant even as a majority, because their grants would be
+/// lost if all machines lost power. A process that the store has never answered does not grant,
+/// because it has no earlier state. Nor does a process that restarted together with all others: it
+/// does not know what was granted before, by the store or without it, to programs that are still
+/// running.
 async fn grant_without_store(shared: &Rc<Shared>, query: &GrantQuery) -> Option<QueryReply> {
     let GrantQuery { program, claim, known, .. } = query;
     let is_entitled = shared.fleet.reaches_majority() && !shared.is_isolated();
@@ -258,7 +264,7 @@
     fetch_known_rows(shared, *program, ROW_REPLICAS).await;
     if !shared.budgets.borrow().has_grants(*program) {
         // After a rolling restart the next granters may have no state of the program. The host that
-        // ran it does.
+        // forwarded its last turn does.
         fetch_known_rows(shared, *program, MAX_HOSTS_QUERIED).await;
         if !shared.budgets.borrow().has_grants(*program) && !query.begins {
             info!(program = %program.0, "budget: no row is known for a running program");
@@ -286,7 +292,7 @@
     }
 }
 
-/// Returns which share of budgets this host may have granted by the store.
+/// Returns the share of each budget up to which this host may grant tokens by writes to the store.
 pub(crate) fn limit(shared: &Shared) -> Limit {
     shares::limit(shared.fleet_view())
 }
@@ -351,7 +357,8 @@
     false
 }
 
-/// Returns the other hosts in the order in which they grant a program's tokens without the store.
+/// Returns the other live hosts in the order in which they grant a program's tokens while the store
+/// is unsettled.
 fn next_granters(shared: &Shared, program: ProgramKey) -> impl Iterator<Item = HostId> {
     let own = shared.fleet.own_id();
 
@@ -402,9 +409,10 @@
     QueryReply::Done
 }
 
-/// Writes up to `max_writes` rows with unstored grants: those to this host at once, and those to
-/// other hosts if they have not been written after a while. A row whose write fails or conflicts is
-/// tried again in the next round.
+/// Writes up to `max_writes` rows with unstored grants: those with a grant to this host at once,
+/// and others if they have not been written after a while. Also rewrites rows that are in use, so
+/// that other hosts do not delete them as idle. A row whose write fails or conflicts is tried again
+/// in the next round.
 pub(crate) async fn write_unstored(shared: &Rc<Shared>, max_writes: usize) -> RoundOutcome {
     let mut rows =
         shared.budgets.borrow().rows_to_write(clock::now(), |run| shared.is_run_live(run));
--- a/crates/entry/src/store.rs
+++ b/crates/entry/src/store.rs
@@ -25,17 +25,18 @@
 /// time: overlapping rounds would use up the writes of a slow store for the same rows.
 const WRITE_BACK_PERIOD: Duration = Duration::from_millis(500);
 
-/// An operation that stays unanswered for this long was tried several times, so the store counts as
-/// unavailable.
+/// A part of the store counts as unavailable after an operation on it that stayed unanswered for
+/// this long, since the client tried that operation several times.
 const NO_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a call waits for the write of a grant before it requests the grant in another way,
-/// while the write stays in progress. The store usually answers a transaction in about 10 ms. A
-/// slow store takes a quarter of a second or more per transaction, which would cost a program a
-/// whole second.
+/// The hedging delay: how long a host waits for the store to answer the write of a grant before it
+/// obtains the grant as it does while the store is unsettled (see `grants`). The write stays in
+/// progress. The store usually answers a transaction in about 10 ms. A slow store takes a quarter
+/// of a second or more, and a program that waits for it at several grants loses a whole second.
 pub(crate) const HEDGE_AFTER: Duration = Duration::from_millis(60);
 
-/// How long status updates report that the store was slow: several broadcast periods.
+/// How long this host's status updates report that the store was slow for it: several times the
+/// shortest period of status updates.
 const SLOW_REPORT_TIME: Duration = Duration::from_millis(500);
 
 /// A client of the store that tracks which parts of it are available.
@@ -75,7 +76,7 @@
     }
 
     /// Returns whether status updates report trouble to the other hosts: the store or a part of it
-    /// does not answer this host, or was slow within the last broadcast periods.
+    /// does not answer this host, or was slow for it within [`SLOW_REPORT_TIME`].
     pub(crate) fn reports_trouble(&self) -> bool {
         let now = clock::now();
         let is_slow = self.slow_at.get().is_some_and(|at| now.since(at) < SLOW_REPORT_TIME);
@@ -98,7 +99,7 @@
     /// Waits until a part of the store recovers, for this host or a live peer, for at most
     /// `longest`.
     pub(crate) async fn wait_for_recovery(&self, longest: Duration) {
-        // The caller tries again after a recovery and after the time-out alike.
+        // The waiting task tries again after a recovery and after the time-out alike.
         let _ = timeout(longest, self.recovered.notified()).await;
     }
 
@@ -152,8 +153,9 @@
     }
 }
 
-/// Runs an operation for a call. Returns `Unavailable` without delay if the store is known to be
-/// unavailable both directly and through other hosts.
+/// Runs an operation directly or through another host. Makes no direct attempt while the part that
+/// the operation accesses is known to be unavailable and no retry is due, so that a call does not
+/// wait for it. Returns `Unavailable` without delay if no live host reaches the store either.
 pub(crate) async fn run(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     let is_unavailable = {
         let mut health = shared.store.health.borrow_mut();
@@ -166,8 +168,8 @@
     }
 }
 
-/// Runs an operation of a background task. It always tries the store directly first, and so detects
-/// its recovery.
+/// Runs an operation directly, or through another host if the store does not answer. Background
+/// tasks use this instead of [`run`], because a direct attempt each time detects the recovery.
 pub(crate) async fn run_direct_or_relayed(shared: &Rc<Shared>, op: PlatformOp) -> PlatformReply {
     match run_direct(shared, op.clone(), &|_| ()).await {
         PlatformReply::Unavailable => relay(shared, op).await,
