--- a/crates/bench/src/limits/methods.rs
+++ b/crates/bench/src/limits/methods.rs
@@ -13,7 +13,7 @@
     Call, DETECTION_DELAY, Plan, RESTART_TIME, SHUTDOWN_TIME, Scenario, WARM_UP,
 };
 
-/// The lease of a leased counter, as long as that of a column.
+/// The duration of the lease of a counter, equal to that of the lease of a column.
 const LEASE: u64 = 4 * SECOND;
 
 /// A method of limiting the rate and burst of tenants.
@@ -25,7 +25,7 @@
     Slices,
     /// Each host has an equal share of each rate and burst.
     StaticSplit,
-    /// One host has each tenant's counter, under a lease granted by the platform.
+    /// For each tenant, one host has a counter, under a lease granted by the platform.
     LeasedCounter,
 }
 
@@ -147,12 +147,15 @@
 /// A fault or recovery step of a scenario.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
+    /// The isolated zone loses its connections, or regains them if false.
     Isolate(bool),
+    /// The process of the host is killed.
     Kill(usize),
     /// The host starts its shutdown, and all hosts notice.
     StartShutdown(usize),
     /// The host gives up its columns and its process ends.
     EndProcess(usize),
+    /// The process of the host starts again.
     Start(usize),
     /// All hosts update their lists of hosts that they can reach.
     UpdateHostLists,
--- a/crates/policy/src/programs/retry.rs
+++ b/crates/policy/src/programs/retry.rs
@@ -58,7 +58,8 @@
 pub(super) enum CrashResult {
     /// The request is a suspect. It may be tried once more, alone at its target.
     Suspect,
-    /// A second target crashed while it ran the request. The request is never sent again.
+    /// Targets crashed twice while they ran the request. The request is not sent again while it is
+    /// among the quarantined ones that are kept.
     Quarantine,
 }
 
--- a/crates/policy/src/slices/borrower.rs
+++ b/crates/policy/src/slices/borrower.rs
@@ -47,7 +47,7 @@
     /// Whether a request must be sent without waiting for the next renewal.
     send_now: bool,
     next_request_at: Instant,
-    /// When to stop sending requests if the lender sends no grant.
+    /// When to stop sending requests to a lender that sends no grant and has no loans to this host.
     give_up_at: Instant,
 }
 
@@ -149,7 +149,7 @@
         released
     }
 
-    /// Returns claims for all running loans in the given columns.
+    /// Returns claims for all running loans in the given columns, from any lender.
     fn claims(&self, columns: &BTreeSet<ColumnId>) -> Vec<LoanClaim> {
         let mut claims = Vec::new();
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -40,7 +40,7 @@
     pub transactions: u64,
     /// Rows written or deleted by committed transactions.
     pub rows_written: u64,
-    /// Read requests by key.
+    /// Requests to read rows by key.
     pub reads: u64,
     /// Scan requests.
     pub scans: u64,
@@ -94,7 +94,7 @@
         Ok(Self { server, state })
     }
 
-    /// Returns the address that it listens at.
+    /// Returns the address at which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -151,8 +151,8 @@
     }
 }
 
-/// Locks the state. A lock that a panicked handler has poisoned is used as it is, which is good
-/// enough for a stand-in.
+/// Locks the state, even if a handler has panicked while it held the lock. The state may then be
+/// inconsistent, which is acceptable in a stand-in.
 fn lock(state: &Shared) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -327,7 +327,7 @@
 struct HostsSetting {
     /// The new list.
     hosts: Vec<HostListing>,
-    /// The time until it becomes visible.
+    /// The time until the new list becomes visible to clients.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "lag_ms", default)]
     lag: Duration,
