--- a/crates/bench/src/limits/methods.rs
+++ b/crates/bench/src/limits/methods.rs
@@ -248,8 +248,8 @@
     let taken = take_tokens(&arrivals, |call| {
         let tenant = &plan.cfg.tenants[call.tenant];
 
-        // The number of calls that the former holder admitted is unknown, so a counter that moved
-        // starts empty.
+        // It is unknown how many calls the former holder admitted, so after a move the bucket
+        // starts without tokens.
         let empty_at = moved_at(plan, call.tenant).filter(|moved| *moved <= call.at);
         let key = usize::from(empty_at.is_some());
 
--- a/crates/entry/src/status_updates.rs
+++ b/crates/entry/src/status_updates.rs
@@ -176,7 +176,7 @@
 }
 
 fn demand((tenant, update): (Box<str>, TenantStatus)) -> Demand {
-    let TenantStatus { admitted, demand, level, reserved, all_hosts_live } = update;
+    let TenantStatus { admitted, demand, level, reserved, is_level_exact } = update;
 
     Demand {
         tenant: tenant.into(),
@@ -185,7 +185,7 @@
         level,
         withheld: reserved.share,
         withheld_ms: u32::try_from(reserved.expires_in.as_millis()).unwrap_or(u32::MAX),
-        hears_all: all_hosts_live,
+        hears_all: is_level_exact,
     }
 }
 
@@ -229,8 +229,8 @@
             expires_in: Duration::from_millis(u64::from(d.withheld_ms)),
         };
         let (admitted, demand, level) = (d.admitted, d.per_second, d.level);
-        let all_hosts_live = d.hears_all;
-        (d.tenant.into(), TenantStatus { admitted, demand, level, reserved, all_hosts_live })
+        let is_level_exact = d.hears_all;
+        (d.tenant.into(), TenantStatus { admitted, demand, level, reserved, is_level_exact })
     });
     shared.rates.borrow_mut().apply_update(now, from, update.run, update.all_demand, tenants);
     let in_flight = update.in_flight.into_iter().map(|f| (f.target.into(), f.calls)).collect();
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -59,7 +59,8 @@
 pub struct PlatformSettings {
     /// The platform's address.
     pub address: SocketAddr,
-    /// The timeout of one attempt of a request.
+    /// The longest wait of an attempt for the response head, and then for each piece of the body.
+    /// A whole body may take ten times as long.
     pub request_timeout: Duration,
     /// How many reads per second this host may make.
     pub reads_per_second: f64,
--- a/crates/policy/src/entry/rates.rs
+++ b/crates/policy/src/entry/rates.rs
@@ -119,12 +119,11 @@
     pub demand: f64,
     /// The level of the sender's bucket.
     pub level: f64,
-    /// The share that the sender reserves for hosts that are not live. A host that has just started
-    /// never received their status updates and takes the share from here.
+    /// The share that the sender reserves for silent hosts. A host that started after they went
+    /// silent has received no status updates from them, and uses this share.
     pub reserved: ReservedShare,
-    /// Whether the sender receives status updates from all hosts, so that its level contains no
-    /// estimates.
-    pub all_hosts_live: bool,
+    /// Whether the sender's level contains only reported calls and no estimates.
+    pub is_level_exact: bool,
 }
 
 /// The known state of a tenant at one point in time.
@@ -179,7 +178,7 @@
         let demand_change = (last.demand * DEMAND_CHANGE).max(MIN_DEMAND_CHANGE);
         let reserved_change = (self.reserved.share - last.reserved.share).abs();
 
-        (self.peers_need_level && self.all_hosts_live())
+        (self.peers_need_level && self.is_level_exact())
             || self.admitted != last.admitted
             || (self.demand - last.demand).abs() > demand_change
             || reserved_change > RESERVED_CHANGE
@@ -348,7 +347,7 @@
             // A new process adopts the lower level of any host.
             if now < account.startup_until {
                 account.level -= excess;
-            } else if status.all_hosts_live && !account.all_hosts_live() {
+            } else if status.is_level_exact && !account.is_level_exact() {
                 // A host whose level contains estimates adopts the lower level of one whose level
                 // contains none.
                 account.level -= excess;
@@ -386,8 +385,8 @@
                 continue;
             }
             let Account { admitted, demand, level, reserved, .. } = *account;
-            let all_hosts_live = account.all_hosts_live();
-            let status = TenantStatus { admitted, demand, level, reserved, all_hosts_live };
+            let is_level_exact = account.is_level_exact();
+            let status = TenantStatus { admitted, demand, level, reserved, is_level_exact };
             account.last_sent = Some(status);
             updates.push((name.clone(), status));
         }
@@ -489,7 +488,7 @@
     }
 
     /// Returns whether the level contains only reported calls and no estimates.
-    fn all_hosts_live(&self) -> bool {
+    fn is_level_exact(&self) -> bool {
         self.non_live_share <= 0.0
     }
 
--- a/crates/policy/src/programs/recovery.rs
+++ b/crates/policy/src/programs/recovery.rs
@@ -29,7 +29,7 @@
 /// The wait before a failed read is repeated.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a request waits for the journal to be read.
+/// The longest time that a request waits for the journal to be read.
 const MAX_PARK_TIME: Duration = Duration::from_secs(2);
 
 /// The maximum number of requests that wait for one partition.
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -52,11 +52,11 @@
 /// A platform operation, and the controller that requested it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OpId {
-    /// Requested by the leases.
+    /// Requested by the lease controller, [`Leases`].
     Lease(LeaseOp),
-    /// Requested by the configuration.
+    /// Requested by the configuration controller, [`Configs`].
     Config(ConfigOp),
-    /// Requested by the programs.
+    /// Requested by the programs controller, [`Programs`].
     Program(ProgramOp),
 }
 
--- a/crates/policy/src/slices.rs
+++ b/crates/policy/src/slices.rs
@@ -440,8 +440,8 @@
         }
     }
 
-    /// Decides the take requests that timed out with the slices that this host holds itself, and
-    /// sends the others again if they are due.
+    /// Uses the slices that this host holds itself to decide the take requests that timed out, and
+    /// resends the others that are due.
     fn process_pending_takes(&mut self, now: Instant, out: &mut Vec<SliceAction>) {
         for pending in self.takes.expire(now) {
             let verdict = self.take_local_token(now, pending.tenant);
--- a/crates/policy/tests/target_table_fuzz/host.rs
+++ b/crates/policy/tests/target_table_fuzz/host.rs
@@ -177,7 +177,8 @@
     ) -> Next {
         let Some(mut listing) = self.listing.take() else { return Next::EndRound };
         let after = rows.last().map(|row| row.id.clone()).unwrap_or_default();
-        // Changes made between two pages are covered by the changes after the first page.
+        // Keeps the version of the first page: the next read of changes starts there, and so
+        // includes the changes made between two pages.
         let version = *listing.version.get_or_insert(version);
         listing.rows.extend(rows);
 
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -12,8 +12,9 @@
     pub address: SocketAddr,
     /// The host's availability zone, sent with each request.
     pub zone: Box<str>,
-    /// The longest wait of an attempt for the response head, and then for each piece of the body.
-    /// A whole body may take ten times as long, and an operation may make several attempts.
+    /// The longest wait of an attempt for the response head, beyond the wait that the request asks
+    /// for, and then for each piece of the body. A whole body may take ten times as long, and an
+    /// operation may make several attempts.
     pub deadline: Duration,
     /// The shortest wait of an attempt for the response head. The wait is a multiple of the recent
     /// average, between this and `deadline`, and doubles after each lost response. With a value
